--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -21,44 +21,44 @@
 	// which a request over its tenant's share is. It may be none: a request that finds room
 	// doesn't wait, and is let in whatever its share.
 	overParts = 4
-	// LeastComeback is the shortest time after which a caller is asked to come
+	// MinRetryAfter is the shortest time after which a caller is asked to come
 	// back. A caller who has that much less than others has come back already.
-	LeastComeback = 250 * time.Millisecond
+	MinRetryAfter = 250 * time.Millisecond
 )
 
 // Request is an online request before it is sent to a worker.
 type Request struct {
-	// Left is how long its caller still waits, Longest how long callers of the
+	// TimeLeft is how long its caller still waits, Longest how long callers of the
 	// route wait when they ask first.
-	Left    time.Duration
-	Longest time.Duration
+	TimeLeft    time.Duration
+	MaxTimeLeft time.Duration
 	// Goal is the time to the first event that is aimed at.
 	Goal time.Duration
-	// Begin is how long the first event takes at the chosen worker once the
+	// FirstEventTime is how long the first event takes at the chosen worker once the
 	// request runs there, zero if unknown, and Wait how long it waits before.
-	Begin time.Duration
-	Wait  time.Duration
-	// Over is set where its tenant has more than its share of the room, and others ask.
-	Over bool
-	// Ends is in which time the overload will probably be over, zero if unknown.
-	Ends time.Duration
+	FirstEventTime time.Duration
+	Wait           time.Duration
+	// OverShare is set where its tenant has more than its share of the room, and others ask.
+	OverShare bool
+	// OverloadTimeLeft is in which time the overload will probably be over, zero if unknown.
+	OverloadTimeLeft time.Duration
 }
 
-// CameBack returns by how much less time than its route's callers have, who wait for longest
+// DetectRetry returns by how much less time than its route's callers have, who wait for longest
 // when they ask first, a caller has that still waits for left. It reports whether that shows
 // that the caller was sent back before: one is asked to wait for a part of its time, and gets
 // that answer within the goal. Who has less time still has a shorter deadline than others.
-func CameBack(longest, left, goal time.Duration) (before time.Duration, returned bool) {
+func DetectRetry(longest, left, goal time.Duration) (before time.Duration, returned bool) {
 	before = longest - left
-	return before, before >= LeastComeback && before <= longest/comebackParts+goal
+	return before, before >= MinRetryAfter && before <= longest/comebackParts+goal
 }
 
 // Reason says why a request is taken in, or is not.
 type Reason uint8
 
 const (
-	// TakenIn requests are probably in time, or gain nothing by coming back.
-	TakenIn Reason = iota
+	// Admitted requests are probably in time, or gain nothing by coming back.
+	Admitted Reason = iota
 	// TooLate requests would probably miss their goal.
 	TooLate
 	// OverShare requests may be in time, but would wait at the cost of those whose tenants
@@ -69,36 +69,36 @@
 // String returns the reason as used in logs and metrics.
 func (r Reason) String() string { return [...]string{"taken_in", "too_late", "over_share"}[r] }
 
-// Judge says whether a request should come back rather than wait, if it can. A request that
+// Evaluate says whether a request should come back rather than wait, if it can. A request that
 // doesn't wait never should.
-func Judge(request *Request) Reason {
-	if request.Wait <= 0 || request.Begin <= 0 || request.Goal <= 0 {
-		return TakenIn
+func Evaluate(request *Request) Reason {
+	if request.Wait <= 0 || request.FirstEventTime <= 0 || request.Goal <= 0 {
+		return Admitted
 	}
-	tolerated := request.Goal*goalPart/hundreds - request.Begin
+	tolerated := request.Goal*goalPart/hundreds - request.FirstEventTime
 	switch {
 	case request.Wait > tolerated:
 		return TooLate
-	case request.Over && request.Wait > tolerated/overParts:
+	case request.OverShare && request.Wait > tolerated/overParts:
 		return OverShare
 	}
-	return TakenIn
+	return Admitted
 }
 
 // Decide returns after which time the caller is to come back, or zero if the request
 // is taken in. random is from 0 to 1; it spreads those who come back.
 func Decide(request *Request, random float64) time.Duration {
-	if Judge(request) == TakenIn {
+	if Evaluate(request) == Admitted {
 		return 0
 	}
-	if request.Left <= request.Longest-LeastComeback {
+	if request.TimeLeft <= request.MaxTimeLeft-MinRetryAfter {
 		return 0
 	}
-	latest := request.Left / comebackParts
-	earliest := max(latest/2, LeastComeback)
-	if request.Ends > 0 {
+	latest := request.TimeLeft / comebackParts
+	earliest := max(latest/2, MinRetryAfter)
+	if request.OverloadTimeLeft > 0 {
 		// Before that the caller would find the same, and take a place from another.
-		earliest = max(min(request.Ends, latest), LeastComeback)
+		earliest = max(min(request.OverloadTimeLeft, latest), MinRetryAfter)
 	}
 	if latest < earliest {
 		return 0
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -24,12 +24,12 @@
 	var trace strings.Builder
 	for _, left := range []time.Duration{5000 * ms, 4800 * ms, 4700 * ms, 600 * ms} {
 		for _, wait := range []time.Duration{0, 100 * ms, 190 * ms, 200 * ms, 900 * ms} {
-			request := Request{Left: left, Longest: 5000 * ms, Goal: 300 * ms, Begin: 80 * ms, Wait: wait}
-			fmt.Fprintf(&trace, "left %s, begin %s, wait %s of goal %s: come back after %s to %s\n", left, request.Begin, wait, request.Goal, Decide(&request, 0), Decide(&request, 1))
+			request := Request{TimeLeft: left, MaxTimeLeft: 5000 * ms, Goal: 300 * ms, FirstEventTime: 80 * ms, Wait: wait}
+			fmt.Fprintf(&trace, "left %s, begin %s, wait %s of goal %s: come back after %s to %s\n", left, request.FirstEventTime, wait, request.Goal, Decide(&request, 0), Decide(&request, 1))
 		}
 	}
 	for _, ends := range []time.Duration{100 * ms, 1200 * ms, 1660 * ms, 4000 * ms} {
-		request := Request{Left: 5000 * ms, Longest: 5000 * ms, Goal: 300 * ms, Begin: 80 * ms, Wait: 900 * ms, Ends: ends}
+		request := Request{TimeLeft: 5000 * ms, MaxTimeLeft: 5000 * ms, Goal: 300 * ms, FirstEventTime: 80 * ms, Wait: 900 * ms, OverloadTimeLeft: ends}
 		fmt.Fprintf(&trace, "the overload ends in %s: come back after %s to %s\n", ends, Decide(&request, 0), Decide(&request, 1))
 	}
 	compareGolden(t, "decisions.txt", trace.String())
@@ -60,16 +60,16 @@
 func TestRefusalsLeaveTimeToComeBack(t *testing.T) {
 	proptest.Run(t, "refusals", func(random *rand.Rand) error {
 		some := func(most int) time.Duration { return time.Duration(random.Intn(most)) * ms }
-		request := Request{Left: some(6000), Longest: some(6000), Goal: some(2000), Begin: some(1000), Wait: some(3000)}
+		request := Request{TimeLeft: some(6000), MaxTimeLeft: some(6000), Goal: some(2000), FirstEventTime: some(1000), Wait: some(3000)}
 		comeback := Decide(&request, random.Float64())
 		switch {
 		case comeback == 0:
 			return nil
-		case request.Wait == 0 || request.Begin == 0 || request.Begin+request.Wait <= request.Goal*goalPart/hundreds:
+		case request.Wait == 0 || request.FirstEventTime == 0 || request.FirstEventTime+request.Wait <= request.Goal*goalPart/hundreds:
 			return errors.Newf("%+v is refused though it may be in time", request)
-		case request.Left <= request.Longest-LeastComeback:
+		case request.TimeLeft <= request.MaxTimeLeft-MinRetryAfter:
 			return errors.Newf("%+v is refused a second time", request)
-		case comeback < LeastComeback || comeback > request.Left/comebackParts:
+		case comeback < MinRetryAfter || comeback > request.TimeLeft/comebackParts:
 			return errors.Newf("%+v is to come back after %s", request, comeback)
 		}
 		return nil
@@ -83,9 +83,9 @@
 	sooner := 0
 	proptest.Run(t, "over", func(random *rand.Rand) error {
 		some := func(most int) time.Duration { return time.Duration(random.Intn(most)) * ms }
-		within := Request{Left: some(6000), Longest: some(6000), Goal: some(2000), Begin: some(1000), Wait: some(800)}
+		within := Request{TimeLeft: some(6000), MaxTimeLeft: some(6000), Goal: some(2000), FirstEventTime: some(1000), Wait: some(800)}
 		over := within
-		over.Over = true
+		over.OverShare = true
 		lot := random.Float64()
 		sent, sentOver := Decide(&within, lot), Decide(&over, lot)
 		switch {
@@ -93,7 +93,7 @@
 			return errors.Newf("%+v comes back after %s, over its share after %s", within, sent, sentOver)
 		case sent == 0 && sentOver > 0:
 			sooner++
-			if over.Wait == 0 || over.Left <= over.Longest-LeastComeback || Judge(&over) != OverShare {
+			if over.Wait == 0 || over.TimeLeft <= over.MaxTimeLeft-MinRetryAfter || Evaluate(&over) != OverShare {
 				return errors.Newf("%+v is sent back", over)
 			}
 		}
@@ -109,13 +109,13 @@
 	for _, test := range []struct {
 		wait         time.Duration
 		within, over Reason
-	}{{0, TakenIn, TakenIn}, {47 * ms, TakenIn, TakenIn}, {48 * ms, TakenIn, OverShare}, {190 * ms, TakenIn, OverShare}, {191 * ms, TooLate, TooLate}} {
-		request := Request{Left: 5000 * ms, Longest: 5000 * ms, Goal: 300 * ms, Begin: 80 * ms, Wait: test.wait}
-		if got := Judge(&request); got != test.within {
+	}{{0, Admitted, Admitted}, {47 * ms, Admitted, Admitted}, {48 * ms, Admitted, OverShare}, {190 * ms, Admitted, OverShare}, {191 * ms, TooLate, TooLate}} {
+		request := Request{TimeLeft: 5000 * ms, MaxTimeLeft: 5000 * ms, Goal: 300 * ms, FirstEventTime: 80 * ms, Wait: test.wait}
+		if got := Evaluate(&request); got != test.within {
 			t.Errorf("wait %s: %s", test.wait, got)
 		}
-		request.Over = true
-		if got := Judge(&request); got != test.over {
+		request.OverShare = true
+		if got := Evaluate(&request); got != test.over {
 			t.Errorf("wait %s, over the share: %s", test.wait, got)
 		}
 	}
@@ -123,22 +123,22 @@
 
 func TestRouteLearns(t *testing.T) {
 	var route Route
-	if route.Begin() != 0 || route.Longest() != 0 {
+	if route.FirstEventTime() != 0 || route.MaxTimeLeft() != 0 {
 		t.Error("something is known before anything was seen")
 	}
 	for range 100 {
-		route.Arrived(4000 * ms)
-		route.Arrived(3000 * ms)
-		route.Began(80 * ms)
+		route.ObserveArrival(4000 * ms)
+		route.ObserveArrival(3000 * ms)
+		route.ObserveFirstEvent(80 * ms)
 	}
-	if route.Begin() != 80*ms || route.Longest() < 3900*ms {
-		t.Errorf("begin %s, longest %s", route.Begin(), route.Longest())
+	if route.FirstEventTime() != 80*ms || route.MaxTimeLeft() < 3900*ms {
+		t.Errorf("begin %s, longest %s", route.FirstEventTime(), route.MaxTimeLeft())
 	}
 	for range 8 * longestWeight {
-		route.Arrived(2000 * ms)
+		route.ObserveArrival(2000 * ms)
 	}
-	if route.Longest() > 2100*ms {
-		t.Errorf("after the time allowed was cut: %s", route.Longest())
+	if route.MaxTimeLeft() > 2100*ms {
+		t.Errorf("after the time allowed was cut: %s", route.MaxTimeLeft())
 	}
 }
 
@@ -156,17 +156,17 @@
 		if in := passed % period; in >= period-height || passed == period+2*time.Second {
 			wait = 120 * ms
 		}
-		overload.Saw(now, wait, 300*ms)
+		overload.Observe(now, wait, 300*ms)
 		if passed%(500*ms) == 0 {
-			fmt.Fprintf(&trace, "%s: wait %s, ends in %s\n", passed, wait, overload.Ends(now))
+			fmt.Fprintf(&trace, "%s: wait %s, ends in %s\n", passed, wait, overload.TimeLeft(now))
 		}
 	}
 	now := start.Add(4*period + time.Second)
 	for range 100 {
 		now = now.Add(50 * ms)
-		overload.Saw(now, 120*ms, 300*ms)
+		overload.Observe(now, 120*ms, 300*ms)
 	}
-	fmt.Fprintf(&trace, "after 5s of another wave: ends in %s\n", overload.Ends(now))
+	fmt.Fprintf(&trace, "after 5s of another wave: ends in %s\n", overload.TimeLeft(now))
 	compareGolden(t, "overload.txt", trace.String())
 }
 
@@ -178,14 +178,14 @@
 		want bool
 	}{
 		{longest, false},
-		{longest - LeastComeback + ms, false},
-		{longest - LeastComeback, true},
+		{longest - MinRetryAfter + ms, false},
+		{longest - MinRetryAfter, true},
 		{longest - longest/3 - goal, true},
 		{longest - longest/3 - goal - ms, false},
 		{1000 * ms, false},
 		{longest + 1000*ms, false},
 	} {
-		before, returned := CameBack(longest, test.left, goal)
+		before, returned := DetectRetry(longest, test.left, goal)
 		if returned != test.want || before != longest-test.left {
 			t.Errorf("%s left: %s before, returned %t", test.left, before, returned)
 		}
@@ -197,8 +197,8 @@
 func TestAllWhoAreSentBackCameBack(t *testing.T) {
 	proptest.Run(t, "came back", func(random *rand.Rand) error {
 		longest := time.Duration(1000+random.Intn(20000)) * ms
-		comeback := Decide(&Request{Left: longest, Longest: longest, Goal: testGoal, Begin: testBegin, Wait: time.Second, Ends: time.Duration(random.Intn(8000)) * ms}, random.Float64())
-		if _, returned := CameBack(longest, longest-comeback-time.Duration(random.Intn(100))*ms, testGoal); !returned {
+		comeback := Decide(&Request{TimeLeft: longest, MaxTimeLeft: longest, Goal: testGoal, FirstEventTime: testBegin, Wait: time.Second, OverloadTimeLeft: time.Duration(random.Intn(8000)) * ms}, random.Float64())
+		if _, returned := DetectRetry(longest, longest-comeback-time.Duration(random.Intn(100))*ms, testGoal); !returned {
 			return errors.Newf("sent back for %s of %s", comeback, longest)
 		}
 		return nil
--- a/internal/admission/claim.go
+++ b/internal/admission/claim.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// Claim is what a request brings to the order in which scarce room is given out.
-type Claim struct {
+// Entry is what a request brings to the order in which scarce room is given out.
+type Entry struct {
 	// Rank goes first where it is smaller: the tenant's, or else the route's.
 	Rank int
-	// Over is set where its tenant has more than its share of the room. It counts before the
+	// OverShare is set where its tenant has more than its share of the room. It counts before the
 	// rank.
-	Over bool
-	// Due is until when the first event is in time, counted from the caller's first attempt,
+	OverShare bool
+	// GoalDeadline is until when the first event is in time, counted from the caller's first attempt,
 	// and Leaves until when the caller waits at all.
-	Due    time.Time
-	Leaves time.Time
-	// Returned is set where the caller was sent back before.
-	Returned bool
+	GoalDeadline time.Time
+	Deadline     time.Time
+	// Retried is set where the caller was sent back before.
+	Retried bool
 
 	// Arrived is when this attempt came, Goal the time to the first event that is aimed at,
 	// zero for none.
 	Arrived time.Time
 	Goal    time.Duration
-	// Begin is how long the first event takes once the request runs, zero if unknown.
-	Begin time.Duration
+	// FirstEventTime is how long the first event takes once the request runs, zero if unknown.
+	FirstEventTime time.Duration
 	// Bytes is what the request keeps in memory while it waits.
 	Bytes int64
 	// number orders claims that are alike by when they came.
@@ -41,18 +41,18 @@
 }
 
 // prepare works out what the order of claims rests on.
-func (c *Claim) prepare(number uint64) {
+func (c *Entry) prepare(number uint64) {
 	c.number = number
 	// Predictions err, so a part of the goal is left.
-	least := c.Begin + c.Goal - c.Goal*goalPart/hundreds
-	c.due, c.leaves = c.Due.UnixNano(), c.Leaves.UnixNano()
+	least := c.FirstEventTime + c.Goal - c.Goal*goalPart/hundreds
+	c.due, c.leaves = c.GoalDeadline.UnixNano(), c.Deadline.UnixNano()
 	if c.Goal <= 0 {
 		// Nothing is due before the caller leaves.
 		c.due = c.leaves
 	}
 	c.punctualUntil = c.due - int64(least)
 	c.returnedUntil = c.punctualUntil
-	if c.Returned {
+	if c.Retried {
 		c.returnedUntil = c.Arrived.Add(c.Goal - least).UnixNano()
 	}
 }
@@ -70,9 +70,9 @@
 )
 
 // classAt returns the claim's class if its request is sent to a free slot at that moment.
-func (c *Claim) classAt(sent time.Time) class { return c.classOf(sent.UnixNano()) }
+func (c *Entry) classAt(sent time.Time) class { return c.classOf(sent.UnixNano()) }
 
-func (c *Claim) classOf(sent int64) class {
+func (c *Entry) classOf(sent int64) class {
 	switch {
 	case c.Goal <= 0 || sent <= c.punctualUntil:
 		return punctual
@@ -85,20 +85,20 @@
 // inTime reports whether the first event will be in time, from the first attempt or from the
 // return, if the request waits so long for a slot from now on. Where no time is aimed at,
 // nothing says that a wait is short enough.
-func (c *Claim) inTime(now time.Time, wait time.Duration) bool {
+func (c *Entry) inTime(now time.Time, wait time.Duration) bool {
 	return c.classAt(now.Add(wait)) < late && (c.Goal > 0 || wait <= 0)
 }
 
 // indifferent reports whether no wait is short enough or too long for the claim: it has no goal, or
 // one that no request of its kind keeps, however soon it is sent.
-func (c *Claim) indifferent() bool { return c.Begin >= c.Goal*goalPart/hundreds }
+func (c *Entry) indifferent() bool { return c.FirstEventTime >= c.Goal*goalPart/hundreds }
 
 // compare orders claims of one class: the one that goes first is smaller. The shares are divided
 // by rank already, less what is kept for later ranks. So who is within its share goes before
 // all who are over theirs: otherwise nothing would be kept for anybody.
-func (c *Claim) compare(other *Claim, of class) int {
-	if c.Over != other.Over {
-		if other.Over {
+func (c *Entry) compare(other *Entry, of class) int {
+	if c.OverShare != other.OverShare {
+		if other.OverShare {
 			return -1
 		}
 		return 1
@@ -117,7 +117,7 @@
 }
 
 // before reports whether the claim goes before the other, by the classes given.
-func (c *Claim) before(own class, other *Claim, others class) bool {
+func (c *Entry) before(own class, other *Entry, others class) bool {
 	if own != others {
 		return own < others
 	}
@@ -133,7 +133,7 @@
 	gapPatience   = 8
 )
 
-// Patience returns how long a caller waits for the first event of a stream with the goals.
-func Patience(goal, gapGoal time.Duration) time.Duration {
+// FirstEventTimeout returns how long a caller waits for the first event of a stream with the goals.
+func FirstEventTimeout(goal, gapGoal time.Duration) time.Duration {
 	return max(leastPatience, goalPatience*goal, gapPatience*gapGoal)
 }
--- a/internal/admission/collapse_test.go
+++ b/internal/admission/collapse_test.go
@@ -81,7 +81,7 @@
 	came   time.Duration
 	tries  int
 	edge   *playEdge
-	claim  admission.Claim
+	claim  admission.Entry
 	lease  *balance.Lease
 	gone   bool
 	queued bool
@@ -97,7 +97,7 @@
 	route    admission.Route
 	overload admission.Overload
 	queue    *admission.Queue
-	waiting  map[*admission.Claim]*playRequest
+	waiting  map[*admission.Entry]*playRequest
 	polling  bool
 }
 
@@ -140,7 +140,7 @@
 	for number := range playEdges {
 		table := balance.NewTable(fmt.Sprintf("z%d", number%playZones), rand.New(rand.NewPCG(seed, uint64(number))))
 		table.Update(set, nil)
-		p.edges = append(p.edges, &playEdge{number: number, table: table, queue: admission.NewQueue(admission.Bounds{Claims: playClaims, Bytes: 1 << 20}), waiting: map[*admission.Claim]*playRequest{}})
+		p.edges = append(p.edges, &playEdge{number: number, table: table, queue: admission.NewQueue(admission.Bounds{Requests: playClaims, Bytes: 1 << 20}), waiting: map[*admission.Entry]*playRequest{}})
 	}
 	return p
 }
@@ -201,7 +201,7 @@
 	edge := p.edges[p.random.IntN(playEdges)]
 	r := &playRequest{first: first, came: p.now, tries: tries, edge: edge}
 	p.came = append(p.came, p.now)
-	edge.route.Arrived(r.leaves() - p.now)
+	edge.route.ObserveArrival(r.leaves() - p.now)
 	p.after(r.leaves()-p.now, func() { p.leave(r) })
 	p.ask(edge, func() { p.decide(r) })
 }
@@ -227,8 +227,8 @@
 	}
 	e := r.edge
 	lease := e.table.Acquire(p.clock(), &balance.Demand{Pool: "p"})
-	e.overload.Saw(p.clock(), lease.Wait, playGoal)
-	request := admission.Request{Left: r.leaves() - p.now, Longest: e.route.Longest(), Goal: playGoal, Begin: e.route.Begin(), Wait: lease.Wait, Ends: e.overload.Ends(p.clock())}
+	e.overload.Observe(p.clock(), lease.Wait, playGoal)
+	request := admission.Request{TimeLeft: r.leaves() - p.now, MaxTimeLeft: e.route.MaxTimeLeft(), Goal: playGoal, FirstEventTime: e.route.FirstEventTime(), Wait: lease.Wait, OverloadTimeLeft: e.overload.TimeLeft(p.clock())}
 	if comeback := admission.Decide(&request, p.random.Float64()); comeback > 0 {
 		lease.Release()
 		p.refuse(r, comeback)
@@ -238,9 +238,9 @@
 }
 
 // look returns the best place at a worker.
-func (p *play) look(e *playEdge, given string) (*balance.Choice, admission.Offer) {
+func (p *play) look(e *playEdge, given string) (*balance.Choice, admission.Candidate) {
 	place := e.table.Look(p.clock(), &balance.Demand{Pool: "p"}, balance.Search{Peers: playEdges, Given: given})
-	return place, admission.Offer{Full: place.Full, Wait: place.Wait, WaitMost: place.WaitMost, Spare: place.Spare, LeftToOthers: place.LeftToOthers}
+	return place, admission.Candidate{Full: place.Full, Wait: place.Wait, WaitMost: place.WaitMost, Spare: place.Spare, LeftToOthers: place.LeftToOthers}
 }
 
 // take sends a request to the place.
@@ -251,25 +251,25 @@
 func (p *play) decideInTurn(r *playRequest) {
 	e := r.edge
 	left := r.leaves() - p.now
-	age, returned := admission.CameBack(e.route.Longest(), left, playGoal)
+	age, returned := admission.DetectRetry(e.route.MaxTimeLeft(), left, playGoal)
 	if !returned {
 		age = 0
 	}
-	r.claim = admission.Claim{Due: p.clock().Add(playGoal - age), Leaves: p.clock().Add(left), Returned: returned, Arrived: p.clock(), Goal: playGoal, Begin: e.route.Begin(), Bytes: 1}
+	r.claim = admission.Entry{GoalDeadline: p.clock().Add(playGoal - age), Deadline: p.clock().Add(left), Retried: returned, Arrived: p.clock(), Goal: playGoal, FirstEventTime: e.route.FirstEventTime(), Bytes: 1}
 	place, offer := p.look(e, "")
-	e.overload.Saw(p.clock(), place.Wait, playGoal)
-	room := admission.Supply{PerSecond: e.table.Throughput("p", playEdges), Ends: e.overload.Ends(p.clock())}
-	decision := e.queue.Arrive(p.clock(), &admission.Arrival{Claim: &r.claim, Offer: offer, Supply: room, Left: left, Longest: e.route.Longest()}, p.random.Float64())
+	e.overload.Observe(p.clock(), place.Wait, playGoal)
+	room := admission.Supply{Throughput: e.table.Throughput("p", playEdges), OverloadTimeLeft: e.overload.TimeLeft(p.clock())}
+	decision := e.queue.Admit(p.clock(), &admission.Arrival{Entry: &r.claim, Candidate: offer, Supply: room, TimeLeft: left, MaxTimeLeft: e.route.MaxTimeLeft()}, p.random.Float64())
 	for i := range decision.Displaced {
 		displaced := &decision.Displaced[i]
-		other := e.waiting[displaced.Claim]
-		delete(e.waiting, displaced.Claim)
-		p.refuse(other, displaced.Comeback)
+		other := e.waiting[displaced.Entry]
+		delete(e.waiting, displaced.Entry)
+		p.refuse(other, displaced.RetryAfter)
 	}
 	switch decision.Result {
-	case admission.Go:
+	case admission.Dispatched:
 		p.take(r, place)
-	case admission.Wait:
+	case admission.Queued:
 		e.waiting[&r.claim] = r
 		r.queued = true
 		p.queued++
@@ -277,7 +277,7 @@
 		p.pump(e, "")
 		p.poll(e)
 	default:
-		p.refuse(r, decision.Comeback)
+		p.refuse(r, decision.RetryAfter)
 	}
 }
 
@@ -288,7 +288,7 @@
 		return false
 	}
 	place, offer := p.look(e, given)
-	if !e.queue.Take(p.clock(), first, offer) {
+	if !e.queue.TryDispatch(p.clock(), first, offer) {
 		return false
 	}
 	r := e.waiting[first]
@@ -369,7 +369,7 @@
 func (p *play) event(r *playRequest) {
 	took := p.now - r.came
 	if r.lease.Wait <= 0 && !r.queued {
-		r.edge.route.Began(took)
+		r.edge.route.ObserveFirstEvent(took)
 	}
 	if took <= playGoal {
 		p.firsts = append(p.firsts, p.now)
--- a/internal/admission/overload.go
+++ b/internal/admission/overload.go
@@ -28,8 +28,8 @@
 	lengths []time.Duration
 }
 
-// Saw takes in the wait that was predicted for a request with the goal.
-func (o *Overload) Saw(now time.Time, wait, goal time.Duration) {
+// Observe takes in the wait that was predicted for a request with the goal.
+func (o *Overload) Observe(now time.Time, wait, goal time.Duration) {
 	if goal <= 0 || wait < goal*crowdedPart/hundreds {
 		return
 	}
@@ -50,9 +50,9 @@
 	o.lengths = append(o.lengths, length)
 }
 
-// Ends returns in which time the present overload will probably be over, zero if there is
+// TimeLeft returns in which time the present overload will probably be over, zero if there is
 // none, or if it lasts longer than those before it.
-func (o *Overload) Ends(now time.Time) time.Duration {
+func (o *Overload) TimeLeft(now time.Time) time.Duration {
 	if len(o.lengths) == 0 || now.Sub(o.last) > calmTime {
 		return 0
 	}
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -8,9 +8,9 @@
 
 // Bounds limit what waits in a queue.
 type Bounds struct {
-	// Claims is how many requests may wait, Bytes what they may keep in memory together.
-	Claims int
-	Bytes  int64
+	// Requests is how many requests may wait, Bytes what they may keep in memory together.
+	Requests int
+	Bytes    int64
 }
 
 // Queue holds the requests of a pool that wait at a process until a worker has room, and
@@ -18,7 +18,7 @@
 // known of the workers come from the caller. It is not safe for concurrent use.
 type Queue struct {
 	bounds Bounds
-	claims []*Claim
+	claims []*Entry
 	bytes  int64
 	number uint64
 	// sent counts all that were sent to workers, first those among them that went before
@@ -36,9 +36,9 @@
 // Bytes returns what those that wait keep in memory.
 func (q *Queue) Bytes() int64 { return q.bytes }
 
-// Offer is what the best worker that was found offers to a request: balance.Choice, as far as the
+// Candidate is what the best worker that was found offers to a request: balance.Choice, as far as the
 // queue decides by it.
-type Offer struct {
+type Candidate struct {
 	// Full is set where all slots of the worker are held. Wait is how long the request
 	// would wait for one in the mean, WaitMost in nearly all cases; both are zero if that
 	// is unknown.
@@ -57,7 +57,7 @@
 // is late goes only where a slot is free that nobody else is about to take, so that it stands
 // in nobody's way: those that are in time may wait at another process. What is indifferent gains
 // nothing by that, and is not made later still.
-func (o Offer) takes(now time.Time, claim *Claim) bool {
+func (o Candidate) takes(now time.Time, claim *Entry) bool {
 	if o.LeftToOthers {
 		return false
 	}
@@ -69,28 +69,28 @@
 
 // Supply is what a process can expect of a pool.
 type Supply struct {
-	// PerSecond is how many requests a second the workers can take of those that come to
+	// Throughput is how many requests a second the workers can take of those that come to
 	// this process, zero if unknown.
-	PerSecond float64
-	// Ends is in which time the overload will probably be over, zero if unknown.
-	Ends time.Duration
+	Throughput float64
+	// OverloadTimeLeft is in which time the overload will probably be over, zero if unknown.
+	OverloadTimeLeft time.Duration
 }
 
 // Result is what becomes of a request that came.
 type Result uint8
 
 const (
-	// Go sends it to the worker that was offered.
-	Go Result = iota
-	// Wait lets it wait.
-	Wait
-	// SentBack refuses it because it would be late now and its caller has the time to come
+	// Dispatched sends it to the worker that was offered.
+	Dispatched Result = iota
+	// Queued lets it wait.
+	Queued
+	// RetryLater refuses it because it would be late now and its caller has the time to come
 	// back.
-	SentBack
-	// Hopeless refuses it because its caller will have left before its turn.
-	Hopeless
-	// Crowded refuses it because others that go before it fill the queue.
-	Crowded
+	RetryLater
+	// DeadlineTooSoon refuses it because its caller will have left before its turn.
+	DeadlineTooSoon
+	// QueueFull refuses it because others that go before it fill the queue.
+	QueueFull
 )
 
 // String returns the result as used in logs and metrics.
@@ -106,63 +106,63 @@
 	// Ahead is how many that wait go before it, Predicted how long it would wait here.
 	Ahead     int
 	Predicted time.Duration
-	// Comeback is when a caller that is refused is to come back.
-	Comeback time.Duration
+	// RetryAfter is when a caller that is refused is to come back.
+	RetryAfter time.Duration
 	// Displaced are those that waited and are refused in its favour.
 	Displaced []Displaced
 }
 
 // Displaced is a claim that waited and is refused.
 type Displaced struct {
-	Claim *Claim
+	Entry *Entry
 	Decision
 }
 
 // Arrival is a request that came.
 type Arrival struct {
-	Claim *Claim
-	// Offer is that of the best worker that was found for it.
-	Offer  Offer
-	Supply Supply
-	// Left is how long its caller still waits, Longest how long callers of the route wait
+	Entry *Entry
+	// Candidate is that of the best worker that was found for it.
+	Candidate Candidate
+	Supply    Supply
+	// TimeLeft is how long its caller still waits, Longest how long callers of the route wait
 	// when they ask first.
-	Left    time.Duration
-	Longest time.Duration
+	TimeLeft    time.Duration
+	MaxTimeLeft time.Duration
 }
 
-// Arrive decides what becomes of a request that came. Its claim waits from now on if the
+// Admit decides what becomes of a request that came. Its claim waits from now on if the
 // result is Wait. random is from 0 to 1; it spreads those who come back.
-func (q *Queue) Arrive(now time.Time, a *Arrival, random float64) Decision {
+func (q *Queue) Admit(now time.Time, a *Arrival, random float64) Decision {
 	q.number++
-	a.Claim.prepare(q.number)
+	a.Entry.prepare(q.number)
 	q.classify(now)
-	a.Claim.class = a.Claim.classAt(now)
-	ahead := q.ahead(a.Claim, a.Claim.class)
+	a.Entry.class = a.Entry.classAt(now)
+	ahead := q.ahead(a.Entry, a.Entry.class)
 	if ahead == 0 && q.goes(now, a) {
-		q.Sent(now, a.Claim)
-		return Decision{Result: Go}
+		q.RecordDispatch(now, a.Entry)
+		return Decision{Result: Dispatched}
 	}
-	decision := Decision{Result: Wait, Ahead: ahead, Predicted: q.predict(now, a.Claim, ahead, a)}
-	if !a.Offer.free() {
+	decision := Decision{Result: Queued, Ahead: ahead, Predicted: q.predict(now, a.Entry, ahead, a)}
+	if !a.Candidate.free() {
 		if comeback := a.sendBack(decision.Predicted, random); comeback > 0 {
-			decision.Result, decision.Comeback = SentBack, comeback
-			decision.Reason = Judge(a.request(decision.Predicted))
+			decision.Result, decision.RetryAfter = RetryLater, comeback
+			decision.Reason = Evaluate(a.request(decision.Predicted))
 			return decision
 		}
-		if a.Claim.classAt(now.Add(decision.Predicted)) == late {
+		if a.Entry.classAt(now.Add(decision.Predicted)) == late {
 			// By its turn it goes behind all that can be in time.
-			decision.Ahead = q.ahead(a.Claim, late)
-			decision.Predicted = q.predict(now, a.Claim, decision.Ahead, a)
+			decision.Ahead = q.ahead(a.Entry, late)
+			decision.Predicted = q.predict(now, a.Entry, decision.Ahead, a)
 		}
-		if decision.Predicted > a.Claim.Leaves.Sub(now) {
-			decision.Result, decision.Comeback = Hopeless, Comeback(a.Left, a.Supply.Ends, random)
+		if decision.Predicted > a.Entry.Deadline.Sub(now) {
+			decision.Result, decision.RetryAfter = DeadlineTooSoon, RetryAfter(a.TimeLeft, a.Supply.OverloadTimeLeft, random)
 			return decision
 		}
 	}
-	q.enter(a.Claim)
+	q.enter(a.Entry)
 	decision.Displaced = q.displace(now, a, random)
 	last := len(decision.Displaced) - 1
-	if last >= 0 && decision.Displaced[last].Claim == a.Claim {
+	if last >= 0 && decision.Displaced[last].Entry == a.Entry {
 		others := decision.Displaced[:last]
 		decision = decision.Displaced[last].Decision
 		decision.Displaced = others
@@ -171,19 +171,19 @@
 }
 
 // free reports whether a slot is free at the worker.
-func (o Offer) free() bool { return !o.Full && o.Wait <= 0 }
+func (o Candidate) free() bool { return !o.Full && o.Wait <= 0 }
 
 // goes reports whether the request goes to the worker offered though nobody says that it will be
 // in time there: where the workers don't tell their slots there is no moment to wait for. One that
 // is over its share waits at a worker at the cost of others, so it is sent back if it can be.
 func (q *Queue) goes(now time.Time, a *Arrival) bool {
-	if a.Claim.Over && a.sendBack(a.Offer.Wait, 0) > 0 {
+	if a.Entry.OverShare && a.sendBack(a.Candidate.Wait, 0) > 0 {
 		return false
 	}
-	if a.Offer.takes(now, a.Claim) {
+	if a.Candidate.takes(now, a.Entry) {
 		return true
 	}
-	return a.Offer.untold() && a.sendBack(a.Offer.Wait, 0) == 0
+	return a.Candidate.untold() && a.sendBack(a.Candidate.Wait, 0) == 0
 }
 
 // sendBack returns after which time a caller who asks first and would wait so long is to come
@@ -195,18 +195,18 @@
 // request returns the request as it is judged if it would wait so long.
 func (a *Arrival) request(wait time.Duration) *Request {
 	return &Request{
-		Left:    a.Left,
-		Longest: a.Longest,
-		Goal:    a.Claim.Goal,
-		Begin:   a.Claim.Begin,
-		Wait:    wait,
-		Over:    a.Claim.Over,
-		Ends:    a.Supply.Ends,
+		TimeLeft:         a.TimeLeft,
+		MaxTimeLeft:      a.MaxTimeLeft,
+		Goal:             a.Entry.Goal,
+		FirstEventTime:   a.Entry.FirstEventTime,
+		Wait:             wait,
+		OverShare:        a.Entry.OverShare,
+		OverloadTimeLeft: a.Supply.OverloadTimeLeft,
 	}
 }
 
 // enter lets the claim wait.
-func (q *Queue) enter(claim *Claim) {
+func (q *Queue) enter(claim *Entry) {
 	q.claims = append(q.claims, claim)
 	q.bytes += claim.Bytes
 }
@@ -222,17 +222,17 @@
 	for len(q.claims) > 0 {
 		last, ahead := q.last()
 		predicted := q.predict(now, last, ahead, a)
-		result := Crowded
+		result := QueueFull
 		if !q.overflows() {
-			if a.Offer.free() || predicted <= last.Leaves.Sub(now) || now.Sub(last.Arrived) > last.Goal/soonPart {
+			if a.Candidate.free() || predicted <= last.Deadline.Sub(now) || now.Sub(last.Arrived) > last.Goal/soonPart {
 				break
 			}
-			result = Hopeless
+			result = DeadlineTooSoon
 		}
 		q.Remove(last)
-		left := last.Leaves.Sub(now)
-		displaced = append(displaced, Displaced{last, Decision{Result: result, Ahead: ahead, Predicted: predicted, Comeback: Comeback(left, a.Supply.Ends, random)}})
-		if last == a.Claim {
+		left := last.Deadline.Sub(now)
+		displaced = append(displaced, Displaced{last, Decision{Result: result, Ahead: ahead, Predicted: predicted, RetryAfter: RetryAfter(left, a.Supply.OverloadTimeLeft, random)}})
+		if last == a.Entry {
 			break
 		}
 	}
@@ -240,11 +240,11 @@
 }
 
 func (q *Queue) overflows() bool {
-	return len(q.claims) > q.bounds.Claims || q.bytes > q.bounds.Bytes
+	return len(q.claims) > q.bounds.Requests || q.bytes > q.bounds.Bytes
 }
 
 // Remove takes a claim out, and reports whether it waited.
-func (q *Queue) Remove(claim *Claim) bool {
+func (q *Queue) Remove(claim *Entry) bool {
 	at := slices.Index(q.claims, claim)
 	if at < 0 {
 		return false
@@ -257,12 +257,12 @@
 	return true
 }
 
-// Expired takes out the claims whose callers have left by now, and returns them.
-func (q *Queue) Expired(now time.Time) []*Claim {
-	var expired []*Claim
+// RemoveExpired takes out the claims whose callers have left by now, and returns them.
+func (q *Queue) RemoveExpired(now time.Time) []*Entry {
+	var expired []*Entry
 	for at := 0; at < len(q.claims); {
 		claim := q.claims[at]
-		if now.Before(claim.Leaves) {
+		if now.Before(claim.Deadline) {
 			at++
 			continue
 		}
@@ -281,9 +281,9 @@
 }
 
 // First returns the claim that goes first now, or nil if none waits.
-func (q *Queue) First(now time.Time) *Claim {
+func (q *Queue) First(now time.Time) *Entry {
 	q.classify(now)
-	var first *Claim
+	var first *Entry
 	for _, claim := range q.claims {
 		if first == nil || claim.before(claim.class, first, first.class) {
 			first = claim
@@ -292,24 +292,24 @@
 	return first
 }
 
-// Take takes the claim that goes first out if its request may go to the worker offered, and reports
+// TryDispatch takes the claim that goes first out if its request may go to the worker offered, and reports
 // whether it may.
-func (q *Queue) Take(now time.Time, first *Claim, offer Offer) bool {
+func (q *Queue) TryDispatch(now time.Time, first *Entry, offer Candidate) bool {
 	if !offer.takes(now, first) && !offer.untold() {
 		return false
 	}
 	if !q.Remove(first) {
 		return false
 	}
-	q.Sent(now, first)
+	q.RecordDispatch(now, first)
 	return true
 }
 
 // untold reports whether the worker does not tell its slots.
-func (o Offer) untold() bool { return !o.Full && o.Wait > 0 }
+func (o Candidate) untold() bool { return !o.Full && o.Wait > 0 }
 
-// Sent takes in that a request went to a worker.
-func (q *Queue) Sent(now time.Time, claim *Claim) {
+// RecordDispatch takes in that a request went to a worker.
+func (q *Queue) RecordDispatch(now time.Time, claim *Entry) {
 	q.sent.add(now)
 	if claim.classAt(now) == punctual {
 		q.first.add(now)
@@ -317,7 +317,7 @@
 }
 
 // last returns the claim that goes last, and how many go before it.
-func (q *Queue) last() (last *Claim, ahead int) {
+func (q *Queue) last() (last *Entry, ahead int) {
 	for _, claim := range q.claims {
 		if last == nil || last.before(last.class, claim, claim.class) {
 			last = claim
@@ -327,7 +327,7 @@
 }
 
 // ahead returns how many of those that wait go before the claim while it is of the class.
-func (q *Queue) ahead(claim *Claim, of class) int {
+func (q *Queue) ahead(claim *Entry, of class) int {
 	count := 0
 	for _, other := range q.claims {
 		if other != claim && other.before(other.class, claim, of) {
@@ -345,31 +345,31 @@
 // until those have been sent, beside others that come meanwhile and go before it, and a slot
 // is given back for itself. Where those who go before it take all, its turn comes after the
 // overload, if its end is known.
-func (q *Queue) predict(now time.Time, claim *Claim, ahead int, a *Arrival) time.Duration {
-	if a.Supply.PerSecond <= 0 {
-		return a.Offer.Wait
+func (q *Queue) predict(now time.Time, claim *Entry, ahead int, a *Arrival) time.Duration {
+	if a.Supply.Throughput <= 0 {
+		return a.Candidate.Wait
 	}
-	perSecond := max(a.Supply.PerSecond, q.sent.perSecond(now))
+	perSecond := max(a.Supply.Throughput, q.sent.perSecond(now))
 	before := 0.0
 	if claim.classAt(now) != punctual {
 		before = q.first.perSecond(now)
 	}
 	if spare := perSecond - before; spare*hundreds > perSecond*leastSpare {
-		return a.Offer.Wait + seconds(float64(ahead)/spare)
+		return a.Candidate.Wait + seconds(float64(ahead)/spare)
 	}
-	return a.Offer.Wait + a.Supply.Ends + seconds(float64(ahead)/perSecond)
+	return a.Candidate.Wait + a.Supply.OverloadTimeLeft + seconds(float64(ahead)/perSecond)
 }
 
 func seconds(count float64) time.Duration { return time.Duration(count * float64(time.Second)) }
 
-// Comeback returns after which time a caller that has so much time left and is refused, though
+// RetryAfter returns after which time a caller that has so much time left and is refused, though
 // it came back before, is to ask again: after the overload if there is time, and otherwise
 // when a new request would find room.
-func Comeback(left, ends time.Duration, random float64) time.Duration {
+func RetryAfter(left, ends time.Duration, random float64) time.Duration {
 	latest := left / comebackParts
-	earliest := max(min(ends, latest), LeastComeback)
+	earliest := max(min(ends, latest), MinRetryAfter)
 	if latest < earliest {
-		earliest = max(ends, LeastComeback)
+		earliest = max(ends, MinRetryAfter)
 		latest = 2 * earliest
 	}
 	return earliest + time.Duration(random*float64(latest-earliest))
--- a/internal/admission/route.go
+++ b/internal/admission/route.go
@@ -17,8 +17,8 @@
 	longest time.Duration
 }
 
-// Arrived takes in how long a request's caller still waits.
-func (r *Route) Arrived(left time.Duration) {
+// ObserveArrival takes in how long a request's caller still waits.
+func (r *Route) ObserveArrival(left time.Duration) {
 	if left >= r.longest {
 		r.longest = left
 		return
@@ -26,8 +26,8 @@
 	r.longest -= (r.longest - left) / longestWeight
 }
 
-// Began takes in how long the first event took of a request that did not wait.
-func (r *Route) Began(took time.Duration) {
+// ObserveFirstEvent takes in how long the first event took of a request that did not wait.
+func (r *Route) ObserveFirstEvent(took time.Duration) {
 	if r.begin == 0 {
 		r.begin = took
 		return
@@ -35,8 +35,8 @@
 	r.begin += (took - r.begin) / beginWeight
 }
 
-// Longest returns how long callers wait when they ask first.
-func (r *Route) Longest() time.Duration { return r.longest }
+// MaxTimeLeft returns how long callers wait when they ask first.
+func (r *Route) MaxTimeLeft() time.Duration { return r.longest }
 
-// Begin returns how long a first event takes, zero if unknown.
-func (r *Route) Begin() time.Duration { return r.begin }
+// FirstEventTime returns how long a first event takes, zero if unknown.
+func (r *Route) FirstEventTime() time.Duration { return r.begin }
--- a/internal/balance/times.go
+++ b/internal/balance/times.go
@@ -72,7 +72,7 @@
 			continue
 		}
 		prediction, score := t.score(now, candidate, usual, demand)
-		best.take(t, candidate, score, prediction.Spare >= min(leastSpare, max(t.slotsOf(candidate), 1)-1))
+		best.take(t, candidate, score, prediction.FreeSlots >= min(leastSpare, max(t.slotsOf(candidate), 1)-1))
 	}
 	return best
 }
@@ -106,8 +106,8 @@
 	if t.scoring == byFreeAt {
 		return prediction, prediction.Wait.Seconds()
 	}
-	score := (prediction.First - prediction.Wait).Seconds() + waitWeight*max(prediction.Wait, prediction.Risk).Seconds()
-	score += holdWeight * (prediction.Last - prediction.First + prediction.Delay).Seconds()
+	score := (prediction.FirstEvent - prediction.Wait).Seconds() + waitWeight*max(prediction.Wait, prediction.Risk).Seconds()
+	score += holdWeight * (prediction.LastEvent - prediction.FirstEvent + prediction.Delay).Seconds()
 	return prediction, score
 }
 
@@ -118,7 +118,7 @@
 		hold = unknownHold
 	}
 	read := float64(hold) * thousand / (float64(t.memoryOf(demand.Pool)) * unreadShare)
-	return capacity.Pool{Hold: hold, Step: known.middle, Read: time.Duration(math.Min(read, float64(time.Second))), GiveWay: giveWay}
+	return capacity.Pool{HoldTime: hold, EventInterval: known.middle, PrefillTime: time.Duration(math.Min(read, float64(time.Second))), PreemptionTime: giveWay}
 }
 
 // usualHold returns how long an online request holds a slot at a worker of the middle speed,
@@ -130,16 +130,16 @@
 // modelOf returns what is known of a worker.
 func (t *Table) modelOf(now time.Time, w *worker) capacity.Worker {
 	model := capacity.Worker{
-		Slots:    t.slotsOf(w),
-		Online:   w.inFlight - w.batch + t.orphaned(now, w),
-		Items:    w.batch,
-		Unread:   w.unread,
-		Slowness: w.slownessNow(now),
+		Slots:               t.slotsOf(w),
+		Online:              w.inFlight - w.batch + t.orphaned(now, w),
+		Items:               w.batch,
+		PendingPromptTokens: w.unread,
+		Slowness:            w.slownessNow(now),
 	}
 	if others, known := t.toldByOthers(now, w); known {
 		model.Online += int(others.Online)
 		model.Items += int(others.Batch)
-		model.Unread += int64(others.Unread)
+		model.PendingPromptTokens += int64(others.Unread)
 	}
 	return model
 }
@@ -150,14 +150,14 @@
 	if !t.tellsPace(w.listed.Pool) {
 		return w.listed.Slots
 	}
-	return capacity.SlotsOf(w.listed.Slots, w.toldSlots)
+	return capacity.EffectiveSlots(w.listed.Slots, w.toldSlots)
 }
 
 // slownessOf returns how many times as long as elsewhere an event takes at the worker, as the
 // scoring of its pool sees it.
 func (t *Table) slownessOf(now time.Time, w *worker) float64 {
 	if t.byTimes(w.listed.Pool) {
-		return capacity.Believable(w.slownessNow(now))
+		return capacity.ClampSlowness(w.slownessNow(now))
 	}
 	return w.slowness(now)
 }
@@ -174,9 +174,9 @@
 // sumUp adds up what the pool's workers can carry. Those that nothing is known of are of the
 // middle speed.
 func (t *Table) sumUp(now time.Time, known *pool, active []*worker) {
-	known.nearSum = capacity.Sum{Slots: known.nearSlots, Worth: float64(known.nearSlots), At: now}
+	known.nearSum = capacity.Sum{Slots: known.nearSlots, NormalizedSlots: float64(known.nearSlots), AsOf: now}
 	far := known.slots - known.nearSlots
-	known.farSum = capacity.Sum{Slots: far, Worth: float64(far), At: now}
+	known.farSum = capacity.Sum{Slots: far, NormalizedSlots: float64(far), AsOf: now}
 	for _, candidate := range active {
 		if !candidate.entered {
 			continue
@@ -187,7 +187,7 @@
 		}
 		slots := candidate.listed.Slots
 		sum.Slots -= slots
-		sum.Worth -= float64(slots)
+		sum.NormalizedSlots -= float64(slots)
 		if !candidate.others.Failing && !now.Before(candidate.suspectUntil) {
 			sum.Add(t.slotsOf(candidate), candidate.slownessNow(now))
 		}
--- a/internal/balance/times_test.go
+++ b/internal/balance/times_test.go
@@ -461,7 +461,7 @@
 	rows := []wire.WorkerLoad{told("a", 1, 20_000, 10), told("b", 1, 40_000, 10), told("c", 1, 20_000, 10), told("d", 1, 20_000, 10), failing("f", 0)}
 	table.SetOthers(start, rows, OfAll)
 	near, far := table.Capacity("p")
-	if near.Slots != 8 || near.Worth != 6 || far.Slots != 8 || far.Worth != 8 || !near.At.Equal(start) {
+	if near.Slots != 8 || near.NormalizedSlots != 6 || far.Slots != 8 || far.NormalizedSlots != 8 || !near.AsOf.Equal(start) {
 		t.Errorf("near %+v, far %+v", near, far)
 	}
 	if none, _ := table.Capacity("q"); none.Slots != 0 || none.Speed() != 1 {
--- a/internal/balance/uneven.go
+++ b/internal/balance/uneven.go
@@ -36,7 +36,7 @@
 	if w.ratio == 0 {
 		return 1
 	}
-	return capacity.Faded(w.ratio, now.Sub(w.ratioAt), ratioHalf)
+	return capacity.DecaySlowness(w.ratio, now.Sub(w.ratioAt), ratioHalf)
 }
 
 // byTimes reports whether workers of the pool are compared by predicted times: where they
--- a/internal/batchroom/ahead.go
+++ b/internal/batchroom/ahead.go
@@ -40,7 +40,7 @@
 	// Lag is how old the news of online requests are.
 	Lag time.Duration
 	// Peak returns the highest need of online requests until so long ahead.
-	Peak func(ahead time.Duration) forecast.Need
+	Peak func(ahead time.Duration) forecast.Demand
 	// Hold is set while nothing may start there.
 	Hold bool
 }
@@ -173,8 +173,8 @@
 		lead := outlook.Lag + own.gap + carryOut
 		need := outlook.Peak(lead)
 		switch {
-		case need.Sure:
-			if !p.summary.Need.Sure || need.Slots > p.summary.Need.Slots {
+		case need.Confident:
+			if !p.summary.Need.Confident || need.Slots > p.summary.Need.Slots {
 				p.summary.Need = need
 			}
 			pools = append(pools, p.prospectOf(name, outlook, places, items, stops, need, lead))
@@ -193,7 +193,7 @@
 }
 
 // prospectOf finds what is left of a pool, and adds the stops that it takes.
-func (p *Planner) prospectOf(name uint32, outlook *Outlook, places *Places, items, stops []int, need forecast.Need, lead time.Duration) *prospect {
+func (p *Planner) prospectOf(name uint32, outlook *Outlook, places *Places, items, stops []int, need forecast.Demand, lead time.Duration) *prospect {
 	held, stopping, elsewhere := 0, 0, 0
 	for i := range places.Busy {
 		switch place := &places.Busy[i]; {
@@ -206,7 +206,7 @@
 			stopping += stops[i]
 		}
 	}
-	open := func(need forecast.Need) int { return int(math.Ceil(max(need.Slots-float64(elsewhere), 0))) }
+	open := func(need forecast.Demand) int { return int(math.Ceil(max(need.Slots-float64(elsewhere), 0))) }
 	now, soon := open(need), open(outlook.Peak(lead+leastStay))
 	soon += int(startDeviations * math.Sqrt(float64(soon)))
 	result := &prospect{outlook: outlook, zones: p.zones.of(outlook)}
--- a/internal/batchroom/ahead_test.go
+++ b/internal/batchroom/ahead_test.go
@@ -14,7 +14,7 @@
 
 // outlookOf returns an outlook of the pool in which so many slots will be needed.
 func outlookOf(places []Place, need float64, sure bool) Outlook {
-	outlook := Outlook{Pool: "p", Lag: reports, Peak: func(time.Duration) forecast.Need { return forecast.Need{Slots: need, Sure: sure} }}
+	outlook := Outlook{Pool: "p", Lag: reports, Peak: func(time.Duration) forecast.Demand { return forecast.Demand{Slots: need, Confident: sure} }}
 	for i := range places {
 		if !places[i].Closed {
 			outlook.Slots += places[i].Slots
@@ -213,7 +213,7 @@
 		online, stops int
 		pool          string
 	}{{slots, 5, "p"}, {slots, 0, "q"}, {slots - 1, 0, "p"}} {
-		places := Places{Outlooks: []Outlook{{Pool: "p", Slots: workers * slots, Peak: func(time.Duration) forecast.Need { return forecast.Need{} }}}}
+		places := Places{Outlooks: []Outlook{{Pool: "p", Slots: workers * slots, Peak: func(time.Duration) forecast.Demand { return forecast.Demand{} }}}}
 		items := map[uint32]int{}
 		for worker := range uint32(workers) {
 			places.Busy = append(places.Busy, Place{Worker: worker, Pool: test.pool, Slots: slots, Online: test.online, Hold: 750 * time.Millisecond, Patience: 150 * time.Millisecond})
--- a/internal/batchroom/batchroom.go
+++ b/internal/batchroom/batchroom.go
@@ -90,7 +90,7 @@
 	// Ahead counts those of the stops that make room for requests to come, Need the online
 	// need that they rest on where a forecast of a pool is sure, until which moment.
 	Ahead int
-	Need  forecast.Need
+	Need  forecast.Demand
 	// Rising is set where the stops rest on a rise that has just begun.
 	Rising bool
 	// Held is set while nothing may start in some pool because a new planner has not seen enough.
--- a/internal/batchroom/play_test.go
+++ b/internal/batchroom/play_test.go
@@ -226,7 +226,7 @@
 }
 
 func (d *day) step() {
-	if d.forecast.Peak(start.Add(d.now), 0).Sure && d.learnt == 0 {
+	if d.forecast.Peak(start.Add(d.now), 0).Confident && d.learnt == 0 {
 		d.learnt = d.now
 		d.from = max(d.from, d.now)
 	}
@@ -420,13 +420,13 @@
 	}
 	if d.foresees {
 		now := start.Add(d.now)
-		d.forecast.Take(now, float64(total))
+		d.forecast.Observe(now, float64(total))
 		places.Outlooks = []Outlook{{
 			Pool: "p", Slots: d.workers * d.slots, Lag: playLag, Hold: !d.forecast.Warm(),
-			Peak: func(ahead time.Duration) forecast.Need {
+			Peak: func(ahead time.Duration) forecast.Demand {
 				need := d.forecast.Peak(now, ahead)
 				if d.blind && need.Rising {
-					return forecast.Need{Slots: d.forecast.Peak(now, 0).Slots}
+					return forecast.Demand{Slots: d.forecast.Peak(now, 0).Slots}
 				}
 				return need
 			},
--- a/internal/batchstore/outlook.go
+++ b/internal/batchstore/outlook.go
@@ -30,10 +30,10 @@
 	var foreseen []batchroom.Outlook
 	for _, outlook := range s.workers.Outlooks(places, pools) {
 		known := s.forecastOf(outlook.Pool)
-		known.Take(now, float64(outlook.Online))
+		known.Observe(now, float64(outlook.Online))
 		outlook.Lag = loadshare.HubPause(s.workers.PerSecond(), s.loads.listed.Len())
 		outlook.Hold = !known.Warm()
-		outlook.Peak = func(ahead time.Duration) forecast.Need { return known.Peak(now, ahead) }
+		outlook.Peak = func(ahead time.Duration) forecast.Demand { return known.Peak(now, ahead) }
 		foreseen = append(foreseen, outlook)
 		s.tellForecast(outlook.Pool, known)
 	}
@@ -54,17 +54,17 @@
 func (s *Store) tellForecast(pool string, known *forecast.Forecast) {
 	score := known.Score()
 	s.metrics.forecastOff.WithLabelValues(pool, "forecast").Set(score.MeanError)
-	s.metrics.forecastOff.WithLabelValues(pool, "present").Set(score.PlainError)
-	switch news := known.News(); {
-	case news.Learnt:
-		logging.Info(s.logger, "pattern_learnt", "pool", pool, "cycle_ms", news.Cycle.Milliseconds(), "waves", news.Waves, "length_ms", news.Length.Milliseconds(), "height", int(news.Height))
-	case news.GivenUp:
-		logging.Info(s.logger, "pattern_given_up", "pool", pool, "cycle_ms", news.Cycle.Milliseconds(), "waves", news.Waves)
+	s.metrics.forecastOff.WithLabelValues(pool, "present").Set(score.BaselineError)
+	switch news := known.Changes(); {
+	case news.Learned:
+		logging.Info(s.logger, "pattern_learnt", "pool", pool, "cycle_ms", news.Period.Milliseconds(), "waves", news.Waves, "length_ms", news.Duration.Milliseconds(), "height", int(news.Amplitude))
+	case news.Abandoned:
+		logging.Info(s.logger, "pattern_given_up", "pool", pool, "cycle_ms", news.Period.Milliseconds(), "waves", news.Waves)
 	}
 }
 
 // untilMillis returns how long it is until the level changes, zero where that is unknown.
-func untilMillis(now time.Time, need forecast.Need) int64 {
+func untilMillis(now time.Time, need forecast.Demand) int64 {
 	if need.Until.IsZero() {
 		return 0
 	}
--- a/internal/batchstore/outlook_test.go
+++ b/internal/batchstore/outlook_test.go
@@ -104,14 +104,14 @@
 		if at%cycle >= wave {
 			need = 200
 		}
-		known.Take(start.Add(at), need)
+		known.Observe(start.Add(at), need)
 		r.store.tellForecast("p", known)
-		sure = known.Peak(start.Add(at), 0).Sure
+		sure = known.Peak(start.Add(at), 0).Confident
 	}
 	if !sure {
 		t.Fatal("the pattern is not learnt")
 	}
-	if news := known.News(); news.Learnt || news.GivenUp {
+	if news := known.Changes(); news.Learned || news.Abandoned {
 		t.Errorf("what was told is told again: %+v", news)
 	}
 }
--- a/internal/batchstore/planner.go
+++ b/internal/batchstore/planner.go
@@ -73,7 +73,7 @@
 	for i := range places.Busy {
 		orphans += places.Busy[i].Orphans
 	}
-	logging.Info(s.logger, "items_planned", "runner", source, "slots", plan.Slots, "online", plan.Online, "orphans", orphans, "items", plan.Items, "queued", plan.Queued, "idle", plan.Idle, "waiting", plan.Waiting, "free", plan.Free, "granted", plan.Granted, "stops", plan.Stops, "ahead", plan.Ahead, "level", int(plan.Need.Slots), "sure", plan.Need.Sure, "until_ms", untilMillis(now, plan.Need), "rising", plan.Rising, "held", plan.Held)
+	logging.Info(s.logger, "items_planned", "runner", source, "slots", plan.Slots, "online", plan.Online, "orphans", orphans, "items", plan.Items, "queued", plan.Queued, "idle", plan.Idle, "waiting", plan.Waiting, "free", plan.Free, "granted", plan.Granted, "stops", plan.Stops, "ahead", plan.Ahead, "level", int(plan.Need.Slots), "sure", plan.Need.Confident, "until_ms", untilMillis(now, plan.Need), "rising", plan.Rising, "held", plan.Held)
 }
 
 // ordered returns the rows with the orders.
--- a/internal/batchstore/room.go
+++ b/internal/batchstore/room.go
@@ -40,7 +40,7 @@
 // configure takes in the configuration in force, which may be nil. Without tenants nobody's room
 // is divided.
 func (z *zoneRoom) configure(now time.Time, table *routetable.Table) {
-	z.meter.Set(now, table.Shares())
+	z.meter.Configure(now, table.Shares())
 	z.names = nil
 	if table.Shares() == nil {
 		return
@@ -56,7 +56,7 @@
 // over their shares. What was not granted a token of its tenant's limit claims nothing.
 func (z *zoneRoom) answer(now time.Time, report *wire.LoadReport, verdicts []wire.TokenVerdict) []wire.RoomStanding {
 	if !report.Left {
-		z.meter.Told(now, report.Source, report.Begun, report.Short)
+		z.meter.RecordCounts(now, report.Source, report.Begun, report.Short)
 	}
 	var standings []wire.RoomStanding
 	for i := range report.Claims {
@@ -64,15 +64,15 @@
 		if refused(report.Tokens, verdicts, claim.Ticket) {
 			continue
 		}
-		standing := z.meter.Ask(now, claim.Ticket, fairshare.Party{Tenant: claim.Tenant, Rank: int(claim.Rank)})
-		if !standing.Over {
+		standing := z.meter.RecordDemand(now, claim.Ticket, fairshare.Claimant{Tenant: claim.Tenant, Rank: int(claim.Rank)})
+		if !standing.OverShare {
 			continue
 		}
 		standings = append(standings, wire.RoomStanding{
 			Ticket:    claim.Ticket,
-			Asked:     roomToWire(standing.Asked),
+			Asked:     roomToWire(standing.Demand),
 			Share:     roomToWire(standing.Share),
-			Room:      roomToWire(standing.Room),
+			Room:      roomToWire(standing.Capacity),
 			AgeMillis: uint32(max(standing.Age.Milliseconds(), 0)),
 		})
 	}
@@ -121,12 +121,12 @@
 	if !summary.Scarce {
 		return
 	}
-	fields := []any{"room", summary.Room, "given", summary.Given, "age_ms", summary.Age.Milliseconds()}
-	for i := range summary.Uses {
-		use, number := &summary.Uses[i], strconv.Itoa(i+1)
-		fields = append(fields, "tenant_"+number, z.nameOf(use.Party.Tenant), "rank_"+number, use.Party.Rank, "asked_"+number, use.Asked, "over_"+number, use.Over, "share_"+number, use.Share)
+	fields := []any{"room", summary.Capacity, "given", summary.Granted, "age_ms", summary.Age.Milliseconds()}
+	for i := range summary.Usages {
+		use, number := &summary.Usages[i], strconv.Itoa(i+1)
+		fields = append(fields, "tenant_"+number, z.nameOf(use.Claimant.Tenant), "rank_"+number, use.Claimant.Rank, "asked_"+number, use.Demand, "over_"+number, use.Excess, "share_"+number, use.Share)
 	}
-	fields = append(fields, "others", summary.Others, "others_asked", summary.Rest.Asked, "others_over", summary.Rest.Over)
+	fields = append(fields, "others", summary.Others, "others_asked", summary.Rest.Demand, "others_over", summary.Rest.Excess)
 	logging.Info(s.logger, "room_divided", fields...)
 }
 
@@ -170,24 +170,24 @@
 	if summary.Scarce {
 		scarce = 1
 	}
-	gauge(c.room, summary.Room)
+	gauge(c.room, summary.Capacity)
 	gauge(c.scarce, scarce)
 	seen := map[[2]string]bool{}
-	for _, use := range summary.Uses {
-		tenant, rank := z.nameOf(use.Party.Tenant), strconv.Itoa(use.Party.Rank)
+	for _, use := range summary.Usages {
+		tenant, rank := z.nameOf(use.Claimant.Tenant), strconv.Itoa(use.Claimant.Rank)
 		if seen[[2]string{tenant, rank}] {
 			// Two that are unknown have one name.
 			continue
 		}
 		seen[[2]string{tenant, rank}] = true
-		gauge(c.use, use.Asked, tenant, rank, "asked")
-		gauge(c.use, use.Over, tenant, rank, "over")
+		gauge(c.use, use.Demand, tenant, rank, "asked")
+		gauge(c.use, use.Excess, tenant, rank, "over")
 		if summary.Scarce && use.Share >= 0 {
 			gauge(c.use, use.Share, tenant, rank, "share")
 		}
 	}
 	if summary.Others > 0 {
-		gauge(c.use, summary.Rest.Asked, "(others)", "", "asked")
-		gauge(c.use, summary.Rest.Over, "(others)", "", "over")
+		gauge(c.use, summary.Rest.Demand, "(others)", "", "asked")
+		gauge(c.use, summary.Rest.Excess, "(others)", "", "over")
 	}
 }
--- a/internal/batchstore/room_test.go
+++ b/internal/batchstore/room_test.go
@@ -117,8 +117,8 @@
 			}
 		}
 	}
-	uses := s.loads.room.meter.Summary(now, 1).Uses
-	if granted == 0 || granted > 20 || len(uses) == 1 && uses[0].Asked > 10 {
+	uses := s.loads.room.meter.Summary(now, 1).Usages
+	if granted == 0 || granted > 20 || len(uses) == 1 && uses[0].Demand > 10 {
 		t.Errorf("%d granted, uses %+v", granted, uses)
 	}
 }
--- a/internal/capacity/worker.go
+++ b/internal/capacity/worker.go
@@ -25,8 +25,8 @@
 	// Online and Items count the requests there; items of jobs give way to online ones.
 	Online int
 	Items  int
-	// Unread is how many prompt tokens are still to be read there.
-	Unread int64
+	// PendingPromptTokens is how many prompt tokens are still to be read there.
+	PendingPromptTokens int64
 	// Slowness is how many times as long as in the middle of its pool an event takes here,
 	// 1 where that is not known.
 	Slowness float64
@@ -34,47 +34,47 @@
 
 // Pool is what is known of the requests of a pool, at a worker of the middle speed.
 type Pool struct {
-	// Hold is how long an online request holds a slot, Step the time between two events, and
+	// HoldTime is how long an online request holds a slot, Step the time between two events, and
 	// Read what it takes to read a thousand prompt tokens. Zero where not known.
-	Hold time.Duration
-	Step time.Duration
-	Read time.Duration
-	// GiveWay is how long it takes until an item gives way.
-	GiveWay time.Duration
+	HoldTime      time.Duration
+	EventInterval time.Duration
+	PrefillTime   time.Duration
+	// PreemptionTime is how long it takes until an item gives way.
+	PreemptionTime time.Duration
 }
 
 // Prediction is when one more online request would get on at a worker, from now on.
 type Prediction struct {
 	// Wait is the time to a slot, First to the first event, Last to the last one.
-	Wait  time.Duration
-	First time.Duration
-	Last  time.Duration
+	Wait       time.Duration
+	FirstEvent time.Duration
+	LastEvent  time.Duration
 	// Risk is the wait that is to be expected if the counts are wrong by as much as they
 	// usually are, and Delay how long the request holds up those that come after it. Both
 	// grow without a step from an idle worker to a crowded one.
 	Risk  time.Duration
 	Delay time.Duration
-	// Spare is how many slots stay free, less than zero where requests queue.
-	Spare int
+	// FreeSlots is how many slots stay free, less than zero where requests queue.
+	FreeSlots int
 }
 
 // Predict predicts for a request with so many prompt tokens to read.
 func (w *Worker) Predict(pool Pool, tokens int64) Prediction {
 	slots := max(w.Slots, 1)
-	slowness := Believable(w.Slowness)
-	hold := float64(pool.Hold) * slowness
+	slowness := ClampSlowness(w.Slowness)
+	hold := float64(pool.HoldTime) * slowness
 	// Slots are given back evenly over the time that one is held.
 	each := hold / float64(slots+1)
 	over := float64(w.Online + 1 - slots)
-	p := Prediction{Spare: slots - w.Online - 1, Wait: time.Duration(max(over, 0) * each)}
+	p := Prediction{FreeSlots: slots - w.Online - 1, Wait: time.Duration(max(over, 0) * each)}
 	// Items hold slots that become free within a moment, as long as there are any.
 	if p.Wait == 0 && w.Online+w.Items+1 > slots {
-		p.Wait = pool.GiveWay
+		p.Wait = pool.PreemptionTime
 	}
 	p.Risk = time.Duration(each * soften(over))
-	read := float64(pool.Read) * float64(w.Unread+tokens) / 1000
-	p.First = p.Wait + time.Duration((read+float64(pool.Step))*slowness)
-	p.Last = p.First + time.Duration(hold)
+	read := float64(pool.PrefillTime) * float64(w.PendingPromptTokens+tokens) / 1000
+	p.FirstEvent = p.Wait + time.Duration((read+float64(pool.EventInterval))*slowness)
+	p.LastEvent = p.FirstEvent + time.Duration(hold)
 	p.Delay = time.Duration(hold * float64(w.Online) / float64(slots*slots))
 	return p
 }
@@ -88,26 +88,26 @@
 	return spareNoise * math.Log1p(math.Exp(over/spareNoise))
 }
 
-// Believable bounds a worker's slowness; what can't be is taken for the usual.
-func Believable(slowness float64) float64 {
+// ClampSlowness bounds a worker's slowness; what can't be is taken for the usual.
+func ClampSlowness(slowness float64) float64 {
 	if math.IsNaN(slowness) || slowness <= 0 {
 		return 1
 	}
 	return min(max(slowness, leastSlowness), mostSlowness)
 }
 
-// SlotsOf returns how many requests a worker runs at once, by the list and by what it told:
+// EffectiveSlots returns how many requests a worker runs at once, by the list and by what it told:
 // the smaller, where it told any.
-func SlotsOf(listed, told int) int {
+func EffectiveSlots(listed, told int) int {
 	if told > 0 && told < listed {
 		return told
 	}
 	return listed
 }
 
-// Faded returns a slowness that was learnt so long ago: half of what it differs from the usual
+// DecaySlowness returns a slowness that was learnt so long ago: half of what it differs from the usual
 // is left after each half.
-func Faded(slowness float64, age, half time.Duration) float64 {
+func DecaySlowness(slowness float64, age, half time.Duration) float64 {
 	if age <= 0 {
 		return slowness
 	}
--- a/internal/capacity/worker_test.go
+++ b/internal/capacity/worker_test.go
@@ -8,7 +8,7 @@
 )
 
 // usual is a pool whose requests hold a slot for 900 ms at a worker of the middle speed.
-var usual = Pool{Hold: 900 * time.Millisecond, Step: 40 * time.Millisecond, Read: 100 * time.Millisecond, GiveWay: 75 * time.Millisecond}
+var usual = Pool{HoldTime: 900 * time.Millisecond, EventInterval: 40 * time.Millisecond, PrefillTime: 100 * time.Millisecond, PreemptionTime: 75 * time.Millisecond}
 
 // TestPrediction checks waits, first and last events at workers of 8 slots: each slot is given
 // back after a ninth of the hold.
@@ -23,7 +23,7 @@
 	}{
 		{"idle", Worker{Slots: 8, Slowness: 1}, 200, 0, 60 * ms, 960 * ms, 7},
 		{"half as fast", Worker{Slots: 8, Slowness: 2}, 200, 0, 120 * ms, 1920 * ms, 7},
-		{"prompts to read", Worker{Slots: 8, Online: 1, Unread: 800, Slowness: 1}, 200, 0, 140 * ms, 1040 * ms, 6},
+		{"prompts to read", Worker{Slots: 8, Online: 1, PendingPromptTokens: 800, Slowness: 1}, 200, 0, 140 * ms, 1040 * ms, 6},
 		{"the last slot", Worker{Slots: 8, Online: 7, Slowness: 1}, 0, 0, 40 * ms, 940 * ms, 0},
 		{"one waits", Worker{Slots: 8, Online: 9, Slowness: 1}, 0, 200 * ms, 240 * ms, 1140 * ms, -2},
 		{"the same, half as fast", Worker{Slots: 8, Online: 9, Slowness: 2}, 0, 400 * ms, 480 * ms, 2280 * ms, -2},
@@ -31,7 +31,7 @@
 		{"nothing known", Worker{}, 0, 0, 40 * ms, 940 * ms, 0},
 	} {
 		p := test.worker.Predict(usual, test.tokens)
-		if p.Wait != test.wait || p.First != test.first || p.Last != test.last || p.Spare != test.spare {
+		if p.Wait != test.wait || p.FirstEvent != test.first || p.LastEvent != test.last || p.FreeSlots != test.spare {
 			t.Errorf("%s: %+v", test.name, p)
 		}
 	}
@@ -55,13 +55,13 @@
 	for _, slowness := range []float64{0, -3, math.NaN(), math.Inf(1), math.Inf(-1), 1e300, 1e-300} {
 		for _, slots := range []int{-5, 0, math.MaxInt32} {
 			p := (&Worker{Slots: slots, Online: 3, Slowness: slowness}).Predict(usual, 1000)
-			if p.Wait < 0 || p.First <= 0 || p.Last < p.First || p.Risk < 0 || p.Last > time.Minute {
+			if p.Wait < 0 || p.FirstEvent <= 0 || p.LastEvent < p.FirstEvent || p.Risk < 0 || p.LastEvent > time.Minute {
 				t.Errorf("slowness %g, %d slots: %+v", slowness, slots, p)
 			}
 		}
 	}
 	for _, test := range [][3]int{{8, 0, 8}, {8, 6, 6}, {8, 600, 8}, {8, -1, 8}, {0, 4, 0}} {
-		if got := SlotsOf(test[0], test[1]); got != test[2] {
+		if got := EffectiveSlots(test[0], test[1]); got != test[2] {
 			t.Errorf("%d listed, %d told: %d", test[0], test[1], got)
 		}
 	}
@@ -70,11 +70,11 @@
 // TestSumsAddUp checks the worth of slots by speed, and the age of a sum.
 func TestSumsAddUp(t *testing.T) {
 	now := time.Unix(1000, 0)
-	fast, slow := Sum{At: now}, Sum{At: now.Add(-time.Second)}
+	fast, slow := Sum{AsOf: now}, Sum{AsOf: now.Add(-time.Second)}
 	fast.Add(8, 1)
 	slow.Add(8, 2)
 	both := fast.Plus(slow)
-	if both.Slots != 16 || both.Worth != 12 || both.Speed() != 0.75 || !both.At.Equal(slow.At) {
+	if both.Slots != 16 || both.NormalizedSlots != 12 || both.Speed() != 0.75 || !both.AsOf.Equal(slow.AsOf) {
 		t.Errorf("%+v", both)
 	}
 }
@@ -85,7 +85,7 @@
 		age  time.Duration
 		want float64
 	}{{-time.Second, 3}, {0, 3}, {time.Second, 2}, {2 * time.Second, 1.5}} {
-		if got := Faded(3, test.age, time.Second); got != test.want {
+		if got := DecaySlowness(3, test.age, time.Second); got != test.want {
 			t.Errorf("after %v: %g, want %g", test.age, got, test.want)
 		}
 	}
--- a/internal/edge/admit.go
+++ b/internal/edge/admit.go
@@ -37,14 +37,14 @@
 		e.overloads[pool] = known
 	}
 	now := time.Now()
-	known.Saw(now, wait, goal)
-	return known.Ends(now)
+	known.Observe(now, wait, goal)
+	return known.TimeLeft(now)
 }
 
 // arrive takes in a request before its first attempt.
 func (c *call) arrive() {
 	left := c.deadline.Sub(c.arrived)
-	c.edge.observe(c.route, func(known *admission.Route) { known.Arrived(left) })
+	c.edge.observe(c.route, func(known *admission.Route) { known.ObserveArrival(left) })
 }
 
 // began takes in that the first event has come, where nothing but the worker itself
@@ -55,7 +55,7 @@
 	}
 	// At a worker of the middle speed it would have taken so much of that.
 	took := time.Duration(float64(time.Since(c.arrived)) / lease.Slow)
-	c.edge.observe(c.route, func(known *admission.Route) { known.Began(took) })
+	c.edge.observe(c.route, func(known *admission.Route) { known.ObserveFirstEvent(took) })
 }
 
 // tooLate refuses the request, before it goes to any worker, if its first event
@@ -64,22 +64,22 @@
 	if c.attempts > 0 || c.dials > 0 {
 		return false
 	}
-	request := admission.Request{Left: time.Until(c.deadline), Goal: c.route.Goal(), Wait: lease.Wait, Over: c.share.standing.Over}
-	request.Ends = c.edge.overload(c.demand.Pool, request.Wait, request.Goal)
+	request := admission.Request{TimeLeft: time.Until(c.deadline), Goal: c.route.Goal(), Wait: lease.Wait, OverShare: c.share.standing.OverShare}
+	request.OverloadTimeLeft = c.edge.overload(c.demand.Pool, request.Wait, request.Goal)
 	c.edge.observe(c.route, func(known *admission.Route) {
-		request.Longest = known.Longest()
-		request.Begin = time.Duration(float64(known.Begin()) * lease.Slow)
+		request.MaxTimeLeft = known.MaxTimeLeft()
+		request.FirstEventTime = time.Duration(float64(known.FirstEventTime()) * lease.Slow)
 	})
 	comeback := admission.Decide(&request, rand.Float64())
 	if comeback == 0 {
 		return false
 	}
-	reason := admission.Judge(&request)
+	reason := admission.Evaluate(&request)
 	if reason == admission.OverShare {
 		c.countByRank("sent_back")
 	}
 	standing := &c.share.standing
-	logging.Info(c.edge.logger, "request_sent_back", "id", c.id, "route", c.route.Name, "tenant", c.tenant.Owner(), "reason", reason, "rank", c.share.party.Rank, "over", standing.Over, "told", c.share.told, "asked", standing.Asked, "share", standing.Share, "room", standing.Room, "share_age_ms", standing.Age.Milliseconds(), "worker", lease.Endpoint.ID, "slow", lease.Slow, "wait_ms", request.Wait.Milliseconds(), "begin_ms", request.Begin.Milliseconds(), "goal_ms", request.Goal.Milliseconds(), "left_ms", request.Left.Milliseconds(), "longest_ms", request.Longest.Milliseconds(), "ends_ms", request.Ends.Milliseconds(), "comeback_ms", comeback.Milliseconds())
+	logging.Info(c.edge.logger, "request_sent_back", "id", c.id, "route", c.route.Name, "tenant", c.tenant.Owner(), "reason", reason, "rank", c.share.party.Rank, "over", standing.OverShare, "told", c.share.told, "asked", standing.Demand, "share", standing.Share, "room", standing.Capacity, "share_age_ms", standing.Age.Milliseconds(), "worker", lease.Endpoint.ID, "slow", lease.Slow, "wait_ms", request.Wait.Milliseconds(), "begin_ms", request.FirstEventTime.Milliseconds(), "goal_ms", request.Goal.Milliseconds(), "left_ms", request.TimeLeft.Milliseconds(), "longest_ms", request.MaxTimeLeft.Milliseconds(), "ends_ms", request.OverloadTimeLeft.Milliseconds(), "comeback_ms", comeback.Milliseconds())
 	c.refuse(sentBack(reason).WithRetryAfter(comeback))
 	return true
 }
--- a/internal/edge/claim.go
+++ b/internal/edge/claim.go
@@ -18,7 +18,7 @@
 type shareState struct {
 	divided bool
 	claim   wire.RoomClaim
-	party   fairshare.Party
+	party   fairshare.Claimant
 	// claimed is set once the hub was asked, told once it has answered.
 	claimed  bool
 	told     bool
@@ -32,7 +32,7 @@
 	if !table.AsksForKeys() {
 		return shareState{}
 	}
-	party := fairshare.Party{Tenant: fairshare.Public, Rank: tenant.RankOn(route)}
+	party := fairshare.Claimant{Tenant: fairshare.Public, Rank: tenant.RankOn(route)}
 	if tenant != nil {
 		party.Tenant = routetable.ShortName(tenant.Name)
 	}
@@ -45,29 +45,29 @@
 
 // claim returns what the request brings to the order in which scarce room is given out. Its
 // times are by the clock that counts suspensions of this machine.
-func (c *call) claim() admission.Claim {
+func (c *call) claim() admission.Entry {
 	longest := time.Duration(0)
-	c.edge.observe(c.route, func(known *admission.Route) { longest = known.Longest() })
+	c.edge.observe(c.route, func(known *admission.Route) { longest = known.MaxTimeLeft() })
 	goal, allowed := c.route.Goal(), c.deadline.Sub(c.arrived)
 	arrived := c.bootDeadline.Add(-allowed)
-	claim := admission.Claim{
-		Rank:    c.tenant.RankOn(c.route),
-		Over:    c.share.standing.Over,
-		Due:     arrived.Add(goal),
-		Leaves:  c.bootDeadline,
-		Arrived: arrived,
-		Goal:    goal,
-		Bytes:   int64(len(c.request.Body)),
+	claim := admission.Entry{
+		Rank:         c.tenant.RankOn(c.route),
+		OverShare:    c.share.standing.OverShare,
+		GoalDeadline: arrived.Add(goal),
+		Deadline:     c.bootDeadline,
+		Arrived:      arrived,
+		Goal:         goal,
+		Bytes:        int64(len(c.request.Body)),
 	}
 	// Without a goal nothing tells when a caller gives up before its time is over.
 	if goal > 0 && c.route.Kind == routetable.KindStream {
-		claim.Leaves = earliest(c.bootDeadline, arrived.Add(admission.Patience(goal, c.route.GapGoal())))
+		claim.Deadline = earliest(c.bootDeadline, arrived.Add(admission.FirstEventTimeout(goal, c.route.GapGoal())))
 	}
 	// A caller with so much less time than others has been here before: its first attempt
 	// was about that much earlier.
-	if before, returned := admission.CameBack(longest, allowed, goal); goal > 0 && returned {
-		claim.Returned = true
-		claim.Due = claim.Due.Add(-before)
+	if before, returned := admission.DetectRetry(longest, allowed, goal); goal > 0 && returned {
+		claim.Retried = true
+		claim.GoalDeadline = claim.GoalDeadline.Add(-before)
 	}
 	return claim
 }
@@ -102,7 +102,7 @@
 	defer e.mutex.Unlock()
 	if answered {
 		c.share.standing = standingFromWire(told)
-		e.recall.Heard(now, c.share.party, c.share.standing)
+		e.recall.Record(now, c.share.party, c.share.standing)
 	} else {
 		c.share.standing = e.recall.Standing(now, c.share.party, rand.Float64())
 	}
@@ -113,11 +113,11 @@
 		return fairshare.Standing{}
 	}
 	return fairshare.Standing{
-		Over:  true,
-		Asked: float64(told.Asked) / wire.RoomRateParts,
-		Share: float64(told.Share) / wire.RoomRateParts,
-		Room:  float64(told.Room) / wire.RoomRateParts,
-		Age:   time.Duration(told.AgeMillis) * time.Millisecond,
+		OverShare: true,
+		Demand:    float64(told.Asked) / wire.RoomRateParts,
+		Share:     float64(told.Share) / wire.RoomRateParts,
+		Capacity:  float64(told.Room) / wire.RoomRateParts,
+		Age:       time.Duration(told.AgeMillis) * time.Millisecond,
 	}
 }
 
@@ -143,7 +143,7 @@
 		c.edge.short.Add(1)
 		c.countByRank("short")
 	}
-	if c.share.standing.Over {
+	if c.share.standing.OverShare {
 		c.countByRank("over")
 	}
 }
--- a/internal/edge/claim_test.go
+++ b/internal/edge/claim_test.go
@@ -139,8 +139,8 @@
 	route := table.Named("r")
 	route.GoalMillis = 300
 	f.edge.observe(route, func(known *admission.Route) {
-		known.Arrived(5 * time.Second)
-		known.Began(80 * time.Millisecond)
+		known.ObserveArrival(5 * time.Second)
+		known.ObserveFirstEvent(80 * time.Millisecond)
 	})
 	recorder := httptest.NewRecorder()
 	request := httptest.NewRequest(http.MethodPost, "/x", nil)
@@ -188,7 +188,7 @@
 	for _, reason := range []admission.Reason{admission.TooLate, admission.OverShare} {
 		before := counted(t, f.edge.metrics.room)["sent_back 0"]
 		c, recorder := testCall(t, f, tenant, 5*time.Second)
-		c.refuseQueued(refusalOf(&admission.Decision{Result: admission.SentBack, Reason: reason, Comeback: time.Second}))
+		c.refuseQueued(refusalOf(&admission.Decision{Result: admission.RetryLater, Reason: reason, RetryAfter: time.Second}))
 		over := reason == admission.OverShare
 		if more := counted(t, f.edge.metrics.room)["sent_back 0"] - before; (more == 1) != over || more > 1 {
 			t.Errorf("%s: %g were counted", reason, more)
@@ -208,12 +208,12 @@
 	c, _ := testCall(t, f, tenant, 5*time.Second)
 	c.setStanding(&wire.RoomStanding{Share: 1}, true)
 	arrived := c.bootDeadline.Add(c.arrived.Sub(c.deadline))
-	if got := c.claim(); got.Rank != 2 || !got.Over || got.Returned || !got.Arrived.Equal(arrived) || !got.Due.Equal(arrived.Add(300*time.Millisecond)) || got.Leaves.After(c.bootDeadline) {
+	if got := c.claim(); got.Rank != 2 || !got.OverShare || got.Retried || !got.Arrived.Equal(arrived) || !got.GoalDeadline.Equal(arrived.Add(300*time.Millisecond)) || got.Deadline.After(c.bootDeadline) {
 		t.Errorf("%+v", got)
 	}
 	c, _ = testCall(t, f, nil, 4*time.Second)
 	got := c.claim()
-	if due := got.Due.Sub(got.Arrived); got.Rank != 0 || got.Over || !got.Returned || due > -600*time.Millisecond || due < -800*time.Millisecond {
+	if due := got.GoalDeadline.Sub(got.Arrived); got.Rank != 0 || got.OverShare || !got.Retried || due > -600*time.Millisecond || due < -800*time.Millisecond {
 		t.Errorf("%+v, due after %s", got, due)
 	}
 }
@@ -230,7 +230,7 @@
 	for range 100 {
 		c, _ := testCall(t, f, tenant, 5*time.Second)
 		c.setStanding(nil, false)
-		if c.share.standing.Over && c.share.standing.Share == 3 && !c.share.told {
+		if c.share.standing.OverShare && c.share.standing.Share == 3 && !c.share.told {
 			over++
 		}
 	}
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -69,7 +69,7 @@
 	// reserve is what tenants may send while no hub answers.
 	reserve *ratelimit.Reserve
 	// recall holds how tenants stood in the division of scarce room.
-	recall *fairshare.Recall
+	recall *fairshare.Fallback
 	// poolQueues holds those that wait for workers, by pool; queuesClosed is set once nobody
 	// may wait any more.
 	poolQueues   map[string]*poolQueue
@@ -97,7 +97,7 @@
 		byTimes:    map[string]bool{},
 		poolQueues: map[string]*poolQueue{},
 		reserve:    ratelimit.NewReserve(config.Name),
-		recall:     fairshare.NewRecall(),
+		recall:     fairshare.NewFallback(),
 		started:    clock.Now(),
 		gate:       newStartGate(),
 
@@ -254,7 +254,7 @@
 	e.mutex.Unlock()
 	if changed {
 		near, far := e.workers.Capacity(pool)
-		logging.Info(e.logger, "workers_compared", "pool", pool, "by", by, "tells_pace", e.workers.TellsPace(pool), "own_slots", near.Slots, "own_worth", near.Worth, "other_slots", far.Slots, "other_worth", far.Worth)
+		logging.Info(e.logger, "workers_compared", "pool", pool, "by", by, "tells_pace", e.workers.TellsPace(pool), "own_slots", near.Slots, "own_worth", near.NormalizedSlots, "other_slots", far.Slots, "other_worth", far.NormalizedSlots)
 	}
 }
 
--- a/internal/edge/queue.go
+++ b/internal/edge/queue.go
@@ -13,7 +13,7 @@
 
 // queueBounds limit what waits in one queue: each look reads all claims while it holds the lock,
 // and the bodies stay in memory, of which the smallest process has little.
-var queueBounds = admission.Bounds{Claims: 256, Bytes: 16 << 20}
+var queueBounds = admission.Bounds{Requests: 256, Bytes: 16 << 20}
 
 // poolQueue holds the requests of a pool that wait at this process until a worker has a slot for
 // them. What it decides stands in admission.Queue; it brings in the time, the workers and those
@@ -26,7 +26,7 @@
 
 	mutex   sync.Mutex
 	queue   *admission.Queue
-	waiting map[*admission.Claim]*waiter
+	waiting map[*admission.Entry]*waiter
 	// looking is set while run runs, closed once nobody may wait any more.
 	looking bool
 	closed  bool
@@ -40,7 +40,7 @@
 
 // waiter is a request that waits in a queue, or is about to.
 type waiter struct {
-	claim  admission.Claim
+	claim  admission.Entry
 	demand *balance.Demand
 	// left is how long the caller still waited when it came here, longest how long callers of
 	// the route wait when they ask first.
@@ -74,7 +74,7 @@
 )
 
 func newPoolQueue(e *Edge, pool string) *poolQueue {
-	return &poolQueue{edge: e, pool: pool, wake: make(chan struct{}, 1), queue: admission.NewQueue(queueBounds), waiting: map[*admission.Claim]*waiter{}}
+	return &poolQueue{edge: e, pool: pool, wake: make(chan struct{}, 1), queue: admission.NewQueue(queueBounds), waiting: map[*admission.Entry]*waiter{}}
 }
 
 // arrival is what was found for a request that came, and what was decided.
@@ -100,23 +100,23 @@
 	if found.choice.Full {
 		q.fullAt = now
 	}
-	w.claim.Begin = time.Duration(float64(begin) * found.choice.Slow)
+	w.claim.FirstEventTime = time.Duration(float64(begin) * found.choice.Slow)
 	found.supply = q.supply(found.choice, w.claim.Goal)
-	found.decision = q.queue.Arrive(now, &admission.Arrival{
-		Claim:   &w.claim,
-		Offer:   offerOf(found.choice),
-		Supply:  found.supply,
-		Left:    w.left,
-		Longest: w.longest,
+	found.decision = q.queue.Admit(now, &admission.Arrival{
+		Entry:       &w.claim,
+		Candidate:   offerOf(found.choice),
+		Supply:      found.supply,
+		TimeLeft:    w.left,
+		MaxTimeLeft: w.longest,
 	}, rand.Float64())
 	for i := range found.decision.Displaced {
 		displaced := &found.decision.Displaced[i]
-		q.refuse(displaced.Claim, refusalOf(&displaced.Decision))
+		q.refuse(displaced.Entry, refusalOf(&displaced.Decision))
 	}
 	switch found.decision.Result {
-	case admission.Go:
+	case admission.Dispatched:
 		found.lease = q.edge.workers.Take(now, w.demand, found.choice)
-	case admission.Wait:
+	case admission.Queued:
 		if q.closed {
 			q.queue.Remove(&w.claim)
 			found.closed = true
@@ -131,7 +131,7 @@
 }
 
 func refusalOf(decision *admission.Decision) *refusal {
-	return &refusal{reason: decision.Result.String(), judged: decision.Reason, ahead: decision.Ahead, predicted: decision.Predicted, comeback: decision.Comeback}
+	return &refusal{reason: decision.Result.String(), judged: decision.Reason, ahead: decision.Ahead, predicted: decision.Predicted, comeback: decision.RetryAfter}
 }
 
 // look returns the best place for the request, or nil if there is no worker.
@@ -139,15 +139,15 @@
 	return q.edge.workers.Look(now, w.demand, balance.Search{Peers: q.edge.peers(), Given: given})
 }
 
-func offerOf(choice *balance.Choice) admission.Offer {
-	return admission.Offer{Full: choice.Full, Wait: choice.Wait, WaitMost: choice.WaitMost, Spare: choice.Spare, LeftToOthers: choice.LeftToOthers}
+func offerOf(choice *balance.Choice) admission.Candidate {
+	return admission.Candidate{Full: choice.Full, Wait: choice.Wait, WaitMost: choice.WaitMost, Spare: choice.Spare, LeftToOthers: choice.LeftToOthers}
 }
 
 // supply returns what this process can expect of the pool.
 func (q *poolQueue) supply(choice *balance.Choice, goal time.Duration) admission.Supply {
 	return admission.Supply{
-		PerSecond: q.edge.workers.Throughput(q.pool, q.edge.peers()),
-		Ends:      q.edge.overload(q.pool, choice.Wait, goal),
+		Throughput:       q.edge.workers.Throughput(q.pool, q.edge.peers()),
+		OverloadTimeLeft: q.edge.overload(q.pool, choice.Wait, goal),
 	}
 }
 
@@ -175,7 +175,7 @@
 		q.answer(first, answer{})
 		return true
 	}
-	if !q.queue.Take(now, first, offerOf(choice)) {
+	if !q.queue.TryDispatch(now, first, offerOf(choice)) {
 		return false
 	}
 	q.answer(first, answer{choice: choice, lease: q.edge.workers.Take(now, w.demand, choice)})
@@ -185,8 +185,8 @@
 // expire refuses those whose callers have left by now: the clock counts suspensions, so that
 // a process that was frozen sends nothing whose time is over.
 func (q *poolQueue) expire(now time.Time) {
-	for _, claim := range q.queue.Expired(now) {
-		q.refuse(claim, &refusal{reason: reasonExpired, comeback: spread(admission.LeastComeback)})
+	for _, claim := range q.queue.RemoveExpired(now) {
+		q.refuse(claim, &refusal{reason: reasonExpired, comeback: spread(admission.MinRetryAfter)})
 	}
 }
 
@@ -194,10 +194,10 @@
 // not to come back at one.
 func spread(least time.Duration) time.Duration { return least + rand.N(least) }
 
-func (q *poolQueue) refuse(claim *admission.Claim, r *refusal) { q.answer(claim, answer{refusal: r}) }
+func (q *poolQueue) refuse(claim *admission.Entry, r *refusal) { q.answer(claim, answer{refusal: r}) }
 
 // answer ends the wait of a request that is not in the queue any more.
-func (q *poolQueue) answer(claim *admission.Claim, a answer) {
+func (q *poolQueue) answer(claim *admission.Entry, a answer) {
 	if w := q.waiting[claim]; w != nil {
 		delete(q.waiting, claim)
 		w.answers <- a
--- a/internal/edge/queue_test.go
+++ b/internal/edge/queue_test.go
@@ -390,14 +390,14 @@
 		least  time.Duration
 		refuse func(l *poolQueue)
 	}{
-		{admission.LeastComeback, func(l *poolQueue) { l.expire(clock.Now().Add(time.Hour)) }},
+		{admission.MinRetryAfter, func(l *poolQueue) { l.expire(clock.Now().Add(time.Hour)) }},
 		{shortRetry, (*poolQueue).close},
 	} {
 		l := newPoolQueue(f.edge, "p")
 		turns := make([]*waiter, 0, count)
 		for range count {
 			turn, _ := f.call(httptest.NewRecorder(), patience, patience).newWaiter()
-			l.queue.Arrive(clock.Now(), &admission.Arrival{Claim: &turn.claim, Offer: admission.Offer{LeftToOthers: true}}, 0)
+			l.queue.Admit(clock.Now(), &admission.Arrival{Entry: &turn.claim, Candidate: admission.Candidate{LeftToOthers: true}}, 0)
 			l.waiting[&turn.claim] = turn
 			turns = append(turns, turn)
 		}
@@ -474,7 +474,7 @@
 func (f *queueFixture) call(writer http.ResponseWriter, left, longest time.Duration) *call {
 	table := f.edge.Table()
 	route := &table.Configuration.Routes[0]
-	f.edge.observe(route, func(known *admission.Route) { known.Arrived(longest) })
+	f.edge.observe(route, func(known *admission.Route) { known.ObserveArrival(longest) })
 	request := httptest.NewRequest(http.MethodPost, "/a", nil)
 	now := time.Now()
 	return newCall(f.edge, request.Context(), table, route, nil, writer, http.NewResponseController(writer), request, nil, now, now.Add(left))
@@ -495,14 +495,14 @@
 		c := f.call(recorder, left, patience/5)
 		var longest time.Duration
 		f.edge.observe(c.route, func(known *admission.Route) {
-			known.Began(begin)
-			longest = known.Longest()
+			known.ObserveFirstEvent(begin)
+			longest = known.MaxTimeLeft()
 		})
 		wait := time.Duration(0)
 		if perSecond := f.edge.workers.Throughput("p", 1); perSecond > 0 {
 			wait = time.Duration(float64(time.Second) * slots / perSecond * float64(max(int(online)+1-slots, 0)) / (slots + 1))
 		}
-		want := admission.Decide(&admission.Request{Left: left, Longest: longest, Goal: c.route.Goal(), Begin: begin, Wait: wait}, 0) > 0
+		want := admission.Decide(&admission.Request{TimeLeft: left, MaxTimeLeft: longest, Goal: c.route.Goal(), FirstEventTime: begin, Wait: wait}, 0) > 0
 		lease, done := c.place()
 		if done != want || (lease == nil) != want || (recorder.Code == http.StatusServiceUnavailable) != want {
 			return errors.Newf("refused %t, lease %t, with %d online, %s left of %s, %s to wait: want %t", done, lease != nil, online, left, longest, wait, want)
@@ -563,8 +563,8 @@
 		c := f.call(httptest.NewRecorder(), test.left, longest)
 		turn, _ := c.newWaiter()
 		claim := &turn.claim
-		due := claim.Due.Sub(claim.Arrived)
-		if claim.Returned != test.returned || (due-test.due).Abs() > 10*time.Millisecond || (claim.Leaves.Sub(claim.Arrived)-test.left).Abs() > 10*time.Millisecond {
+		due := claim.GoalDeadline.Sub(claim.Arrived)
+		if claim.Retried != test.returned || (due-test.due).Abs() > 10*time.Millisecond || (claim.Deadline.Sub(claim.Arrived)-test.left).Abs() > 10*time.Millisecond {
 			t.Errorf("%s left: %+v, due %s after it came", test.left, claim, due)
 		}
 	}
@@ -577,14 +577,14 @@
 	const left = 30 * time.Second
 	for _, test := range []struct{ goal, want time.Duration }{
 		{0, left},
-		{50 * time.Millisecond, admission.Patience(50*time.Millisecond, 0)},
+		{50 * time.Millisecond, admission.FirstEventTimeout(50*time.Millisecond, 0)},
 	} {
 		c := f.call(httptest.NewRecorder(), left, left)
 		route := *c.route
 		route.GoalMillis, route.GapGoalMillis = test.goal.Milliseconds(), 0
 		c.route = &route
 		claim := c.claim()
-		if got := claim.Leaves.Sub(claim.Arrived); (got - test.want).Abs() > 10*time.Millisecond {
+		if got := claim.Deadline.Sub(claim.Arrived); (got - test.want).Abs() > 10*time.Millisecond {
 			t.Errorf("goal %s: leaves after %s", test.goal, got)
 		}
 	}
--- a/internal/edge/waiting.go
+++ b/internal/edge/waiting.go
@@ -43,7 +43,7 @@
 		return c.goes(found.lease)
 	}
 	c.logArrival(w, &found)
-	if found.decision.Result == admission.Wait && !found.closed {
+	if found.decision.Result == admission.Queued && !found.closed {
 		return c.await(q, w)
 	}
 	r := refusalOf(&found.decision)
@@ -71,7 +71,7 @@
 // it runs at a usual worker, zero if unknown.
 func (c *call) newWaiter() (w *waiter, begin time.Duration) {
 	w = &waiter{demand: &c.demand, left: time.Until(c.deadline), answers: make(chan answer, 1)}
-	c.edge.observe(c.route, func(known *admission.Route) { w.longest, begin = known.Longest(), known.Begin() })
+	c.edge.observe(c.route, func(known *admission.Route) { w.longest, begin = known.MaxTimeLeft(), known.FirstEventTime() })
 	w.claim = c.claim()
 	return w, begin
 }
@@ -119,24 +119,24 @@
 
 // logRefused writes why a request that waited is refused.
 func (c *call) logRefused(w *waiter, r *refusal) {
-	logging.Info(c.edge.logger, "queue_refused", "id", c.id, "route", c.route.Name, "tenant", c.tenant.Owner(), "reason", r.reason, "ahead", r.ahead, "predicted_ms", r.predicted.Milliseconds(), "bears_ms", w.claim.Leaves.Sub(w.claim.Arrived).Milliseconds(), "waited_ms", waitedIn(w).Milliseconds(), "comeback_ms", r.comeback.Milliseconds())
+	logging.Info(c.edge.logger, "queue_refused", "id", c.id, "route", c.route.Name, "tenant", c.tenant.Owner(), "reason", r.reason, "ahead", r.ahead, "predicted_ms", r.predicted.Milliseconds(), "bears_ms", w.claim.Deadline.Sub(w.claim.Arrived).Milliseconds(), "waited_ms", waitedIn(w).Milliseconds(), "comeback_ms", r.comeback.Milliseconds())
 }
 
 // logArrival writes what was decided on a request that did not go at once, and by what.
 func (c *call) logArrival(w *waiter, found *arrival) {
 	decision, choice := &found.decision, found.choice
 	event := "queue_decided"
-	if decision.Result == admission.SentBack {
+	if decision.Result == admission.RetryLater {
 		event = "request_sent_back"
 	}
 	logging.Info(c.edge.logger, event, "id", c.id, "route", c.route.Name, "tenant", c.tenant.Owner(), "pool", c.demand.Pool,
-		"result", decision.Result, "reason", decision.Reason, "rank", w.claim.Rank, "over", w.claim.Over, "returned", w.claim.Returned,
-		"asked_ms_ago", w.claim.Arrived.Add(w.claim.Goal).Sub(w.claim.Due).Milliseconds(), "left_ms", w.left.Milliseconds(), "longest_ms", w.longest.Milliseconds(),
-		"goal_ms", w.claim.Goal.Milliseconds(), "begin_ms", w.claim.Begin.Milliseconds(), "ahead", decision.Ahead, "predicted_ms", decision.Predicted.Milliseconds(),
+		"result", decision.Result, "reason", decision.Reason, "rank", w.claim.Rank, "over", w.claim.OverShare, "returned", w.claim.Retried,
+		"asked_ms_ago", w.claim.Arrived.Add(w.claim.Goal).Sub(w.claim.GoalDeadline).Milliseconds(), "left_ms", w.left.Milliseconds(), "longest_ms", w.longest.Milliseconds(),
+		"goal_ms", w.claim.Goal.Milliseconds(), "begin_ms", w.claim.FirstEventTime.Milliseconds(), "ahead", decision.Ahead, "predicted_ms", decision.Predicted.Milliseconds(),
 		"worker", choice.Worker, "full", choice.Full, "slow", choice.Slow, "wait_ms", choice.Wait.Milliseconds(), "wait_most_ms", choice.WaitMost.Milliseconds(),
 		"spare", choice.Spare, "lot", choice.LeftToOthers, "news_age_ms", choice.NewsAge.Milliseconds(),
-		"per_second", found.supply.PerSecond, "ends_ms", found.supply.Ends.Milliseconds(), "bears_ms", w.claim.Leaves.Sub(w.claim.Arrived).Milliseconds(),
-		"stopping", found.closed, "comeback_ms", decision.Comeback.Milliseconds())
+		"per_second", found.supply.Throughput, "ends_ms", found.supply.OverloadTimeLeft.Milliseconds(), "bears_ms", w.claim.Deadline.Sub(w.claim.Arrived).Milliseconds(),
+		"stopping", found.closed, "comeback_ms", decision.RetryAfter.Milliseconds())
 }
 
 // logSent writes that a request that waited goes to a worker.
--- a/internal/fairshare/fleet_test.go
+++ b/internal/fairshare/fleet_test.go
@@ -80,7 +80,7 @@
 	zone         int
 	begun, short uint32
 	reportAt     time.Duration
-	recall       *Recall
+	recall       *Fallback
 }
 
 // span counts what came in a part of the time.
@@ -111,7 +111,7 @@
 		f.hubs = append(f.hubs, &zone{slots: slots / s.zones, meter: f.newMeter(start), second: f.newMeter(start)})
 	}
 	for i := range s.edges {
-		f.edges = append(f.edges, &edge{zone: i % s.zones, reportAt: time.Duration(random.Int63n(int64(reports))), recall: NewRecall()})
+		f.edges = append(f.edges, &edge{zone: i % s.zones, reportAt: time.Duration(random.Int63n(int64(reports))), recall: NewFallback()})
 	}
 	sum := 0.0
 	for i := range s.tenants {
@@ -128,7 +128,7 @@
 func (f *fleet) newMeter(now time.Time) *Meter {
 	m := NewMeter()
 	if !f.unmetered {
-		m.Set(now, &f.settings)
+		m.Configure(now, &f.settings)
 	}
 	return m
 }
@@ -203,7 +203,7 @@
 		e.reportAt = f.now + reports
 		begun, short := e.begun, e.short
 		if hub := f.hubOf(i); hub != nil {
-			f.send(func(now time.Time) { hub.Told(now, uint32(i), begun, short) })
+			f.send(func(now time.Time) { hub.RecordCounts(now, uint32(i), begun, short) })
 		}
 	}
 }
@@ -235,9 +235,9 @@
 	came := f.now
 	var standing Standing
 	answered := false
-	party := Party{Tenant: uint32(tenant) + 1}
+	party := Claimant{Tenant: uint32(tenant) + 1}
 	hub := f.hubOf(at)
-	question := func(now time.Time) { standing, answered = hub.Ask(now, ticket, party), true }
+	question := func(now time.Time) { standing, answered = hub.RecordDemand(now, ticket, party), true }
 	wait := asking
 	if hub == nil {
 		wait = 0
@@ -249,7 +249,7 @@
 	f.count(came, tenant, func(s *span) { s.asked++ })
 	f.messages = append(f.messages, message{f.now + wait, func(now time.Time) {
 		if answered {
-			f.edges[at].recall.Heard(now, party, standing)
+			f.edges[at].recall.Record(now, party, standing)
 		} else {
 			standing = f.edges[at].recall.Standing(now, party, f.random.Float64())
 		}
@@ -257,10 +257,10 @@
 		if len(z.held) >= z.slots {
 			f.edges[at].short++
 		}
-		if f.now >= f.floodEnd+time.Second && standing.Over {
+		if f.now >= f.floodEnd+time.Second && standing.OverShare {
 			f.overAfter++
 		}
-		if standing.Over {
+		if standing.OverShare {
 			z.over = append(z.over, r)
 			return
 		}
@@ -525,7 +525,7 @@
 		"hubs that forget":                     func(s *scene) { s.forgetful = true },
 		"who is over its share gets no slot":   func(s *scene) { s.refusing = true },
 		"most of the messages are lost":        func(s *scene) { s.loss = 0.7 },
-		"the largest tenants weigh everything": func(s *scene) { s.settings.Tenants = map[Tenant]Setting{1: {Weight: 1000}} },
+		"the largest tenants weigh everything": func(s *scene) { s.settings.Tenants = map[Tenant]TenantSettings{1: {Weight: 1000}} },
 	} {
 		s := scenes["75 tenants, the largest floods"].timed()
 		harm(&s)
@@ -541,13 +541,13 @@
 func scarceMeter(tenants int) (*Meter, time.Time) {
 	m := NewMeter()
 	now := start
-	m.Set(now, &Settings{})
+	m.Configure(now, &Settings{})
 	for round := range 50 {
 		now = now.Add(20 * time.Millisecond)
 		for tenant := range tenants {
-			m.Ask(now, uint64(round*tenants+tenant), Party{Tenant: uint32(tenant) + 1})
+			m.RecordDemand(now, uint64(round*tenants+tenant), Claimant{Tenant: uint32(tenant) + 1})
 		}
-		m.Told(now, 1, uint32(round*tenants/2), uint32(round*tenants))
+		m.RecordCounts(now, 1, uint32(round*tenants/2), uint32(round*tenants))
 	}
 	return m, now
 }
@@ -562,8 +562,8 @@
 	for b.Loop() {
 		ticket++
 		now = now.Add(time.Millisecond)
-		m.Told(now, 2, uint32(ticket/2), uint32(ticket))
-		m.Ask(now, ticket, Party{Tenant: uint32(ticket%tenants) + 1})
+		m.RecordCounts(now, 2, uint32(ticket/2), uint32(ticket))
+		m.RecordDemand(now, ticket, Claimant{Tenant: uint32(ticket%tenants) + 1})
 	}
 	if !m.scarce || len(m.parties) != tenants {
 		b.Fatalf("scarce %t, %d parties", m.scarce, len(m.parties))
--- a/internal/fairshare/meter.go
+++ b/internal/fairshare/meter.go
@@ -13,15 +13,15 @@
 // Public stands for all who ask without being a tenant: they are one claimant.
 const Public Tenant = 0
 
-// Party is who claims room of a zone: a tenant with its requests of one rank.
-type Party struct {
+// Claimant is who claims room of a zone: a tenant with its requests of one rank.
+type Claimant struct {
 	Tenant Tenant
 	Rank   int
 }
 
-// Setting is what operators set for a tenant. The zero value is that of tenants of which
+// TenantSettings is what operators set for a tenant. The zero value is that of tenants of which
 // nothing is set.
-type Setting struct {
+type TenantSettings struct {
 	// Weight is its part beside others, zero counts as one.
 	Weight float64
 	// Reserve and Ceiling are parts of the room, from 0 to 1; zero means none.
@@ -31,7 +31,7 @@
 
 // Settings are those of a configuration.
 type Settings struct {
-	Tenants map[Tenant]Setting
+	Tenants map[Tenant]TenantSettings
 	// Floors holds the part of the room that is kept for requests of a rank, from 0 to 1.
 	Floors map[int]float64
 }
@@ -87,14 +87,14 @@
 
 // Standing is what a request's tenant has of the room, at the moment it asks.
 type Standing struct {
-	// Over is set where the tenant has asked for more than its share, and others ask too.
-	Over bool
-	// Asked and Share are the tenant's, Room that of all, in requests a second; they are
+	// OverShare is set where the tenant has asked for more than its share, and others ask too.
+	OverShare bool
+	// Demand and Share are the tenant's, Room that of all, in requests a second; they are
 	// told where Over is set. Age is how old they are.
-	Asked float64
-	Share float64
-	Room  float64
-	Age   time.Duration
+	Demand   float64
+	Share    float64
+	Capacity float64
+	Age      time.Duration
 }
 
 // Meter keeps account of the room of a zone: who asks for it, how much there is, and who
@@ -105,7 +105,7 @@
 	began    time.Time
 	// tickedAt is up to when the account is brought.
 	tickedAt time.Time
-	parties  map[Party]*account
+	parties  map[Claimant]*account
 	// list holds the parties' accounts, too: they are gone over often.
 	list []*account
 	// sources holds what edges have told, by the edges' short names.
@@ -135,7 +135,7 @@
 
 // account is that of a party.
 type account struct {
-	party Party
+	party Claimant
 	// asked is the rate of late, over the part of it beyond the share; fresh and freshOver
 	// count the requests since the last look.
 	asked     float64
@@ -174,22 +174,22 @@
 // NewMeter returns a meter that holds nobody to a share until Set names tenants.
 func NewMeter() *Meter { return &Meter{} }
 
-// Set takes in the settings in force, nil where the configuration names no tenants: then
+// Configure takes in the settings in force, nil where the configuration names no tenants: then
 // nothing is metered.
-func (m *Meter) Set(now time.Time, settings *Settings) {
+func (m *Meter) Configure(now time.Time, settings *Settings) {
 	if settings == nil {
 		*m = Meter{}
 		return
 	}
 	if m.settings == nil {
-		*m = Meter{began: now, tickedAt: now, parties: map[Party]*account{}, sources: map[uint32]*source{}}
+		*m = Meter{began: now, tickedAt: now, parties: map[Claimant]*account{}, sources: map[uint32]*source{}}
 	}
 	m.settings = settings
 }
 
-// Ask takes in that a request of the party is about to ask for room, and says how the
+// RecordDemand takes in that a request of the party is about to ask for room, and says how the
 // party stands. The ticket names the request: one that comes again has the same answer.
-func (m *Meter) Ask(now time.Time, ticket uint64, party Party) Standing {
+func (m *Meter) RecordDemand(now time.Time, ticket uint64, party Claimant) Standing {
 	if m.settings == nil {
 		return Standing{}
 	}
@@ -220,7 +220,7 @@
 		return Standing{}
 	}
 	known.freshOver++
-	return Standing{Over: true, Asked: known.asked, Share: known.share, Room: m.room, Age: now.Sub(m.tickedAt)}
+	return Standing{OverShare: true, Demand: known.asked, Share: known.share, Capacity: m.room, Age: now.Sub(m.tickedAt)}
 }
 
 // pressure says from 0 to 1 how much came in excess of the room.
@@ -244,7 +244,7 @@
 }
 
 // account returns the party's account, nil where there are too many.
-func (m *Meter) account(now time.Time, party Party) *account {
+func (m *Meter) account(now time.Time, party Claimant) *account {
 	known := m.parties[party]
 	if known == nil && len(m.parties) < maxParties {
 		known = &account{party: party, share: unknown, credit: math.Inf(1), at: now}
@@ -254,9 +254,9 @@
 	return known
 }
 
-// Told takes in what an edge has counted since its start: its requests that have begun to
+// RecordCounts takes in what an edge has counted since its start: its requests that have begun to
 // run, and those that found no room. What is lost on the way is in the next report.
-func (m *Meter) Told(now time.Time, edge, begun, short uint32) {
+func (m *Meter) RecordCounts(now time.Time, edge, begun, short uint32) {
 	if m.settings == nil {
 		return
 	}
@@ -444,27 +444,27 @@
 	return asked
 }
 
-// Use is what a party asks for and gets, in requests a second.
-type Use struct {
-	Party Party
-	Asked float64
-	// Over is what it asks for beyond its share, Share as of the last time when there was
+// Usage is what a party asks for and gets, in requests a second.
+type Usage struct {
+	Claimant Claimant
+	Demand   float64
+	// Excess is what it asks for beyond its share, Share as of the last time when there was
 	// too little room, below zero where that was before it came.
-	Over  float64
-	Share float64
+	Excess float64
+	Share  float64
 }
 
 // Summary is the state of a zone's room.
 type Summary struct {
-	// Room is how many requests a second are given while there is no room for more, zero
+	// Capacity is how many requests a second are given while there is no room for more, zero
 	// while that was never so; Scarce is set while it is so.
-	Room   float64
-	Scarce bool
-	Given  float64
-	// Uses are the largest parties by what they ask for, Rest the sum over the others and
+	Capacity float64
+	Scarce   bool
+	Granted  float64
+	// Usages are the largest parties by what they ask for, Rest the sum over the others and
 	// Others how many these are.
-	Uses   []Use
-	Rest   Use
+	Usages []Usage
+	Rest   Usage
 	Others int
 	// Age is how old all that is.
 	Age time.Duration
@@ -476,21 +476,21 @@
 		return Summary{}
 	}
 	m.tick(now)
-	s := Summary{Room: m.room, Scarce: m.scarce, Given: m.given.count / max(m.span(now, givenTime), interval.Seconds()), Age: now.Sub(m.tickedAt)}
+	s := Summary{Capacity: m.room, Scarce: m.scarce, Granted: m.given.count / max(m.span(now, givenTime), interval.Seconds()), Age: now.Sub(m.tickedAt)}
 	for _, known := range m.list {
-		s.Uses = append(s.Uses, Use{Party: known.party, Asked: known.asked, Over: known.over, Share: known.share})
+		s.Usages = append(s.Usages, Usage{Claimant: known.party, Demand: known.asked, Excess: known.over, Share: known.share})
 	}
-	slices.SortFunc(s.Uses, func(a, b Use) int {
-		return cmp.Or(cmp.Compare(b.Asked, a.Asked), cmp.Compare(a.Party.Tenant, b.Party.Tenant), cmp.Compare(a.Party.Rank, b.Party.Rank))
+	slices.SortFunc(s.Usages, func(a, b Usage) int {
+		return cmp.Or(cmp.Compare(b.Demand, a.Demand), cmp.Compare(a.Claimant.Tenant, b.Claimant.Tenant), cmp.Compare(a.Claimant.Rank, b.Claimant.Rank))
 	})
-	if len(s.Uses) <= most {
+	if len(s.Usages) <= most {
 		return s
 	}
-	for _, use := range s.Uses[most:] {
-		s.Rest.Asked += use.Asked
-		s.Rest.Over += use.Over
+	for _, use := range s.Usages[most:] {
+		s.Rest.Demand += use.Demand
+		s.Rest.Excess += use.Excess
 		s.Others++
 	}
-	s.Uses = s.Uses[:most]
+	s.Usages = s.Usages[:most]
 	return s
 }
--- a/internal/fairshare/recall.go
+++ b/internal/fairshare/recall.go
@@ -12,10 +12,10 @@
 	maxRecalled = 4096
 )
 
-// Recall is what an edge goes by where the hub's answer is lost: how its requests of late
+// Fallback is what an edge goes by where the hub's answer is lost: how its requests of late
 // stood. It is not safe for concurrent use.
-type Recall struct {
-	parties map[Party]*recalled
+type Fallback struct {
+	parties map[Claimant]*recalled
 }
 
 // recalled is what is known of a party: the part of its requests that was over its share,
@@ -26,14 +26,14 @@
 	last Standing
 }
 
-// NewRecall returns one that recalls nothing.
-func NewRecall() *Recall { return &Recall{parties: map[Party]*recalled{}} }
+// NewFallback returns one that recalls nothing.
+func NewFallback() *Fallback { return &Fallback{parties: map[Claimant]*recalled{}} }
 
-// Heard takes in an answer of the hub.
-func (r *Recall) Heard(now time.Time, party Party, standing Standing) {
+// Record takes in an answer of the hub.
+func (r *Fallback) Record(now time.Time, party Claimant, standing Standing) {
 	known := r.parties[party]
 	if known == nil {
-		if !standing.Over {
+		if !standing.OverShare {
 			// Most parties never are: they need no place.
 			return
 		}
@@ -45,14 +45,14 @@
 		r.parties[party] = known
 	}
 	over := 0.0
-	if standing.Over {
+	if standing.OverShare {
 		over, known.last, known.at = 1, standing, now
 	}
 	known.part += (over - known.part) / recallWeight
 }
 
 // Standing returns how a request of the party probably stands. random is from 0 to 1.
-func (r *Recall) Standing(now time.Time, party Party, random float64) Standing {
+func (r *Fallback) Standing(now time.Time, party Claimant, random float64) Standing {
 	known := r.parties[party]
 	if known == nil {
 		return Standing{}
@@ -68,7 +68,7 @@
 }
 
 // expire forgets what is too old to go by.
-func (r *Recall) expire(now time.Time) {
+func (r *Fallback) expire(now time.Time) {
 	for party, known := range r.parties {
 		if now.Sub(known.at) > recallTime {
 			delete(r.parties, party)
--- a/internal/forecast/forecast.go
+++ b/internal/forecast/forecast.go
@@ -14,15 +14,15 @@
 	"time"
 )
 
-// Need is how many slots online requests will need at a moment.
-type Need struct {
+// Demand is how many slots online requests will need at a moment.
+type Demand struct {
 	Slots float64
 	// At is the moment, and Until when the level changes next, zero where that is unknown.
 	At    time.Time
 	Until time.Time
-	// Sure is set where the level follows from a pattern that has held; otherwise it is the
+	// Confident is set where the level follows from a pattern that has held; otherwise it is the
 	// present level.
-	Sure bool
+	Confident bool
 	// Rising is set where it is not sure, and the level is the one that a rise that has just
 	// begun goes on to.
 	Rising bool
@@ -73,15 +73,15 @@
 	levels  levels
 	pattern pattern
 	score   score
-	news    News
+	news    Change
 }
 
 // New returns a forecast that knows nothing.
 func New() *Forecast { return &Forecast{} }
 
-// Take takes in the present need, in slots. Requests that wait for a slot count, because
+// Observe takes in the present need, in slots. Requests that wait for a slot count, because
 // they need one.
-func (f *Forecast) Take(now time.Time, need float64) {
+func (f *Forecast) Observe(now time.Time, need float64) {
 	if f.began.IsZero() || now.Sub(f.heard) > longestGap || now.Before(f.heard) {
 		*f = Forecast{began: now}
 	}
@@ -160,15 +160,15 @@
 }
 
 // Peak returns the highest need from now until so long ahead.
-func (f *Forecast) Peak(now time.Time, ahead time.Duration) Need {
-	need := Need{Slots: f.present, At: now}
+func (f *Forecast) Peak(now time.Time, ahead time.Duration) Demand {
+	need := Demand{Slots: f.present, At: now}
 	if f.began.IsZero() {
 		return need
 	}
 	if !f.pattern.sure {
 		return f.rising(need, ahead)
 	}
-	need.Sure, need.Until = true, f.changeAfter(now)
+	need.Confident, need.Until = true, f.changeAfter(now)
 	open := f.number()
 	last := int(now.Add(ahead).Sub(f.began) / binTime)
 	for number := open + 1; number <= last; number++ {
@@ -184,7 +184,7 @@
 }
 
 // rising adds what a rise that has just begun goes on to.
-func (f *Forecast) rising(need Need, ahead time.Duration) Need {
+func (f *Forecast) rising(need Demand, ahead time.Duration) Demand {
 	before, known := f.bin(f.number() - riseBins)
 	if !known || !f.warm {
 		return need
--- a/internal/forecast/forecast_test.go
+++ b/internal/forecast/forecast_test.go
@@ -146,7 +146,7 @@
 // middleWay keeps begin, length and height of the last waves and takes them for boxes.
 type middleWay struct{ f *Forecast }
 
-func (w *middleWay) take(now time.Time, need float64) { w.f.Take(now, need) }
+func (w *middleWay) take(now time.Time, need float64) { w.f.Observe(now, need) }
 func (w *middleWay) expect(now time.Time, ahead time.Duration) float64 {
 	p := &w.f.pattern
 	if !p.sure {
@@ -162,7 +162,7 @@
 // phaseWay is what is built.
 type phaseWay struct{ f *Forecast }
 
-func (w *phaseWay) take(now time.Time, need float64) { w.f.Take(now, need) }
+func (w *phaseWay) take(now time.Time, need float64) { w.f.Observe(now, need) }
 func (w *phaseWay) expect(now time.Time, ahead time.Duration) float64 {
 	if !w.f.pattern.sure {
 		return w.f.present
@@ -224,12 +224,12 @@
 func feed(f *Forecast, from time.Time, trace []float64) (learnt, given []time.Duration) {
 	for i, need := range trace {
 		at := time.Duration(i) * tick
-		f.Take(from.Add(at), need)
-		news := f.News()
-		if news.Learnt {
+		f.Observe(from.Add(at), need)
+		news := f.Changes()
+		if news.Learned {
 			learnt = append(learnt, at)
 		}
-		if news.GivenUp {
+		if news.Abandoned {
 			given = append(given, at)
 		}
 	}
@@ -253,7 +253,7 @@
 		if off := time.Duration(f.pattern.cycle)*binTime - cycle; max(off, -off) > cycle/toleranceParts {
 			return errors.Newf("a cycle of %s is taken for one of %s", cycle, time.Duration(f.pattern.cycle)*binTime)
 		}
-		if s := f.Score(); s.MeanError > s.PlainError {
+		if s := f.Score(); s.MeanError > s.BaselineError {
 			return errors.Newf("off by %+v", s)
 		}
 		return nil
@@ -269,7 +269,7 @@
 		if learnt, _ := feed(f, start, calm.trace(random, 60*time.Second)); len(learnt) > 0 {
 			return errors.Newf("%+v: learnt at %v %+v", calm, learnt, f.pattern)
 		}
-		if need := f.Peak(start.Add(60*time.Second), time.Second); need.Sure || need.Slots != f.present {
+		if need := f.Peak(start.Add(60*time.Second), time.Second); need.Confident || need.Slots != f.present {
 			return errors.Newf("without a pattern: %+v", need)
 		}
 		return nil
@@ -306,8 +306,8 @@
 	drawn := waves()
 	feed(f, start, drawn.trace(rand.New(rand.NewSource(1)), 30*time.Second))
 	now := start.Add(30*time.Second + longestGap + tick)
-	f.Take(now, 100)
-	if need := f.Peak(now, time.Second); need.Sure || need.Slots != 100 {
+	f.Observe(now, 100)
+	if need := f.Peak(now, time.Second); need.Confident || need.Slots != 100 {
 		t.Errorf("after a gap: %+v", need)
 	}
 }
@@ -327,10 +327,10 @@
 	} {
 		f := New()
 		for now := time.Duration(0); now <= 2*time.Second; now += binTime {
-			f.Take(start.Add(now), 10)
+			f.Observe(start.Add(now), 10)
 		}
 		now := start.Add(2*time.Second + binTime)
-		f.Take(now, 50)
+		f.Observe(now, 50)
 		f.levels = test.known
 		// Forty slots in two bins; ten more bins are looked ahead.
 		if need := f.Peak(now, 10*binTime); !need.Rising || need.Slots != test.want {
@@ -358,7 +358,7 @@
 		f := New()
 		at := time.Duration(0)
 		for ; !f.Warm() && at < 10*warmTime; at += tick {
-			f.Take(start.Add(at), test.need(at))
+			f.Observe(start.Add(at), test.need(at))
 		}
 		if off := at - test.after; max(off, -off) > 3*binTime {
 			t.Errorf("%s: warm after %s, want %s", test.name, at, test.after)
@@ -376,7 +376,7 @@
 	for b.Loop() {
 		i++
 		now := start.Add(60*time.Second + time.Duration(i)*tick)
-		f.Take(now, trace[i%len(trace)])
+		f.Observe(now, trace[i%len(trace)])
 		f.Peak(now, 200*time.Millisecond)
 	}
 }
--- a/internal/forecast/pattern.go
+++ b/internal/forecast/pattern.go
@@ -178,7 +178,7 @@
 		return
 	}
 	givenUp := min(p.givenUp+1, mostGivenUp)
-	f.news = News{GivenUp: true, Cycle: time.Duration(p.cycle) * binTime, Waves: p.waves}
+	f.news = Change{Abandoned: true, Period: time.Duration(p.cycle) * binTime, Waves: p.waves}
 	f.pattern = pattern{high: p.high, givenUp: givenUp}
 	f.since = f.number() - 1
 	f.levels.cycle = 0
@@ -194,7 +194,7 @@
 			continue
 		}
 		if !p.sure {
-			f.news = News{Learnt: true, Cycle: time.Duration(cycle) * binTime, Waves: waves, Length: time.Duration(p.length) * binTime, Height: p.height}
+			f.news = Change{Learned: true, Period: time.Duration(cycle) * binTime, Waves: waves, Duration: time.Duration(p.length) * binTime, Amplitude: p.height}
 		}
 		p.sure, p.cycle, p.waves = true, cycle, waves
 		f.levels.cycle = cycle
--- a/internal/forecast/score.go
+++ b/internal/forecast/score.go
@@ -101,30 +101,30 @@
 type Score struct {
 	// MeanError is by how much they differ from what came in the mean, PlainError by how much
 	// the need at their time did.
-	MeanError  float64
-	PlainError float64
+	MeanError     float64
+	BaselineError float64
 }
 
 // Score returns how good forecasts were, zeros without a pattern.
 func (f *Forecast) Score() Score {
-	return Score{MeanError: f.score.meanError, PlainError: f.score.plainError}
+	return Score{MeanError: f.score.meanError, BaselineError: f.score.plainError}
 }
 
-// News is what has changed in what is learnt.
-type News struct {
-	Learnt  bool
-	GivenUp bool
-	// Cycle is the time after which so many waves recur.
-	Cycle time.Duration
-	Waves int
-	// Length and Height are those of a wave, in time and slots.
-	Length time.Duration
-	Height float64
+// Change is what has changed in what is learnt.
+type Change struct {
+	Learned   bool
+	Abandoned bool
+	// Period is the time after which so many waves recur.
+	Period time.Duration
+	Waves  int
+	// Duration and Height are those of a wave, in time and slots.
+	Duration  time.Duration
+	Amplitude float64
 }
 
-// News returns what has changed since it was asked last.
-func (f *Forecast) News() News {
+// Changes returns what has changed since it was asked last.
+func (f *Forecast) Changes() Change {
 	news := f.news
-	f.news = News{}
+	f.news = Change{}
 	return news
 }
--- a/internal/routetable/tenant.go
+++ b/internal/routetable/tenant.go
@@ -148,13 +148,13 @@
 	if len(c.Tenants) == 0 {
 		return nil
 	}
-	settings := &fairshare.Settings{Tenants: map[fairshare.Tenant]fairshare.Setting{}, Floors: map[int]float64{}}
+	settings := &fairshare.Settings{Tenants: map[fairshare.Tenant]fairshare.TenantSettings{}, Floors: map[int]float64{}}
 	for i := range c.Tenants {
 		tenant := &c.Tenants[i]
 		if tenant.Weight == 0 && tenant.Reserve == 0 && tenant.Ceiling == 0 {
 			continue
 		}
-		settings.Tenants[ShortName(tenant.Name)] = fairshare.Setting{Weight: tenant.Weight, Reserve: tenant.Reserve, Ceiling: tenant.Ceiling}
+		settings.Tenants[ShortName(tenant.Name)] = fairshare.TenantSettings{Weight: tenant.Weight, Reserve: tenant.Reserve, Ceiling: tenant.Ceiling}
 	}
 	for i := range c.Routes {
 		if c.Routes[i].Floor > 0 {
--- a/internal/runlog/runlog.go
+++ b/internal/runlog/runlog.go
@@ -205,8 +205,8 @@
 
 // hopeless and crowded are the results of requests that an edge's queue refuses as they come.
 var (
-	hopeless = admission.Hopeless.String()
-	crowded  = admission.Crowded.String()
+	hopeless = admission.DeadlineTooSoon.String()
+	crowded  = admission.QueueFull.String()
 )
 
 const hundredths = 100
