--- a/internal/admission/collapse_test.go
+++ b/internal/admission/collapse_test.go
@@ -155,7 +155,7 @@
 // tell brings what an edge has to its hub.
 func (p *play) tell(e *playEdge) {
 	report := &wire.LoadReport{Source: uint32(e.number + 1), Workers: e.table.Loads()}
-	p.after(playWay, func() { p.hubs[e.number%playZones].Take(p.clock(), report) })
+	p.after(playWay, func() { p.hubs[e.number%playZones].RecordReport(p.clock(), report) })
 }
 
 // ask brings what the hub knows to the edge, and goes on then.
@@ -164,10 +164,10 @@
 	hub, source := p.hubs[e.number%playZones], uint32(e.number+1)
 	report := &wire.LoadReport{Source: source, Workers: e.table.Loads()}
 	p.after(playWay, func() {
-		hub.Take(p.clock(), report)
-		others := hub.Others(p.clock(), source)
+		hub.RecordReport(p.clock(), report)
+		others := hub.PeerLoads(p.clock(), source)
 		p.after(playWay, func() {
-			e.table.SetOthers(p.clock(), others, balance.OfAll)
+			e.table.SetPeerLoads(p.clock(), others, balance.ScopeAll)
 			then()
 		})
 	})
@@ -177,10 +177,10 @@
 func (p *play) share(zone int) {
 	name := uint32(1000 + zone)
 	if sums := p.hubs[zone].Sums(p.clock(), name); sums != nil {
-		p.top.Take(p.clock(), sums)
+		p.top.RecordReport(p.clock(), sums)
 	}
-	told := p.top.Loaded(p.clock(), name)
-	p.hubs[zone].SetAbove(p.clock(), told.Rows, told.Rest, told.Left > 0)
+	told := p.top.Update(p.clock(), name)
+	p.hubs[zone].SetParentLoads(p.clock(), told.Rows, told.UnlistedRate, told.Omitted > 0)
 	p.after(loadshare.Interval, func() { p.share(zone) })
 }
 
@@ -226,7 +226,7 @@
 		return
 	}
 	e := r.edge
-	lease := e.table.Acquire(p.clock(), &balance.Demand{Pool: "p"})
+	lease := e.table.Acquire(p.clock(), &balance.Request{Pool: "p"})
 	e.overload.Observe(p.clock(), lease.Wait, playGoal)
 	request := admission.Request{TimeLeft: r.leaves() - p.now, MaxTimeLeft: e.route.MaxTimeLeft(), Goal: playGoal, FirstEventTime: e.route.FirstEventTime(), Wait: lease.Wait, OverloadTimeLeft: e.overload.TimeLeft(p.clock())}
 	if comeback := admission.Decide(&request, p.random.Float64()); comeback > 0 {
@@ -238,14 +238,14 @@
 }
 
 // look returns the best place at a worker.
-func (p *play) look(e *playEdge, given string) (*balance.Choice, admission.Candidate) {
-	place := e.table.Look(p.clock(), &balance.Demand{Pool: "p"}, balance.Search{Peers: playEdges, Given: given})
-	return place, admission.Candidate{Full: place.Full, Wait: place.Wait, WaitMost: place.WaitMost, Spare: place.Spare, LeftToOthers: place.LeftToOthers}
+func (p *play) look(e *playEdge, given string) (*balance.Candidate, admission.Candidate) {
+	place := e.table.FindCandidate(p.clock(), &balance.Request{Pool: "p"}, balance.Search{Peers: playEdges, ReleasedAt: given})
+	return place, admission.Candidate{Full: place.Full, Wait: place.Wait, MaxWait: place.MaxWait, Spare: place.Spare, LeftToOthers: place.LeftToOthers}
 }
 
 // take sends a request to the place.
-func (p *play) take(r *playRequest, place *balance.Choice) {
-	p.send(r, r.edge.table.Take(p.clock(), &balance.Demand{Pool: "p"}, place))
+func (p *play) take(r *playRequest, place *balance.Candidate) {
+	p.send(r, r.edge.table.AcquireCandidate(p.clock(), &balance.Request{Pool: "p"}, place))
 }
 
 func (p *play) decideInTurn(r *playRequest) {
@@ -356,7 +356,7 @@
 		p.after(hold, func() {
 			w.running--
 			p.work(w)
-			r.lease.Answered(p.clock(), true)
+			r.lease.RecordAnswer(p.clock(), true)
 			r.lease.Release()
 			if p.queues {
 				p.pump(r.edge, r.lease.Endpoint.ID)
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -42,9 +42,9 @@
 	// Full is set where all slots of the worker are held. Wait is how long the request
 	// would wait for one in the mean, WaitMost in nearly all cases; both are zero if that
 	// is unknown.
-	Full     bool
-	Wait     time.Duration
-	WaitMost time.Duration
+	Full    bool
+	Wait    time.Duration
+	MaxWait time.Duration
 	// Spare is set where more slots are free than those that wait at other processes are
 	// about to take.
 	Spare bool
@@ -64,7 +64,7 @@
 	if o.Wait <= 0 {
 		return !o.Full && (o.Spare || claim.inTime(now, 0) || claim.indifferent())
 	}
-	return claim.inTime(now, o.WaitMost)
+	return claim.inTime(now, o.MaxWait)
 }
 
 // Supply is what a process can expect of a pool.
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -38,7 +38,7 @@
 
 // fullOffer is a place where a request waits for so long.
 func fullOffer(wait time.Duration) Candidate {
-	return Candidate{Full: true, Wait: wait, WaitMost: wait}
+	return Candidate{Full: true, Wait: wait, MaxWait: wait}
 }
 
 // arrivalOf returns the arrival of a claim at the place.
@@ -51,7 +51,7 @@
 	var trace strings.Builder
 	for _, waiting := range []int{0, 20} {
 		for _, age := range []time.Duration{0, 1500 * ms, 4000 * ms} {
-			for _, offer := range []Candidate{{Spare: true}, {}, {LeftToOthers: true}, fullOffer(0), fullOffer(100 * ms), fullOffer(250 * ms), {Wait: 250 * ms, WaitMost: 250 * ms}} {
+			for _, offer := range []Candidate{{Spare: true}, {}, {LeftToOthers: true}, fullOffer(0), fullOffer(100 * ms), fullOffer(250 * ms), {Wait: 250 * ms, MaxWait: 250 * ms}} {
 				queue := NewQueue(Bounds{Requests: 64, Bytes: 1 << 20})
 				for range waiting {
 					queue.enter(claimOf(queueStart.Add(-time.Second), 1000*ms))
--- a/internal/balance/answers.go
+++ b/internal/balance/answers.go
@@ -11,9 +11,9 @@
 // reports a moment old.
 const noiseParts = 8
 
-// Told takes in what the worker says that it has, in the head of an answer. It is
+// RecordReport takes in what the worker says that it has, in the head of an answer. It is
 // passed on with the next report of loads.
-func (l *Lease) Told(told capacity.Report) {
+func (l *Lease) RecordReport(told capacity.Report) {
 	l.table.mutex.Lock()
 	defer l.table.mutex.Unlock()
 	l.table.occupy(l.worker)
@@ -31,10 +31,10 @@
 	return int(others.Orphans)
 }
 
-// Answered takes in how a request at the worker was answered by the head of the answer: well,
+// RecordAnswer takes in how a request at the worker was answered by the head of the answer: well,
 // or by a failure of the worker itself. Refusals that ran nothing are neither. A probe counts
 // as answered well once it has brought content, because a head alone proves nothing.
-func (l *Lease) Answered(now time.Time, well bool) {
+func (l *Lease) RecordAnswer(now time.Time, well bool) {
 	l.table.mutex.Lock()
 	defer l.table.mutex.Unlock()
 	l.table.occupy(l.worker)
--- a/internal/balance/answers_test.go
+++ b/internal/balance/answers_test.go
@@ -13,18 +13,18 @@
 // for nothing.
 func TestOrphansTakeSlots(t *testing.T) {
 	table := tableOf(listed("a", "z1"), listed("b", "z2"))
-	onlyA := &Demand{Pool: "p", Batch: true, Exclude: map[string]bool{"b": true}}
-	table.SetOthers(start, []wire.WorkerLoad{{Worker: loadshare.Hash("a"), Orphans: 1, Start: 1}}, OfAll)
+	onlyA := &Request{Pool: "p", Batch: true, Exclude: map[string]bool{"b": true}}
+	table.SetPeerLoads(start, []wire.WorkerLoad{{Worker: loadshare.Hash("a"), Orphans: 1, Start: 1}}, ScopeAll)
 	lease := table.Acquire(start, onlyA)
 	if lease == nil {
 		t.Fatal("a difference of one kept an item away")
 	}
 	lease.Release()
-	table.SetOthers(start, []wire.WorkerLoad{{Worker: loadshare.Hash("a"), Orphans: 4, Start: 1}}, OfAll)
+	table.SetPeerLoads(start, []wire.WorkerLoad{{Worker: loadshare.Hash("a"), Orphans: 4, Start: 1}}, ScopeAll)
 	if table.Acquire(start, onlyA) != nil {
 		t.Error("an item went to a worker full of orphans")
 	}
-	if lease := table.Acquire(start, &Demand{Pool: "p"}); lease.Endpoint.ID != "b" {
+	if lease := table.Acquire(start, &Request{Pool: "p"}); lease.Endpoint.ID != "b" {
 		t.Error("a request went to a worker full of orphans")
 	}
 }
@@ -39,10 +39,10 @@
 		for _, id := range failing {
 			loads = append(loads, wire.WorkerLoad{Worker: loadshare.Hash(id), Failing: true})
 		}
-		table.SetOthers(start, loads, OfAll)
+		table.SetPeerLoads(start, loads, ScopeAll)
 	}
 	takes := func() string {
-		lease := table.Acquire(start, &Demand{Pool: "p"})
+		lease := table.Acquire(start, &Request{Pool: "p"})
 		defer lease.Release()
 		return lease.Endpoint.ID
 	}
@@ -59,8 +59,8 @@
 		t.Error("most of the pool fails, and still some are avoided")
 	}
 	say()
-	lease := table.Acquire(start, &Demand{Pool: "p"})
-	lease.Answered(start, false)
+	lease := table.Acquire(start, &Request{Pool: "p"})
+	lease.RecordAnswer(start, false)
 	lease.Release()
 	if takes() == "a" {
 		t.Error("a worker that has just failed got the next request")
@@ -74,8 +74,8 @@
 // report, and only there.
 func TestToldIsPassedOnOnce(t *testing.T) {
 	table := tableOf(listed("a", "z1"))
-	lease := table.Acquire(start, &Demand{Pool: "p"})
-	lease.Told(capacity.Report{Running: 3, Waiting: 2})
+	lease := table.Acquire(start, &Request{Pool: "p"})
+	lease.RecordReport(capacity.Report{Running: 3, Waiting: 2})
 	lease.Release()
 	if loads := table.Loads(); len(loads) != 1 || loads[0].Told != 6 || loads[0].Online != 0 {
 		t.Errorf("first report %+v", loads)
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -34,21 +34,21 @@
 	leaving.Leaving = true
 	table.Update(workerset.Of([]wire.PoolWorker{leaving}), nil)
 	table.Update(workerset.Of([]wire.PoolWorker{listed("a", "z1")}), nil)
-	if lease := table.Acquire(start, &Demand{Pool: "p"}); lease != nil || table.Usable("p") {
+	if lease := table.Acquire(start, &Request{Pool: "p"}); lease != nil || table.Usable("p") {
 		t.Error("a worker that leaves got a request")
 	}
 }
 
 func TestRefusedIncarnationIsNotAskedAgain(t *testing.T) {
 	table := tableOf(listed("a", "z1"))
-	lease := table.Acquire(start, &Demand{Pool: "p"})
-	lease.Refuse(start)
+	lease := table.Acquire(start, &Request{Pool: "p"})
+	lease.RecordWrongWorker(start)
 	lease.Release()
-	if table.Acquire(start, &Demand{Pool: "p"}) != nil {
+	if table.Acquire(start, &Request{Pool: "p"}) != nil {
 		t.Error("an incarnation that is gone got a request")
 	}
 	table.Update(workerset.Of([]wire.PoolWorker{listed("b", "z1")}), nil)
-	if table.Acquire(start, &Demand{Pool: "p"}) == nil {
+	if table.Acquire(start, &Request{Pool: "p"}) == nil {
 		t.Error("its successor got none")
 	}
 }
@@ -59,18 +59,18 @@
 	table := tableOf(listed("a", "z1"))
 	for round := range 3 {
 		now := start.Add(time.Duration(round) * refusedTime)
-		lease := table.Acquire(now, &Demand{Pool: "p"})
+		lease := table.Acquire(now, &Request{Pool: "p"})
 		if lease == nil {
 			t.Fatalf("round %d: it is not asked after %s", round, refusedTime)
 		}
-		lease.Refuse(now)
+		lease.RecordWrongWorker(now)
 		lease.Release()
-		if table.Acquire(now.Add(refusedTime-time.Millisecond), &Demand{Pool: "p"}) != nil || table.Usable("p") {
+		if table.Acquire(now.Add(refusedTime-time.Millisecond), &Request{Pool: "p"}) != nil || table.Usable("p") {
 			t.Errorf("round %d: it is asked before", round)
 		}
 	}
 	table.Update(workerset.Of(nil), nil)
-	if table.Acquire(start.Add(time.Hour), &Demand{Pool: "p"}) != nil {
+	if table.Acquire(start.Add(time.Hour), &Request{Pool: "p"}) != nil {
 		t.Error("one that left the list is asked")
 	}
 }
@@ -80,7 +80,7 @@
 func TestNewLifeIsAnotherWorker(t *testing.T) {
 	old, again := listed(life.Name("a", 1), "z1"), listed(life.Name("a", 2), "z1")
 	table := tableOf(old)
-	demand := &Demand{Pool: "p", Parts: []dialect.Part{{ID: "x", Tokens: 500}, {ID: "own", Tokens: 5}}}
+	demand := &Request{Pool: "p", Parts: []dialect.Part{{ID: "x", Tokens: 500}, {ID: "own", Tokens: 5}}}
 	lease := table.Acquire(start, demand)
 	old.Leaving = true
 	table.Update(workerset.Of([]wire.PoolWorker{old}), nil)
@@ -100,24 +100,24 @@
 
 func TestSuspectsComeLast(t *testing.T) {
 	table := tableOf(listed("a", "z1"), listed("b", "z2"))
-	first := table.Acquire(start, &Demand{Pool: "p"})
+	first := table.Acquire(start, &Request{Pool: "p"})
 	if first.Endpoint.ID != "a" {
 		t.Fatalf("the worker of the zone was not taken but %s", first.Endpoint.ID)
 	}
-	first.Suspect(start)
+	first.RecordNoAnswer(start)
 	first.Release()
-	if next := table.Acquire(start, &Demand{Pool: "p"}); next.Endpoint.ID != "b" {
+	if next := table.Acquire(start, &Request{Pool: "p"}); next.Endpoint.ID != "b" {
 		t.Errorf("the suspect %s was taken", next.Endpoint.ID)
 	}
-	if last := table.Acquire(start, &Demand{Pool: "p", Exclude: map[string]bool{"b": true}}); last == nil || last.Endpoint.ID != "a" {
+	if last := table.Acquire(start, &Request{Pool: "p", Exclude: map[string]bool{"b": true}}); last == nil || last.Endpoint.ID != "a" {
 		t.Error("the suspect was not taken where there is no other")
 	}
 }
 
 func TestLongPromptsHoldOthersOff(t *testing.T) {
 	table := tableOf(listed("a", "z1"), listed("b", "z1"))
-	long := table.Acquire(start, &Demand{Pool: "p", PromptTokens: 9000})
-	next := table.Acquire(start, &Demand{Pool: "p", PromptTokens: 500})
+	long := table.Acquire(start, &Request{Pool: "p", PromptTokens: 9000})
+	next := table.Acquire(start, &Request{Pool: "p", PromptTokens: 500})
 	if long.Endpoint.ID == next.Endpoint.ID {
 		t.Error("a short prompt went behind a long one that is still to be read")
 	}
@@ -126,11 +126,11 @@
 func TestSharedPartsMeet(t *testing.T) {
 	table := tableOf(listed("a", "z1"), listed("b", "z1"), listed("c", "z1"))
 	parts := []dialect.Part{{ID: "s", Tokens: 800}, {ID: "own", Tokens: 200}}
-	first := table.Acquire(start, &Demand{Pool: "p", PromptTokens: 1000, Parts: parts})
+	first := table.Acquire(start, &Request{Pool: "p", PromptTokens: 1000, Parts: parts})
 	first.Release()
 	for i := 0; i < 5; i++ {
 		parts[1].ID = fmt.Sprint(i)
-		next := table.Acquire(start, &Demand{Pool: "p", PromptTokens: 1000, Parts: parts})
+		next := table.Acquire(start, &Request{Pool: "p", PromptTokens: 1000, Parts: parts})
 		if next.Endpoint.ID != first.Endpoint.ID {
 			t.Errorf("request %d went to %s, not %s", i, next.Endpoint.ID, first.Endpoint.ID)
 		}
@@ -146,13 +146,13 @@
 		table := tableOf(listed("a", "z1"), listed("b", "z2"), listed("c", "z3"))
 		var leases []*Lease
 		for step := 0; step < 100; step++ {
-			demand := &Demand{Pool: "p", Batch: random.Intn(2) == 0, BatchShare: 50, PromptTokens: int64(random.Intn(5000))}
+			demand := &Request{Pool: "p", Batch: random.Intn(2) == 0, BatchShare: 50, PromptTokens: int64(random.Intn(5000))}
 			if lease := table.Acquire(start, demand); lease != nil {
 				leases = append(leases, lease)
 			}
 			if len(leases) > 0 && random.Intn(2) == 0 {
 				chosen := random.Intn(len(leases))
-				leases[chosen].Begun()
+				leases[chosen].RecordPrefill()
 				leases[chosen].Release()
 				leases[chosen].Release()
 			}
--- a/internal/balance/cold_test.go
+++ b/internal/balance/cold_test.go
@@ -52,12 +52,12 @@
 	for i := range edges {
 		table := NewTable("a", rand.New(rand.NewPCG(uint64(i), 1)))
 		table.Update(set, map[string]int64{"p": 20_000})
-		table.Begin(began)
+		table.Start(began)
 		if news {
-			table.SetOthers(began, nil, OfAll)
+			table.SetPeerLoads(began, nil, ScopeAll)
 		}
 		for range workers * slots / 3 / edges {
-			lease := table.Acquire(began.Add(after), &Demand{Pool: "p", Parts: parts, PromptTokens: 350})
+			lease := table.Acquire(began.Add(after), &Request{Pool: "p", Parts: parts, PromptTokens: 350})
 			running[lease.Endpoint.ID]++
 			busiest = max(busiest, running[lease.Endpoint.ID])
 		}
--- a/internal/balance/cost.go
+++ b/internal/balance/cost.go
@@ -25,7 +25,7 @@
 )
 
 // cost rates a worker for a demand: the lower the better, in slots.
-func (t *Table) cost(now time.Time, candidate *worker, demand *Demand) float64 {
+func (t *Table) cost(now time.Time, candidate *worker, demand *Request) float64 {
 	slots := float64(max(candidate.listed.Slots, 1))
 	memory := t.memoryOf(demand.Pool)
 	cost := float64(candidate.inFlight)
@@ -77,7 +77,7 @@
 // cachedTokens returns how many tokens of the prompt's beginning the worker has
 // probably read before: what this process sent there, or what all send there because
 // it is the prompt's home.
-func (t *Table) cachedTokens(candidate *worker, demand *Demand) int64 {
+func (t *Table) cachedTokens(candidate *worker, demand *Request) int64 {
 	var sent, sharedTokens int64
 	broken := false
 	for i, part := range demand.Parts {
--- a/internal/balance/free.go
+++ b/internal/balance/free.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// LookTime is the time between two looks for room of a process where something waits.
-	LookTime = 10 * time.Millisecond
+	// PollInterval is the time between two looks for room of a process where something waits.
+	PollInterval = 10 * time.Millisecond
 	// unseenTime is for how long others of the zone don't see a choice: until it is told, and
 	// until an answer that was on its way before has been used.
 	unseenTime = 1500 * time.Microsecond
 	// retakeTime is how long a slot is free at most where somebody waits for one in its zone:
 	// until the next look for room, and for what is asked and told then.
-	retakeTime = 2 * LookTime
+	retakeTime = 2 * PollInterval
 	// reservedParts is the part of the slots, one in so many, that is left at most for those who
 	// are about to take what is given back.
 	reservedParts = 8
@@ -25,43 +25,43 @@
 type Search struct {
 	// Peers is how many processes of all zones choose workers, this one included.
 	Peers int
-	// Given is the worker at which this process has just given a slot back, if any: nobody
+	// ReleasedAt is the worker at which this process has just given a slot back, if any: nobody
 	// else has been told of that slot.
-	Given string
+	ReleasedAt string
 }
 
-// Choice is the worker that Look chose for one request, and what is known of it. It holds no
+// Candidate is the worker that Look chose for one request, and what is known of it. It holds no
 // slot; Take makes a lease of it. (batchroom.Place is another thing: a worker, as the planner of
 // items sees it.)
-type Choice struct {
+type Candidate struct {
 	// Worker is the worker's id, Slow how many times as long as elsewhere it takes.
-	Worker string
-	Slow   float64
+	Worker   string
+	Slowness float64
 	// Full is set where online requests hold all slots of the worker. Wait is how long one
 	// more is predicted to wait for one in the mean, WaitMost in nearly all cases; both are
 	// zero if that is unknown.
-	Full     bool
-	Wait     time.Duration
-	WaitMost time.Duration
+	Full    bool
+	Wait    time.Duration
+	MaxWait time.Duration
 	// Spare is set where more slots are free than those who wait elsewhere are about to
 	// take, LeftToOthers where one is free and is left to others by lot.
 	Spare        bool
 	LeftToOthers bool
-	// NewsAge is how old the news of the others is that this rests on, negative where there
+	// PeerLoadAge is how old the news of the others is that this rests on, negative where there
 	// is none.
-	NewsAge time.Duration
+	PeerLoadAge time.Duration
 
 	worker *worker
 	// probe is set where the hub lets a request probe the worker, which is avoided.
 	probe bool
 }
 
-// Look chooses a worker for a request that can wait at this process instead: as Acquire does,
+// FindCandidate chooses a worker for a request that can wait at this process instead: as Acquire does,
 // but one that has a slot free for online requests before any other. Where few slots are
 // free, all processes see the same ones; so a request takes one by lot, and leaves it to
 // others otherwise. Slots of other zones are known by older news, and are drawn for as well.
 // It returns nil if there is no worker.
-func (t *Table) Look(now time.Time, demand *Demand, search Search) *Choice {
+func (t *Table) FindCandidate(now time.Time, demand *Request, search Search) *Candidate {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.see(now)
@@ -74,7 +74,7 @@
 	chosen := t.freeProbe(now, demand)
 	probe := chosen != nil
 	if chosen == nil {
-		chosen = t.chooseGiven(now, demand, search.Given)
+		chosen = t.chooseGiven(now, demand, search.ReleasedAt)
 	}
 	if chosen == nil {
 		chosen = t.chooseBySlots(now, demand, known, search.Peers)
@@ -82,15 +82,15 @@
 	if chosen == nil {
 		return nil
 	}
-	choice := &Choice{
-		Worker:   chosen.listed.ID,
-		Slow:     t.slownessOf(now, chosen),
-		Full:     !t.hasFree(now, chosen),
-		Wait:     t.waitAt(now, chosen),
-		WaitMost: t.waitMostAt(now, chosen),
-		NewsAge:  t.newsAge(now, chosen),
-		worker:   chosen,
-		probe:    probe,
+	choice := &Candidate{
+		Worker:      chosen.listed.ID,
+		Slowness:    t.slownessOf(now, chosen),
+		Full:        !t.hasFree(now, chosen),
+		Wait:        t.waitAt(now, chosen),
+		MaxWait:     t.waitMostAt(now, chosen),
+		PeerLoadAge: t.newsAge(now, chosen),
+		worker:      chosen,
+		probe:       probe,
 	}
 	switch {
 	case probe:
@@ -103,7 +103,7 @@
 }
 
 // weigh finds out whether a free slot is to spare, and whether it is left to others.
-func (t *Table) weigh(now time.Time, demand *Demand, known *pool, choice *Choice, search Search) {
+func (t *Table) weigh(now time.Time, demand *Request, known *pool, choice *Candidate, search Search) {
 	if t.slotsOf(choice.worker) <= 0 {
 		// Nothing says how many slots there are to wait for.
 		choice.Spare = true
@@ -116,7 +116,7 @@
 	}
 	near := t.nearSlots(now, demand, known)
 	choice.Spare = near > reserved(known.nearRate, known.nearSlots)
-	choice.LeftToOthers = choice.Worker != search.Given && !mostFree(near, known.nearSlots) && t.leavesByLot(near, known.nearPeers(search.Peers))
+	choice.LeftToOthers = choice.Worker != search.ReleasedAt && !mostFree(near, known.nearSlots) && t.leavesByLot(near, known.nearPeers(search.Peers))
 }
 
 // mostFree reports whether more than half of the slots are free: then nobody waits, and who would
@@ -140,8 +140,8 @@
 	return min(retaken(rate), float64(slots)/reservedParts)
 }
 
-// Take gives the request a lease of the worker that Look chose a moment ago.
-func (t *Table) Take(now time.Time, demand *Demand, choice *Choice) *Lease {
+// AcquireCandidate gives the request a lease of the worker that Look chose a moment ago.
+func (t *Table) AcquireCandidate(now time.Time, demand *Request, choice *Candidate) *Lease {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if choice.probe {
@@ -151,7 +151,7 @@
 }
 
 // freeProbe returns an avoided worker that the request is to probe, if a slot is free there.
-func (t *Table) freeProbe(now time.Time, demand *Demand) *worker {
+func (t *Table) freeProbe(now time.Time, demand *Request) *worker {
 	probed := t.findProbe(now, demand)
 	if probed == nil || !t.hasFree(now, probed) {
 		return nil
@@ -160,7 +160,7 @@
 }
 
 // chooseGiven returns the worker at which a slot was given back, if it may be taken.
-func (t *Table) chooseGiven(now time.Time, demand *Demand, id string) *worker {
+func (t *Table) chooseGiven(now time.Time, demand *Request, id string) *worker {
 	given := t.workers[id]
 	if given == nil || given.listed.Pool != demand.Pool || !t.hasSlotFor(now, demand, given) {
 		return nil
@@ -169,12 +169,12 @@
 }
 
 // hasSlotFor reports whether the demand may go to a free slot of the worker.
-func (t *Table) hasSlotFor(now time.Time, demand *Demand, w *worker) bool {
+func (t *Table) hasSlotFor(now time.Time, demand *Request, w *worker) bool {
 	return t.hasFree(now, w) && t.admits(now, w, demand, false) && !t.failing(now, w)
 }
 
 // chooseBySlots chooses a worker, one with a slot free if there is any.
-func (t *Table) chooseBySlots(now time.Time, demand *Demand, known *pool, peers int) *worker {
+func (t *Table) chooseBySlots(now time.Time, demand *Request, known *pool, peers int) *worker {
 	t.nearOnly = len(known.near) > 0 && !t.drawsFar(now, demand, known, peers)
 	chosen := t.choose(now, demand, false)
 	if chosen == nil || !t.hasFree(now, chosen) {
@@ -195,13 +195,13 @@
 // leavesByLot decides whether one of so many free slots is left to others: within the time
 // in which a choice is not seen, more of the peers than that may look for one.
 func (t *Table) leavesByLot(slots, peers float64) bool {
-	looking := 1 + (peers-1)*float64(unseenTime)/float64(LookTime)
+	looking := 1 + (peers-1)*float64(unseenTime)/float64(PollInterval)
 	return t.random.Float64()*looking > slots
 }
 
 // drawsFar decides by lot whether the request may go to another zone: within the age of the
 // news of it as many of the peers as there are slots to spare, and all while most are free.
-func (t *Table) drawsFar(now time.Time, demand *Demand, known *pool, peers int) bool {
+func (t *Table) drawsFar(now time.Time, demand *Request, known *pool, peers int) bool {
 	passed := min(now.Sub(known.farDrawn), loadshare.Interval)
 	known.farDrawn = now
 	free := t.farSlots(now, demand, known)
@@ -215,7 +215,7 @@
 
 // nearSlots returns how many slots are free in the zone, as many as it likes where nothing is
 // known of what the others have.
-func (t *Table) nearSlots(now time.Time, demand *Demand, known *pool) float64 {
+func (t *Table) nearSlots(now time.Time, demand *Request, known *pool) float64 {
 	t.compared = t.compared[:0]
 	if freshAt(now, later(t.allAt, t.nearAt)) {
 		t.drawGroup(known.near, mostCompared, anyWorker)
@@ -226,7 +226,7 @@
 }
 
 // farSlots returns how many slots are free in other zones.
-func (t *Table) farSlots(now time.Time, demand *Demand, known *pool) float64 {
+func (t *Table) farSlots(now time.Time, demand *Request, known *pool) float64 {
 	t.compared = t.compared[:0]
 	if freshAt(now, t.allAt) {
 		t.drawGroup(known.far, mostCompared, anyWorker)
@@ -239,7 +239,7 @@
 func anyWorker(*worker) bool { return true }
 
 // freeSlots returns how many slots so many workers have free, by those that are compared.
-func (t *Table) freeSlots(now time.Time, demand *Demand, all int) float64 {
+func (t *Table) freeSlots(now time.Time, demand *Request, all int) float64 {
 	if len(t.compared) == 0 {
 		return 0
 	}
@@ -256,7 +256,7 @@
 // chooseFree chooses among the workers with a slot free. Unlike choose it leaves none out of
 // a pool that is not larger than what is compared at most, so that nobody is kept waiting
 // beside a free slot by lot alone.
-func (t *Table) chooseFree(now time.Time, demand *Demand, known *pool) *worker {
+func (t *Table) chooseFree(now time.Time, demand *Request, known *pool) *worker {
 	fit := func(w *worker) bool { return t.hasSlotFor(now, demand, w) }
 	t.findHomes(demand, fit)
 	t.compared = t.compared[:0]
--- a/internal/balance/free_test.go
+++ b/internal/balance/free_test.go
@@ -36,7 +36,7 @@
 	for number, count := range online {
 		loads = append(loads, wire.WorkerLoad{Worker: loadshare.WorkerHash(fmt.Sprintf("w%d", number)), Online: uint16(count), Rate: 100})
 	}
-	t.SetOthers(start, loads, OfAll)
+	t.SetPeerLoads(start, loads, ScopeAll)
 }
 
 // TestLookFindsFreeSlots looks for room in random pools of one zone: a worker with a slot free
@@ -53,15 +53,15 @@
 		}
 		table := zonesOf(len(online), 1)
 		tellOnline(table, online)
-		demand := &Demand{Pool: "p"}
-		place := table.Look(start, demand, Search{Peers: 1})
-		if place.Full != (free == 0) || place.LeftToOthers || place.Full != (place.Wait > 0) || place.WaitMost < place.Wait {
+		demand := &Request{Pool: "p"}
+		place := table.FindCandidate(start, demand, Search{Peers: 1})
+		if place.Full != (free == 0) || place.LeftToOthers || place.Full != (place.Wait > 0) || place.MaxWait < place.Wait {
 			return errors.Newf("%d workers have a slot free: %+v", free, place)
 		}
 		if loads := table.Loads(); len(loads) > 0 || table.Acquired() > 0 {
 			return errors.Newf("by looking: %+v", loads)
 		}
-		lease := table.Take(start, demand, place)
+		lease := table.AcquireCandidate(start, demand, place)
 		if loads := table.Loads(); lease.Endpoint.ID != place.Worker || len(loads) != 1 {
 			return errors.Newf("%+v was taken, not %+v", loads, place)
 		}
@@ -79,7 +79,7 @@
 	tellOnline(table, online)
 	taken := func(search Search) (count int) {
 		for range looks {
-			if place := table.Look(start, &Demand{Pool: "p"}, search); !place.LeftToOthers && !place.Full {
+			if place := table.FindCandidate(start, &Request{Pool: "p"}, search); !place.LeftToOthers && !place.Full {
 				count++
 			}
 		}
@@ -88,7 +88,7 @@
 	if count := taken(Search{Peers: 1}); count != looks {
 		t.Errorf("alone: %d of %d", count, looks)
 	}
-	if count := taken(Search{Peers: 51, Given: "w1"}); count != looks {
+	if count := taken(Search{Peers: 51, ReleasedAt: "w1"}); count != looks {
 		t.Errorf("who gave it back: %d of %d", count, looks)
 	}
 	if count := taken(Search{Peers: 51}); count < looks/20 || count > looks/4 {
@@ -137,7 +137,7 @@
 		table := poolOf(test.slots, test.online, test.zones...)
 		found := 0
 		for look := range looks {
-			place := table.Look(start.Add(time.Duration(look)*time.Microsecond), &Demand{Pool: "p"}, Search{Peers: peers})
+			place := table.FindCandidate(start.Add(time.Duration(look)*time.Microsecond), &Request{Pool: "p"}, Search{Peers: peers})
 			if !place.Full && !place.LeftToOthers {
 				found++
 			}
@@ -165,8 +165,8 @@
 				}
 				loads = append(loads, wire.WorkerLoad{Worker: loadshare.WorkerHash(fmt.Sprintf("w%d", number)), Online: uint16(held), Rate: 20000})
 			}
-			table.SetOthers(start, loads, OfAll)
-			place := table.Look(start, &Demand{Pool: "p"}, Search{Peers: 1})
+			table.SetPeerLoads(start, loads, ScopeAll)
+			place := table.FindCandidate(start, &Request{Pool: "p"}, Search{Peers: 1})
 			if want := free > 2*freeSlots/reservedParts; place.Spare != want {
 				t.Errorf("%d of %d free in %s: %+v", free, 2*freeSlots, zone, place)
 			}
@@ -183,22 +183,22 @@
 	for _, id := range []string{"w0", "w2"} {
 		loads = append(loads, wire.WorkerLoad{Worker: loadshare.WorkerHash(id), Online: freeSlots})
 	}
-	table.SetOthers(start, loads, OfAll)
+	table.SetPeerLoads(start, loads, ScopeAll)
 	table.SetProbes(start, []uint32{loadshare.WorkerHash("w1")})
-	demand := &Demand{Pool: "p", Repeatable: true}
-	var place *Choice
+	demand := &Request{Pool: "p", Repeatable: true}
+	var place *Candidate
 	for look := range looks {
-		place = table.Look(start, demand, Search{Peers: 51})
+		place = table.FindCandidate(start, demand, Search{Peers: 51})
 		if place.Worker != "w1" || !place.Spare || place.LeftToOthers || place.Full {
 			t.Fatalf("look %d: %+v", look, place)
 		}
 	}
-	lease := table.Take(start, demand, place)
-	if !lease.Probe() {
+	lease := table.AcquireCandidate(start, demand, place)
+	if !lease.IsProbe() {
 		t.Error("the lease is no probe")
 	}
 	lease.Release()
-	if place := table.Look(start, demand, Search{Peers: 51}); place.Worker == "w1" && place.Spare {
+	if place := table.FindCandidate(start, demand, Search{Peers: 51}); place.Worker == "w1" && place.Spare {
 		t.Errorf("a second probe by one word: %+v", place)
 	}
 }
@@ -215,7 +215,7 @@
 	}
 	table := zonesOf(workers, 2)
 	tellOnline(table, online)
-	if place := table.Look(start, &Demand{Pool: "p"}, Search{Peers: peers}); place.Full {
+	if place := table.FindCandidate(start, &Request{Pool: "p"}, Search{Peers: peers}); place.Full {
 		t.Errorf("%+v beside an idle zone", place)
 	}
 	// All but one slot is taken there: a tenth of the peers may go.
@@ -227,7 +227,7 @@
 	count := 0
 	const looks = 1000
 	for look := range looks {
-		if place := table.Look(start.Add(time.Duration(look)*time.Microsecond), &Demand{Pool: "p"}, Search{Peers: peers}); !place.Full {
+		if place := table.FindCandidate(start.Add(time.Duration(look)*time.Microsecond), &Request{Pool: "p"}, Search{Peers: peers}); !place.Full {
 			count++
 		}
 	}
@@ -245,7 +245,7 @@
 	for over := 1; over <= 3; over++ {
 		tellOnline(table, []int{freeSlots + over - 1})
 		table.pools["p"].hold = hold
-		place := table.Look(start, &Demand{Pool: "p"}, Search{Peers: 1})
+		place := table.FindCandidate(start, &Request{Pool: "p"}, Search{Peers: 1})
 		late := 0
 		const draws = 10000
 		for range draws {
@@ -254,13 +254,13 @@
 				ends[i] = random.Float64()
 			}
 			slices.Sort(ends)
-			if time.Duration(ends[over-1]*float64(hold)) > place.WaitMost {
+			if time.Duration(ends[over-1]*float64(hold)) > place.MaxWait {
 				late++
 			}
 		}
-		t.Logf("%d before it: %s in the mean, %s at most, %d of %d wait longer", over, place.Wait, place.WaitMost, late, draws)
+		t.Logf("%d before it: %s in the mean, %s at most, %d of %d wait longer", over, place.Wait, place.MaxWait, late, draws)
 		if late > draws/15 {
-			t.Errorf("%d before it: %d of %d wait longer than %s", over, late, draws, place.WaitMost)
+			t.Errorf("%d before it: %d of %d wait longer than %s", over, late, draws, place.MaxWait)
 		}
 	}
 }
@@ -277,7 +277,7 @@
 			tellOnline(table, online)
 			b.ReportAllocs()
 			for b.Loop() {
-				if place := table.Look(start, &Demand{Pool: "p"}, Search{Peers: 51}); !place.Full {
+				if place := table.FindCandidate(start, &Request{Pool: "p"}, Search{Peers: 51}); !place.Full {
 					b.Fatalf("%+v", place)
 				}
 			}
--- a/internal/balance/homes.go
+++ b/internal/balance/homes.go
@@ -31,7 +31,7 @@
 // the workers' names, so no process has to tell another, and a worker that comes or goes
 // moves only the parts that it is the home of. It costs the same however many there are,
 // but for the search on the ring.
-func (t *Table) findHomes(demand *Demand, fit func(w *worker) bool) {
+func (t *Table) findHomes(demand *Request, fit func(w *worker) bool) {
 	t.homes = t.homes[:0]
 	known := t.pools[demand.Pool]
 	if len(demand.Parts) < 2 || known == nil || len(known.ring) == 0 {
@@ -52,9 +52,9 @@
 	}
 }
 
-// Homes returns the short names of the workers of the zone that are the homes of the
+// AffinityWorkers returns the short names of the workers of the zone that are the homes of the
 // prompt's shared parts.
-func (t *Table) Homes(demand *Demand) []uint32 {
+func (t *Table) AffinityWorkers(demand *Request) []uint32 {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.findHomes(demand, func(w *worker) bool { return w.usable() && !demand.Exclude[w.listed.ID] })
--- a/internal/balance/homes_test.go
+++ b/internal/balance/homes_test.go
@@ -11,8 +11,8 @@
 )
 
 // longPrompt is a prompt of which two thirds are shared.
-func longPrompt(part string) *Demand {
-	return &Demand{Pool: "p", PromptTokens: 9000, Parts: []dialect.Part{{ID: "all", Tokens: 2000}, {ID: part, Tokens: 4000}, {ID: "own", Tokens: 3000}}}
+func longPrompt(part string) *Request {
+	return &Request{Pool: "p", PromptTokens: 9000, Parts: []dialect.Part{{ID: "all", Tokens: 2000}, {ID: part, Tokens: 4000}, {ID: "own", Tokens: 3000}}}
 }
 
 // TestSharedPartsMeetAcrossProcesses lets a hundred processes send one prompt each, all
@@ -43,13 +43,13 @@
 	}
 	table := tableOf(list...)
 	home := table.Acquire(start, longPrompt("part"))
-	home.Begun()
+	home.RecordPrefill()
 	home.Release()
 	var rows []wire.WorkerLoad
 	for _, busy := range table.homes {
 		rows = append(rows, wire.WorkerLoad{Worker: busy.hash, Online: 4, Unread: 20_000})
 	}
-	table.SetOthers(start, rows, OfAll)
+	table.SetPeerLoads(start, rows, ScopeAll)
 	if lease := table.Acquire(start, longPrompt("part")); lease.Endpoint.ID == home.Endpoint.ID {
 		t.Error("a prompt waits at its busy home")
 	}
--- a/internal/balance/others.go
+++ b/internal/balance/others.go
@@ -12,29 +12,29 @@
 type Scope uint8
 
 const (
-	// OfAll means that workers that are not named have nothing.
-	OfAll Scope = iota
-	// OfZone means that those of the zone have nothing, and of others nothing is said.
-	OfZone
-	// OfNamed means that nothing is said of workers that are not named. Such news take the
+	// ScopeAll means that workers that are not named have nothing.
+	ScopeAll Scope = iota
+	// ScopeZone means that those of the zone have nothing, and of others nothing is said.
+	ScopeZone
+	// ScopeNamed means that nothing is said of workers that are not named. Such news take the
 	// place of the last ones: drawn anew for each choice, those of earlier choices would be
 	// many more than those of now (met a full worker: 19 of 100 requests of a wave, in place
 	// of one; TestWavesSpread).
-	OfNamed
+	ScopeNamed
 )
 
-// SetRest takes in how many online requests workers that news leave out answer in ten
+// SetUnlistedRate takes in how many online requests workers that news leave out answer in ten
 // seconds, together. It counts from the next news on.
-func (t *Table) SetRest(rate int) {
+func (t *Table) SetUnlistedRate(rate int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.rest = rate
 }
 
-// SetOthers takes in what other processes have at the workers. It costs as much as there
+// SetPeerLoads takes in what other processes have at the workers. It costs as much as there
 // are rows in this news and the last ones.
-func (t *Table) SetOthers(now time.Time, loads []wire.WorkerLoad, scope Scope) {
-	if scope == OfNamed && len(loads) == 0 {
+func (t *Table) SetPeerLoads(now time.Time, loads []wire.WorkerLoad, scope Scope) {
+	if scope == ScopeNamed && len(loads) == 0 {
 		// It answers a report that was not about a choice, and says nothing.
 		return
 	}
@@ -43,9 +43,9 @@
 	t.see(now)
 	t.dropTold(now, scope)
 	switch scope {
-	case OfAll:
+	case ScopeAll:
 		t.allAt = now
-	case OfZone:
+	case ScopeZone:
 		t.nearAt = now
 	}
 	for i := range loads {
@@ -73,8 +73,8 @@
 func (t *Table) dropTold(now time.Time, scope Scope) {
 	kept := t.told[:0]
 	for _, known := range t.told {
-		covered := scope != OfZone || t.away(known) == 0
-		if !covered && now.Sub(known.othersAt) <= loadshare.Fresh {
+		covered := scope != ScopeZone || t.away(known) == 0
+		if !covered && now.Sub(known.othersAt) <= loadshare.ReportTTL {
 			kept = append(kept, known)
 			continue
 		}
@@ -84,7 +84,7 @@
 	}
 	clear(t.told[len(kept):])
 	t.told = kept
-	if scope == OfAll {
+	if scope == ScopeAll {
 		t.dropOrders()
 	}
 }
@@ -139,7 +139,7 @@
 // fresh reports whether what others have at the worker is known.
 func (t *Table) fresh(now time.Time, w *worker) bool { return freshAt(now, t.othersAt(w)) }
 
-func freshAt(now, at time.Time) bool { return !at.IsZero() && now.Sub(at) <= loadshare.Fresh }
+func freshAt(now, at time.Time) bool { return !at.IsZero() && now.Sub(at) <= loadshare.ReportTTL }
 
 // toldByOthers returns what others have at the worker, if that is known.
 func (t *Table) toldByOthers(now time.Time, w *worker) (wire.WorkerLoad, bool) {
--- a/internal/balance/outlook.go
+++ b/internal/balance/outlook.go
@@ -15,17 +15,17 @@
 	return slices.Sorted(maps.Keys(t.pools))
 }
 
-// Outlooks returns what is known of the present of the pools: their slots, and the need of
+// Forecasts returns what is known of the present of the pools: their slots, and the need of
 // online requests. Those that wait count as need, because each will hold a slot; the need
 // ends at the slots of the pool, because no more room could be made for it. Who forecasts
 // adds what is to come.
-func (t *Table) Outlooks(places *batchroom.Places, pools []string) []batchroom.Outlook {
+func (t *Table) Forecasts(places *batchroom.Workers, pools []string) []batchroom.Forecast {
 	if len(pools) == 0 {
 		return nil
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	outlooks := make([]batchroom.Outlook, 0, len(pools))
+	outlooks := make([]batchroom.Forecast, 0, len(pools))
 	numbers := make(map[string]int, len(pools))
 	most := make([]int, len(pools))
 	for _, name := range pools {
@@ -36,7 +36,7 @@
 		numbers[name] = len(outlooks)
 		slots, byZone := t.slotsOfPool(known, name)
 		most[len(outlooks)] = slots
-		outlooks = append(outlooks, batchroom.Outlook{Pool: name, Slots: slots, IdleSlots: slots, ZoneSlots: byZone})
+		outlooks = append(outlooks, batchroom.Forecast{Pool: name, Slots: slots, IdleSlots: slots, ZoneSlots: byZone})
 	}
 	for i := range places.Busy {
 		place := &places.Busy[i]
@@ -52,9 +52,9 @@
 
 // addTo adds a place to its pool's outlook, and returns how many slots it has that are not
 // among the pool's: a worker that is leaving has some.
-func (t *Table) addTo(outlook *batchroom.Outlook, place *batchroom.Place) int {
+func (t *Table) addTo(outlook *batchroom.Forecast, place *batchroom.Worker) int {
 	outlook.Online += place.Online
-	known := t.byHash[place.Worker]
+	known := t.byHash[place.ShortName]
 	if known == nil || !known.entered {
 		return place.Slots
 	}
@@ -65,8 +65,8 @@
 	return 0
 }
 
-// Overfull reports whether requests wait for a slot at the worker, as far as is known.
-func (t *Table) Overfull(now time.Time, id string) bool {
+// Overloaded reports whether requests wait for a slot at the worker, as far as is known.
+func (t *Table) Overloaded(now time.Time, id string) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	known := t.workers[id]
@@ -79,8 +79,8 @@
 
 // lastOf returns the worker that an item ran at before, if it may start there again: its
 // prompt need not be read again then.
-func (t *Table) lastOf(now time.Time, demand *Demand) *worker {
-	known := t.workers[demand.Last]
+func (t *Table) lastOf(now time.Time, demand *Request) *worker {
+	known := t.workers[demand.LastWorker]
 	if known == nil || known.listed.Pool != demand.Pool || !t.admits(now, known, demand, false) || t.failing(now, known) {
 		return nil
 	}
--- a/internal/balance/outlook_test.go
+++ b/internal/balance/outlook_test.go
@@ -45,9 +45,9 @@
 		{"at a leaving worker", []wire.WorkerLoad{online("a", 1), online("c", 3)}, 4, 4},
 		{"too much", []wire.WorkerLoad{online("a", 20), online("b", 20)}, 8, 0},
 	} {
-		table.SetOthers(start, test.loads, OfAll)
-		places := table.Places(start, noPatience)
-		outlooks := table.Outlooks(&places, table.Pools())
+		table.SetPeerLoads(start, test.loads, ScopeAll)
+		places := table.Workers(start, noPatience)
+		outlooks := table.Forecasts(&places, table.Pools())
 		if len(outlooks) != 2 || outlooks[0].Pool != "p" || outlooks[1].Pool != "q" {
 			t.Fatalf("%s: %+v", test.name, outlooks)
 		}
@@ -64,10 +64,10 @@
 // count while it is avoided.
 func TestClosedWorkersAreNoRoom(t *testing.T) {
 	table := outlookTable()
-	table.SetOthers(start, nil, OfAll)
-	table.Acquire(start, &Demand{Pool: "p"}).Suspect(start)
-	places := table.Places(start, noPatience)
-	if got := table.Outlooks(&places, table.Pools())[0]; got.Slots != 4 {
+	table.SetPeerLoads(start, nil, ScopeAll)
+	table.Acquire(start, &Request{Pool: "p"}).RecordNoAnswer(start)
+	places := table.Workers(start, noPatience)
+	if got := table.Forecasts(&places, table.Pools())[0]; got.Slots != 4 {
 		t.Errorf("%d slots beside a worker that gave no answer", got.Slots)
 	}
 }
@@ -78,7 +78,7 @@
 	for _, last := range []string{"a", "b"} {
 		for _, granted := range []bool{true, false} {
 			table := outlookTable()
-			table.SetOthers(start, nil, OfAll)
+			table.SetPeerLoads(start, nil, ScopeAll)
 			orders := map[uint32]batchroom.Order{}
 			for _, id := range []string{"a", "b"} {
 				if granted || id != last {
@@ -86,14 +86,14 @@
 				}
 			}
 			table.SetOrders(orders)
-			lease := table.Acquire(start, &Demand{Pool: "p", Batch: true, Last: last})
+			lease := table.Acquire(start, &Request{Pool: "p", Batch: true, LastWorker: last})
 			if lease == nil || (lease.Endpoint.ID == last) != granted {
 				t.Errorf("last at %s, granted there %t: %+v", last, granted, lease)
 			}
 		}
 	}
 	table := outlookTable()
-	if lease := table.Acquire(start, &Demand{Pool: "p", Batch: true, BatchShare: 100, Last: "d"}); lease.Endpoint.ID == "d" {
+	if lease := table.Acquire(start, &Request{Pool: "p", Batch: true, BatchShare: 100, LastWorker: "d"}); lease.Endpoint.ID == "d" {
 		t.Error("an item went to another pool")
 	}
 }
@@ -102,12 +102,12 @@
 func TestOverfull(t *testing.T) {
 	table := outlookTable()
 	for count, want := range map[uint16]bool{4: false, 5: true} {
-		table.SetOthers(start, []wire.WorkerLoad{{Worker: loadshare.WorkerHash("a"), Online: count - 2, Batch: 2}}, OfAll)
-		if got := table.Overfull(start, "a"); got != want {
+		table.SetPeerLoads(start, []wire.WorkerLoad{{Worker: loadshare.WorkerHash("a"), Online: count - 2, Batch: 2}}, ScopeAll)
+		if got := table.Overloaded(start, "a"); got != want {
 			t.Errorf("%d requests at 4 slots: %t", count, got)
 		}
 	}
-	if table.Overfull(start, "unknown") {
+	if table.Overloaded(start, "unknown") {
 		t.Error("somebody waits at a worker that is not listed")
 	}
 }
@@ -117,30 +117,30 @@
 // is listed with as many as it told.
 func TestOutlooksCountToldSlots(t *testing.T) {
 	table := outlookTable()
-	lease := table.Acquire(start, &Demand{Pool: "p", Exclude: map[string]bool{"b": true}})
-	lease.Told(capacity.Report{Running: 1, Slots: 3, Pace: 100})
-	if table.Overfull(start, "a") {
+	lease := table.Acquire(start, &Request{Pool: "p", Exclude: map[string]bool{"b": true}})
+	lease.RecordReport(capacity.Report{Running: 1, Slots: 3, Pace: 100})
+	if table.Overloaded(start, "a") {
 		t.Error("somebody waits at a worker with two slots left")
 	}
-	table.SetOthers(start, []wire.WorkerLoad{{Worker: loadshare.WorkerHash("a"), Online: 3}}, OfAll)
-	places := table.Places(start, noPatience)
-	if got := table.Outlooks(&places, []string{"p"})[0]; got.Slots != 7 || got.IdleSlots != 4 || got.ZoneSlots["z"] != 7 || got.Online != 4 {
+	table.SetPeerLoads(start, []wire.WorkerLoad{{Worker: loadshare.WorkerHash("a"), Online: 3}}, ScopeAll)
+	places := table.Workers(start, noPatience)
+	if got := table.Forecasts(&places, []string{"p"})[0]; got.Slots != 7 || got.IdleSlots != 4 || got.ZoneSlots["z"] != 7 || got.Online != 4 {
 		t.Errorf("while it is busy: %+v", got)
 	}
-	if !table.Overfull(start, "a") {
+	if !table.Overloaded(start, "a") {
 		t.Error("nobody waits at a worker with a request too many")
 	}
-	table.SetOthers(start, []wire.WorkerLoad{{Worker: loadshare.WorkerHash("a"), Online: 30}}, OfAll)
-	places = table.Places(start, noPatience)
-	if got := table.Outlooks(&places, []string{"p"})[0]; got.Online != 7 {
+	table.SetPeerLoads(start, []wire.WorkerLoad{{Worker: loadshare.WorkerHash("a"), Online: 30}}, ScopeAll)
+	places = table.Workers(start, noPatience)
+	if got := table.Forecasts(&places, []string{"p"})[0]; got.Online != 7 {
 		t.Errorf("need beyond the slots: %+v", got)
 	}
 	lease.Release()
 	table.Loads()
 	table.Loads()
-	table.SetOthers(start, nil, OfAll)
-	places = table.Places(start, noPatience)
-	if got := table.Outlooks(&places, []string{"p"})[0]; got.Slots != 7 || got.IdleSlots != 7 || places.IdleSlots != 9 {
+	table.SetPeerLoads(start, nil, ScopeAll)
+	places = table.Workers(start, noPatience)
+	if got := table.Forecasts(&places, []string{"p"})[0]; got.Slots != 7 || got.IdleSlots != 7 || places.IdleSlots != 9 {
 		t.Errorf("while it is idle: %+v, %d idle slots", got, places.IdleSlots)
 	}
 	drawn := 0
@@ -151,8 +151,8 @@
 		t.Errorf("%d slots drawn", drawn)
 	}
 	table.Update(workerset.Of([]wire.PoolWorker{{ID: "a", Pool: "p", Zone: "z", Slots: 3}}), nil)
-	places = table.Places(start, noPatience)
-	if got := table.Outlooks(&places, []string{"p"})[0]; got.Slots != 3 || got.IdleSlots != 3 {
+	places = table.Workers(start, noPatience)
+	if got := table.Forecasts(&places, []string{"p"})[0]; got.Slots != 3 || got.IdleSlots != 3 {
 		t.Errorf("listed with as many as it told: %+v", got)
 	}
 }
@@ -160,9 +160,9 @@
 // BenchmarkOutlooks is what a plan with an outlook takes more than one without.
 func BenchmarkOutlooks(b *testing.B) {
 	benchmark(b, func(b *testing.B, table *Table, _ int) {
-		places := table.Places(start, noPatience)
+		places := table.Workers(start, noPatience)
 		for b.Loop() {
-			table.Outlooks(&places, table.Pools())
+			table.Forecasts(&places, table.Pools())
 		}
 	})
 }
--- a/internal/balance/pace.go
+++ b/internal/balance/pace.go
@@ -23,8 +23,8 @@
 	maxHold = 10 * time.Second
 )
 
-// Paced takes in that the worker took so long for so many events.
-func (l *Lease) Paced(events int, took time.Duration) {
+// RecordPace takes in that the worker took so long for so many events.
+func (l *Lease) RecordPace(events int, took time.Duration) {
 	l.table.mutex.Lock()
 	defer l.table.mutex.Unlock()
 	l.table.occupy(l.worker)
@@ -61,8 +61,8 @@
 	}
 }
 
-// PerSecond returns how many online requests the workers answer, as far as others told.
-func (t *Table) PerSecond() float64 {
+// RequestRate returns how many online requests the workers answer, as far as others told.
+func (t *Table) RequestRate() float64 {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	rate := 0
--- a/internal/balance/pace_test.go
+++ b/internal/balance/pace_test.go
@@ -19,7 +19,7 @@
 // time after it was last heard of.
 func TestSlowWorkersComeLast(t *testing.T) {
 	table := tableOf(listed("slow", "z1"), listed("b", "z2"), listed("c", "z2"))
-	demand := &Demand{Pool: "p"}
+	demand := &Request{Pool: "p"}
 	take := func(now time.Time) string {
 		lease := table.Acquire(now, demand)
 		defer lease.Release()
@@ -28,21 +28,21 @@
 	if got := take(start); got != "slow" {
 		t.Fatalf("before anything was heard %s was taken", got)
 	}
-	table.SetOthers(start, []wire.WorkerLoad{told("slow", 0, 140_000, 0), told("b", 3, 24_000, 10), told("c", 3, 22_000, 10)}, OfAll)
+	table.SetPeerLoads(start, []wire.WorkerLoad{told("slow", 0, 140_000, 0), told("b", 3, 24_000, 10), told("c", 3, 22_000, 10)}, ScopeAll)
 	if got := take(start); got == "slow" {
 		t.Error("a worker six times slower was taken")
 	}
-	table.SetOthers(start, []wire.WorkerLoad{told("slow", 0, 140_000, 0), told("b", 40, 24_000, 10), told("c", 40, 22_000, 10)}, OfAll)
+	table.SetPeerLoads(start, []wire.WorkerLoad{told("slow", 0, 140_000, 0), told("b", 40, 24_000, 10), told("c", 40, 22_000, 10)}, ScopeAll)
 	if got := take(start); got != "slow" {
 		t.Errorf("%s was taken, which is crowded", got)
 	}
 	later := start.Add(slowMemory)
-	table.SetOthers(later, []wire.WorkerLoad{told("b", 3, 24_000, 10), told("c", 3, 22_000, 10)}, OfAll)
+	table.SetPeerLoads(later, []wire.WorkerLoad{told("b", 3, 24_000, 10), told("c", 3, 22_000, 10)}, ScopeAll)
 	if got := take(later); got == "slow" {
 		t.Error("a slow worker was forgotten too soon")
 	}
 	later = later.Add(1)
-	table.SetOthers(later, []wire.WorkerLoad{told("b", 3, 24_000, 10), told("c", 3, 22_000, 10)}, OfAll)
+	table.SetPeerLoads(later, []wire.WorkerLoad{told("b", 3, 24_000, 10), told("c", 3, 22_000, 10)}, ScopeAll)
 	if got := take(later); got != "slow" {
 		t.Error("a slow worker is never tried again")
 	}
@@ -52,10 +52,10 @@
 // the others, as a full one is, is no slow one.
 func TestSmallDifferencesAreNoSlowness(t *testing.T) {
 	table := tableOf(listed("a", "z1"), listed("b", "z2"), listed("c", "z2"))
-	table.SetOthers(start, []wire.WorkerLoad{told("a", 0, 33_000, 0), told("b", 0, 24_000, 0), told("c", 0, 22_000, 0)}, OfAll)
-	lease := table.Acquire(start, &Demand{Pool: "p"})
-	if lease.Endpoint.ID != "a" || lease.Slow != 1 {
-		t.Errorf("%s was taken, slowness %f", lease.Endpoint.ID, lease.Slow)
+	table.SetPeerLoads(start, []wire.WorkerLoad{told("a", 0, 33_000, 0), told("b", 0, 24_000, 0), told("c", 0, 22_000, 0)}, ScopeAll)
+	lease := table.Acquire(start, &Request{Pool: "p"})
+	if lease.Endpoint.ID != "a" || lease.Slowness != 1 {
+		t.Errorf("%s was taken, slowness %f", lease.Endpoint.ID, lease.Slowness)
 	}
 }
 
@@ -65,18 +65,18 @@
 // with them a slot would seem to be held for 0.75 s.
 func TestWaitIsPredicted(t *testing.T) {
 	table := tableOf(listed("a", "z1"))
-	table.SetOthers(start, []wire.WorkerLoad{told("a", 3, 0, 400)}, OfAll)
-	if lease := table.Acquire(start, &Demand{Pool: "p"}); lease.Wait != 0 {
+	table.SetPeerLoads(start, []wire.WorkerLoad{told("a", 3, 0, 400)}, ScopeAll)
+	if lease := table.Acquire(start, &Request{Pool: "p"}); lease.Wait != 0 {
 		t.Errorf("%s with a slot free", lease.Wait)
 	}
 	table = tableOf(listed("a", "z1"))
-	table.SetOthers(start, []wire.WorkerLoad{told("a", 6, 0, 80)}, OfAll)
-	lease := table.Acquire(start, &Demand{Pool: "p"})
+	table.SetPeerLoads(start, []wire.WorkerLoad{told("a", 6, 0, 80)}, ScopeAll)
+	lease := table.Acquire(start, &Request{Pool: "p"})
 	if want := 500 * time.Millisecond * 3 / 5; lease.Wait != want {
 		t.Errorf("wait %s, want %s", lease.Wait, want)
 	}
-	table.SetOthers(start, []wire.WorkerLoad{told("a", 6, 0, 0)}, OfAll)
-	if lease := table.Acquire(start, &Demand{Pool: "p"}); lease.Wait != 0 {
+	table.SetPeerLoads(start, []wire.WorkerLoad{told("a", 6, 0, 0)}, ScopeAll)
+	if lease := table.Acquire(start, &Request{Pool: "p"}); lease.Wait != 0 {
 		t.Errorf("wait %s though nothing is known of how long requests take", lease.Wait)
 	}
 }
--- a/internal/balance/probe.go
+++ b/internal/balance/probe.go
@@ -27,7 +27,7 @@
 
 // takeProbe returns an avoided worker that the request is to probe, or nil. Each word of the
 // hub serves one request.
-func (t *Table) takeProbe(now time.Time, demand *Demand) *worker {
+func (t *Table) takeProbe(now time.Time, demand *Request) *worker {
 	probed := t.findProbe(now, demand)
 	if probed != nil {
 		t.removeProbe(probed)
@@ -36,7 +36,7 @@
 }
 
 // findProbe returns what takeProbe does, and leaves the hub's word to whoever takes it.
-func (t *Table) findProbe(now time.Time, demand *Demand) *worker {
+func (t *Table) findProbe(now time.Time, demand *Request) *worker {
 	if demand.Batch || !demand.Repeatable || len(t.probes) == 0 {
 		return nil
 	}
@@ -61,32 +61,32 @@
 }
 
 // mayProbe reports whether the request would run at once at an avoided worker.
-func (t *Table) mayProbe(now time.Time, w *worker, demand *Demand) bool {
+func (t *Table) mayProbe(now time.Time, w *worker, demand *Request) bool {
 	return t.failing(now, w) && w.probing == 0 && t.admits(now, w, demand, false) && t.waitAt(now, w) == 0
 }
 
 // grantedProbe reports whether the planner of items let one start at the worker though it is
 // avoided.
-func (w *worker) grantedProbe(demand *Demand) bool {
+func (w *worker) grantedProbe(demand *Request) bool {
 	return demand.Batch && !demand.NoProbe && w.starts > 0 && w.probing == 0
 }
 
-// Probe reports whether the worker was avoided when it was chosen, so that this request shows
+// IsProbe reports whether the worker was avoided when it was chosen, so that this request shows
 // whether it is well.
-func (l *Lease) Probe() bool { return l.probe }
+func (l *Lease) IsProbe() bool { return l.probe }
 
-// Patience returns how long the answer to a probe is waited for: least where the last one was
+// ProbeTimeout returns how long the answer to a probe is waited for: least where the last one was
 // answered, and twice as long after each that was not, up to most, because a worker that is
 // well may need longer than what is usual.
-func (l *Lease) Patience(least, most time.Duration) time.Duration {
+func (l *Lease) ProbeTimeout(least, most time.Duration) time.Duration {
 	l.table.mutex.Lock()
 	defer l.table.mutex.Unlock()
 	return min(least<<min(l.worker.silent, mostSilentDoublings), most)
 }
 
-// Ran takes in how an item at the worker began. Items count for nothing but as probes: what
+// RecordItemStart takes in how an item at the worker began. Items count for nothing but as probes: what
 // online requests saw says more of the others.
-func (l *Lease) Ran(now time.Time, well bool) {
+func (l *Lease) RecordItemStart(now time.Time, well bool) {
 	if !l.probe {
 		return
 	}
@@ -100,9 +100,9 @@
 	l.worker.failed++
 }
 
-// Proved takes in that content of the answer to an online request has come, which proves that
+// RecordContent takes in that content of the answer to an online request has come, which proves that
 // the worker is well if this is a probe.
-func (l *Lease) Proved() {
+func (l *Lease) RecordContent() {
 	if !l.probe {
 		return
 	}
@@ -114,9 +114,9 @@
 	}
 }
 
-// BrokeOff takes in that the worker broke its answer off, which counts against it if this is a
+// RecordDisconnect takes in that the worker broke its answer off, which counts against it if this is a
 // probe.
-func (l *Lease) BrokeOff() {
+func (l *Lease) RecordDisconnect() {
 	if !l.probe {
 		return
 	}
@@ -138,8 +138,8 @@
 	return true
 }
 
-// Proofs returns what probes have shown since the last call. It is called before Loads.
-func (t *Table) Proofs() []wire.WorkerProof {
+// ProbeResults returns what probes have shown since the last call. It is called before Loads.
+func (t *Table) ProbeResults() []wire.WorkerProof {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	var proofs []wire.WorkerProof
@@ -155,8 +155,8 @@
 	return proofs
 }
 
-// NameOf returns the worker's id by its short name, empty where it is not listed.
-func (t *Table) NameOf(worker uint32) string {
+// WorkerID returns the worker's id by its short name, empty where it is not listed.
+func (t *Table) WorkerID(worker uint32) string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if known := t.byHash[worker]; known != nil {
--- a/internal/balance/probe_test.go
+++ b/internal/balance/probe_test.go
@@ -17,24 +17,24 @@
 // as the answer of an online request.
 func TestItemsProbeWhereTheyAreLet(t *testing.T) {
 	table := tableOf(listed("a", "z1"), listed("b", "z2"), listed("c", "z2"))
-	item := &Demand{Pool: "p", Batch: true, BatchShare: 50}
-	table.SetOthers(start, []wire.WorkerLoad{failing("a", 0)}, OfAll)
+	item := &Request{Pool: "p", Batch: true, BatchShare: 50}
+	table.SetPeerLoads(start, []wire.WorkerLoad{failing("a", 0)}, ScopeAll)
 	if table.Acquire(start, item) != nil {
 		t.Fatal("an item started without a grant")
 	}
-	table.SetOthers(start, []wire.WorkerLoad{failing("a", 2)}, OfAll)
+	table.SetPeerLoads(start, []wire.WorkerLoad{failing("a", 2)}, ScopeAll)
 	lease := table.Acquire(start, item)
-	if lease == nil || !lease.Probe() || lease.Endpoint.ID != "a" {
+	if lease == nil || !lease.IsProbe() || lease.Endpoint.ID != "a" {
 		t.Fatalf("no probe: %+v", lease)
 	}
 	if again := table.choose(start, item, false); again != nil {
 		t.Error("two probes at once")
 	}
-	lease.Ran(start, true)
-	if proofs := table.Proofs(); len(proofs) != 1 || proofs[0].Well != 1 {
+	lease.RecordItemStart(start, true)
+	if proofs := table.ProbeResults(); len(proofs) != 1 || proofs[0].Well != 1 {
 		t.Errorf("proofs %+v", proofs)
 	}
-	if proofs := table.Proofs(); len(proofs) != 0 {
+	if proofs := table.ProbeResults(); len(proofs) != 0 {
 		t.Errorf("proofs told twice: %+v", proofs)
 	}
 	for _, load := range table.Loads() {
@@ -48,16 +48,16 @@
 // that got no answer, and starts anew after an answer.
 func TestSilentProbesAreWaitedForLonger(t *testing.T) {
 	table := tableOf(listed("a", "z1"), listed("b", "z1"), listed("c", "z1"))
-	table.SetOthers(start, []wire.WorkerLoad{failing("a", 1)}, OfAll)
-	lease := table.Acquire(start, &Demand{Pool: "p", Batch: true})
+	table.SetPeerLoads(start, []wire.WorkerLoad{failing("a", 1)}, ScopeAll)
+	lease := table.Acquire(start, &Request{Pool: "p", Batch: true})
 	for _, want := range []time.Duration{1, 2, 4, 6, 6} {
-		if got := lease.Patience(time.Second, 6*time.Second); got != want*time.Second {
+		if got := lease.ProbeTimeout(time.Second, 6*time.Second); got != want*time.Second {
 			t.Errorf("patience %v, want %v s", got, int64(want))
 		}
-		lease.Suspect(start)
+		lease.RecordNoAnswer(start)
 	}
-	lease.Ran(start, true)
-	if got := lease.Patience(time.Second, 6*time.Second); got != time.Second {
+	lease.RecordItemStart(start, true)
+	if got := lease.ProbeTimeout(time.Second, 6*time.Second); got != time.Second {
 		t.Errorf("patience %v after an answer", got)
 	}
 }
@@ -66,12 +66,12 @@
 // that the hub named, and no other request does.
 func TestRepeatableRequestsProbe(t *testing.T) {
 	table := tableOf(listed("a", "z1"), listed("b", "z1"), listed("c", "z1"))
-	table.SetOthers(start, []wire.WorkerLoad{failing("a", 0)}, OfAll)
+	table.SetPeerLoads(start, []wire.WorkerLoad{failing("a", 0)}, ScopeAll)
 	named := []uint32{loadshare.Hash("a")}
 	takes := func(now time.Time, repeatable bool) bool {
-		lease := table.Acquire(now, &Demand{Pool: "p", Repeatable: repeatable})
+		lease := table.Acquire(now, &Request{Pool: "p", Repeatable: repeatable})
 		defer lease.Release()
-		return lease.Probe()
+		return lease.IsProbe()
 	}
 	if takes(start, true) {
 		t.Error("a request went to an avoided worker that nobody named")
@@ -87,7 +87,7 @@
 	if takes(start.Add(probesFresh+1), true) {
 		t.Error("an old word of the hub counts")
 	}
-	table.SetOthers(start, nil, OfAll)
+	table.SetPeerLoads(start, nil, ScopeAll)
 	table.SetProbes(start, named)
 	if takes(start, true) {
 		t.Error("a worker that is well was probed")
--- a/internal/balance/sample.go
+++ b/internal/balance/sample.go
@@ -24,7 +24,7 @@
 )
 
 // choose takes the best of some workers; suspects count only if allowed.
-func (t *Table) choose(now time.Time, demand *Demand, suspects bool) *worker {
+func (t *Table) choose(now time.Time, demand *Request, suspects bool) *worker {
 	known := t.pools[demand.Pool]
 	if known == nil {
 		return nil
@@ -44,7 +44,7 @@
 }
 
 // pick takes the best of the workers to compare.
-func (t *Table) pick(now time.Time, known *pool, demand *Demand) *worker {
+func (t *Table) pick(now time.Time, known *pool, demand *Request) *worker {
 	if !demand.Batch && t.byTimes(demand.Pool) {
 		return t.soonest(now, known, demand, t.compared)
 	}
--- a/internal/balance/sample_test.go
+++ b/internal/balance/sample_test.go
@@ -27,8 +27,8 @@
 	for process := range processes {
 		table := NewTable("z1", rand.New(rand.NewPCG(uint64(process), 1)))
 		table.Update(workerset.Of(list), nil)
-		table.SetOthers(start, rows, OfAll)
-		got[table.Acquire(start.Add(50*time.Millisecond), &Demand{Pool: "p"}).Endpoint.ID]++
+		table.SetPeerLoads(start, rows, ScopeAll)
+		got[table.Acquire(start.Add(50*time.Millisecond), &Request{Pool: "p"}).Endpoint.ID]++
 	}
 	for id, count := range got {
 		if count > processes/5 {
@@ -41,9 +41,9 @@
 // next to nothing can have come unseen.
 func TestFewUnseenRequestsCompareAll(t *testing.T) {
 	table := tableOf(listed("a", "z1"), listed("b", "z1"), listed("c", "z1"), listed("d", "z1"))
-	table.SetOthers(start, []wire.WorkerLoad{told("a", 2, 0, 10), told("b", 2, 0, 10), told("d", 2, 0, 10)}, OfAll)
+	table.SetPeerLoads(start, []wire.WorkerLoad{told("a", 2, 0, 10), told("b", 2, 0, 10), told("d", 2, 0, 10)}, ScopeAll)
 	for range 50 {
-		lease := table.Acquire(start, &Demand{Pool: "p"})
+		lease := table.Acquire(start, &Request{Pool: "p"})
 		if lease.Endpoint.ID != "c" {
 			t.Fatalf("%s was taken, c is idle", lease.Endpoint.ID)
 		}
@@ -82,8 +82,8 @@
 			for process := range processes {
 				table := NewTable("z1", rand.New(rand.NewPCG(uint64(process), 1)))
 				table.Update(workerset.Of(list), nil)
-				table.SetOthers(start, rows, OfAll)
-				id := table.Acquire(start.Add(100*time.Millisecond), &Demand{Pool: "p"}).Endpoint.ID
+				table.SetPeerLoads(start, rows, ScopeAll)
+				id := table.Acquire(start.Add(100*time.Millisecond), &Request{Pool: "p"}).Endpoint.ID
 				got[id]++
 				if zoneOf[id] == "z1" {
 					near++
@@ -106,21 +106,21 @@
 func TestWorkersThatNothingIsKnownOfComeLast(t *testing.T) {
 	table := tableOf(listed("a", "z1"), listed("b", "z2"), listed("c", "z2"))
 	full := func(id string) wire.WorkerLoad { return wire.WorkerLoad{Worker: loadshare.Hash(id), Online: 8} }
-	table.SetOthers(start, []wire.WorkerLoad{full("a"), full("b")}, OfZone)
+	table.SetPeerLoads(start, []wire.WorkerLoad{full("a"), full("b")}, ScopeZone)
 	for range 20 {
-		lease := table.Acquire(start, &Demand{Pool: "p"})
+		lease := table.Acquire(start, &Request{Pool: "p"})
 		if lease.Endpoint.ID == "c" {
 			t.Fatal("a worker of which nothing is known was taken for idle")
 		}
 		lease.Release()
 	}
 	both := map[string]bool{"a": true, "b": true}
-	if lease := table.Acquire(start, &Demand{Pool: "p", Exclude: both}); lease == nil || lease.Endpoint.ID != "c" {
+	if lease := table.Acquire(start, &Request{Pool: "p", Exclude: both}); lease == nil || lease.Endpoint.ID != "c" {
 		t.Error("it was not taken where there is nothing else")
 	}
 	// A worker of the zone that is not named has nothing.
-	table.SetOthers(start, []wire.WorkerLoad{full("b")}, OfZone)
-	if lease := table.Acquire(start, &Demand{Pool: "p"}); lease.Endpoint.ID != "a" {
+	table.SetPeerLoads(start, []wire.WorkerLoad{full("b")}, ScopeZone)
+	if lease := table.Acquire(start, &Request{Pool: "p"}); lease.Endpoint.ID != "a" {
 		t.Errorf("%s was taken, a is idle", lease.Endpoint.ID)
 	}
 }
@@ -142,8 +142,8 @@
 		}
 		table := NewTable("z1", rand.New(rand.NewPCG(uint64(process), 1)))
 		table.Update(workerset.Of(list), nil)
-		table.SetOthers(start, rows, OfZone)
-		online[table.Acquire(start.Add(time.Millisecond), &Demand{Pool: "p"}).Endpoint.ID]++
+		table.SetPeerLoads(start, rows, ScopeZone)
+		online[table.Acquire(start.Add(time.Millisecond), &Request{Pool: "p"}).Endpoint.ID]++
 	}
 	for _, row := range list {
 		if count := int(online[row.ID]); count < requests/workers-1 || count > requests/workers+1 {
--- a/internal/balance/share.go
+++ b/internal/balance/share.go
@@ -70,9 +70,9 @@
 	return w.starts > 0 && w.inFlight+int(others.Online)+int(others.Batch)+t.orphaned(now, w) < t.slotsOf(w)
 }
 
-// Stops returns, by worker, how many items of this process are still to stop, as the
+// PendingStops returns, by worker, how many items of this process are still to stop, as the
 // planner of all items said.
-func (t *Table) Stops(now time.Time) map[string]int {
+func (t *Table) PendingStops(now time.Time) map[string]int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	var stops map[string]int
@@ -88,14 +88,14 @@
 	return stops
 }
 
-// Places returns the workers as the planner of all items sees them: those where anything
+// Workers returns the workers as the planner of all items sees them: those where anything
 // is one by one, and the idle ones together. patience is asked how long an online request
 // of a pool may wait for items.
-func (t *Table) Places(now time.Time, patience func(pool string) time.Duration) batchroom.Places {
+func (t *Table) Workers(now time.Time, patience func(pool string) time.Duration) batchroom.Workers {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.see(now)
-	places := batchroom.Places{Draw: t.drawIdle}
+	places := batchroom.Workers{Draw: t.drawIdle}
 	busy := map[*worker]bool{}
 	for _, list := range [][]*worker{t.told, t.busy, t.suspected(now)} {
 		for _, known := range list {
@@ -116,24 +116,24 @@
 			places.IdleSlots -= t.slotsOf(known)
 		}
 	}
-	slices.SortFunc(places.Busy, func(a, b batchroom.Place) int { return cmp.Compare(a.Worker, b.Worker) })
+	slices.SortFunc(places.Busy, func(a, b batchroom.Worker) int { return cmp.Compare(a.ShortName, b.ShortName) })
 	return places
 }
 
-func (t *Table) placeOf(now time.Time, w *worker, patience func(pool string) time.Duration) batchroom.Place {
+func (t *Table) placeOf(now time.Time, w *worker, patience func(pool string) time.Duration) batchroom.Worker {
 	others, _ := t.toldByOthers(now, w)
 	orphans := t.orphaned(now, w)
-	return batchroom.Place{
-		Worker:   w.hash,
-		Pool:     w.listed.Pool,
-		Zone:     w.listed.Zone,
-		Slots:    t.slotsOf(w),
-		Online:   w.inFlight - w.batch + int(others.Online) + orphans,
-		Orphans:  orphans,
-		Closed:   !w.usable() || others.Failing || now.Before(w.suspectUntil),
-		Probe:    w.usable() && others.Failing && !now.Before(w.suspectUntil),
-		Hold:     t.holdOf(w),
-		Patience: patience(w.listed.Pool),
+	return batchroom.Worker{
+		ShortName: w.hash,
+		Pool:      w.listed.Pool,
+		Zone:      w.listed.Zone,
+		Slots:     t.slotsOf(w),
+		Online:    w.inFlight - w.batch + int(others.Online) + orphans,
+		Orphans:   orphans,
+		Closed:    !w.usable() || others.Failing || now.Before(w.suspectUntil),
+		Probe:     w.usable() && others.Failing && !now.Before(w.suspectUntil),
+		HoldTime:  t.holdOf(w),
+		MaxWait:   patience(w.listed.Pool),
 	}
 }
 
@@ -155,7 +155,7 @@
 
 // drawIdle returns idle workers, all of a small fleet, else so many of them: of each pool
 // in proportion to its size, from a place drawn by lot on.
-func (t *Table) drawIdle(count int) []batchroom.Place {
+func (t *Table) drawIdle(count int) []batchroom.Worker {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	total := 0
@@ -165,7 +165,7 @@
 	if total <= mostListed {
 		count = total
 	}
-	var drawn []batchroom.Place
+	var drawn []batchroom.Worker
 	for _, name := range slices.Sorted(maps.Keys(t.pools)) {
 		known := t.pools[name]
 		share := 0
@@ -178,7 +178,7 @@
 }
 
 // drawFrom adds so many idle workers of a pool.
-func (t *Table) drawFrom(known *pool, count int, drawn []batchroom.Place) []batchroom.Place {
+func (t *Table) drawFrom(known *pool, count int, drawn []batchroom.Worker) []batchroom.Worker {
 	all := known.usable()
 	if all == 0 {
 		return drawn
@@ -186,7 +186,7 @@
 	first := t.random.IntN(all)
 	for i := 0; i < all && count > 0; i++ {
 		if w := known.at((first + i) % all); !w.told && !w.busy && w.suspectUntil.IsZero() {
-			drawn = append(drawn, batchroom.Place{Worker: w.hash, Pool: w.listed.Pool, Zone: w.listed.Zone, Slots: t.slotsOf(w)})
+			drawn = append(drawn, batchroom.Worker{ShortName: w.hash, Pool: w.listed.Pool, Zone: w.listed.Zone, Slots: t.slotsOf(w)})
 			count--
 		}
 	}
--- a/internal/balance/size_test.go
+++ b/internal/balance/size_test.go
@@ -42,15 +42,15 @@
 func TestAChoiceLooksAtAFew(t *testing.T) {
 	for _, count := range []int{10_000, 20_000} {
 		table := fleetTable(count)
-		if table.Acquire(start, &Demand{Pool: "p"}); len(table.compared) > 2*mostCompared+homesOf {
+		if table.Acquire(start, &Request{Pool: "p"}); len(table.compared) > 2*mostCompared+homesOf {
 			t.Errorf("%d workers: %d are compared without news", count, len(table.compared))
 		}
-		table.SetOthers(start, someLoads(fleetRows(count), 300), OfAll)
+		table.SetPeerLoads(start, someLoads(fleetRows(count), 300), ScopeAll)
 		lease := table.Acquire(start, longPrompt("part"))
 		if lease == nil || len(table.compared) > 2*mostCompared+homesOf {
 			t.Errorf("%d workers: %d are compared", count, len(table.compared))
 		}
-		places := table.Places(start, func(string) time.Duration { return time.Second })
+		places := table.Workers(start, func(string) time.Duration { return time.Second })
 		if len(places.Busy) > 302 || len(places.Busy)+places.IdleWorkers != count {
 			t.Errorf("%d workers: a plan is told of %d and %d idle ones", count, len(places.Busy), places.IdleWorkers)
 		}
@@ -69,11 +69,11 @@
 	table := fleetTable(1000)
 	var leases []*Lease
 	for round := range 9 {
-		table.SetOthers(start, someLoads(rows, 50), OfAll)
+		table.SetPeerLoads(start, someLoads(rows, 50), ScopeAll)
 		for range 30 {
-			lease := table.Acquire(start, &Demand{Pool: "p"})
+			lease := table.Acquire(start, &Request{Pool: "p"})
 			if random.IntN(3) == 0 {
-				lease.Suspect(start)
+				lease.RecordNoAnswer(start)
 			}
 			leases = append(leases, lease)
 		}
@@ -84,14 +84,14 @@
 		}
 		rows = rows[100:]
 		table.Update(workerset.Of(rows), nil)
-		places := table.Places(start, func(string) time.Duration { return 0 })
+		places := table.Workers(start, func(string) time.Duration { return 0 })
 		for _, place := range append(places.Busy, places.Draw(1000)...) {
-			if left[place.Worker] {
+			if left[place.ShortName] {
 				t.Fatalf("round %d: a worker that left is planned for", round)
 			}
 		}
 		for range 200 {
-			if left[loadshare.Hash(table.Acquire(start, &Demand{Pool: "p"}).Endpoint.ID)] {
+			if left[loadshare.Hash(table.Acquire(start, &Request{Pool: "p"}).Endpoint.ID)] {
 				t.Fatalf("round %d: a worker that left is chosen", round)
 			}
 		}
@@ -109,15 +109,15 @@
 func TestItemsFindTheirGrants(t *testing.T) {
 	table := fleetTable(10_000)
 	planner := batchroom.New()
-	planner.Take(start, 1, 30, nil)
-	table.SetOthers(start, nil, OfAll)
-	orders := planner.Plan(1, table.Places(start, func(string) time.Duration { return 0 }))
+	planner.RecordReport(start, 1, 30, nil)
+	table.SetPeerLoads(start, nil, ScopeAll)
+	orders := planner.Plan(1, table.Workers(start, func(string) time.Duration { return 0 }))
 	table.SetOrders(orders)
 	if len(orders) != 30 {
 		t.Fatalf("%d workers are granted for 30 items", len(orders))
 	}
 	for item := range 31 {
-		lease := table.Acquire(start, &Demand{Pool: "p", Batch: true, BatchShare: 50})
+		lease := table.Acquire(start, &Request{Pool: "p", Batch: true, BatchShare: 50})
 		if (lease != nil) != (item < 30) {
 			t.Fatalf("item %d: %v", item, lease)
 		}
@@ -134,7 +134,7 @@
 	for _, count := range []int{100, 10_000, 20_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			table := fleetTable(count)
-			table.SetOthers(start, someLoads(fleetRows(count), min(count, 300)), OfAll)
+			table.SetPeerLoads(start, someLoads(fleetRows(count), min(count, 300)), ScopeAll)
 			b.ReportAllocs()
 			b.ResetTimer()
 			action(b, table, count)
@@ -145,7 +145,7 @@
 // BenchmarkChooseOnline is a choice for an online request with shared parts.
 func BenchmarkChooseOnline(b *testing.B) {
 	benchmark(b, func(b *testing.B, table *Table, _ int) {
-		demand := &Demand{Pool: "p", PromptTokens: 450, Parts: []dialect.Part{{ID: "s", Tokens: 200}, {ID: "o", Tokens: 250}}}
+		demand := &Request{Pool: "p", PromptTokens: 450, Parts: []dialect.Part{{ID: "s", Tokens: 200}, {ID: "o", Tokens: 250}}}
 		for b.Loop() {
 			table.Acquire(start, demand).Release()
 		}
@@ -156,7 +156,7 @@
 func BenchmarkChooseByTimes(b *testing.B) {
 	benchmark(b, func(b *testing.B, table *Table, _ int) {
 		table.scoring = byTimes
-		demand := &Demand{Pool: "p", PromptTokens: 450, Parts: []dialect.Part{{ID: "s", Tokens: 200}, {ID: "o", Tokens: 250}}}
+		demand := &Request{Pool: "p", PromptTokens: 450, Parts: []dialect.Part{{ID: "s", Tokens: 200}, {ID: "o", Tokens: 250}}}
 		for b.Loop() {
 			table.Acquire(start, demand).Release()
 		}
@@ -169,9 +169,9 @@
 	benchmark(b, func(b *testing.B, table *Table, _ int) {
 		planner := batchroom.New()
 		for b.Loop() {
-			planner.Take(start, 1, 20, nil)
-			table.SetOrders(planner.Plan(1, table.Places(start, func(string) time.Duration { return 0 })))
-			table.Acquire(start, &Demand{Pool: "p", Batch: true, BatchShare: 50}).Release()
+			planner.RecordReport(start, 1, 20, nil)
+			table.SetOrders(planner.Plan(1, table.Workers(start, func(string) time.Duration { return 0 })))
+			table.Acquire(start, &Request{Pool: "p", Batch: true, BatchShare: 50}).Release()
 		}
 	})
 }
@@ -181,7 +181,7 @@
 	benchmark(b, func(b *testing.B, table *Table, count int) {
 		loads := someLoads(fleetRows(count), 34)
 		for b.Loop() {
-			table.SetOthers(start, loads, OfNamed)
+			table.SetPeerLoads(start, loads, ScopeNamed)
 		}
 	})
 }
--- a/internal/balance/table.go
+++ b/internal/balance/table.go
@@ -59,7 +59,7 @@
 	// fewer holds the listed workers that told fewer slots than the list says.
 	fewer map[*worker]bool
 	// doubts holds workers that tell other slots than the list says, until they are taken.
-	doubts []Doubt
+	doubts []SlotMismatch
 	// scoring is how workers are compared.
 	scoring scoring
 	// nearOnly is set while the workers of other zones are left out of a choice.
@@ -127,9 +127,9 @@
 	known.refused = true
 }
 
-// Begin takes in that this process begins to choose, as perhaps many others do that know no
+// Start takes in that this process begins to choose, as perhaps many others do that know no
 // more than it does.
-func (t *Table) Begin(now time.Time) {
+func (t *Table) Start(now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.beganAt = now
@@ -142,8 +142,8 @@
 	return t.acquired
 }
 
-// Knows reports whether the worker is listed.
-func (t *Table) Knows(id string) bool {
+// Contains reports whether the worker is listed.
+func (t *Table) Contains(id string) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.workers[id] != nil
@@ -156,8 +156,8 @@
 	return t.pools[pool].usable() > 0
 }
 
-// Demand describes a request to the choice.
-type Demand struct {
+// Request describes a request to the choice.
+type Request struct {
 	Pool string
 	// Exclude names workers that were tried already.
 	Exclude map[string]bool
@@ -174,8 +174,8 @@
 	Repeatable bool
 	// NoProbe is set for an item that has failed as a probe: it may be what the workers fail at.
 	NoProbe bool
-	// Last names the worker that an item ran at before, which it returns to if it may.
-	Last string
+	// LastWorker names the worker that an item ran at before, which it returns to if it may.
+	LastWorker string
 }
 
 // Lease is a place of a request at a worker; it must be released.
@@ -184,19 +184,19 @@
 	Zone     string
 	// Wait is how long the request is predicted to wait for a slot, Slow how many
 	// times as long as elsewhere the worker takes.
-	Wait time.Duration
-	Slow float64
-	// ByTimes is set where workers were compared by predicted times. Slow then is what the
+	Wait     time.Duration
+	Slowness float64
+	// ByPredictedTime is set where workers were compared by predicted times. Slow then is what the
 	// worker was seen to take, however near to that of the others; without it Slow is 1 below
 	// slowFrom.
-	ByTimes  bool
-	table    *Table
-	worker   *worker
-	unread   int64
-	batch    bool
-	begun    bool
-	stopping bool
-	released bool
+	ByPredictedTime bool
+	table           *Table
+	worker          *worker
+	unread          int64
+	batch           bool
+	begun           bool
+	stopping        bool
+	released        bool
 	// probe is set where the worker was avoided when it was chosen, proven once it has shown
 	// that it is well.
 	probe  bool
@@ -204,7 +204,7 @@
 }
 
 // Acquire chooses a worker, or returns nil if there is none.
-func (t *Table) Acquire(now time.Time, demand *Demand) *Lease {
+func (t *Table) Acquire(now time.Time, demand *Request) *Lease {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.see(now)
@@ -227,18 +227,18 @@
 }
 
 // lease gives a place at the worker to the request.
-func (t *Table) lease(now time.Time, chosen *worker, demand *Demand) *Lease {
+func (t *Table) lease(now time.Time, chosen *worker, demand *Request) *Lease {
 	lease := &Lease{
-		Wait:     t.waitAt(now, chosen),
-		Slow:     t.slownessOf(now, chosen),
-		ByTimes:  t.byTimes(chosen.listed.Pool),
-		Endpoint: upstream.Endpoint{ID: chosen.listed.ID, Address: chosen.listed.Address},
-		Zone:     chosen.listed.Zone,
-		table:    t,
-		worker:   chosen,
-		batch:    demand.Batch,
-		unread:   demand.PromptTokens - t.cachedTokens(chosen, demand),
-		probe:    t.failing(now, chosen),
+		Wait:            t.waitAt(now, chosen),
+		Slowness:        t.slownessOf(now, chosen),
+		ByPredictedTime: t.byTimes(chosen.listed.Pool),
+		Endpoint:        upstream.Endpoint{ID: chosen.listed.ID, Address: chosen.listed.Address},
+		Zone:            chosen.listed.Zone,
+		table:           t,
+		worker:          chosen,
+		batch:           demand.Batch,
+		unread:          demand.PromptTokens - t.cachedTokens(chosen, demand),
+		probe:           t.failing(now, chosen),
 	}
 	if lease.probe {
 		chosen.probing++
@@ -256,7 +256,7 @@
 }
 
 // best returns the worker of the least cost, by lot among equals.
-func (t *Table) best(now time.Time, demand *Demand, fit []*worker) *worker {
+func (t *Table) best(now time.Time, demand *Request, fit []*worker) *worker {
 	var best *worker
 	bestCost, equals := 0.0, 0
 	for _, candidate := range fit {
@@ -274,7 +274,7 @@
 	return best
 }
 
-func (t *Table) admits(now time.Time, candidate *worker, demand *Demand, suspects bool) bool {
+func (t *Table) admits(now time.Time, candidate *worker, demand *Request, suspects bool) bool {
 	if !candidate.usable() || demand.Exclude[candidate.listed.ID] {
 		return false
 	}
@@ -331,8 +331,8 @@
 	})
 }
 
-// Begun takes in that the worker has read the prompt.
-func (l *Lease) Begun() {
+// RecordPrefill takes in that the worker has read the prompt.
+func (l *Lease) RecordPrefill() {
 	l.table.mutex.Lock()
 	defer l.table.mutex.Unlock()
 	l.begin()
@@ -366,9 +366,9 @@
 	}
 }
 
-// Stop reports whether the item is to stop as one of those that the planner of all
+// ShouldStop reports whether the item is to stop as one of those that the planner of all
 // items wants stopped. It is about to give its place back then.
-func (l *Lease) Stop() bool {
+func (l *Lease) ShouldStop() bool {
 	l.table.mutex.Lock()
 	defer l.table.mutex.Unlock()
 	if l.released || l.stopping || l.worker.stops == 0 {
@@ -380,8 +380,8 @@
 	return true
 }
 
-// Suspect takes in that the worker gave no answer.
-func (l *Lease) Suspect(now time.Time) {
+// RecordNoAnswer takes in that the worker gave no answer.
+func (l *Lease) RecordNoAnswer(now time.Time) {
 	l.table.mutex.Lock()
 	defer l.table.mutex.Unlock()
 	l.table.suspect(now, l.worker)
@@ -392,8 +392,8 @@
 	}
 }
 
-// Refuse takes in that another worker is at the address.
-func (l *Lease) Refuse(now time.Time) {
+// RecordWrongWorker takes in that another worker is at the address.
+func (l *Lease) RecordWrongWorker(now time.Time) {
 	l.table.mutex.Lock()
 	defer l.table.mutex.Unlock()
 	l.table.refuse(now, l.worker)
--- a/internal/balance/times.go
+++ b/internal/balance/times.go
@@ -48,7 +48,7 @@
 
 // soonest returns the worker of the least score, by lot among equals: one of the zone where
 // any of these has a slot to spare, whatever idles elsewhere.
-func (t *Table) soonest(now time.Time, known *pool, demand *Demand, fit []*worker) *worker {
+func (t *Table) soonest(now time.Time, known *pool, demand *Request, fit []*worker) *worker {
 	usual := t.usualOf(known, demand)
 	near := t.bestOf(now, demand, usual, fit, 0)
 	if near.spare {
@@ -65,7 +65,7 @@
 }
 
 // bestOf returns the best worker of the zone, or of the others.
-func (t *Table) bestOf(now time.Time, demand *Demand, usual capacity.Pool, fit []*worker, away int) scored {
+func (t *Table) bestOf(now time.Time, demand *Request, usual capacity.Pool, fit []*worker, away int) scored {
 	var best scored
 	for _, candidate := range fit {
 		if t.away(candidate) != away {
@@ -100,7 +100,7 @@
 }
 
 // score rates a worker, the lower the better, in seconds.
-func (t *Table) score(now time.Time, candidate *worker, usual capacity.Pool, demand *Demand) (capacity.Prediction, float64) {
+func (t *Table) score(now time.Time, candidate *worker, usual capacity.Pool, demand *Request) (capacity.Prediction, float64) {
 	model := t.modelOf(now, candidate)
 	prediction := model.Predict(usual, demand.PromptTokens-t.cachedTokens(candidate, demand))
 	if t.scoring == byFreeAt {
@@ -112,7 +112,7 @@
 }
 
 // usualOf returns what requests of the pool take at a worker of the middle speed.
-func (t *Table) usualOf(known *pool, demand *Demand) capacity.Pool {
+func (t *Table) usualOf(known *pool, demand *Request) capacity.Pool {
 	hold := known.usualHold()
 	if hold == 0 {
 		hold = unknownHold
--- a/internal/balance/times_test.go
+++ b/internal/balance/times_test.go
@@ -108,7 +108,7 @@
 			f := newUnevenFleet(plan, 3)
 			var chosen []string
 			f.log = func(f *unevenFleet, w *unevenWorker, r *unevenRequest) {
-				chosen = append(chosen, fmt.Sprint(f.now, w.id, r.lease.Wait, r.lease.Slow))
+				chosen = append(chosen, fmt.Sprint(f.now, w.id, r.lease.Wait, r.lease.Slowness))
 			}
 			f.play()
 			for edge, table := range f.tables {
@@ -147,8 +147,8 @@
 			table := NewTable("z0", rand.New(rand.NewPCG(uint64(edge), 1)))
 			table.scoring = byTimes
 			table.Update(workerset.Of(list), nil)
-			table.SetOthers(start, rows, OfAll)
-			got[table.Acquire(start.Add(50*time.Millisecond), &Demand{Pool: "p"}).Endpoint.ID]++
+			table.SetPeerLoads(start, rows, ScopeAll)
+			got[table.Acquire(start.Add(50*time.Millisecond), &Request{Pool: "p"}).Endpoint.ID]++
 		}
 		for id, count := range got {
 			if count > edges/6 {
@@ -242,16 +242,16 @@
 		{capacity.Report{Running: 4, Slots: 1}, 4, 0},
 	} {
 		table := tableOf(listed("a", "z1"))
-		lease := table.Acquire(start, &Demand{Pool: "p"})
-		lease.Told(test.told)
-		lease.Told(test.told)
-		if got, doubts := table.slotsOf(lease.worker), len(table.Doubts()); got != 4 || doubts != test.doubts {
+		lease := table.Acquire(start, &Request{Pool: "p"})
+		lease.RecordReport(test.told)
+		lease.RecordReport(test.told)
+		if got, doubts := table.slotsOf(lease.worker), len(table.SlotMismatches()); got != 4 || doubts != test.doubts {
 			t.Errorf("%+v without a pace: %d slots, %d doubts", test.told, got, doubts)
 		}
-		if table.TellsPace("p") {
+		if table.ReportsPace("p") {
 			t.Errorf("%+v: tells its pace", test.told)
 		}
-		lease.Told(capacity.Report{Pace: 100})
+		lease.RecordReport(capacity.Report{Pace: 100})
 		if got := table.slotsOf(lease.worker); got != test.want {
 			t.Errorf("%+v: %d slots", test.told, got)
 		}
@@ -274,10 +274,10 @@
 		{61 * time.Second, 0, false},
 		{62 * time.Second, 100, true},
 	} {
-		lease := table.Acquire(start.Add(test.after), &Demand{Pool: "p"})
-		lease.Told(capacity.Report{Pace: test.pace})
-		if table.TellsPace("p") != test.want || table.byTimes("p") != test.want || table.TellsPace("q") {
-			t.Errorf("after %v: tells its pace %t, compared by times %t", test.after, table.TellsPace("p"), table.byTimes("p"))
+		lease := table.Acquire(start.Add(test.after), &Request{Pool: "p"})
+		lease.RecordReport(capacity.Report{Pace: test.pace})
+		if table.ReportsPace("p") != test.want || table.byTimes("p") != test.want || table.ReportsPace("q") {
+			t.Errorf("after %v: tells its pace %t, compared by times %t", test.after, table.ReportsPace("p"), table.byTimes("p"))
 		}
 		lease.Release()
 	}
@@ -408,8 +408,8 @@
 			near.Slots, far.Slots = slots, slots
 			table := tableOf(near, far)
 			table.scoring = byTimes
-			table.SetOthers(start, []wire.WorkerLoad{told("a", test.near, 20_000, 10), told("b", test.far, 20_000, 10)}, OfAll)
-			lease := table.Acquire(start, &Demand{Pool: "p"})
+			table.SetPeerLoads(start, []wire.WorkerLoad{told("a", test.near, 20_000, 10), told("b", test.far, 20_000, 10)}, ScopeAll)
+			lease := table.Acquire(start, &Request{Pool: "p"})
 			if lease.Endpoint.ID != test.want {
 				t.Errorf("%d slots, %d and %d requests: %s", slots, test.near, test.far, lease.Endpoint.ID)
 			}
@@ -426,12 +426,12 @@
 	}{{1, 1.0 / 8}, {20_000, 1}, {3_600_000_000, 16}} {
 		table := tableOf(listed("a", "z1"), listed("b", "z1"), listed("c", "z1"))
 		table.scoring = byTimes
-		table.SetOthers(start, []wire.WorkerLoad{told("a", 0, test.step, 10), told("b", 0, 20_000, 10), told("c", 0, 20_000, 10)}, OfAll)
-		demand := &Demand{Pool: "p", Exclude: map[string]bool{"b": true, "c": true}}
-		if got := table.Acquire(start, demand).Slow; got != test.want {
+		table.SetPeerLoads(start, []wire.WorkerLoad{told("a", 0, test.step, 10), told("b", 0, 20_000, 10), told("c", 0, 20_000, 10)}, ScopeAll)
+		demand := &Request{Pool: "p", Exclude: map[string]bool{"b": true, "c": true}}
+		if got := table.Acquire(start, demand).Slowness; got != test.want {
 			t.Errorf("a step of %d µs: slowness %g", test.step, got)
 		}
-		if got := table.Look(start, demand, Search{Peers: 1}).Slow; got != test.want {
+		if got := table.FindCandidate(start, demand, Search{Peers: 1}).Slowness; got != test.want {
 			t.Errorf("a step of %d µs: slowness %g of a place", test.step, got)
 		}
 	}
@@ -443,8 +443,8 @@
 	table.scoring = byTimes
 	for _, row := range []wire.WorkerLoad{{}, told("a", 400, 900_000, 10), failing("a", 0)} {
 		row.Worker = loadshare.Hash("a")
-		table.SetOthers(start, []wire.WorkerLoad{row}, OfAll)
-		lease := table.Acquire(start, &Demand{Pool: "p"})
+		table.SetPeerLoads(start, []wire.WorkerLoad{row}, ScopeAll)
+		lease := table.Acquire(start, &Request{Pool: "p"})
 		if lease == nil {
 			t.Fatalf("%+v: the only worker is not chosen", row)
 		}
@@ -459,7 +459,7 @@
 	leaving.Leaving = true
 	table := tableOf(listed("a", "z1"), listed("b", "z1"), listed("c", "z2"), listed("d", "z2"), leaving, listed("f", "z2"))
 	rows := []wire.WorkerLoad{told("a", 1, 20_000, 10), told("b", 1, 40_000, 10), told("c", 1, 20_000, 10), told("d", 1, 20_000, 10), failing("f", 0)}
-	table.SetOthers(start, rows, OfAll)
+	table.SetPeerLoads(start, rows, ScopeAll)
 	near, far := table.Capacity("p")
 	if near.Slots != 8 || near.NormalizedSlots != 6 || far.Slots != 8 || far.NormalizedSlots != 8 || !near.AsOf.Equal(start) {
 		t.Errorf("near %+v, far %+v", near, far)
--- a/internal/balance/told.go
+++ b/internal/balance/told.go
@@ -2,11 +2,11 @@
 
 import "github.com/sedgemast/sedgemast/internal/capacity"
 
-// Doubt is a worker that tells other slots than the list says.
-type Doubt struct {
-	Worker string
-	Listed int
-	Told   int
+// SlotMismatch is a worker that tells other slots than the list says.
+type SlotMismatch struct {
+	Worker   string
+	Listed   int
+	Reported int
 }
 
 // mostDoubts bounds the doubts that are kept for who writes them down.
@@ -28,7 +28,7 @@
 	}
 	if told.Slots != w.listed.Slots && !w.doubted && len(t.doubts) < mostDoubts {
 		w.doubted = true
-		t.doubts = append(t.doubts, Doubt{Worker: w.listed.ID, Listed: w.listed.Slots, Told: told.Slots})
+		t.doubts = append(t.doubts, SlotMismatch{Worker: w.listed.ID, Listed: w.listed.Slots, Reported: told.Slots})
 	}
 }
 
@@ -41,9 +41,9 @@
 	delete(t.fewer, w)
 }
 
-// Doubts returns the workers found since the last call to tell other slots than the list says,
+// SlotMismatches returns the workers found since the last call to tell other slots than the list says,
 // each once.
-func (t *Table) Doubts() []Doubt {
+func (t *Table) SlotMismatches() []SlotMismatch {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	doubts := t.doubts
@@ -51,9 +51,9 @@
 	return doubts
 }
 
-// TellsPace reports whether workers of the pool tell their pace: one did within the last
+// ReportsPace reports whether workers of the pool tell their pace: one did within the last
 // minute, as far as the table has been told the time.
-func (t *Table) TellsPace(pool string) bool {
+func (t *Table) ReportsPace(pool string) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.tellsPace(pool)
--- a/internal/balance/uneven_test.go
+++ b/internal/balance/uneven_test.go
@@ -172,24 +172,24 @@
 // tell is an edge's report; answer is set where it is answered.
 func (f *unevenFleet) tell(edge int, answer bool, then func()) {
 	zone, table := f.zones[edge], f.tables[edge]
-	report := &wire.LoadReport{Source: uint32(edge + 1), Proofs: table.Proofs(), Workers: table.Loads()}
+	report := &wire.LoadReport{Source: uint32(edge + 1), Proofs: table.ProbeResults(), Workers: table.Loads()}
 	if f.newsStop {
 		f.after(2*inZone, then)
 		return
 	}
 	f.after(inZone, func() {
-		f.hubs[zone].Take(f.clock(), report)
+		f.hubs[zone].RecordReport(f.clock(), report)
 		if !answer {
 			return
 		}
-		others := f.hubs[zone].Others(f.clock(), uint32(edge+1))
-		rows, part := loadshare.Part(others, table.zone, func(worker uint32) string { return f.zoneOf[worker] }, f.random)
+		others := f.hubs[zone].PeerLoads(f.clock(), uint32(edge+1))
+		rows, part := loadshare.Subset(others, table.zone, func(worker uint32) string { return f.zoneOf[worker] }, f.random)
 		f.after(inZone, func() {
-			scope := OfAll
+			scope := ScopeAll
 			if part {
-				scope = OfZone
+				scope = ScopeZone
 			}
-			table.SetOthers(f.clock(), rows, scope)
+			table.SetPeerLoads(f.clock(), rows, scope)
 			then()
 		})
 	})
@@ -205,11 +205,11 @@
 	sums := f.hubs[zone].Sums(f.clock(), name)
 	f.after(across, func() {
 		if sums != nil {
-			f.top.Take(f.clock(), sums)
+			f.top.RecordReport(f.clock(), sums)
 		}
-		told := f.top.Loaded(f.clock(), name)
+		told := f.top.Update(f.clock(), name)
 		f.after(across, func() {
-			f.hubs[zone].SetAbove(f.clock(), told.Rows, told.Rest, told.Left > 0)
+			f.hubs[zone].SetParentLoads(f.clock(), told.Rows, told.UnlistedRate, told.Omitted > 0)
 		})
 	})
 }
@@ -223,7 +223,7 @@
 }
 
 func (f *unevenFleet) place(r *unevenRequest) {
-	r.lease = f.tables[r.edge].Acquire(f.clock(), &Demand{Pool: "p", PromptTokens: 200, Exclude: r.tried})
+	r.lease = f.tables[r.edge].Acquire(f.clock(), &Request{Pool: "p", PromptTokens: 200, Exclude: r.tried})
 	f.tell(r.edge, false, nil)
 	w, trip := f.byID[r.lease.Endpoint.ID], inZone
 	f.sent[[2]int{f.zones[r.edge], w.zone}]++
@@ -243,7 +243,7 @@
 		if f.plan.tells {
 			pace := f.paceOf(w)
 			f.after(trip, func() {
-				r.lease.Told(capacity.Report{Running: running, Waiting: waiting, Slots: f.plan.slots, Pace: pace})
+				r.lease.RecordReport(capacity.Report{Running: running, Waiting: waiting, Slots: f.plan.slots, Pace: pace})
 			})
 		}
 		if f.wave() {
@@ -259,7 +259,7 @@
 	}
 	gone := func(queued *unevenRequest) bool { return queued == r }
 	w.queue, w.running = slices.DeleteFunc(w.queue, gone), slices.DeleteFunc(w.running, gone)
-	lease.Suspect(f.clock())
+	lease.RecordNoAnswer(f.clock())
 	lease.Release()
 	f.lost++
 	if r.tried == nil {
@@ -367,7 +367,7 @@
 		}
 		report.Workers = append(report.Workers, wire.WorkerLoad{Worker: loadshare.Hash(w.id), Batch: uint16(w.items - w.stopping)})
 	}
-	f.after(across, func() { f.top.Take(f.clock(), report) })
+	f.after(across, func() { f.top.RecordReport(f.clock(), report) })
 }
 
 // turn begins or ends a spell.
@@ -400,14 +400,14 @@
 		trip = across
 	}
 	if r.events == 0 {
-		r.lease.Begun()
-		r.lease.Answered(f.clock(), true)
+		r.lease.RecordPrefill()
+		r.lease.RecordAnswer(f.clock(), true)
 		if f.now+trip-r.came <= unevenGoal {
 			f.inTime++
 			f.inTimeByZone[f.zones[r.edge]]++
 		}
 	} else {
-		r.lease.Paced(events-r.events, f.now-r.lastAt)
+		r.lease.RecordPace(events-r.events, f.now-r.lastAt)
 	}
 	r.events, r.lastAt = events, f.now
 	if r.left <= 0 {
--- a/internal/balance/wave_test.go
+++ b/internal/balance/wave_test.go
@@ -68,8 +68,8 @@
 	tables  []*Table
 	hubs    []*loadshare.Hub
 	top     *loadshare.Hub
-	near    []loadshare.Lot
-	far     []loadshare.Lot
+	near    []loadshare.Set
+	far     []loadshare.Set
 	running map[string]int
 	got     map[string]int
 	// asked and full count, by zone of the edge, the requests and those whose worker had no
@@ -83,7 +83,7 @@
 
 func newWaveFleet(seed uint64) *waveFleet {
 	f := &waveFleet{arrival: rand.New(rand.NewPCG(seed, 2)), random: rand.New(rand.NewPCG(seed, 1)), top: loadshare.NewHub(), running: map[string]int{}, got: map[string]int{}, zoneOf: map[uint32]string{}}
-	f.near, f.far = make([]loadshare.Lot, waveZones), make([]loadshare.Lot, waveZones)
+	f.near, f.far = make([]loadshare.Set, waveZones), make([]loadshare.Set, waveZones)
 	var rows []wire.PoolWorker
 	for number := range waveZones * zoneWorkers {
 		row := wire.PoolWorker{ID: fmt.Sprintf("w%d", number), Pool: "p", Zone: fmt.Sprintf("z%d", number%waveZones), Slots: waveSlots}
@@ -121,19 +121,19 @@
 // report is an edge's report, and the answer where it is about to choose.
 func (f *waveFleet) report(edge int, choosing bool) {
 	zone, table := zoneOfEdge(edge), f.tables[edge]
-	f.hubs[zone].Take(f.clock(), &wire.LoadReport{Source: uint32(edge + 1), Workers: table.Loads()})
+	f.hubs[zone].RecordReport(f.clock(), &wire.LoadReport{Source: uint32(edge + 1), Workers: table.Loads()})
 	switch {
 	case !choosing:
 	case f.whole:
-		rows, part := loadshare.Part(f.hubs[zone].Others(f.clock(), uint32(edge+1)), table.zone, func(worker uint32) string { return f.zoneOf[worker] }, f.random)
-		scope := OfAll
+		rows, part := loadshare.Subset(f.hubs[zone].PeerLoads(f.clock(), uint32(edge+1)), table.zone, func(worker uint32) string { return f.zoneOf[worker] }, f.random)
+		scope := ScopeAll
 		if part {
-			scope = OfZone
+			scope = ScopeZone
 		}
-		table.SetOthers(f.clock(), rows, scope)
+		table.SetPeerLoads(f.clock(), rows, scope)
 	default:
-		drawn := loadshare.Draw(f.random, nil, &f.near[zone], &f.far[zone])
-		table.SetOthers(f.clock(), f.hubs[zone].Named(f.clock(), uint32(edge+1), drawn), OfNamed)
+		drawn := loadshare.Sample(f.random, nil, &f.near[zone], &f.far[zone])
+		table.SetPeerLoads(f.clock(), f.hubs[zone].LoadsOf(f.clock(), uint32(edge+1), drawn), ScopeNamed)
 	}
 }
 
@@ -141,16 +141,16 @@
 func (f *waveFleet) sum(zone int) {
 	name := uint32(1000 + zone)
 	if sums := f.hubs[zone].Sums(f.clock(), name); sums != nil {
-		f.top.Take(f.clock(), sums)
+		f.top.RecordReport(f.clock(), sums)
 	}
-	told := f.top.Loaded(f.clock(), name)
-	f.hubs[zone].SetAbove(f.clock(), told.Rows, told.Rest, told.Left > 0)
+	told := f.top.Update(f.clock(), name)
+	f.hubs[zone].SetParentLoads(f.clock(), told.Rows, told.UnlistedRate, told.Omitted > 0)
 	f.after(loadshare.Interval, func() { f.sum(zone) })
 }
 
 func (f *waveFleet) request(edge int) {
 	f.report(edge, true)
-	lease := f.tables[edge].Acquire(f.clock(), &Demand{Pool: "p"})
+	lease := f.tables[edge].Acquire(f.clock(), &Request{Pool: "p"})
 	f.report(edge, false)
 	id, zone := lease.Endpoint.ID, zoneOfEdge(edge)
 	f.asked[zone]++
@@ -161,7 +161,7 @@
 	f.got[id]++
 	f.after(waveHold, func() {
 		f.running[id]--
-		lease.Answered(f.clock(), true)
+		lease.RecordAnswer(f.clock(), true)
 		lease.Release()
 	})
 }
--- a/internal/batchplan/batchplan.go
+++ b/internal/batchplan/batchplan.go
@@ -41,7 +41,7 @@
 	Slack time.Duration
 	// Remaining is how long it takes until its end, and Holder whose item it is, for Share.
 	Remaining time.Duration
-	Holder    Holder
+	Owner     Owner
 }
 
 // neverDue is the slack of an item whose result is due at no time.
@@ -73,9 +73,9 @@
 	return -1
 }
 
-// YieldsBefore reports whether the first item gives way before the second:
+// PreemptedBefore reports whether the first item gives way before the second:
 // overdue ones first, then those with more slack, then those of later jobs.
-func YieldsBefore(first, second Item) bool {
+func PreemptedBefore(first, second Item) bool {
 	if first.Overdue != second.Overdue {
 		return first.Overdue
 	}
@@ -85,12 +85,12 @@
 	return first.Order > second.Order
 }
 
-// LeavesBefore reports whether the first item leaves before the second where requests are
+// PreemptedInAdvanceBefore reports whether the first item leaves before the second where requests are
 // still to come, so that it may be chosen who leaves, and each will wait so long about:
 // overdue ones first, then those that will be in time all the same, those nearest to their
 // end last, because they are the next to make room by themselves; then those with more
 // slack, and those of later jobs.
-func LeavesBefore(first, second Item, wait time.Duration) bool {
+func PreemptedInAdvanceBefore(first, second Item, wait time.Duration) bool {
 	if first.Overdue != second.Overdue {
 		return first.Overdue
 	}
@@ -101,7 +101,7 @@
 	if firstSafe && first.Remaining != second.Remaining {
 		return first.Remaining > second.Remaining
 	}
-	return YieldsBefore(first, second)
+	return PreemptedBefore(first, second)
 }
 
 // RunTime is a running mean of how long items run and how many events they have.
--- a/internal/batchplan/batchplan_test.go
+++ b/internal/batchplan/batchplan_test.go
@@ -61,7 +61,7 @@
 			if before.Overdue == after.Overdue && before.Slack == after.Slack && (before.Order > after.Order || before.Order == after.Order && before.Number > after.Number) {
 				return errors.Newf("%+v stands before %+v", before, after)
 			}
-			if YieldsBefore(before, after) {
+			if PreemptedBefore(before, after) {
 				return errors.Newf("%+v runs and yields before %+v", before, after)
 			}
 		}
@@ -147,7 +147,7 @@
 	tightest := Item{Number: 4, Slack: time.Second, Remaining: 5 * time.Second}
 	order := []Item{tightest, ending, tight, late, begun}
 	slices.SortFunc(order, func(a, b Item) int {
-		if LeavesBefore(a, b, wait) {
+		if PreemptedInAdvanceBefore(a, b, wait) {
 			return -1
 		}
 		return 1
@@ -168,11 +168,11 @@
 		a, b, c := draw(), draw(), draw()
 		const wait = 2 * time.Second
 		switch {
-		case LeavesBefore(a, a, wait):
+		case PreemptedInAdvanceBefore(a, a, wait):
 			return errors.Newf("%+v leaves before itself", a)
-		case LeavesBefore(a, b, wait) && LeavesBefore(b, a, wait):
+		case PreemptedInAdvanceBefore(a, b, wait) && PreemptedInAdvanceBefore(b, a, wait):
 			return errors.Newf("%+v and %+v leave before each other", a, b)
-		case LeavesBefore(a, b, wait) && LeavesBefore(b, c, wait) && !LeavesBefore(a, c, wait):
+		case PreemptedInAdvanceBefore(a, b, wait) && PreemptedInAdvanceBefore(b, c, wait) && !PreemptedInAdvanceBefore(a, c, wait):
 			return errors.Newf("%+v, %+v and %+v are in no order", a, b, c)
 		}
 		return nil
--- a/internal/batchplan/share.go
+++ b/internal/batchplan/share.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Holder is who an item belongs to: a tenant, or nobody in particular.
-type Holder struct {
+// Owner is who an item belongs to: a tenant, or nobody in particular.
+type Owner struct {
 	Tenant string
 	// Weight is the tenant's part beside others', more than zero.
 	Weight float64
@@ -29,12 +29,12 @@
 	return true
 }
 
-// Share lets each tenant have its share of the room for items. The items are in the order
+// ApplyShares lets each tenant have its share of the room for items. The items are in the order
 // of Sort; running says how many of each tenant's run. The item that goes next is one of
 // the tenant that would have the least for its weight with it, and the first of that
 // tenant's by the order as it was. What will be late stays behind all that can be in time.
 // Where there is one tenant, or none, the order is left as it is.
-func Share(items []Item, running map[string]int) {
+func ApplyShares(items []Item, running map[string]int) {
 	if !several(items) {
 		return
 	}
@@ -44,8 +44,8 @@
 	}
 	tags := make([]tagged, len(items))
 	for i, item := range items {
-		counts[item.Holder.Tenant]++
-		tags[i] = tagged{item, float64(counts[item.Holder.Tenant]) / item.Holder.Weight}
+		counts[item.Owner.Tenant]++
+		tags[i] = tagged{item, float64(counts[item.Owner.Tenant]) / item.Owner.Weight}
 	}
 	slices.SortStableFunc(tags, func(a, b tagged) int {
 		if a.item.Overdue != b.item.Overdue {
@@ -67,7 +67,7 @@
 // several reports whether items belong to more than one tenant.
 func several(items []Item) bool {
 	for i := range items {
-		if items[i].Holder.Tenant != items[0].Holder.Tenant {
+		if items[i].Owner.Tenant != items[0].Owner.Tenant {
 			return true
 		}
 	}
--- a/internal/batchplan/share_test.go
+++ b/internal/batchplan/share_test.go
@@ -19,7 +19,7 @@
 		tenant := random.Intn(tenants)
 		items[i] = Item{
 			Order: uint64(i / 2), Number: i % 2, Overdue: random.Intn(4) == 0, Slack: time.Duration(random.Intn(5)) * time.Second,
-			Holder: Holder{Tenant: strconv.Itoa(tenant), Weight: float64(1 + tenant%3)},
+			Owner: Owner{Tenant: strconv.Itoa(tenant), Weight: float64(1 + tenant%3)},
 		}
 	}
 	Sort(items)
@@ -32,14 +32,14 @@
 func sharesWell(before, after []Item, running map[string]int) error {
 	waits := map[string]int{}
 	of := func(items []Item, tenant string) []Item {
-		return slices.DeleteFunc(slices.Clone(items), func(item Item) bool { return item.Holder.Tenant != tenant })
+		return slices.DeleteFunc(slices.Clone(items), func(item Item) bool { return item.Owner.Tenant != tenant })
 	}
 	for _, item := range before {
 		if !item.Overdue {
-			waits[item.Holder.Tenant]++
+			waits[item.Owner.Tenant]++
 		}
-		if !slices.Equal(of(before, item.Holder.Tenant), of(after, item.Holder.Tenant)) {
-			return errors.Newf("the items of %s changed places", item.Holder.Tenant)
+		if !slices.Equal(of(before, item.Owner.Tenant), of(after, item.Owner.Tenant)) {
+			return errors.Newf("the items of %s changed places", item.Owner.Tenant)
 		}
 	}
 	counts, weights := map[string]int{}, map[string]float64{}
@@ -47,7 +47,7 @@
 		counts[tenant] = count
 	}
 	for _, item := range after {
-		weights[item.Holder.Tenant] = item.Holder.Weight
+		weights[item.Owner.Tenant] = item.Owner.Weight
 	}
 	for i, item := range after {
 		if i > 0 && after[i-1].Overdue && !item.Overdue {
@@ -56,7 +56,7 @@
 		if item.Overdue {
 			continue
 		}
-		tenant := item.Holder.Tenant
+		tenant := item.Owner.Tenant
 		counts[tenant]++
 		waits[tenant]--
 		for other, wait := range waits {
@@ -74,13 +74,13 @@
 		items := drawItems(random, 1+random.Intn(5))
 		running := map[string]int{strconv.Itoa(random.Intn(5)): random.Intn(20)}
 		shared := slices.Clone(items)
-		Share(shared, running)
+		ApplyShares(shared, running)
 		return sharesWell(items, shared, running)
 	})
 	proptest.Run(t, "one tenant", func(random *rand.Rand) error {
 		items := drawItems(random, 1)
 		shared := slices.Clone(items)
-		Share(shared, map[string]int{"0": random.Intn(20)})
+		ApplyShares(shared, map[string]int{"0": random.Intn(20)})
 		if !slices.Equal(items, shared) {
 			return errors.Newf("%+v became %+v", items, shared)
 		}
@@ -92,9 +92,12 @@
 // see both.
 func TestUnsharedOrderIsSeen(t *testing.T) {
 	for name, order := range map[string]func(items []Item, running map[string]int){
-		"as it was":           func([]Item, map[string]int) {},
-		"forgets what runs":   func(items []Item, _ map[string]int) { Share(items, nil) },
-		"late ones in turn":   func(items []Item, running map[string]int) { Share(withoutLate(items), running); slices.Reverse(items) },
+		"as it was":         func([]Item, map[string]int) {},
+		"forgets what runs": func(items []Item, _ map[string]int) { ApplyShares(items, nil) },
+		"late ones in turn": func(items []Item, running map[string]int) {
+			ApplyShares(withoutLate(items), running)
+			slices.Reverse(items)
+		},
 		"weights don't count": func(items []Item, running map[string]int) { shareEvenly(items, running) },
 	} {
 		seen := false
@@ -121,12 +124,12 @@
 func shareEvenly(items []Item, running map[string]int) {
 	weights := map[string]float64{}
 	for i := range items {
-		weights[items[i].Holder.Tenant] = items[i].Holder.Weight
-		items[i].Holder.Weight = 1
+		weights[items[i].Owner.Tenant] = items[i].Owner.Weight
+		items[i].Owner.Weight = 1
 	}
-	Share(items, running)
+	ApplyShares(items, running)
 	for i := range items {
-		items[i].Holder.Weight = weights[items[i].Holder.Tenant]
+		items[i].Owner.Weight = weights[items[i].Owner.Tenant]
 	}
 }
 
@@ -136,9 +139,9 @@
 func TestFloodOfItems(t *testing.T) {
 	var items []Item
 	for i := range 1010 {
-		item := Item{Order: uint64(i), Slack: time.Second, Holder: Holder{Tenant: "large", Weight: 1}}
+		item := Item{Order: uint64(i), Slack: time.Second, Owner: Owner{Tenant: "large", Weight: 1}}
 		if i >= 1000 {
-			item.Holder.Tenant, item.Slack = "small", time.Duration(math.MaxInt64)
+			item.Owner.Tenant, item.Slack = "small", time.Duration(math.MaxInt64)
 		}
 		items = append(items, item)
 	}
@@ -148,10 +151,10 @@
 		want    int
 	}{{20, nil, 10}, {5, map[string]int{"large": 3}, 4}} {
 		Sort(items)
-		Share(items, test.running)
+		ApplyShares(items, test.running)
 		small := 0
 		for _, item := range items[:test.starts] {
-			if item.Holder.Tenant == "small" {
+			if item.Owner.Tenant == "small" {
 				small++
 			}
 		}
@@ -183,10 +186,10 @@
 	random := rand.New(rand.NewSource(1))
 	items := make([]Item, 1000)
 	for i := range items {
-		items[i] = Item{Order: uint64(i), Slack: time.Duration(random.Intn(1000)), Holder: Holder{Tenant: strconv.Itoa(random.Intn(100)), Weight: 1}}
+		items[i] = Item{Order: uint64(i), Slack: time.Duration(random.Intn(1000)), Owner: Owner{Tenant: strconv.Itoa(random.Intn(100)), Weight: 1}}
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		Share(items, nil)
+		ApplyShares(items, nil)
 	}
 }
--- a/internal/batchplan/stops.go
+++ b/internal/batchplan/stops.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Place is how many requests a worker has.
-type Place struct {
+// Worker is how many requests a worker has.
+type Worker struct {
 	Slots  int
 	Online int
 	// Batch counts items that are not about to stop.
 	Batch int
 }
 
-// Stops returns how many items at a worker must stop so that the online requests
+// RequiredStops returns how many items at a worker must stop so that the online requests
 // that wait there come to run within patience. A stop is not free: the prompt and
 // what was made are read again. Where online requests hold most slots, one of them
 // ends soon; where items do, none does, because items run for long. hold is how
 // long an online request holds a slot; where it is unknown, nobody is to wait.
-func Stops(place Place, hold, patience time.Duration) int {
+func RequiredStops(place Worker, hold, patience time.Duration) int {
 	over := place.Online + place.Batch - place.Slots
 	stops := 0
 	for ; stops < min(over, place.Batch); stops++ {
--- a/internal/batchplan/stops_test.go
+++ b/internal/batchplan/stops_test.go
@@ -14,20 +14,20 @@
 	const hold, patience = 400 * time.Millisecond, 60 * time.Millisecond
 	for _, test := range []struct {
 		name           string
-		place          Place
+		place          Worker
 		hold, patience time.Duration
 		want           int
 	}{
-		{"room", Place{Slots: 8, Online: 3, Batch: 5}, hold, patience, 0},
-		{"an online request ends soon", Place{Slots: 8, Online: 7, Batch: 2}, hold, 70 * time.Millisecond, 0},
-		{"only items run", Place{Slots: 8, Online: 1, Batch: 8}, hold, patience, 1},
-		{"few online requests run", Place{Slots: 8, Online: 3, Batch: 7}, hold, patience, 2},
-		{"unknown hold", Place{Slots: 8, Online: 7, Batch: 2}, 0, patience, 1},
-		{"no goal", Place{Slots: 8, Online: 7, Batch: 2}, hold, 0, 1},
-		{"all items, and still too many", Place{Slots: 8, Online: 20, Batch: 3}, hold, patience, 3},
-		{"nothing to stop", Place{Slots: 8, Online: 20}, hold, patience, 0},
+		{"room", Worker{Slots: 8, Online: 3, Batch: 5}, hold, patience, 0},
+		{"an online request ends soon", Worker{Slots: 8, Online: 7, Batch: 2}, hold, 70 * time.Millisecond, 0},
+		{"only items run", Worker{Slots: 8, Online: 1, Batch: 8}, hold, patience, 1},
+		{"few online requests run", Worker{Slots: 8, Online: 3, Batch: 7}, hold, patience, 2},
+		{"unknown hold", Worker{Slots: 8, Online: 7, Batch: 2}, 0, patience, 1},
+		{"no goal", Worker{Slots: 8, Online: 7, Batch: 2}, hold, 0, 1},
+		{"all items, and still too many", Worker{Slots: 8, Online: 20, Batch: 3}, hold, patience, 3},
+		{"nothing to stop", Worker{Slots: 8, Online: 20}, hold, patience, 0},
 	} {
-		if got := Stops(test.place, test.hold, test.patience); got != test.want {
+		if got := RequiredStops(test.place, test.hold, test.patience); got != test.want {
 			t.Errorf("%s: %d stops, want %d", test.name, got, test.want)
 		}
 	}
@@ -37,16 +37,16 @@
 // stops comes to run within patience, unless no item is left, and that one stop
 // fewer would not do.
 func TestStopsAreEnoughAndNoMore(t *testing.T) {
-	inTime := func(place Place, stops int, hold, patience time.Duration) bool {
+	inTime := func(place Worker, stops int, hold, patience time.Duration) bool {
 		waiting := place.Online + place.Batch - stops - place.Slots
 		running := place.Slots - (place.Batch - stops)
 		return waiting <= 0 || hold > 0 && running > 0 && time.Duration(waiting)*hold <= time.Duration(running)*patience
 	}
 	proptest.Run(t, "stops", func(random *rand.Rand) error {
-		place := Place{Slots: 1 + random.Intn(32), Online: random.Intn(40), Batch: random.Intn(33)}
+		place := Worker{Slots: 1 + random.Intn(32), Online: random.Intn(40), Batch: random.Intn(33)}
 		hold := time.Duration(random.Intn(2000)) * time.Millisecond
 		patience := time.Duration(random.Intn(400)) * time.Millisecond
-		stops := Stops(place, hold, patience)
+		stops := RequiredStops(place, hold, patience)
 		switch {
 		case stops < 0 || stops > place.Batch:
 			return errors.Newf("%+v: %d stops", place, stops)
--- a/internal/batchroom/ahead.go
+++ b/internal/batchroom/ahead.go
@@ -26,8 +26,8 @@
 	gapParts = 8
 )
 
-// Outlook is what is known of the next moments of a pool.
-type Outlook struct {
+// Forecast is what is known of the next moments of a pool.
+type Forecast struct {
 	Pool string
 	// Slots counts those of its workers where items may start, IdleSlots those of them that
 	// are idle.
@@ -37,34 +37,34 @@
 	ZoneSlots map[string]int
 	// Online is the present need of online requests.
 	Online int
-	// Lag is how old the news of online requests are.
-	Lag time.Duration
+	// ReportAge is how old the news of online requests are.
+	ReportAge time.Duration
 	// Peak returns the highest need of online requests until so long ahead.
 	Peak func(ahead time.Duration) forecast.Demand
-	// Hold is set while nothing may start there.
-	Hold bool
+	// Paused is set while nothing may start there.
+	Paused bool
 }
 
-// ClearPatience lets no online request wait for items in the pools of which an outlook is known and
+// ClearMaxWait lets no online request wait for items in the pools of which an outlook is known and
 // whose online requests could hold all slots where items may start. Elsewhere a short wait
 // costs less than a stop; here others wait at the edges, unseen by the planner, for each slot
 // that an item holds on to.
-func (p *Places) ClearPatience() {
-	for i := range p.Outlooks {
-		outlook := &p.Outlooks[i]
+func (p *Workers) ClearMaxWait() {
+	for i := range p.Forecasts {
+		outlook := &p.Forecasts[i]
 		if p.onlineIn(outlook.Pool) < outlook.Slots {
 			continue
 		}
 		for at := range p.Busy {
 			if p.Busy[at].Pool == outlook.Pool {
-				p.Busy[at].Patience = 0
+				p.Busy[at].MaxWait = 0
 			}
 		}
 	}
 }
 
 // onlineIn counts the online requests at the pool's workers where items may start.
-func (p *Places) onlineIn(pool string) int {
+func (p *Workers) onlineIn(pool string) int {
 	online := 0
 	for i := range p.Busy {
 		if place := &p.Busy[i]; place.Pool == pool && !place.Closed {
@@ -88,7 +88,7 @@
 
 // prospect is what online requests to come leave of a pool.
 type prospect struct {
-	outlook *Outlook
+	outlook *Forecast
 	// part is the part of each worker's slots that they need, and zones by how many times
 	// that differs in each zone. left is how many items may start, offered how many slots were
 	// found for them.
@@ -133,7 +133,7 @@
 
 // offer takes in so many slots that were found at a worker. Those of busy workers count for
 // their pool; what idle ones have is known beforehand (Outlook.IdleSlots).
-func (p *prospects) offer(place *Place, free int, counts bool) {
+func (p *prospects) offer(place *Worker, free int, counts bool) {
 	if p == nil {
 		return
 	}
@@ -166,25 +166,25 @@
 
 // lookAhead finds what online requests to come leave of the pools, and adds the stops that
 // make room for them. Items and stops are those at the busy places.
-func (p *Planner) lookAhead(name uint32, own *runner, places *Places, items, stops []int) *prospects {
+func (p *Planner) lookAhead(name uint32, own *runner, places *Workers, items, stops []int) *prospects {
 	var pools []*prospect
-	for i := range places.Outlooks {
-		outlook := &places.Outlooks[i]
-		lead := outlook.Lag + own.gap + carryOut
+	for i := range places.Forecasts {
+		outlook := &places.Forecasts[i]
+		lead := outlook.ReportAge + own.gap + carryOut
 		need := outlook.Peak(lead)
 		switch {
 		case need.Confident:
-			if !p.summary.Need.Confident || need.Slots > p.summary.Need.Slots {
-				p.summary.Need = need
+			if !p.summary.Demand.Confident || need.Slots > p.summary.Demand.Slots {
+				p.summary.Demand = need
 			}
 			pools = append(pools, p.prospectOf(name, outlook, places, items, stops, need, lead))
-		case need.Rising && !outlook.Hold:
+		case need.Rising && !outlook.Paused:
 			p.summary.Rising = true
 			pools = append(pools, p.prospectOf(name, outlook, places, items, stops, need, lead))
-		case outlook.Hold:
+		case outlook.Paused:
 			pools = append(pools, &prospect{outlook: outlook})
 		}
-		p.summary.Held = p.summary.Held || outlook.Hold
+		p.summary.Paused = p.summary.Paused || outlook.Paused
 	}
 	if len(pools) == 0 {
 		return nil
@@ -193,7 +193,7 @@
 }
 
 // prospectOf finds what is left of a pool, and adds the stops that it takes.
-func (p *Planner) prospectOf(name uint32, outlook *Outlook, places *Places, items, stops []int, need forecast.Demand, lead time.Duration) *prospect {
+func (p *Planner) prospectOf(name uint32, outlook *Forecast, places *Workers, items, stops []int, need forecast.Demand, lead time.Duration) *prospect {
 	held, stopping, elsewhere := 0, 0, 0
 	for i := range places.Busy {
 		switch place := &places.Busy[i]; {
@@ -202,7 +202,7 @@
 			// These go on where they are, whatever comes.
 			elsewhere += min(place.Online, place.Slots)
 		default:
-			held += items[i] + p.grantedAt(place.Worker, name)
+			held += items[i] + p.grantedAt(place.ShortName, name)
 			stopping += stops[i]
 		}
 	}
@@ -215,9 +215,9 @@
 	}
 	part := float64(now) / float64(max(outlook.Slots, 1))
 	if over := now + held - stopping - outlook.Slots; over > 0 {
-		p.summary.Ahead += stopAhead(outlook, places, items, stops, over, func(place *Place) float64 { return result.partAt(place.Zone, part) })
+		p.summary.AdvanceStops += stopAhead(outlook, places, items, stops, over, func(place *Worker) float64 { return result.partAt(place.Zone, part) })
 	}
-	if !outlook.Hold {
+	if !outlook.Paused {
 		result.left = max(outlook.Slots-soon-held, 0)
 	}
 	return result
@@ -267,7 +267,7 @@
 // stopAhead adds so many stops, each where items leave the fewest slots for the part of the
 // slots that online requests will need there. All runners' plans add the same ones, of
 // which each gets its part.
-func stopAhead(outlook *Outlook, places *Places, items, stops []int, over int, part func(place *Place) float64) int {
+func stopAhead(outlook *Forecast, places *Workers, items, stops []int, over int, part func(place *Worker) float64) int {
 	var heaped candidates
 	for i := range places.Busy {
 		place := &places.Busy[i]
@@ -275,7 +275,7 @@
 			continue
 		}
 		need := max(float64(place.Online), part(place)*float64(place.Slots))
-		heaped = append(heaped, candidate{place: i, rank: float64(items[i]-stops[i]-place.Slots) + need, tie: place.Worker})
+		heaped = append(heaped, candidate{place: i, rank: float64(items[i]-stops[i]-place.Slots) + need, tie: place.ShortName})
 	}
 	heap.Init(&heaped)
 	added := 0
--- a/internal/batchroom/ahead_test.go
+++ b/internal/batchroom/ahead_test.go
@@ -13,8 +13,8 @@
 )
 
 // outlookOf returns an outlook of the pool in which so many slots will be needed.
-func outlookOf(places []Place, need float64, sure bool) Outlook {
-	outlook := Outlook{Pool: "p", Lag: reports, Peak: func(time.Duration) forecast.Demand { return forecast.Demand{Slots: need, Confident: sure} }}
+func outlookOf(places []Worker, need float64, sure bool) Forecast {
+	outlook := Forecast{Pool: "p", ReportAge: reports, Peak: func(time.Duration) forecast.Demand { return forecast.Demand{Slots: need, Confident: sure} }}
 	for i := range places {
 		if !places[i].Closed {
 			outlook.Slots += places[i].Slots
@@ -24,24 +24,24 @@
 }
 
 // drawPlaces draws workers, some of them closed.
-func drawPlaces(random *rand.Rand) []Place {
-	places := make([]Place, 1+random.Intn(12))
+func drawPlaces(random *rand.Rand) []Worker {
+	places := make([]Worker, 1+random.Intn(12))
 	for i := range places {
 		slots := 2 + random.Intn(15)
-		places[i] = Place{Worker: uint32(i + 1), Pool: "p", Slots: slots, Online: random.Intn(slots + 2), Closed: random.Intn(8) == 0}
+		places[i] = Worker{ShortName: uint32(i + 1), Pool: "p", Slots: slots, Online: random.Intn(slots + 2), Closed: random.Intn(8) == 0}
 	}
 	return places
 }
 
 // takeRunners lets runners with drawn items report, and returns their names.
-func takeRunners(random *rand.Rand, p *Planner, places []Place) []uint32 {
+func takeRunners(random *rand.Rand, p *Planner, places []Worker) []uint32 {
 	names := []uint32{11, 12, 13}
 	for _, name := range names {
 		items := map[uint32]int{}
 		for i := range places {
-			items[places[i].Worker] = random.Intn(places[i].Slots/2 + 1)
+			items[places[i].ShortName] = random.Intn(places[i].Slots/2 + 1)
 		}
-		p.Take(start, name, random.Intn(60), items)
+		p.RecordReport(start, name, random.Intn(60), items)
 	}
 	return names
 }
@@ -56,8 +56,8 @@
 		takeRunners(rand.New(rand.NewSource(seed)), plain, places)
 		names := takeRunners(rand.New(rand.NewSource(seed)), unsure, places)
 		for _, name := range names {
-			first := plain.Plan(name, Places{Busy: places})
-			second := unsure.Plan(name, Places{Busy: places, Outlooks: []Outlook{outlookOf(places, 1000, false)}})
+			first := plain.Plan(name, Workers{Busy: places})
+			second := unsure.Plan(name, Workers{Busy: places, Forecasts: []Forecast{outlookOf(places, 1000, false)}})
 			if !maps.Equal(first, second) || plain.Summary() != unsure.Summary() {
 				return errors.Newf("orders %+v and %+v, summaries %+v and %+v", first, second, plain.Summary(), unsure.Summary())
 			}
@@ -90,11 +90,11 @@
 		items, stops, starts, atClosed := 0, 0, 0, 0
 		for i := range places {
 			if !places[i].Closed {
-				items += p.itemsAt(places[i].Worker)
+				items += p.itemsAt(places[i].ShortName)
 			}
 		}
 		for _, name := range names {
-			for worker, order := range p.Plan(name, Places{Busy: places, Outlooks: []Outlook{outlookOf(places, float64(need), true)}}) {
+			for worker, order := range p.Plan(name, Workers{Busy: places, Forecasts: []Forecast{outlookOf(places, float64(need), true)}}) {
 				if order.Stop > p.runners[name].items[worker] {
 					return errors.Newf("%d stops of %d items", order.Stop, p.runners[name].items[worker])
 				}
@@ -110,7 +110,7 @@
 		crowded := 0
 		for i := range places {
 			if place := &places[i]; !place.Closed {
-				crowded += min(max(place.Online+p.itemsAt(place.Worker)-place.Slots, 0), p.itemsAt(place.Worker))
+				crowded += min(max(place.Online+p.itemsAt(place.ShortName)-place.Slots, 0), p.itemsAt(place.ShortName))
 			}
 		}
 		switch {
@@ -127,13 +127,13 @@
 // that stand where the wave will need the room.
 func TestRoomIsSpread(t *testing.T) {
 	p := New()
-	places := []Place{{Worker: 1, Pool: "p", Slots: 8}, {Worker: 2, Pool: "p", Slots: 8}, {Worker: 3, Pool: "p", Slots: 8}}
-	p.Take(start, 10, 0, map[uint32]int{1: 8, 2: 4, 3: 1})
-	orders := p.Plan(10, Places{Busy: places, Outlooks: []Outlook{outlookOf(places, 16, true)}})
+	places := []Worker{{ShortName: 1, Pool: "p", Slots: 8}, {ShortName: 2, Pool: "p", Slots: 8}, {ShortName: 3, Pool: "p", Slots: 8}}
+	p.RecordReport(start, 10, 0, map[uint32]int{1: 8, 2: 4, 3: 1})
+	orders := p.Plan(10, Workers{Busy: places, Forecasts: []Forecast{outlookOf(places, 16, true)}})
 	if want := (map[uint32]Order{1: {Stop: 5}}); !maps.Equal(orders, want) {
 		t.Errorf("orders %+v, want %+v", orders, want)
 	}
-	if got := p.Summary().Ahead; got != 5 {
+	if got := p.Summary().AdvanceStops; got != 5 {
 		t.Errorf("%d stops ahead", got)
 	}
 }
@@ -141,12 +141,12 @@
 // TestNothingStartsBeforeAWave checks that room that a wave will need is not given away,
 // and that all of it is once the wave is over.
 func TestNothingStartsBeforeAWave(t *testing.T) {
-	places := []Place{{Worker: 1, Pool: "p", Slots: 8, Online: 1}, {Worker: 2, Pool: "p", Slots: 8, Online: 1}}
+	places := []Worker{{ShortName: 1, Pool: "p", Slots: 8, Online: 1}, {ShortName: 2, Pool: "p", Slots: 8, Online: 1}}
 	for need, want := range map[float64]int{16: 0, 12: 3, 2: 14} {
 		p := New()
-		p.Take(start, 10, 40, nil)
+		p.RecordReport(start, 10, 40, nil)
 		started := 0
-		for _, order := range p.Plan(10, Places{Busy: places, Outlooks: []Outlook{outlookOf(places, need, true)}}) {
+		for _, order := range p.Plan(10, Workers{Busy: places, Forecasts: []Forecast{outlookOf(places, need, true)}}) {
 			started += order.Start
 		}
 		if started != want {
@@ -157,50 +157,50 @@
 
 // TestANewPlannerWaits checks that nothing starts while an outlook is held.
 func TestANewPlannerWaits(t *testing.T) {
-	places := []Place{{Worker: 1, Pool: "p", Slots: 8}}
+	places := []Worker{{ShortName: 1, Pool: "p", Slots: 8}}
 	p := New()
-	p.Take(start, 10, 40, nil)
+	p.RecordReport(start, 10, 40, nil)
 	held := outlookOf(places, 0, false)
-	held.Hold = true
-	if orders := p.Plan(10, Places{Busy: places, Outlooks: []Outlook{held}}); len(orders) > 0 || !p.Summary().Held {
+	held.Paused = true
+	if orders := p.Plan(10, Workers{Busy: places, Forecasts: []Forecast{held}}); len(orders) > 0 || !p.Summary().Paused {
 		t.Errorf("orders %+v", orders)
 	}
 }
 
 // benchmarkPlan plans at 10,000 workers of 8 slots, 300 of them loaded.
-func benchmarkPlan(b *testing.B, outlooks func(places []Place) []Outlook) {
-	places := make([]Place, 300)
+func benchmarkPlan(b *testing.B, outlooks func(places []Worker) []Forecast) {
+	places := make([]Worker, 300)
 	items := map[uint32]int{}
 	for i := range places {
-		places[i] = Place{Worker: uint32(i + 1), Pool: "p", Slots: 8, Online: i % 6}
+		places[i] = Worker{ShortName: uint32(i + 1), Pool: "p", Slots: 8, Online: i % 6}
 		items[uint32(i+1)] = 2
 	}
 	p := New()
-	told := Places{Busy: places, IdleWorkers: 9700, IdleSlots: 77600, Outlooks: outlooks(places), Draw: func(count int) []Place {
-		drawn := make([]Place, count)
+	told := Workers{Busy: places, IdleWorkers: 9700, IdleSlots: 77600, Forecasts: outlooks(places), Draw: func(count int) []Worker {
+		drawn := make([]Worker, count)
 		for i := range drawn {
-			drawn[i] = Place{Worker: uint32(1000 + i), Pool: "p", Slots: 8}
+			drawn[i] = Worker{ShortName: uint32(1000 + i), Pool: "p", Slots: 8}
 		}
 		return drawn
 	}}
 	b.ReportAllocs()
 	for b.Loop() {
-		p.Take(start, 10, 20, items)
+		p.RecordReport(start, 10, 20, items)
 		p.Plan(10, told)
 	}
 }
 
 // BenchmarkPlan is a plan without an outlook.
 func BenchmarkPlan(b *testing.B) {
-	benchmarkPlan(b, func([]Place) []Outlook { return nil })
+	benchmarkPlan(b, func([]Worker) []Forecast { return nil })
 }
 
 // BenchmarkPlanAhead is a plan with a wave that takes all but 300 slots.
 func BenchmarkPlanAhead(b *testing.B) {
-	benchmarkPlan(b, func(places []Place) []Outlook {
+	benchmarkPlan(b, func(places []Worker) []Forecast {
 		outlook := outlookOf(places, 79_700, true)
 		outlook.Slots, outlook.IdleSlots = 80_000, 77_600
-		return []Outlook{outlook}
+		return []Forecast{outlook}
 	})
 }
 
@@ -213,15 +213,15 @@
 		online, stops int
 		pool          string
 	}{{slots, 5, "p"}, {slots, 0, "q"}, {slots - 1, 0, "p"}} {
-		places := Places{Outlooks: []Outlook{{Pool: "p", Slots: workers * slots, Peak: func(time.Duration) forecast.Demand { return forecast.Demand{} }}}}
+		places := Workers{Forecasts: []Forecast{{Pool: "p", Slots: workers * slots, Peak: func(time.Duration) forecast.Demand { return forecast.Demand{} }}}}
 		items := map[uint32]int{}
 		for worker := range uint32(workers) {
-			places.Busy = append(places.Busy, Place{Worker: worker, Pool: test.pool, Slots: slots, Online: test.online, Hold: 750 * time.Millisecond, Patience: 150 * time.Millisecond})
+			places.Busy = append(places.Busy, Worker{ShortName: worker, Pool: test.pool, Slots: slots, Online: test.online, HoldTime: 750 * time.Millisecond, MaxWait: 150 * time.Millisecond})
 			items[worker] = slots + 1 - test.online
 		}
-		places.ClearPatience()
+		places.ClearMaxWait()
 		planner := New()
-		planner.Take(time.Unix(1000, 0), 1, 10, items)
+		planner.RecordReport(time.Unix(1000, 0), 1, 10, items)
 		stops := 0
 		for _, order := range planner.Plan(1, places) {
 			stops += order.Stop
--- a/internal/batchroom/batchroom.go
+++ b/internal/batchroom/batchroom.go
@@ -21,11 +21,11 @@
 	runnerFresh = 400 * time.Millisecond
 )
 
-// Place is a worker as the planner sees it. (batchplan.Place is what of it decides on stops at
+// Worker is a worker as the planner sees it. (batchplan.Worker is what of it decides on stops at
 // one worker; balance.Choice is the worker chosen for one request.)
-type Place struct {
-	// Worker is the worker's short name.
-	Worker uint32
+type Worker struct {
+	// ShortName is the worker's short name.
+	ShortName uint32
 	// Pool and Zone name its pool and zone where an outlook is known of the pool.
 	Pool  string
 	Zone  string
@@ -38,24 +38,24 @@
 	// whether the worker is well again.
 	Closed bool
 	Probe  bool
-	// Hold is how long an online request holds a slot, zero if unknown, and
+	// HoldTime is how long an online request holds a slot, zero if unknown, and
 	// Patience how long one may wait for items.
-	Hold     time.Duration
-	Patience time.Duration
+	HoldTime time.Duration
+	MaxWait  time.Duration
 }
 
-// Places are all workers as the planner sees them.
-type Places struct {
+// Workers are all workers as the planner sees them.
+type Workers struct {
 	// Busy are those at which anything is, or no item may start.
-	Busy []Place
+	Busy []Worker
 	// IdleWorkers and IdleSlots count the others and their slots, which Draw returns some
 	// of, drawn by lot, or all. A plan then costs as much as there is work, not as there
 	// are workers.
 	IdleWorkers int
 	IdleSlots   int
-	Draw        func(count int) []Place
-	// Outlooks are what is known of the next moments, by pool; none where nothing is forecast.
-	Outlooks []Outlook
+	Draw        func(count int) []Worker
+	// Forecasts are what is known of the next moments, by pool; none where nothing is forecast.
+	Forecasts []Forecast
 }
 
 // Order is what a runner is told of a worker: how many items it may start there, and
@@ -87,14 +87,14 @@
 	Free    int
 	Granted int
 	Stops   int
-	// Ahead counts those of the stops that make room for requests to come, Need the online
+	// AdvanceStops counts those of the stops that make room for requests to come, Need the online
 	// need that they rest on where a forecast of a pool is sure, until which moment.
-	Ahead int
-	Need  forecast.Demand
+	AdvanceStops int
+	Demand       forecast.Demand
 	// Rising is set where the stops rest on a rise that has just begun.
 	Rising bool
-	// Held is set while nothing may start in some pool because a new planner has not seen enough.
-	Held bool
+	// Paused is set while nothing may start in some pool because a new planner has not seen enough.
+	Paused bool
 }
 
 // Summary returns the summary of the last plan.
@@ -116,9 +116,9 @@
 // New returns a planner that knows no runner.
 func New() *Planner { return &Planner{runners: map[uint32]*runner{}} }
 
-// Take takes in a runner's report: how many items could start, and how many run at
+// RecordReport takes in a runner's report: how many items could start, and how many run at
 // each worker.
-func (p *Planner) Take(now time.Time, name uint32, waiting int, items map[uint32]int) {
+func (p *Planner) RecordReport(now time.Time, name uint32, waiting int, items map[uint32]int) {
 	for known, r := range p.runners {
 		if now.Sub(r.at) > runnerFresh {
 			delete(p.runners, known)
@@ -128,7 +128,7 @@
 }
 
 // Plan returns the orders for a runner that has just reported, by worker.
-func (p *Planner) Plan(name uint32, places Places) map[uint32]Order {
+func (p *Planner) Plan(name uint32, places Workers) map[uint32]Order {
 	own := p.runners[name]
 	if own == nil {
 		return nil
@@ -166,36 +166,36 @@
 
 // survey counts the items at each busy place, and how many of them are to stop there for the
 // online requests that are there by now.
-func (p *Planner) survey(places *Places) (items, stops []int) {
+func (p *Planner) survey(places *Workers) (items, stops []int) {
 	items = make([]int, len(places.Busy))
 	stops = make([]int, len(places.Busy))
 	for i := range places.Busy {
 		place := &places.Busy[i]
-		items[i] = p.itemsAt(place.Worker)
+		items[i] = p.itemsAt(place.ShortName)
 		p.summary.add(place, items[i])
-		stops[i] = batchplan.Stops(batchplan.Place{Slots: place.Slots, Online: place.Online, Batch: items[i]}, place.Hold, place.Patience)
+		stops[i] = batchplan.RequiredStops(batchplan.Worker{Slots: place.Slots, Online: place.Online, Batch: items[i]}, place.HoldTime, place.MaxWait)
 	}
 	return items, stops
 }
 
 // openBusy orders the runner's part of the stops at busy places. Of the others it returns those
 // where items may start, and the avoided workers where one may as a probe.
-func (p *Planner) openBusy(name uint32, places *Places, items, stops []int, prospects *prospects, orders map[uint32]Order) (open []opening, probes []uint32) {
+func (p *Planner) openBusy(name uint32, places *Workers, items, stops []int, prospects *prospects, orders map[uint32]Order) (open []opening, probes []uint32) {
 	open = make([]opening, 0, len(places.Busy))
 	for i := range places.Busy {
 		place := &places.Busy[i]
 		if stops[i] > 0 {
 			p.summary.Stops += stops[i]
-			if part := p.partOf(name, place.Worker, stops[i]); part > 0 {
-				orders[place.Worker] = Order{Stop: part}
+			if part := p.partOf(name, place.ShortName, stops[i]); part > 0 {
+				orders[place.ShortName] = Order{Stop: part}
 			}
 			continue
 		}
 		if p.mayProbe(name, place, items[i]) {
-			probes = append(probes, place.Worker)
+			probes = append(probes, place.ShortName)
 		}
 		if free := p.openAt(name, place, items[i]); free > 0 {
-			open = append(open, opening{worker: place.Worker, slots: free, tie: place.Worker ^ name})
+			open = append(open, opening{worker: place.ShortName, slots: free, tie: place.ShortName ^ name})
 			p.summary.Free += free
 			prospects.offer(place, free, true)
 		}
@@ -206,25 +206,25 @@
 // openAt returns how many items the runner could be granted at a worker. Nothing is left
 // free for online requests that may come: items give way to them within three reports, and
 // a slot that stays empty until then is lost.
-func (p *Planner) openAt(name uint32, place *Place, items int) int {
+func (p *Planner) openAt(name uint32, place *Worker, items int) int {
 	if place.Closed {
 		return 0
 	}
-	return place.Slots - place.Online - items - p.grantedAt(place.Worker, name)
+	return place.Slots - place.Online - items - p.grantedAt(place.ShortName, name)
 }
 
 // mayProbe reports whether the runner may start one item at a worker that is avoided. Nothing
 // that waits there may hold it up, since its silence would speak against the worker.
-func (p *Planner) mayProbe(name uint32, place *Place, items int) bool {
-	return place.Closed && place.Probe && place.Online+items+p.grantedAt(place.Worker, name) < place.Slots
+func (p *Planner) mayProbe(name uint32, place *Worker, items int) bool {
+	return place.Closed && place.Probe && place.Online+items+p.grantedAt(place.ShortName, name) < place.Slots
 }
 
 // takenIdle counts the slots at idle workers that others were granted, or have taken since
 // the loads were told.
-func (p *Planner) takenIdle(name uint32, places *Places) int {
+func (p *Planner) takenIdle(name uint32, places *Workers) int {
 	busy := make(map[uint32]bool, len(places.Busy))
 	for i := range places.Busy {
-		busy[places.Busy[i].Worker] = true
+		busy[places.Busy[i].ShortName] = true
 	}
 	taken := 0
 	for other, r := range p.runners {
@@ -243,12 +243,12 @@
 }
 
 // openIdle returns those of some idle workers where items may start.
-func (p *Planner) openIdle(name uint32, places []Place, prospects *prospects) []opening {
+func (p *Planner) openIdle(name uint32, places []Worker, prospects *prospects) []opening {
 	open := make([]opening, 0, len(places))
 	for i := range places {
 		place := &places[i]
-		if free := p.openAt(name, place, p.itemsAt(place.Worker)); free > 0 {
-			open = append(open, opening{worker: place.Worker, slots: free, tie: place.Worker ^ name})
+		if free := p.openAt(name, place, p.itemsAt(place.ShortName)); free > 0 {
+			open = append(open, opening{worker: place.ShortName, slots: free, tie: place.ShortName ^ name})
 			prospects.offer(place, free, false)
 		}
 	}
@@ -256,7 +256,7 @@
 }
 
 // add takes in a worker.
-func (s *Summary) add(place *Place, items int) {
+func (s *Summary) add(place *Worker, items int) {
 	s.Slots += place.Slots
 	s.Online += place.Online
 	s.Items += items
--- a/internal/batchroom/play_test.go
+++ b/internal/batchroom/play_test.go
@@ -411,18 +411,18 @@
 }
 
 // places returns the workers as the planner sees them.
-func (d *day) places() Places {
-	places := Places{Busy: make([]Place, 0, d.workers), Draw: func(int) []Place { return nil }}
+func (d *day) places() Workers {
+	places := Workers{Busy: make([]Worker, 0, d.workers), Draw: func(int) []Worker { return nil }}
 	total := 0
 	for worker, online := range d.seen[0] {
 		total += online
-		places.Busy = append(places.Busy, Place{Worker: uint32(worker + 1), Pool: "p", Zone: d.zoneNames[worker], Slots: d.slots, Online: online, Hold: d.hold, Patience: playPatience})
+		places.Busy = append(places.Busy, Worker{ShortName: uint32(worker + 1), Pool: "p", Zone: d.zoneNames[worker], Slots: d.slots, Online: online, HoldTime: d.hold, MaxWait: playPatience})
 	}
 	if d.foresees {
 		now := start.Add(d.now)
 		d.forecast.Observe(now, float64(total))
-		places.Outlooks = []Outlook{{
-			Pool: "p", Slots: d.workers * d.slots, Lag: playLag, Hold: !d.forecast.Warm(),
+		places.Forecasts = []Forecast{{
+			Pool: "p", Slots: d.workers * d.slots, ReportAge: playLag, Paused: !d.forecast.Warm(),
 			Peak: func(ahead time.Duration) forecast.Demand {
 				need := d.forecast.Peak(now, ahead)
 				if d.blind && need.Rising {
@@ -432,7 +432,7 @@
 			},
 		}}
 		if !d.mixed {
-			places.Outlooks[0].ZoneSlots = d.slotsOf
+			places.Forecasts[0].ZoneSlots = d.slotsOf
 		}
 	}
 	return places
--- a/internal/batchroom/runners_test.go
+++ b/internal/batchroom/runners_test.go
@@ -29,7 +29,7 @@
 			items[uint32(run.worker+1)]++
 		}
 	}
-	d.planner.Take(start.Add(d.now), r.name, waiting, items)
+	d.planner.RecordReport(start.Add(d.now), r.name, waiting, items)
 	r.orders, r.ordered = d.planner.Plan(r.name, d.places()), d.now
 }
 
@@ -69,9 +69,9 @@
 	}
 	slices.SortFunc(running, func(a, b *playItem) int {
 		first, second := d.planOf(a), d.planOf(b)
-		before, after := batchplan.YieldsBefore(first, second), batchplan.YieldsBefore(second, first)
+		before, after := batchplan.PreemptedBefore(first, second), batchplan.PreemptedBefore(second, first)
 		if worker := a.running.worker; d.foresees && d.online[worker]+d.items[worker] <= d.slots {
-			before, after = batchplan.LeavesBefore(first, second, d.mean.Mean()), batchplan.LeavesBefore(second, first, d.mean.Mean())
+			before, after = batchplan.PreemptedInAdvanceBefore(first, second, d.mean.Mean()), batchplan.PreemptedInAdvanceBefore(second, first, d.mean.Mean())
 		}
 		return cmp.Or(cmp.Compare(a.running.worker, b.running.worker), boolRank(after)-boolRank(before))
 	})
--- a/internal/batchroom/zones.go
+++ b/internal/batchroom/zones.go
@@ -16,9 +16,9 @@
 }
 
 // take takes in the present need.
-func (z *zoneNeeds) take(now time.Time, places *Places) {
+func (z *zoneNeeds) take(now time.Time, places *Workers) {
 	passed := now.Sub(z.at)
-	if passed <= 0 || len(places.Outlooks) == 0 {
+	if passed <= 0 || len(places.Forecasts) == 0 {
 		return
 	}
 	part := min(float64(passed)/float64(zoneTime), 1)
@@ -43,7 +43,7 @@
 
 // of returns by how many times the need of a slot in each zone differs from that in the
 // whole pool, nil where that is not known of all zones.
-func (z *zoneNeeds) of(outlook *Outlook) map[string]float64 {
+func (z *zoneNeeds) of(outlook *Forecast) map[string]float64 {
 	need, slots := 0.0, 0
 	for zone, count := range outlook.ZoneSlots {
 		need += z.means[poolZone{outlook.Pool, zone}]
--- a/internal/batchstore/limits.go
+++ b/internal/batchstore/limits.go
@@ -114,7 +114,7 @@
 // lead returns the top that this process is. One that was the top hub a while ago may know
 // less than another that was it since.
 func (l *limiter) lead(now time.Time) *ratelimit.Top {
-	if l.top == nil || now.Sub(l.topAt) > loadshare.Fresh {
+	if l.top == nil || now.Sub(l.topAt) > loadshare.ReportTTL {
 		l.top = ratelimit.NewTop(now, newEpoch(), l.tolerance)
 		l.top.SetLimits(l.limits, l.zones)
 	}
--- a/internal/batchstore/loads.go
+++ b/internal/batchstore/loads.go
@@ -54,8 +54,8 @@
 	// listed is the list of workers taken in last, near and far the short names of those of
 	// this process's zone and of others.
 	listed *workerset.Set
-	near   loadshare.Lot
-	far    loadshare.Lot
+	near   loadshare.Set
+	far    loadshare.Set
 	// zones holds the zones of all by their short names.
 	zones  map[uint32]string
 	random *rand.Rand
@@ -182,7 +182,7 @@
 
 // answerZone takes in the report of an edge. The lock of the hubs is held.
 func (s *Store) answerZone(now time.Time, report *wire.LoadReport) *wire.LoadReport {
-	s.loads.zone.Take(now, report)
+	s.loads.zone.RecordReport(now, report)
 	s.noteJudged(s.loads.zone)
 	verdicts := s.loads.limits.answer(now, report.Tokens)
 	standings := s.loads.room.answer(now, report, verdicts)
@@ -199,23 +199,23 @@
 	if loadshare.Large(&s.loads.near) && !report.First {
 		answer.Drawn = true
 		if report.Choosing {
-			drawn := loadshare.Draw(s.loads.random, report.Asked, &s.loads.near, &s.loads.far)
+			drawn := loadshare.Sample(s.loads.random, report.Asked, &s.loads.near, &s.loads.far)
 			// An edge that is told of no failure of a worker does not probe it.
 			drawn = append(drawn, answer.Probes...)
 			slices.Sort(drawn)
-			answer.Workers = s.loads.zone.Named(now, report.Source, slices.Compact(drawn))
+			answer.Workers = s.loads.zone.LoadsOf(now, report.Source, slices.Compact(drawn))
 		}
 		return answer
 	}
-	answer.Workers, answer.Part = loadshare.Part(s.loads.zone.Others(now, report.Source), report.Zone, s.loads.zoneOf, s.loads.random)
-	answer.Part = answer.Part || s.loads.zone.AbovePart()
+	answer.Workers, answer.Part = loadshare.Subset(s.loads.zone.PeerLoads(now, report.Source), report.Zone, s.loads.zoneOf, s.loads.random)
+	answer.Part = answer.Part || s.loads.zone.ParentPartial()
 	return answer
 }
 
 // answerTop takes in the report of a zone's hub or of a store that runs items. The lock
 // of the hubs is held.
 func (s *Store) answerTop(now time.Time, report *wire.LoadReport) *wire.LoadReport {
-	s.loads.top.Take(now, report)
+	s.loads.top.RecordReport(now, report)
 	s.noteJudged(s.loads.top)
 	if report.Left {
 		s.loads.limits.leave(now, report.Source)
@@ -223,13 +223,13 @@
 	if report.Left || report.Quiet {
 		return nil
 	}
-	loaded := s.loads.top.Loaded
+	loaded := s.loads.top.Update
 	if report.Sums {
-		loaded = s.loads.top.LoadedForHub
+		loaded = s.loads.top.UpdateForHub
 	}
 	told := loaded(now, report.Source)
-	s.noteLeft(now, "told", told.Left)
-	answer := &wire.LoadReport{Workers: told.Rows, Rest: uint32(told.Rest), Part: told.Left > 0, Sources: uint16(s.loads.reporting.Load())}
+	s.noteLeft(now, "told", told.Omitted)
+	answer := &wire.LoadReport{Workers: told.Rows, Rest: uint32(told.UnlistedRate), Part: told.Omitted > 0, Sources: uint16(s.loads.reporting.Load())}
 	if report.Tenants != nil {
 		answer.Tenants = s.loads.limits.answerHub(now, report)
 	}
@@ -268,31 +268,31 @@
 	}
 	s.loads.ownDue = now.Add(s.ownPause())
 	top, zone := s.loads.top, s.loads.zone
-	proofs := s.workers.Proofs()
-	top.Take(now, &wire.LoadReport{Source: ownSource, Workers: s.workers.Loads(), Proofs: proofs})
+	proofs := s.workers.ProbeResults()
+	top.RecordReport(now, &wire.LoadReport{Source: ownSource, Workers: s.workers.Loads(), Proofs: proofs})
 	switch sums := zone.Sums(now, s.zoneSource()); {
 	case sums == nil:
 	case sums.Left:
-		top.Take(now, sums)
+		top.RecordReport(now, sums)
 		s.loads.limits.leave(now, s.zoneSource())
 	default:
-		top.Take(now, sums)
+		top.RecordReport(now, sums)
 		s.loads.limits.tellSelf(now, s.zoneSource(), s.settings.Zone, int(sums.Sources))
 	}
 	s.noteJudged(top)
-	above := top.LoadedForHub(now, s.zoneSource())
-	zone.SetAbove(now, above.Rows, above.Rest, above.Left > 0)
+	above := top.UpdateForHub(now, s.zoneSource())
+	zone.SetParentLoads(now, above.Rows, above.UnlistedRate, above.Omitted > 0)
 	s.loads.reporting.Store(int64(top.Sources(now)) - 1)
-	own := top.Loaded(now, ownSource)
-	s.workers.SetRest(own.Rest)
-	s.workers.SetOthers(now, own.Rows, balance.OfAll)
+	own := top.Update(now, ownSource)
+	s.workers.SetUnlistedRate(own.UnlistedRate)
+	s.workers.SetPeerLoads(now, own.Rows, balance.ScopeAll)
 	s.workers.SetOrders(s.order(now, ownSource, s.waiting(), s.workers.Items()))
 }
 
 // ownPause returns the time to the next plan of the top hub for itself: as long as other
 // runners wait where news age slowly.
 func (s *Store) ownPause() time.Duration {
-	pause := loadshare.HubPause(s.workers.PerSecond(), s.loads.listed.Len())
+	pause := loadshare.HubReportInterval(s.workers.RequestRate(), s.loads.listed.Len())
 	if pause <= loadshare.Interval {
 		return ownInterval
 	}
@@ -305,7 +305,7 @@
 	err := loadshare.Report(ctx, &loadshare.Reporter{
 		Meter: s.daemon.Traffic,
 		Hubs:  s.topHubs,
-		Own: func() *wire.LoadReport {
+		Report: func() *wire.LoadReport {
 			if s.groups[hubGroup].leads() {
 				return nil
 			}
@@ -314,21 +314,21 @@
 			now := clock.Now()
 			sums := s.loads.zone.Sums(now, s.zoneSource())
 			if sums != nil && !sums.Left {
-				s.noteLeft(now, "summed", s.loads.zone.Left())
+				s.noteLeft(now, "summed", s.loads.zone.Omitted())
 				sums.Zone, sums.Tenants = s.settings.Zone, s.loads.limits.report(now)
 			}
 			return sums
 		},
-		Learn: func(now time.Time, answer *wire.LoadReport) {
+		OnAnswer: func(now time.Time, answer *wire.LoadReport) {
 			s.loads.hubs.Lock()
 			defer s.loads.hubs.Unlock()
-			s.loads.zone.SetAbove(now, answer.Workers, int(answer.Rest), answer.Part)
+			s.loads.zone.SetParentLoads(now, answer.Workers, int(answer.Rest), answer.Part)
 			s.loads.limits.learn(now, answer.Tenants)
 		},
-		Pause: func() time.Duration {
+		Interval: func() time.Duration {
 			s.loads.hubs.Lock()
 			defer s.loads.hubs.Unlock()
-			return loadshare.HubPause(s.loads.zone.PerSecond(), s.loads.listed.Len())
+			return loadshare.HubReportInterval(s.loads.zone.RequestRate(), s.loads.listed.Len())
 		},
 	})
 	if err != nil {
@@ -362,22 +362,22 @@
 	err := loadshare.Report(ctx, &loadshare.Reporter{
 		Meter: s.daemon.Traffic,
 		Hubs:  s.topHubs,
-		Own: func() *wire.LoadReport {
+		Report: func() *wire.LoadReport {
 			led := s.ledGroups()
 			if len(led) == 0 || s.groups[hubGroup].leads() {
 				return nil
 			}
-			proofs := s.workers.Proofs()
+			proofs := s.workers.ProbeResults()
 			return &wire.LoadReport{Source: source, Workers: s.workers.Loads(), Proofs: proofs, Waiting: uint32(s.waiting()), Groups: led}
 		},
-		Learn: func(now time.Time, answer *wire.LoadReport) {
-			s.workers.SetRest(int(answer.Rest))
-			s.workers.SetOthers(now, answer.Workers, balance.OfAll)
+		OnAnswer: func(now time.Time, answer *wire.LoadReport) {
+			s.workers.SetUnlistedRate(int(answer.Rest))
+			s.workers.SetPeerLoads(now, answer.Workers, balance.ScopeAll)
 			s.loads.reporting.Store(int64(answer.Sources))
 			s.loads.learn(now, answer.Groups)
 		},
-		Pause: func() time.Duration {
-			return loadshare.HubPause(s.workers.PerSecond(), s.watcher.Current().Workers.Len())
+		Interval: func() time.Duration {
+			return loadshare.HubReportInterval(s.workers.RequestRate(), s.watcher.Current().Workers.Len())
 		},
 	})
 	if err != nil {
--- a/internal/batchstore/outlook.go
+++ b/internal/batchstore/outlook.go
@@ -13,12 +13,12 @@
 // foresees reports whether the need of online requests is forecast for a pool: where
 // tenants share it, or where its workers tell their pace.
 func (s *Store) foresees(table *routetable.Table, pool string) bool {
-	return table.AsksForKeys() || s.workers.TellsPace(pool)
+	return table.AsksForKeys() || s.workers.ReportsPace(pool)
 }
 
 // foresee takes in the present need and returns what is known of the next moments. The
 // lock of the hubs is held.
-func (s *Store) foresee(now time.Time, table *routetable.Table, places *batchroom.Places) []batchroom.Outlook {
+func (s *Store) foresee(now time.Time, table *routetable.Table, places *batchroom.Workers) []batchroom.Forecast {
 	var pools []string
 	for _, pool := range s.workers.Pools() {
 		if s.foresees(table, pool) {
@@ -27,12 +27,12 @@
 			delete(s.loads.forecasts, pool)
 		}
 	}
-	var foreseen []batchroom.Outlook
-	for _, outlook := range s.workers.Outlooks(places, pools) {
+	var foreseen []batchroom.Forecast
+	for _, outlook := range s.workers.Forecasts(places, pools) {
 		known := s.forecastOf(outlook.Pool)
 		known.Observe(now, float64(outlook.Online))
-		outlook.Lag = loadshare.HubPause(s.workers.PerSecond(), s.loads.listed.Len())
-		outlook.Hold = !known.Warm()
+		outlook.ReportAge = loadshare.HubReportInterval(s.workers.RequestRate(), s.loads.listed.Len())
+		outlook.Paused = !known.Warm()
 		outlook.Peak = func(ahead time.Duration) forecast.Demand { return known.Peak(now, ahead) }
 		foreseen = append(foreseen, outlook)
 		s.tellForecast(outlook.Pool, known)
--- a/internal/batchstore/outlook_test.go
+++ b/internal/batchstore/outlook_test.go
@@ -28,7 +28,7 @@
 // online tells that so many online requests are at the only worker.
 func (r *runner) online(now time.Time, count int) {
 	rows := []wire.WorkerLoad{{Worker: loadshare.WorkerHash("w"), Online: uint16(count)}}
-	r.store.workers.SetOthers(now, rows, balance.OfAll)
+	r.store.workers.SetPeerLoads(now, rows, balance.ScopeAll)
 }
 
 // TestNothingIsForecastWithoutTenants checks the switch: where nobody is named and no
@@ -37,12 +37,12 @@
 	r := testRunner(t, 1)
 	r.store.metrics = newMetrics(prometheus.NewRegistry())
 	r.online(start, 1)
-	places := r.store.workers.Places(start, func(string) time.Duration { return 0 })
+	places := r.store.workers.Workers(start, func(string) time.Duration { return 0 })
 	if outlooks := r.store.foresee(start, table(), &places); outlooks != nil || len(r.store.loads.forecasts) > 0 {
 		t.Errorf("without tenants: %+v", outlooks)
 	}
 	outlooks := r.store.foresee(start, tenants(), &places)
-	if len(outlooks) != 1 || outlooks[0].Pool != "p" || !outlooks[0].Hold || outlooks[0].Online != 1 {
+	if len(outlooks) != 1 || outlooks[0].Pool != "p" || !outlooks[0].Paused || outlooks[0].Online != 1 {
 		t.Errorf("with tenants: %+v", outlooks)
 	}
 	if r.store.foresee(start, table(), &places); len(r.store.loads.forecasts) > 0 {
@@ -59,7 +59,7 @@
 		now = now.Add(runInterval)
 		r.online(now, online)
 		got := r.store.order(now, ownSource, 3, map[uint32]int{loadshare.WorkerHash("w"): 4})
-		places := r.store.workers.Places(now, func(string) time.Duration { return 0 })
+		places := r.store.workers.Workers(now, func(string) time.Duration { return 0 })
 		want := r.store.loads.planner.Plan(ownSource, places)
 		if !maps.Equal(got, want) {
 			t.Errorf("%d online: %+v, want %+v", online, got, want)
@@ -148,7 +148,7 @@
 		for worker := range running {
 			loads = append(loads, wire.WorkerLoad{Worker: worker, Online: uint16(count)})
 		}
-		r.store.workers.SetOthers(now, loads, balance.OfAll)
+		r.store.workers.SetPeerLoads(now, loads, balance.ScopeAll)
 		for _, order := range r.store.orderBy(now, table, ownSource, 0, running) {
 			stops += order.Stop
 			most = max(most, order.Stop)
--- a/internal/batchstore/plan.go
+++ b/internal/batchstore/plan.go
@@ -90,7 +90,7 @@
 	batchplan.Sort(items)
 	// While all come in time the order by slack does best for everybody.
 	if table.Shares() != nil && !batchplan.InTime(items, len(r.running)) {
-		batchplan.Share(items, r.runningOf())
+		batchplan.ApplyShares(items, r.runningOf())
 	}
 	return items
 }
@@ -106,7 +106,7 @@
 
 // planOf returns an item as the order sees it.
 func (r *runner) planOf(now time.Time, table *routetable.Table, job *batchstate.Job, number int) batchplan.Item {
-	planned := batchplan.Item{Job: job.ID, Number: number, Order: job.Order, Holder: batchplan.Holder{Tenant: string(job.Owner), Weight: table.WeightOf(job.Owner)}}
+	planned := batchplan.Item{Job: job.ID, Number: number, Order: job.Order, Owner: batchplan.Owner{Tenant: string(job.Owner), Weight: table.WeightOf(job.Owner)}}
 	if seen := r.seen[job.ID]; seen != nil {
 		age, due := now.Sub(seen.first), dueOf(table, job)
 		remaining := r.store.runTimes.remaining(r.eventsOf(job, number), job.Items[number].Expected)
@@ -157,7 +157,7 @@
 	if r.quarantined(ctx, now, key, job, content) {
 		return nil
 	}
-	demand := &balance.Demand{
+	demand := &balance.Request{
 		Pool:       r.splitter.Next(route, r.store.workers.Usable),
 		Parts:      dialect.Parts(dialect.Value(content.Headers, r.store.dialect.PromptParts)),
 		Batch:      true,
@@ -166,7 +166,7 @@
 	}
 	demand.PromptTokens, _ = dialect.TokenCounts(dialect.Value(content.Headers, r.store.dialect.Tokens))
 	if r.store.foresees(table, demand.Pool) {
-		demand.Last = r.carried[key].worker
+		demand.LastWorker = r.carried[key].worker
 	}
 	lease := r.store.workers.Acquire(now, demand)
 	if lease == nil {
--- a/internal/batchstore/planner.go
+++ b/internal/batchstore/planner.go
@@ -17,14 +17,14 @@
 
 // orderBy plans for a runner by a configuration.
 func (s *Store) orderBy(now time.Time, table *routetable.Table, source uint32, waiting int, items map[uint32]int) map[uint32]batchroom.Order {
-	places := s.workers.Places(now, func(pool string) time.Duration { return table.TightestGoal(pool) / patienceParts })
+	places := s.workers.Workers(now, func(pool string) time.Duration { return table.TightestGoal(pool) / patienceParts })
 	for i := range places.Busy {
 		place := &places.Busy[i]
-		place.Probe = place.Probe && s.loads.top.ProbeDue(now, place.Worker)
+		place.Probe = place.Probe && s.loads.top.ProbeDue(now, place.ShortName)
 	}
-	places.Outlooks = s.foresee(now, table, &places)
-	places.ClearPatience()
-	s.loads.planner.Take(now, source, waiting, items)
+	places.Forecasts = s.foresee(now, table, &places)
+	places.ClearMaxWait()
+	s.loads.planner.RecordReport(now, source, waiting, items)
 	orders := s.loads.planner.Plan(source, places)
 	s.noteProbes(now, places, orders)
 	s.logPlan(now, source, places)
@@ -32,11 +32,11 @@
 }
 
 // noteProbes takes in which avoided workers the orders let an item start at.
-func (s *Store) noteProbes(now time.Time, places batchroom.Places, orders map[uint32]batchroom.Order) {
+func (s *Store) noteProbes(now time.Time, places batchroom.Workers, orders map[uint32]batchroom.Order) {
 	for i := range places.Busy {
 		place := &places.Busy[i]
-		if place.Closed && orders[place.Worker].Start > 0 {
-			s.loads.top.Probe(now, place.Worker)
+		if place.Closed && orders[place.ShortName].Start > 0 {
+			s.loads.top.RecordProbe(now, place.ShortName)
 		}
 	}
 	s.noteJudged(s.loads.top)
@@ -45,17 +45,17 @@
 // noteJudged writes down how the judgement of workers has changed. The lock of the hubs is
 // held.
 func (s *Store) noteJudged(hub *loadshare.Hub) {
-	for _, judged := range hub.Judgements() {
+	for _, judged := range hub.HealthChanges() {
 		s.metrics.judged.WithLabelValues(judged.Change.String()).Inc()
-		logging.Info(s.logger, "worker_judged", "worker", s.workers.NameOf(judged.Worker), "change", judged.Change, "failed", judged.Failed, "answered", judged.Answered, "good", judged.Good, "relapses", judged.Relapses, "ill_ms", judged.Ill.Milliseconds())
+		logging.Info(s.logger, "worker_judged", "worker", s.workers.WorkerID(judged.Worker), "change", judged.Change, "failed", judged.Failed, "answered", judged.Answered, "good", judged.GoodStreak, "relapses", judged.Relapses, "ill_ms", judged.UnhealthyFor.Milliseconds())
 	}
 }
 
 // noteDoubts writes down which workers tell other slots than the list says. The smaller count
 // is believed.
 func (s *Store) noteDoubts() {
-	for _, doubt := range s.workers.Doubts() {
-		logging.Warn(s.logger, "worker_tells_other_slots", "worker", doubt.Worker, "listed", doubt.Listed, "told", doubt.Told)
+	for _, doubt := range s.workers.SlotMismatches() {
+		logging.Warn(s.logger, "worker_tells_other_slots", "worker", doubt.Worker, "listed", doubt.Listed, "told", doubt.Reported)
 	}
 }
 
@@ -64,7 +64,7 @@
 const planLogInterval = 200 * time.Millisecond
 
 // logPlan writes down now and then what a plan rested on. The lock of the hubs is held.
-func (s *Store) logPlan(now time.Time, source uint32, places batchroom.Places) {
+func (s *Store) logPlan(now time.Time, source uint32, places batchroom.Workers) {
 	if now.Before(s.loads.planLogDue) {
 		return
 	}
@@ -73,7 +73,7 @@
 	for i := range places.Busy {
 		orphans += places.Busy[i].Orphans
 	}
-	logging.Info(s.logger, "items_planned", "runner", source, "slots", plan.Slots, "online", plan.Online, "orphans", orphans, "items", plan.Items, "queued", plan.Queued, "idle", plan.Idle, "waiting", plan.Waiting, "free", plan.Free, "granted", plan.Granted, "stops", plan.Stops, "ahead", plan.Ahead, "level", int(plan.Need.Slots), "sure", plan.Need.Confident, "until_ms", untilMillis(now, plan.Need), "rising", plan.Rising, "held", plan.Held)
+	logging.Info(s.logger, "items_planned", "runner", source, "slots", plan.Slots, "online", plan.Online, "orphans", orphans, "items", plan.Items, "queued", plan.Queued, "idle", plan.Idle, "waiting", plan.Waiting, "free", plan.Free, "granted", plan.Granted, "stops", plan.Stops, "ahead", plan.AdvanceStops, "level", int(plan.Demand.Slots), "sure", plan.Demand.Confident, "until_ms", untilMillis(now, plan.Demand), "rising", plan.Rising, "held", plan.Paused)
 }
 
 // ordered returns the rows with the orders.
--- a/internal/batchstore/probe_test.go
+++ b/internal/batchstore/probe_test.go
@@ -31,9 +31,9 @@
 	s.loads.setWorkers(set, "z")
 	s.workers.Update(set, nil)
 	ill := loadshare.Hash("w0")
-	s.loads.top.Take(start, &wire.LoadReport{Source: 9, Workers: []wire.WorkerLoad{{Worker: ill, Failed: 5}}})
+	s.loads.top.RecordReport(start, &wire.LoadReport{Source: 9, Workers: []wire.WorkerLoad{{Worker: ill, Failed: 5}}})
 	const wellAfter, step = time.Second, 20 * time.Millisecond
-	s.loads.planner.Take(start, 1, 0, nil)
+	s.loads.planner.RecordReport(start, 1, 0, nil)
 	probes, back := 0, time.Duration(0)
 	for after := step; after < 4*time.Second && back == 0; after += step {
 		now := start.Add(after)
@@ -50,11 +50,11 @@
 		}
 		for range orders[ill].Start {
 			others := map[string]bool{"w1": true, "w2": true, "w3": true, "w4": true}
-			lease := s.workers.Acquire(now, &balance.Demand{Pool: "p", Batch: true, Exclude: others})
-			if lease == nil || !lease.Probe() {
+			lease := s.workers.Acquire(now, &balance.Request{Pool: "p", Batch: true, Exclude: others})
+			if lease == nil || !lease.IsProbe() {
 				t.Fatalf("after %v: no item started as the probe", after)
 			}
-			lease.Ran(now, after >= wellAfter)
+			lease.RecordItemStart(now, after >= wellAfter)
 			lease.Release()
 			probes++
 		}
@@ -78,7 +78,7 @@
 	ill, named := loadshare.Hash("w7"), 0
 	for after := time.Duration(0); after < 10*time.Second; after += loadshare.Interval {
 		now := start.Add(after)
-		s.loads.zone.SetAbove(now, []wire.WorkerLoad{{Worker: ill, Failing: true}}, 0, false)
+		s.loads.zone.SetParentLoads(now, []wire.WorkerLoad{{Worker: ill, Failing: true}}, 0, false)
 		answer := s.answerZone(now, &wire.LoadReport{Source: 1, Choosing: true, Repeatable: true})
 		if !answer.Drawn {
 			t.Fatal("the zone is told of whole")
@@ -101,8 +101,8 @@
 
 // open reports whether items may start at the worker.
 func open(s *Store, now time.Time, worker uint32) bool {
-	for _, place := range s.workers.Places(now, func(string) time.Duration { return 0 }).Busy {
-		if place.Worker == worker {
+	for _, place := range s.workers.Workers(now, func(string) time.Duration { return 0 }).Busy {
+		if place.ShortName == worker {
 			return !place.Closed
 		}
 	}
--- a/internal/batchstore/room_test.go
+++ b/internal/batchstore/room_test.go
@@ -172,7 +172,7 @@
 			}
 			first := 0
 			for _, item := range items[:8] {
-				if item.Holder.Tenant == "b" {
+				if item.Owner.Tenant == "b" {
 					first++
 				}
 			}
--- a/internal/batchstore/runner_test.go
+++ b/internal/batchstore/runner_test.go
@@ -53,7 +53,7 @@
 // runItem puts an item on the worker, as if it had begun then.
 func (r *runner) runItem(t *testing.T, number int, began time.Time) *task {
 	t.Helper()
-	lease := r.store.workers.Acquire(began, &balance.Demand{Pool: "p", Batch: true, BatchShare: 100})
+	lease := r.store.workers.Acquire(began, &balance.Request{Pool: "p", Batch: true, BatchShare: 100})
 	if lease == nil {
 		t.Fatal("no worker")
 	}
@@ -68,7 +68,7 @@
 // this process is.
 func (r *runner) crowd(now time.Time, online int) {
 	rows := []wire.WorkerLoad{{Worker: loadshare.Hash("w"), Online: uint16(online)}}
-	r.store.workers.SetOthers(now, rows, balance.OfAll)
+	r.store.workers.SetPeerLoads(now, rows, balance.ScopeAll)
 	r.store.workers.SetOrders(r.store.order(now, ownSource, 0, r.store.workers.Items()))
 }
 
--- a/internal/batchstore/store.go
+++ b/internal/batchstore/store.go
@@ -169,7 +169,7 @@
 	s.loads.setWorkers(snapshot.Workers, s.settings.Zone)
 	s.loads.setLimits(snapshot)
 	s.loads.setGroups(s.groupCount())
-	s.upstream.Forget(s.workers.Knows)
+	s.upstream.Forget(s.workers.Contains)
 	s.daemon.MarkFleet(snapshot.Table != nil, snapshot.Fleet.Listed || snapshot.Fleet.Partial)
 	ctx := s.daemon.Context()
 	err := s.host.ListPeers(ctx, snapshot.Fleet.StoreAddresses())
--- a/internal/batchstore/task.go
+++ b/internal/batchstore/task.go
@@ -148,7 +148,7 @@
 
 // failedAsProbe reports whether a run that ended so shows that an avoided worker still fails.
 func (t *task) failedAsProbe(err error) bool {
-	if err == nil || !t.lease.Probe() || t.begun || t.context.Err() != nil {
+	if err == nil || !t.lease.IsProbe() || t.begun || t.context.Err() != nil {
 		return false
 	}
 	return !failure.Is(err, failure.NotRun) && !failure.Is(err, failure.BadRequest)
@@ -206,18 +206,18 @@
 	response, err := store.upstream.Send(t.context, t.lease.Endpoint, request, time.Now().Add(t.silence()))
 	if err != nil {
 		if t.context.Err() == nil {
-			t.lease.Suspect(clock.Now())
+			t.lease.RecordNoAnswer(clock.Now())
 		}
 		return err
 	}
 	defer response.Close()
 	if told, found := dialect.Load(response.Header.Get(store.dialect.Load)); found {
-		t.lease.Told(told)
+		t.lease.RecordReport(told)
 		store.noteDoubts()
 	}
 	switch {
 	case response.Status == http.StatusMisdirectedRequest:
-		t.lease.Refuse(clock.Now())
+		t.lease.RecordWrongWorker(clock.Now())
 		return t.pass(response, failure.New(failure.NotRun, "", "another worker has the address"))
 	case response.Header.Get(store.dialect.NotRun) != "":
 		t.rest = notRunPause
@@ -225,14 +225,14 @@
 	case response.Status == http.StatusUnprocessableEntity:
 		return t.pass(response, failure.New(failure.BadRequest, "", "the worker can't ever do it"))
 	case response.Status == http.StatusInternalServerError:
-		t.lease.Ran(clock.Now(), false)
-		if !t.lease.Probe() {
+		t.lease.RecordItemStart(clock.Now(), false)
+		if !t.lease.IsProbe() {
 			// A worker that is known to fail says nothing of the item.
 			t.failures++
 		}
 		return t.pass(response, failure.New(failure.Internal, "", "the worker failed at it"))
 	case response.Status > http.StatusInternalServerError:
-		t.lease.BrokeOff()
+		t.lease.RecordDisconnect()
 		return t.pass(response, failure.New(failure.OutcomeUnknown, "", "the worker answered %d", response.Status))
 	case response.Status != http.StatusOK:
 		return t.pass(response, failure.New(failure.OutcomeUnknown, "", "the worker answered %d", response.Status))
@@ -243,11 +243,11 @@
 // silence returns how long the worker may keep silent before the first event. Nobody waits
 // long for one that is probed: it is known to have failed.
 func (t *task) silence() time.Duration {
-	if !t.lease.Probe() {
+	if !t.lease.IsProbe() {
 		return firstSilence
 	}
 	least := max(probeGoals*t.goal, leastProbeSilence)
-	return t.lease.Patience(least, firstSilence)
+	return t.lease.ProbeTimeout(least, firstSilence)
 }
 
 // pass reads the rest of an answer, so that the connection can be kept.
@@ -305,7 +305,7 @@
 			return failure.Wrap(io.ErrUnexpectedEOF, failure.OutcomeUnknown, "", "the answer ended within an event")
 		case err != nil:
 			if upstream.TimedOut(err) {
-				t.lease.Suspect(clock.Now())
+				t.lease.RecordNoAnswer(clock.Now())
 			} else {
 				t.brokeOff()
 			}
@@ -321,7 +321,7 @@
 // nothing of it: the probe has proved what it can.
 func (t *task) brokeOff() {
 	if !t.begun && t.context.Err() == nil {
-		t.lease.BrokeOff()
+		t.lease.RecordDisconnect()
 	}
 }
 
@@ -342,10 +342,10 @@
 	if len(events) == 0 {
 		return nil
 	}
-	t.lease.Begun()
+	t.lease.RecordPrefill()
 	if !t.begun {
 		t.begun = true
-		t.lease.Ran(clock.Now(), true)
+		t.lease.RecordItemStart(clock.Now(), true)
 	}
 	t.pacing(len(events))
 	var text strings.Builder
@@ -373,7 +373,7 @@
 func (t *task) pacing(events int) {
 	now := time.Now()
 	if !t.pacedAt.IsZero() {
-		t.lease.Paced(events, now.Sub(t.pacedAt))
+		t.lease.RecordPace(events, now.Sub(t.pacedAt))
 	}
 	t.pacedAt = now
 }
--- a/internal/batchstore/task_test.go
+++ b/internal/batchstore/task_test.go
@@ -51,11 +51,11 @@
 
 // grantProbe lets one item start at the avoided worker.
 func (r *runner) grantProbe() {
-	r.store.workers.SetOthers(clock.Now(), []wire.WorkerLoad{
+	r.store.workers.SetPeerLoads(clock.Now(), []wire.WorkerLoad{
 		{Worker: loadshare.Hash("w"), Failing: true, Start: 1},
 		{Worker: loadshare.Hash("x"), Online: slots},
 		{Worker: loadshare.Hash("y"), Online: slots},
-	}, balance.OfAll)
+	}, balance.ScopeAll)
 }
 
 // considered returns a task for the item if it can run now.
@@ -76,7 +76,7 @@
 	r := probeRunner(t, 3, "")
 	r.lead(clock.Now(), 1)
 	first := r.considered(t, 0, map[string]bool{})
-	if first == nil || !first.lease.Probe() {
+	if first == nil || !first.lease.IsProbe() {
 		t.Fatal("no item is the probe")
 	}
 	first.probeFailed = true
@@ -88,7 +88,7 @@
 		t.Fatalf("it probes again %t, the route counts as full %t", again != nil, full["r"])
 	}
 	second := r.considered(t, 1, full)
-	if second == nil || !second.lease.Probe() {
+	if second == nil || !second.lease.IsProbe() {
 		t.Fatal("the next item is not the probe")
 	}
 	if r.considered(t, 2, full) != nil || !full["r"] {
@@ -155,13 +155,13 @@
 		server := httptest.NewServer(test.serve)
 		r := probeRunner(t, 1, server.Listener.Addr().String())
 		probe := r.considered(t, 0, map[string]bool{})
-		if probe == nil || !probe.lease.Probe() {
+		if probe == nil || !probe.lease.IsProbe() {
 			t.Fatalf("%s: no probe", test.name)
 		}
 		leave = probe.cancel
 		probe.run()
 		proofs, failed := 0, 0
-		for _, proof := range r.store.workers.Proofs() {
+		for _, proof := range r.store.workers.ProbeResults() {
 			proofs += int(proof.Well)
 		}
 		for _, load := range r.store.workers.Loads() {
--- a/internal/batchstore/yield.go
+++ b/internal/batchstore/yield.go
@@ -26,7 +26,7 @@
 // yield stops items that stand in the way of online requests. They go on elsewhere,
 // or later, from where they are.
 func (r *runner) yield(now time.Time, table *routetable.Table) {
-	stops := r.store.workers.Stops(now)
+	stops := r.store.workers.PendingStops(now)
 	if len(stops) == 0 {
 		return
 	}
@@ -48,23 +48,23 @@
 		}
 	}
 	wait := r.store.runTimes.remaining(0, 0)
-	sort.Slice(leaving, func(a, b int) bool { return batchplan.LeavesBefore(leaving[a].plan, leaving[b].plan, wait) })
+	sort.Slice(leaving, func(a, b int) bool { return batchplan.PreemptedInAdvanceBefore(leaving[a].plan, leaving[b].plan, wait) })
 	r.stop(leaving, true)
-	sort.Slice(candidates, func(a, b int) bool { return batchplan.YieldsBefore(candidates[a].plan, candidates[b].plan) })
+	sort.Slice(candidates, func(a, b int) bool { return batchplan.PreemptedBefore(candidates[a].plan, candidates[b].plan) })
 	r.stop(candidates, false)
 }
 
 // leavesAhead reports whether items stop at the task's worker for requests that are still
 // to come: nobody waits there yet, so it may be chosen who leaves.
 func (r *runner) leavesAhead(now time.Time, table *routetable.Table, running *task) bool {
-	return r.store.foresees(table, running.pool) && !r.store.workers.Overfull(now, running.lease.Endpoint.ID)
+	return r.store.foresees(table, running.pool) && !r.store.workers.Overloaded(now, running.lease.Endpoint.ID)
 }
 
 // stop stops as many of the candidates as the planner wants stopped at their workers, the
 // first ones first.
 func (r *runner) stop(candidates []yielding, ahead bool) {
 	for _, candidate := range candidates {
-		if candidate.task.lease.Stop() {
+		if candidate.task.lease.ShouldStop() {
 			candidate.task.yielded, candidate.task.ahead, candidate.task.plan = true, ahead, candidate.plan
 			candidate.task.cancel()
 		}
--- a/internal/edge/admit.go
+++ b/internal/edge/admit.go
@@ -50,11 +50,11 @@
 // began takes in that the first event has come, where nothing but the worker itself
 // stood before it.
 func (c *call) began(lease *balance.Lease) {
-	if c.attempts > 1 || c.waited || lease.Wait > 0 || lease.Slow > 1 && !lease.ByTimes {
+	if c.attempts > 1 || c.waited || lease.Wait > 0 || lease.Slowness > 1 && !lease.ByPredictedTime {
 		return
 	}
 	// At a worker of the middle speed it would have taken so much of that.
-	took := time.Duration(float64(time.Since(c.arrived)) / lease.Slow)
+	took := time.Duration(float64(time.Since(c.arrived)) / lease.Slowness)
 	c.edge.observe(c.route, func(known *admission.Route) { known.ObserveFirstEvent(took) })
 }
 
@@ -68,7 +68,7 @@
 	request.OverloadTimeLeft = c.edge.overload(c.demand.Pool, request.Wait, request.Goal)
 	c.edge.observe(c.route, func(known *admission.Route) {
 		request.MaxTimeLeft = known.MaxTimeLeft()
-		request.FirstEventTime = time.Duration(float64(known.FirstEventTime()) * lease.Slow)
+		request.FirstEventTime = time.Duration(float64(known.FirstEventTime()) * lease.Slowness)
 	})
 	comeback := admission.Decide(&request, rand.Float64())
 	if comeback == 0 {
@@ -79,7 +79,7 @@
 		c.countByRank("sent_back")
 	}
 	standing := &c.share.standing
-	logging.Info(c.edge.logger, "request_sent_back", "id", c.id, "route", c.route.Name, "tenant", c.tenant.Owner(), "reason", reason, "rank", c.share.party.Rank, "over", standing.OverShare, "told", c.share.told, "asked", standing.Demand, "share", standing.Share, "room", standing.Capacity, "share_age_ms", standing.Age.Milliseconds(), "worker", lease.Endpoint.ID, "slow", lease.Slow, "wait_ms", request.Wait.Milliseconds(), "begin_ms", request.FirstEventTime.Milliseconds(), "goal_ms", request.Goal.Milliseconds(), "left_ms", request.TimeLeft.Milliseconds(), "longest_ms", request.MaxTimeLeft.Milliseconds(), "ends_ms", request.OverloadTimeLeft.Milliseconds(), "comeback_ms", comeback.Milliseconds())
+	logging.Info(c.edge.logger, "request_sent_back", "id", c.id, "route", c.route.Name, "tenant", c.tenant.Owner(), "reason", reason, "rank", c.share.party.Rank, "over", standing.OverShare, "told", c.share.told, "asked", standing.Demand, "share", standing.Share, "room", standing.Capacity, "share_age_ms", standing.Age.Milliseconds(), "worker", lease.Endpoint.ID, "slow", lease.Slowness, "wait_ms", request.Wait.Milliseconds(), "begin_ms", request.FirstEventTime.Milliseconds(), "goal_ms", request.Goal.Milliseconds(), "left_ms", request.TimeLeft.Milliseconds(), "longest_ms", request.MaxTimeLeft.Milliseconds(), "ends_ms", request.OverloadTimeLeft.Milliseconds(), "comeback_ms", comeback.Milliseconds())
 	c.refuse(sentBack(reason).WithRetryAfter(comeback))
 	return true
 }
@@ -102,7 +102,7 @@
 	}
 	e := c.edge
 	c.token = wire.TokenQuestion{Ticket: c.share.claim.Ticket, Tenant: routetable.ShortName(c.tenant.Name)}
-	verdict, standing, answered := e.loads.Token(c.context, c.token, c.roomClaim(), c.mayProbe())
+	verdict, standing, answered := e.loads.AcquireToken(c.context, c.token, c.roomClaim(), c.mayProbe())
 	c.informed = answered
 	c.setStanding(standing, answered)
 	switch {
@@ -141,6 +141,6 @@
 func (c *call) giveBack() {
 	if c.hasToken {
 		c.hasToken = false
-		c.edge.loads.GiveBack(c.token)
+		c.edge.loads.ReleaseToken(c.token)
 	}
 }
--- a/internal/edge/call.go
+++ b/internal/edge/call.go
@@ -46,7 +46,7 @@
 	controller *http.ResponseController
 	id         string
 	request    upstream.Request
-	demand     balance.Demand
+	demand     balance.Request
 	// arrived and deadline go by the clock of connections and contexts, which stands still
 	// while the machine is suspended. bootDeadline is the same moment as deadline by package
 	// clock, which goes on.
@@ -108,7 +108,7 @@
 		deadline:     deadline,
 		bootDeadline: clock.Now().Add(time.Until(deadline)),
 		share:        newShareState(table, tenant, route),
-		demand: balance.Demand{
+		demand: balance.Request{
 			Pool:         e.pool(route),
 			Exclude:      map[string]bool{},
 			Parts:        dialect.Parts(header.Get(e.dialect.PromptParts)),
@@ -205,7 +205,7 @@
 	lease := c.edge.workers.Acquire(clock.Now(), &c.demand)
 	c.countAsked(lease == nil || lease.Wait > 0)
 	if lease != nil {
-		c.edge.loads.Tell()
+		c.edge.loads.Report()
 		c.edge.noteChoice(c.demand.Pool, lease)
 	}
 	return lease
@@ -314,7 +314,7 @@
 	request.Headers = c.headers(lease)
 	c.attempts++
 	c.sentAt = clock.Now()
-	if lease.Probe() {
+	if lease.IsProbe() {
 		c.edge.metrics.probes.Inc()
 	}
 	response, err := c.edge.upstream.Send(c.context, lease.Endpoint, &request, c.headBy())
@@ -324,16 +324,16 @@
 	defer response.Close()
 	c.status = response.Status
 	if told, found := dialect.Load(response.Header.Get(c.edge.dialect.Load)); found {
-		lease.Told(told)
+		lease.RecordReport(told)
 		c.edge.noteDoubts()
 	}
 	notRunHere := response.Status == http.StatusMisdirectedRequest || response.Header.Get(c.edge.dialect.NotRun) != ""
 	if !notRunHere {
-		lease.Answered(clock.Now(), response.Status < http.StatusInternalServerError)
+		lease.RecordAnswer(clock.Now(), response.Status < http.StatusInternalServerError)
 	}
 	switch {
 	case response.Status == http.StatusMisdirectedRequest:
-		lease.Refuse(clock.Now())
+		lease.RecordWrongWorker(clock.Now())
 		c.lastErr = failure.New(failure.NotRun, "", "another worker has the address")
 		return c.passOver(response, notRun)
 	case notRunHere:
@@ -354,7 +354,7 @@
 func (c *call) sendFailed(lease *balance.Lease, err error, took time.Duration) outcome {
 	c.lastErr = err
 	if c.context.Err() == nil {
-		lease.Suspect(clock.Now())
+		lease.RecordNoAnswer(clock.Now())
 	}
 	if failure.Is(err, failure.NotRun) {
 		// Nothing was sent: this worker does not count as an attempt.
--- a/internal/edge/claim.go
+++ b/internal/edge/claim.go
@@ -124,12 +124,12 @@
 // learnLoads asks the hub what it knows of the workers, and where room is divided and the
 // claim was not told yet, how it stands.
 func (c *call) learnLoads() {
-	homes := c.edge.workers.Homes(&c.demand)
+	homes := c.edge.workers.AffinityWorkers(&c.demand)
 	if !c.share.divided || c.share.claimed {
-		c.edge.loads.Ask(c.context, newsPatience, homes, c.mayProbe())
+		c.edge.loads.Query(c.context, newsPatience, homes, c.mayProbe())
 		return
 	}
-	told, answered := c.edge.loads.Claim(c.context, newsPatience, homes, c.roomClaim(), c.mayProbe())
+	told, answered := c.edge.loads.QueryClaim(c.context, newsPatience, homes, c.roomClaim(), c.mayProbe())
 	c.setStanding(told, answered)
 }
 
--- a/internal/edge/claim_test.go
+++ b/internal/edge/claim_test.go
@@ -170,7 +170,7 @@
 	} {
 		c, recorder := testCall(t, f, tenant, test.left)
 		c.setStanding(test.standing, true)
-		got := c.tooLate(&balance.Lease{Wait: test.wait, Slow: 1})
+		got := c.tooLate(&balance.Lease{Wait: test.wait, Slowness: 1})
 		if got != test.want || got && recorder.Code != http.StatusServiceUnavailable {
 			t.Errorf("%s: sent back %t, status %d", test.name, got, recorder.Code)
 		}
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -131,22 +131,22 @@
 	source := loadshare.Hash(e.settings.Name)
 	var rate loadshare.Rate
 	return loadshare.NewExchange(&loadshare.Reporter{
-		Meter: e.daemon.Traffic,
-		Hubs:  func() []string { return *e.hubs.Load() },
-		Home:  true,
-		Own: func() *wire.LoadReport {
-			report := &wire.LoadReport{Source: source, Zone: e.settings.Zone, Proofs: e.workers.Proofs(), Begun: e.begun.Load(), Short: e.short.Load()}
+		Meter:       e.daemon.Traffic,
+		Hubs:        func() []string { return *e.hubs.Load() },
+		PreferFirst: true,
+		Report: func() *wire.LoadReport {
+			report := &wire.LoadReport{Source: source, Zone: e.settings.Zone, Proofs: e.workers.ProbeResults(), Begun: e.begun.Load(), Short: e.short.Load()}
 			report.Workers = e.workers.Loads()
 			return report
 		},
-		Learn: func(now time.Time, answer *wire.LoadReport) {
-			e.workers.SetOthers(now, answer.Workers, scopeOf(answer))
+		OnAnswer: func(now time.Time, answer *wire.LoadReport) {
+			e.workers.SetPeerLoads(now, answer.Workers, scopeOf(answer))
 			e.workers.SetProbes(now, answer.Probes)
 			e.heard()
 		},
-		Pause: func() time.Duration {
+		Interval: func() time.Duration {
 			snapshot := e.watcher.Current()
-			return loadshare.Pause(rate.Add(clock.Now(), e.workers.Acquired()), snapshot.Fleet.Edges, snapshot.Workers.Len())
+			return loadshare.ReportInterval(rate.Observe(clock.Now(), e.workers.Acquired()), snapshot.Fleet.Edges, snapshot.Workers.Len())
 		},
 	})
 }
@@ -155,11 +155,11 @@
 func scopeOf(answer *wire.LoadReport) balance.Scope {
 	switch {
 	case answer.Drawn:
-		return balance.OfNamed
+		return balance.ScopeNamed
 	case answer.Part:
-		return balance.OfZone
+		return balance.ScopeZone
 	}
-	return balance.OfAll
+	return balance.ScopeAll
 }
 
 func (e *Edge) report() wire.ProcessReport {
@@ -175,11 +175,11 @@
 func (e *Edge) adopt(snapshot *fleetwatch.Snapshot) {
 	e.setHubs(snapshot.Fleet.Stores)
 	e.workers.Update(snapshot.Workers, snapshot.Table.Memory())
-	e.upstream.Forget(e.workers.Knows)
+	e.upstream.Forget(e.workers.Contains)
 	e.keepTenants(snapshot.Table)
 	listed := snapshot.Fleet.Listed || snapshot.Fleet.Partial
 	if !e.gate.knows(needWorkers) {
-		e.workers.Begin(clock.Now())
+		e.workers.Start(clock.Now())
 	}
 	e.openGate(snapshot.Table, listed)
 	e.daemon.MarkFleet(snapshot.Table != nil, listed)
@@ -244,25 +244,25 @@
 	if lease.Zone == e.settings.Zone {
 		zone = "own"
 	}
-	if lease.ByTimes {
+	if lease.ByPredictedTime {
 		by = "times"
 	}
 	e.metrics.choices.WithLabelValues(zone, by).Inc()
 	e.mutex.Lock()
-	changed := e.byTimes[pool] != lease.ByTimes
-	e.byTimes[pool] = lease.ByTimes
+	changed := e.byTimes[pool] != lease.ByPredictedTime
+	e.byTimes[pool] = lease.ByPredictedTime
 	e.mutex.Unlock()
 	if changed {
 		near, far := e.workers.Capacity(pool)
-		logging.Info(e.logger, "workers_compared", "pool", pool, "by", by, "tells_pace", e.workers.TellsPace(pool), "own_slots", near.Slots, "own_worth", near.NormalizedSlots, "other_slots", far.Slots, "other_worth", far.NormalizedSlots)
+		logging.Info(e.logger, "workers_compared", "pool", pool, "by", by, "tells_pace", e.workers.ReportsPace(pool), "own_slots", near.Slots, "own_worth", near.NormalizedSlots, "other_slots", far.Slots, "other_worth", far.NormalizedSlots)
 	}
 }
 
 // noteDoubts writes down which workers tell other slots than the list says. The smaller count
 // is believed.
 func (e *Edge) noteDoubts() {
-	for _, doubt := range e.workers.Doubts() {
-		logging.Warn(e.logger, "worker_tells_other_slots", "worker", doubt.Worker, "listed", doubt.Listed, "told", doubt.Told)
+	for _, doubt := range e.workers.SlotMismatches() {
+		logging.Warn(e.logger, "worker_tells_other_slots", "worker", doubt.Worker, "listed", doubt.Listed, "told", doubt.Reported)
 	}
 }
 
--- a/internal/edge/probe_test.go
+++ b/internal/edge/probe_test.go
@@ -54,10 +54,10 @@
 	table.Update(workerset.Of(rows), nil)
 	now := clock.Now()
 	ill := loadshare.Hash("a")
-	table.SetOthers(now, []wire.WorkerLoad{{Worker: ill, Failing: true}}, balance.OfAll)
+	table.SetPeerLoads(now, []wire.WorkerLoad{{Worker: ill, Failing: true}}, balance.ScopeAll)
 	table.SetProbes(now, []uint32{ill})
-	lease := table.Acquire(now, &balance.Demand{Pool: "p", Repeatable: true})
-	if !lease.Probe() {
+	lease := table.Acquire(now, &balance.Request{Pool: "p", Repeatable: true})
+	if !lease.IsProbe() {
 		t.Fatal("no probe")
 	}
 	return table, lease
@@ -124,7 +124,7 @@
 		request := httptest.NewRequest(http.MethodPost, "http://h.example/a", nil)
 		newCall(e, ctx, e.Table(), &route, nil, recorder, http.NewResponseController(recorder), request, nil, time.Now(), time.Now().Add(patience)).attempt(lease)
 		proofs, answered, failed := 0, 0, 0
-		for _, proof := range table.Proofs() {
+		for _, proof := range table.ProbeResults() {
 			proofs += int(proof.Well)
 		}
 		for _, load := range table.Loads() {
--- a/internal/edge/queue.go
+++ b/internal/edge/queue.go
@@ -41,7 +41,7 @@
 // waiter is a request that waits in a queue, or is about to.
 type waiter struct {
 	claim  admission.Entry
-	demand *balance.Demand
+	demand *balance.Request
 	// left is how long the caller still waited when it came here, longest how long callers of
 	// the route wait when they ask first.
 	left    time.Duration
@@ -53,7 +53,7 @@
 // refusal. Without both there is no worker.
 type answer struct {
 	lease   *balance.Lease
-	choice  *balance.Choice
+	choice  *balance.Candidate
 	refusal *refusal
 }
 
@@ -79,7 +79,7 @@
 
 // arrival is what was found for a request that came, and what was decided.
 type arrival struct {
-	choice   *balance.Choice
+	choice   *balance.Candidate
 	lease    *balance.Lease
 	supply   admission.Supply
 	decision admission.Decision
@@ -100,7 +100,7 @@
 	if found.choice.Full {
 		q.fullAt = now
 	}
-	w.claim.FirstEventTime = time.Duration(float64(begin) * found.choice.Slow)
+	w.claim.FirstEventTime = time.Duration(float64(begin) * found.choice.Slowness)
 	found.supply = q.supply(found.choice, w.claim.Goal)
 	found.decision = q.queue.Admit(now, &admission.Arrival{
 		Entry:       &w.claim,
@@ -115,7 +115,7 @@
 	}
 	switch found.decision.Result {
 	case admission.Dispatched:
-		found.lease = q.edge.workers.Take(now, w.demand, found.choice)
+		found.lease = q.edge.workers.AcquireCandidate(now, w.demand, found.choice)
 	case admission.Queued:
 		if q.closed {
 			q.queue.Remove(&w.claim)
@@ -135,16 +135,16 @@
 }
 
 // look returns the best place for the request, or nil if there is no worker.
-func (q *poolQueue) look(now time.Time, w *waiter, given string) *balance.Choice {
-	return q.edge.workers.Look(now, w.demand, balance.Search{Peers: q.edge.peers(), Given: given})
+func (q *poolQueue) look(now time.Time, w *waiter, given string) *balance.Candidate {
+	return q.edge.workers.FindCandidate(now, w.demand, balance.Search{Peers: q.edge.peers(), ReleasedAt: given})
 }
 
-func offerOf(choice *balance.Choice) admission.Candidate {
-	return admission.Candidate{Full: choice.Full, Wait: choice.Wait, WaitMost: choice.WaitMost, Spare: choice.Spare, LeftToOthers: choice.LeftToOthers}
+func offerOf(choice *balance.Candidate) admission.Candidate {
+	return admission.Candidate{Full: choice.Full, Wait: choice.Wait, MaxWait: choice.MaxWait, Spare: choice.Spare, LeftToOthers: choice.LeftToOthers}
 }
 
 // supply returns what this process can expect of the pool.
-func (q *poolQueue) supply(choice *balance.Choice, goal time.Duration) admission.Supply {
+func (q *poolQueue) supply(choice *balance.Candidate, goal time.Duration) admission.Supply {
 	return admission.Supply{
 		Throughput:       q.edge.workers.Throughput(q.pool, q.edge.peers()),
 		OverloadTimeLeft: q.edge.overload(q.pool, choice.Wait, goal),
@@ -178,7 +178,7 @@
 	if !q.queue.TryDispatch(now, first, offerOf(choice)) {
 		return false
 	}
-	q.answer(first, answer{choice: choice, lease: q.edge.workers.Take(now, w.demand, choice)})
+	q.answer(first, answer{choice: choice, lease: q.edge.workers.AcquireCandidate(now, w.demand, choice)})
 	return true
 }
 
@@ -242,7 +242,7 @@
 
 // run looks for room at intervals and when the hub has told something, until nothing waits.
 func (q *poolQueue) run(ctx context.Context) {
-	timer := time.NewTimer(balance.LookTime)
+	timer := time.NewTimer(balance.PollInterval)
 	defer timer.Stop()
 	last := time.Now()
 	for q.goesOn() {
@@ -253,7 +253,7 @@
 			continue
 		case <-timer.C:
 		case <-q.wake:
-			if time.Since(last) < balance.LookTime/2 {
+			if time.Since(last) < balance.PollInterval/2 {
 				// It is what was asked for a moment ago, or much is told at once.
 				continue
 			}
@@ -266,7 +266,7 @@
 			sent = q.serve(clock.Now(), "")
 		}
 		last = time.Now()
-		timer.Reset(balance.LookTime)
+		timer.Reset(balance.PollInterval)
 	}
 }
 
@@ -288,13 +288,13 @@
 	}
 	demand := q.waiting[first].demand
 	q.mutex.Unlock()
-	q.edge.loads.Ask(ctx, newsPatience, q.edge.workers.Homes(demand), demand.Repeatable)
+	q.edge.loads.Query(ctx, newsPatience, q.edge.workers.AffinityWorkers(demand), demand.Repeatable)
 }
 
 // usesQueue reports whether requests of the pool wait in a queue of this process: where the
 // configuration names tenants, or the workers tell their pace.
 func (e *Edge) usesQueue(pool string) bool {
-	return e.Table().AsksForKeys() || e.workers.TellsPace(pool)
+	return e.Table().AsksForKeys() || e.workers.ReportsPace(pool)
 }
 
 // queueOf returns the pool's queue.
@@ -336,7 +336,7 @@
 	now := clock.Now()
 	if !known.serve(now, worker) && known.crowded(now) {
 		// Others wait for the slot, and would not hear of it before the next report.
-		e.loads.Tell()
+		e.loads.Report()
 	}
 }
 
--- a/internal/edge/queue_test.go
+++ b/internal/edge/queue_test.go
@@ -489,7 +489,7 @@
 	hash := loadshare.WorkerHash("w-0")
 	proptest.Run(t, "without a line", func(random *rand.Rand) error {
 		online := uint16(random.Intn(6))
-		f.edge.workers.SetOthers(clock.Now(), []wire.WorkerLoad{{Worker: hash, Online: online, Rate: uint16(random.Intn(400))}}, balance.OfAll)
+		f.edge.workers.SetPeerLoads(clock.Now(), []wire.WorkerLoad{{Worker: hash, Online: online, Rate: uint16(random.Intn(400))}}, balance.ScopeAll)
 		left := time.Duration(300+random.Intn(6000)) * time.Millisecond
 		recorder := httptest.NewRecorder()
 		c := f.call(recorder, left, patience/5)
@@ -606,11 +606,11 @@
 	t.Cleanup(cancel)
 	go func() {
 		_ = loadshare.Serve(ctx, address, func(report *wire.LoadReport) *wire.LoadReport {
-			hub.Take(clock.Now(), report)
+			hub.RecordReport(clock.Now(), report)
 			if report.Quiet {
 				return nil
 			}
-			return &wire.LoadReport{Workers: hub.Others(clock.Now(), report.Source)}
+			return &wire.LoadReport{Workers: hub.PeerLoads(clock.Now(), report.Source)}
 		})
 	}()
 	return address
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -73,7 +73,7 @@
 // readBroke takes in that no more can be read from the worker.
 func (c *call) readBroke(lease *balance.Lease, err error) outcome {
 	if upstream.BrokeOff(err) && c.context.Err() == nil {
-		lease.BrokeOff()
+		lease.RecordDisconnect()
 	}
 	return c.streamBroke(lease, err)
 }
@@ -81,7 +81,7 @@
 func (c *call) streamBroke(lease *balance.Lease, err error) outcome {
 	c.lastErr = err
 	if upstream.TimedOut(err) && c.context.Err() == nil {
-		lease.Suspect(clock.Now())
+		lease.RecordNoAnswer(clock.Now())
 	}
 	return failed
 }
@@ -91,8 +91,8 @@
 	if len(events) == 0 {
 		return nil
 	}
-	lease.Begun()
-	lease.Proved()
+	lease.RecordPrefill()
+	lease.RecordContent()
 	c.pace(lease, len(events))
 	written := false
 	for i := range events {
@@ -128,7 +128,7 @@
 func (c *call) pace(lease *balance.Lease, events int) {
 	now := time.Now()
 	if c.pacedLease == lease {
-		lease.Paced(events, now.Sub(c.pacedAt))
+		lease.RecordPace(events, now.Sub(c.pacedAt))
 	}
 	c.pacedLease, c.pacedAt = lease, now
 }
@@ -163,7 +163,7 @@
 			return c.readBroke(lease, err)
 		}
 	}
-	lease.Begun()
+	lease.RecordPrefill()
 	c.begin(response, response.Length)
 	if _, err := c.writer.Write(buffer); err != nil {
 		return c.brokeOff(err)
@@ -174,7 +174,7 @@
 // cameWhole takes in that the whole body of the answer has come.
 func (c *call) cameWhole(lease *balance.Lease, response *upstream.Response) {
 	if response.Status < http.StatusInternalServerError {
-		lease.Proved()
+		lease.RecordContent()
 	}
 }
 
--- a/internal/edge/waiting.go
+++ b/internal/edge/waiting.go
@@ -62,7 +62,7 @@
 		c.giveUp()
 		return nil, true
 	}
-	c.edge.loads.Tell()
+	c.edge.loads.Report()
 	c.edge.noteChoice(c.demand.Pool, lease)
 	return lease, false
 }
@@ -133,16 +133,16 @@
 		"result", decision.Result, "reason", decision.Reason, "rank", w.claim.Rank, "over", w.claim.OverShare, "returned", w.claim.Retried,
 		"asked_ms_ago", w.claim.Arrived.Add(w.claim.Goal).Sub(w.claim.GoalDeadline).Milliseconds(), "left_ms", w.left.Milliseconds(), "longest_ms", w.longest.Milliseconds(),
 		"goal_ms", w.claim.Goal.Milliseconds(), "begin_ms", w.claim.FirstEventTime.Milliseconds(), "ahead", decision.Ahead, "predicted_ms", decision.Predicted.Milliseconds(),
-		"worker", choice.Worker, "full", choice.Full, "slow", choice.Slow, "wait_ms", choice.Wait.Milliseconds(), "wait_most_ms", choice.WaitMost.Milliseconds(),
-		"spare", choice.Spare, "lot", choice.LeftToOthers, "news_age_ms", choice.NewsAge.Milliseconds(),
+		"worker", choice.Worker, "full", choice.Full, "slow", choice.Slowness, "wait_ms", choice.Wait.Milliseconds(), "wait_most_ms", choice.MaxWait.Milliseconds(),
+		"spare", choice.Spare, "lot", choice.LeftToOthers, "news_age_ms", choice.PeerLoadAge.Milliseconds(),
 		"per_second", found.supply.Throughput, "ends_ms", found.supply.OverloadTimeLeft.Milliseconds(), "bears_ms", w.claim.Deadline.Sub(w.claim.Arrived).Milliseconds(),
 		"stopping", found.closed, "comeback_ms", decision.RetryAfter.Milliseconds())
 }
 
 // logSent writes that a request that waited goes to a worker.
-func (c *call) logSent(w *waiter, choice *balance.Choice) {
+func (c *call) logSent(w *waiter, choice *balance.Candidate) {
 	waited := waitedIn(w)
 	c.edge.metrics.queued.WithLabelValues("sent").Inc()
 	c.edge.metrics.queueTime.WithLabelValues(c.route.Name).Observe(waited.Seconds())
-	logging.Info(c.edge.logger, "queue_sent", "id", c.id, "route", c.route.Name, "worker", choice.Worker, "waited_ms", waited.Milliseconds(), "full", choice.Full, "wait_ms", choice.Wait.Milliseconds(), "spare", choice.Spare, "news_age_ms", choice.NewsAge.Milliseconds())
+	logging.Info(c.edge.logger, "queue_sent", "id", c.id, "route", c.route.Name, "worker", choice.Worker, "waited_ms", waited.Milliseconds(), "full", choice.Full, "wait_ms", choice.Wait.Milliseconds(), "spare", choice.Spare, "news_age_ms", choice.PeerLoadAge.Milliseconds())
 }
--- a/internal/loadshare/chooser_test.go
+++ b/internal/loadshare/chooser_test.go
@@ -28,7 +28,7 @@
 			home = now
 		}
 	}
-	if moved-lost > Fresh {
+	if moved-lost > ReportTTL {
 		t.Errorf("the next hub is asked %s after the first was lost", moved-lost)
 	}
 	if home == 0 || home-moved > 2*homeAfter {
--- a/internal/loadshare/datagrams.go
+++ b/internal/loadshare/datagrams.go
@@ -68,15 +68,15 @@
 type Reporter struct {
 	// Hubs returns the addresses among which a hub is looked for, the best first.
 	Hubs func() []string
-	// Home is set where the first of them is to be gone back to whenever it answers.
+	// PreferFirst is set where the first of them is to be gone back to whenever it answers.
 	// Otherwise the reporter stays with the hub that answers, or that it is referred to.
-	Home bool
-	// Own returns what this process has, or nil if there is nothing to tell.
-	Own func() *wire.LoadReport
-	// Learn takes in the hub's answer, which says what the others have.
-	Learn func(now time.Time, answer *wire.LoadReport)
-	// Pause returns the time to the next report, see Pause.
-	Pause func() time.Duration
+	PreferFirst bool
+	// Report returns what this process has, or nil if there is nothing to tell.
+	Report func() *wire.LoadReport
+	// OnAnswer takes in the hub's answer, which says what the others have.
+	OnAnswer func(now time.Time, answer *wire.LoadReport)
+	// Interval returns the time to the next report, see Interval.
+	Interval func() time.Duration
 	// Meter counts the exchanges; it may be nil.
 	Meter *traffic.Meter
 }
@@ -109,7 +109,7 @@
 
 // NewExchange returns an exchange; Run runs it.
 func NewExchange(p *Reporter) *Exchange {
-	return &Exchange{reporter: p, began: clock.Now(), chooser: chooser{home: p.Home}, answered: make(chan struct{}), replies: replies{keep: replyTime}, questions: map[uint64]chan wire.TokenVerdict{}, claims: map[uint64]*wire.RoomStanding{}}
+	return &Exchange{reporter: p, began: clock.Now(), chooser: chooser{home: p.PreferFirst}, answered: make(chan struct{}), replies: replies{keep: replyTime}, questions: map[uint64]chan wire.TokenVerdict{}, claims: map[uint64]*wire.RoomStanding{}}
 }
 
 // Run reports at the reporter's pauses until ctx ends.
@@ -133,7 +133,7 @@
 		case <-timer.C:
 		}
 		x.report(message{})
-		timer.Reset(x.reporter.Pause())
+		timer.Reset(x.reporter.Interval())
 	}
 }
 
@@ -141,14 +141,14 @@
 // come within a zone.
 const sameAsk = time.Millisecond
 
-// Ask tells the hub what this process has and waits for the answer, for patience at
+// Query tells the hub what this process has and waits for the answer, for patience at
 // most. It reports whether there was one in time. Where the hub has not answered lately
 // it does not wait. asked are the short names of workers that the answer is to tell of.
 // repeatable is set where the request to be placed may run more than once.
-func (x *Exchange) Ask(ctx context.Context, patience time.Duration, asked []uint32, repeatable bool) bool {
+func (x *Exchange) Query(ctx context.Context, patience time.Duration, asked []uint32, repeatable bool) bool {
 	x.mutex.Lock()
 	now := clock.Since(x.began)
-	answered, silent := x.answered, now-x.chooser.heard > Fresh || x.chooser.heard == 0
+	answered, silent := x.answered, now-x.chooser.heard > ReportTTL || x.chooser.heard == 0
 	shared := x.asked > 0 && now-x.asked < sameAsk
 	x.mutex.Unlock()
 	if silent {
@@ -168,8 +168,8 @@
 	return false
 }
 
-// Tell tells the hub what this process has, without an answer.
-func (x *Exchange) Tell() { x.report(message{quiet: true}) }
+// Report tells the hub what this process has, without an answer.
+func (x *Exchange) Report() { x.report(message{quiet: true}) }
 
 const (
 	// tokenPause is the time between two sendings of a question for a token: several
@@ -181,10 +181,10 @@
 	tokenTries = 9
 )
 
-// Token asks the hub for a token of a tenant. The answer also tells what the hub knows of
+// AcquireToken asks the hub for a token of a tenant. The answer also tells what the hub knows of
 // the workers, and how the claim stands where one goes with the question: nil means within
 // the share. It reports whether there was an answer. repeatable is as for Ask.
-func (x *Exchange) Token(ctx context.Context, question wire.TokenQuestion, claim *wire.RoomClaim, repeatable bool) (wire.TokenVerdict, *wire.RoomStanding, bool) {
+func (x *Exchange) AcquireToken(ctx context.Context, question wire.TokenQuestion, claim *wire.RoomClaim, repeatable bool) (wire.TokenVerdict, *wire.RoomStanding, bool) {
 	verdict := make(chan wire.TokenVerdict, 1)
 	m := message{choosing: true, tokens: []wire.TokenQuestion{question}, repeatable: repeatable}
 	if claim != nil {
@@ -221,13 +221,13 @@
 // claimTries is how many times a claim is sent within the patience of its request.
 const claimTries = 2
 
-// Claim puts a request's claim of room to the hub with the question of what the others have
+// QueryClaim puts a request's claim of room to the hub with the question of what the others have
 // at the workers (Ask). It returns how the claim stands, nil for within the share, and
 // whether there was an answer in time, to a report that was sent with the claim or after it: the
 // answer to an earlier one says nothing of it. repeatable is as for Ask.
-func (x *Exchange) Claim(ctx context.Context, patience time.Duration, asked []uint32, claim *wire.RoomClaim, repeatable bool) (*wire.RoomStanding, bool) {
+func (x *Exchange) QueryClaim(ctx context.Context, patience time.Duration, asked []uint32, claim *wire.RoomClaim, repeatable bool) (*wire.RoomStanding, bool) {
 	x.mutex.Lock()
-	silent := clock.Since(x.began)-x.chooser.heard > Fresh || x.chooser.heard == 0
+	silent := clock.Since(x.began)-x.chooser.heard > ReportTTL || x.chooser.heard == 0
 	x.mutex.Unlock()
 	if silent {
 		return nil, false
@@ -302,8 +302,8 @@
 	x.chooser.doubt(clock.Since(x.began))
 }
 
-// GiveBack gives the token of a question back.
-func (x *Exchange) GiveBack(question wire.TokenQuestion) {
+// ReleaseToken gives the token of a question back.
+func (x *Exchange) ReleaseToken(question wire.TokenQuestion) {
 	question.Back = true
 	x.report(message{quiet: true, tokens: []wire.TokenQuestion{question}})
 }
@@ -323,7 +323,7 @@
 // report sends a report to the hub chosen, if there is anything to tell. It returns the number
 // by which the answer is found, zero where none will come.
 func (x *Exchange) report(m message) (number uint64) {
-	own := x.reporter.Own()
+	own := x.reporter.Report()
 	if own == nil {
 		return 0
 	}
@@ -384,7 +384,7 @@
 			x.refer(report.Hub)
 			continue
 		}
-		x.reporter.Learn(clock.Now(), report)
+		x.reporter.OnAnswer(clock.Now(), report)
 		x.heard(report)
 	}
 }
