--- a/internal/loadshare/hub.go
+++ b/internal/loadshare/hub.go
@@ -23,8 +23,8 @@
 	// MaxInterval the longest; two in a row may be lost within Fresh.
 	Interval    = 50 * time.Millisecond
 	MaxInterval = 125 * time.Millisecond
-	// Fresh is how long a report counts.
-	Fresh = 400 * time.Millisecond
+	// ReportTTL is how long a report counts.
+	ReportTTL = 400 * time.Millisecond
 	// expireInterval is the time between looks for old reports.
 	expireInterval = 50 * time.Millisecond
 )
@@ -60,7 +60,7 @@
 	// probations holds when avoided workers are probed, judgements what has changed in the
 	// judgement of workers and is not taken yet.
 	probations map[uint32]*probation
-	judgements []Judgement
+	judgements []HealthChange
 	// failingAbove are the workers that the hub above calls failing, itemsRun is set where
 	// it told of items at any worker, and unprobedAbove are those failing ones that items
 	// don't probe all the same.
@@ -101,8 +101,8 @@
 	return &Hub{sources: map[uint32]*source{}, totals: map[uint32]total{}, watched: map[uint32]*watched{}, probations: map[uint32]*probation{}}
 }
 
-// Take takes in a report.
-func (h *Hub) Take(now time.Time, report *wire.LoadReport) {
+// RecordReport takes in a report.
+func (h *Hub) RecordReport(now time.Time, report *wire.LoadReport) {
 	h.expire(now)
 	if before := h.sources[report.Source]; before != nil {
 		h.count(before, -1)
@@ -120,11 +120,11 @@
 	h.watch(now, report)
 }
 
-// SetAbove takes in what the hub above tells: the sums over all who don't report
+// SetParentLoads takes in what the hub above tells: the sums over all who don't report
 // here, and what is known of the workers over all processes. rest is how many online
 // requests workers that were left out answer in ten seconds; part is set where a worker
 // with any load may be among them.
-func (h *Hub) SetAbove(now time.Time, rows []wire.WorkerLoad, rest int, part bool) {
+func (h *Hub) SetParentLoads(now time.Time, rows []wire.WorkerLoad, rest int, part bool) {
 	h.abovePart = part
 	rate := rest
 	for i := range rows {
@@ -148,19 +148,19 @@
 	h.aboveAt = now
 }
 
-// PerSecond returns how many online requests the workers answer, as far as the hub above
+// RequestRate returns how many online requests the workers answer, as far as the hub above
 // told of them.
-func (h *Hub) PerSecond() float64 { return h.perSecond }
+func (h *Hub) RequestRate() float64 { return h.perSecond }
 
-// Left returns how many workers with any load the last Sums left out.
-func (h *Hub) Left() int { return h.left }
+// Omitted returns how many workers with any load the last Sums left out.
+func (h *Hub) Omitted() int { return h.left }
 
-// AbovePart reports whether something is known of some workers of other zones only.
-func (h *Hub) AbovePart() bool { return h.abovePart }
+// ParentPartial reports whether something is known of some workers of other zones only.
+func (h *Hub) ParentPartial() bool { return h.abovePart }
 
 // knowsAbove reports whether what the hub above told still counts.
 func (h *Hub) knowsAbove(now time.Time) bool {
-	return !h.aboveAt.IsZero() && now.Sub(h.aboveAt) <= Fresh
+	return !h.aboveAt.IsZero() && now.Sub(h.aboveAt) <= ReportTTL
 }
 
 // count adds a source's report to the totals, or takes it off.
@@ -183,7 +183,7 @@
 	}
 	h.expireDue = now.Add(expireInterval)
 	for name, known := range h.sources {
-		if now.Sub(known.at) > Fresh {
+		if now.Sub(known.at) > ReportTTL {
 			h.count(known, -1)
 			delete(h.sources, name)
 		}
@@ -259,14 +259,14 @@
 	return count
 }
 
-// Others returns the sums over all processes but one source, and what is known of
+// PeerLoads returns the sums over all processes but one source, and what is known of
 // the workers, in the order of the workers' hashes.
-func (h *Hub) Others(now time.Time, except uint32) []wire.WorkerLoad {
+func (h *Hub) PeerLoads(now time.Time, except uint32) []wire.WorkerLoad {
 	return listed(h.gather(now, except))
 }
 
-// Loaded returns what Others does, less what need not be told or does not fit.
-func (h *Hub) Loaded(now time.Time, except uint32) Told {
+// Update returns what Others does, less what need not be told or does not fit.
+func (h *Hub) Update(now time.Time, except uint32) Update {
 	return loadedOf(h.gather(now, except))
 }
 
@@ -290,9 +290,9 @@
 	return loads
 }
 
-// Named returns, for each of the workers, the sums over all processes but one source and
+// LoadsOf returns, for each of the workers, the sums over all processes but one source and
 // what is known of it, also where that is nothing. It costs as much as there are names.
-func (h *Hub) Named(now time.Time, except uint32, workers []uint32) []wire.WorkerLoad {
+func (h *Hub) LoadsOf(now time.Time, except uint32, workers []uint32) []wire.WorkerLoad {
 	h.expire(now)
 	own := map[uint32]*wire.WorkerLoad{}
 	if s := h.sources[except]; s != nil {
@@ -382,7 +382,7 @@
 func (h *Hub) Sources(now time.Time) int {
 	count := 0
 	for _, known := range h.sources {
-		if now.Sub(known.at) <= Fresh {
+		if now.Sub(known.at) <= ReportTTL {
 			count += known.processes
 		}
 	}
@@ -398,19 +398,19 @@
 	leastPerSecond = 10.0
 )
 
-// HubPause returns the time between two reports of a zone's hub, or of a process that runs
+// HubReportInterval returns the time between two reports of a zone's hub, or of a process that runs
 // items, to the top hub, where all processes send so many requests a second to so many
 // workers: the shortest but in a fleet whose workers mostly idle, where news age slowly.
-func HubPause(perSecond float64, workers int) time.Duration {
+func HubReportInterval(perSecond float64, workers int) time.Duration {
 	pause := time.Duration(float64(workers) / (requestsPart * max(perSecond, leastPerSecond)) * float64(time.Second))
 	return min(max(pause, Interval), MaxInterval)
 }
 
-// Pause returns the time between two reports of a process that sends so many
+// ReportInterval returns the time between two reports of a process that sends so many
 // requests a second, one of so many processes before so many workers: as long as it
 // takes all of them together to send one request to each worker. What is told is
 // then wrong by about one request, whatever the size of the fleet.
-func Pause(perSecond float64, processes, workers int) time.Duration {
+func ReportInterval(perSecond float64, processes, workers int) time.Duration {
 	together := perSecond * float64(max(processes, 1))
 	if together <= 0 {
 		return MaxInterval
--- a/internal/loadshare/large_test.go
+++ b/internal/loadshare/large_test.go
@@ -31,15 +31,15 @@
 	for step := range 500 {
 		now = now.Add(time.Duration(random.IntN(80)) * time.Millisecond)
 		source := uint32(random.IntN(5))
-		h.Take(now, &wire.LoadReport{Source: source, Workers: loads()})
+		h.RecordReport(now, &wire.LoadReport{Source: source, Workers: loads()})
 		if random.IntN(9) == 0 {
-			h.SetAbove(now, loads(), 0, random.IntN(2) == 0)
+			h.SetParentLoads(now, loads(), 0, random.IntN(2) == 0)
 		}
 		told := map[uint32]wire.WorkerLoad{}
-		for _, row := range h.Others(now, source) {
+		for _, row := range h.PeerLoads(now, source) {
 			told[row.Worker] = row
 		}
-		for _, row := range h.Named(now, source, names) {
+		for _, row := range h.LoadsOf(now, source, names) {
 			want := told[row.Worker]
 			want.Worker = row.Worker
 			if row != want {
@@ -63,12 +63,12 @@
 			loads[10_000+worker] = wire.WorkerLoad{Worker: 10_000 + worker, Online: uint16(1 + worker%8)}
 		}
 		told := loadedOf(loads)
-		kept, left := told.Rows, told.Left
+		kept, left := told.Rows, told.Omitted
 		if len(kept) != test.kept || left != test.left {
 			t.Errorf("%+v: kept %d, left %d", test, len(kept), left)
 		}
-		if dropped := test.idle + test.loaded - len(kept) - left; told.Rest != 5*dropped {
-			t.Errorf("%+v: %d answers in ten seconds at the rest", test, told.Rest)
+		if dropped := test.idle + test.loaded - len(kept) - left; told.UnlistedRate != 5*dropped {
+			t.Errorf("%+v: %d answers in ten seconds at the rest", test, told.UnlistedRate)
 		}
 		report := &wire.LoadReport{Workers: kept}
 		if encoded, err := report.MarshalMsg(nil); err != nil || len(encoded) > maxDatagram {
@@ -87,7 +87,7 @@
 	random := rand.New(rand.NewPCG(6, 6))
 	for _, count := range []int{10_000, 20_000} {
 		h := NewHub()
-		var near, far Lot
+		var near, far Set
 		var rows []wire.WorkerLoad
 		for worker := range uint32(count) {
 			if worker%5 == 0 {
@@ -97,17 +97,17 @@
 			}
 			rows = append(rows, wire.WorkerLoad{Worker: worker, Online: 3, Batch: 2, Unread: 700, Answered: 1})
 		}
-		h.Take(start, &wire.LoadReport{Source: 1, Workers: rows})
+		h.RecordReport(start, &wire.LoadReport{Source: 1, Workers: rows})
 		if !Large(&near) {
 			t.Fatal("the zone counts as small")
 		}
 		seen, most := map[uint32]bool{}, 0
 		for range 2500 {
-			drawn := Draw(random, []uint32{5, 10}, &near, &far)
+			drawn := Sample(random, []uint32{5, 10}, &near, &far)
 			if !slices.Contains(drawn, 5) || !slices.Contains(drawn, 10) {
 				t.Fatal("a worker that was asked for is not told of")
 			}
-			answer := &wire.LoadReport{Workers: h.Named(start, 2, drawn), Drawn: true}
+			answer := &wire.LoadReport{Workers: h.LoadsOf(start, 2, drawn), Drawn: true}
 			encoded, err := answer.MarshalMsg(nil)
 			if err != nil {
 				t.Fatal(err)
@@ -132,7 +132,7 @@
 // is there once.
 func TestLotForgets(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 2))
-	var lot Lot
+	var lot Set
 	lot.Remove(1)
 	for _, worker := range []uint32{1, 2, 3, 2} {
 		lot.Add(worker)
@@ -151,7 +151,7 @@
 		workers   int
 		want      time.Duration
 	}{{460, 90, Interval}, {25, 12, Interval}, {1900, 3000, Interval}, {365, 10_000, MaxInterval}, {0, 12, Interval}} {
-		if got := HubPause(test.perSecond, test.workers); got != test.want {
+		if got := HubReportInterval(test.perSecond, test.workers); got != test.want {
 			t.Errorf("%+v: %v", test, got)
 		}
 	}
@@ -163,7 +163,7 @@
 	for _, count := range []int{100, 10_000, 20_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			h := NewHub()
-			var near, far Lot
+			var near, far Set
 			var rows []wire.WorkerLoad
 			for worker := range uint32(count) {
 				if worker%5 == 0 {
@@ -173,17 +173,17 @@
 				}
 				rows = append(rows, wire.WorkerLoad{Worker: worker, Online: 3})
 			}
-			h.Take(start, &wire.LoadReport{Source: 1, Workers: rows})
+			h.RecordReport(start, &wire.LoadReport{Source: 1, Workers: rows})
 			random := rand.New(rand.NewPCG(6, 6))
 			zone := map[uint32]string{}
 			b.ReportAllocs()
 			b.ResetTimer()
 			for b.Loop() {
 				if !Large(&near) {
-					Part(h.Others(start, 2), "a", func(worker uint32) string { return zone[worker] }, random)
+					Subset(h.PeerLoads(start, 2), "a", func(worker uint32) string { return zone[worker] }, random)
 					continue
 				}
-				h.Named(start, 2, Draw(random, nil, &near, &far))
+				h.LoadsOf(start, 2, Sample(random, nil, &near, &far))
 			}
 		})
 	}
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -19,15 +19,15 @@
 
 func TestHubAddsUp(t *testing.T) {
 	hub := NewHub()
-	hub.Take(start, report(1, 7, 3))
-	hub.Take(start, report(2, 7, 4))
-	hub.Take(start, report(2, 7, 5))
-	hub.Take(start, report(3, 8, 1))
-	others := hub.Others(start, 1)
+	hub.RecordReport(start, report(1, 7, 3))
+	hub.RecordReport(start, report(2, 7, 4))
+	hub.RecordReport(start, report(2, 7, 5))
+	hub.RecordReport(start, report(3, 8, 1))
+	others := hub.PeerLoads(start, 1)
 	if len(others) != 2 || others[0].Worker != 7 || others[0].Online != 5 || others[1].Online != 1 {
 		t.Errorf("others of 1: %+v", others)
 	}
-	if all := hub.Others(start, 0); all[0].Online != 8 || all[0].Unread != 20 {
+	if all := hub.PeerLoads(start, 0); all[0].Online != 8 || all[0].Unread != 20 {
 		t.Errorf("all: %+v", all)
 	}
 }
@@ -40,7 +40,7 @@
 
 // orphansOf returns the estimate that a process is told of worker 7.
 func orphansOf(hub *Hub, now time.Time) int {
-	for _, load := range hub.Others(now, 1) {
+	for _, load := range hub.PeerLoads(now, 1) {
 		if load.Worker == 7 {
 			return int(load.Orphans)
 		}
@@ -53,8 +53,8 @@
 // the worker tells of them no more, or tells nothing.
 func TestOrphansAreSeenAndForgotten(t *testing.T) {
 	hub, now := NewHub(), start
-	hub.Take(now, told(1, 2))
-	hub.Take(now, told(2, 2))
+	hub.RecordReport(now, told(1, 2))
+	hub.RecordReport(now, told(2, 2))
 	if got := orphansOf(hub, now); got != 0 {
 		t.Fatalf("%d orphans where all is known", got)
 	}
@@ -63,7 +63,7 @@
 			t.Errorf("%d orphans after %d answers", got, i)
 		}
 		now = now.Add(20 * time.Millisecond)
-		hub.Take(now, told(uint32(1+i%2), 7))
+		hub.RecordReport(now, told(uint32(1+i%2), 7))
 	}
 	if got := orphansOf(hub, now); got != 5 {
 		t.Errorf("%d orphans, want 5", got)
@@ -71,11 +71,11 @@
 	if got := orphansOf(hub, now.Add(toldFresh+1)); got != 0 {
 		t.Errorf("%d orphans by answers of long ago", got)
 	}
-	hub.Take(now, told(1, 2))
+	hub.RecordReport(now, told(1, 2))
 	if got := orphansOf(hub, now); got != 0 {
 		t.Errorf("%d orphans after the worker told of none", got)
 	}
-	hub.Take(now.Add(2*toldFresh), report(1, 7, 1))
+	hub.RecordReport(now.Add(2*toldFresh), report(1, 7, 1))
 	if len(hub.watched) != 0 {
 		t.Error("estimates are kept for ever")
 	}
@@ -85,7 +85,7 @@
 func TestNoiseIsNoOrphan(t *testing.T) {
 	hub := NewHub()
 	for _, count := range []uint16{9, 1, 9, 9, 1, 9, 0} {
-		hub.Take(start, told(1, count))
+		hub.RecordReport(start, told(1, count))
 		if got := orphansOf(hub, start); got != 0 {
 			t.Errorf("%d orphans by noise", got)
 		}
@@ -105,7 +105,7 @@
 		{10, 0, 1, 100 * time.Millisecond},
 		{1000, 500, 0, Interval},
 	} {
-		if got := Pause(test.perSecond, test.processes, test.workers); got != test.want {
+		if got := ReportInterval(test.perSecond, test.processes, test.workers); got != test.want {
 			t.Errorf("%+v: %s", test, got)
 		}
 	}
@@ -114,17 +114,17 @@
 func TestRateFollowsTheCount(t *testing.T) {
 	var rate Rate
 	now, count := start, uint64(5)
-	if got := rate.Add(now, count); got != 0 {
+	if got := rate.Observe(now, count); got != 0 {
 		t.Errorf("a rate of %f by one count", got)
 	}
 	for range 40 {
 		now, count = now.Add(50*time.Millisecond), count+2
-		rate.Add(now, count)
+		rate.Observe(now, count)
 	}
-	if got := rate.Add(now, count); got < 39 || got > 41 {
+	if got := rate.Observe(now, count); got < 39 || got > 41 {
 		t.Errorf("a rate of %f, want 40", got)
 	}
-	if got := rate.Add(now.Add(time.Second), count); got != 0 {
+	if got := rate.Observe(now.Add(time.Second), count); got != 0 {
 		t.Errorf("a rate of %f after a second of nothing", got)
 	}
 }
@@ -138,7 +138,7 @@
 // all are told to avoid it, and may try it again after some seconds.
 func TestFailingWorkersAreTold(t *testing.T) {
 	failing := func(hub *Hub, now time.Time) bool {
-		for _, load := range hub.Others(now, 9) {
+		for _, load := range hub.PeerLoads(now, 9) {
 			if load.Worker == 7 {
 				return load.Failing
 			}
@@ -146,11 +146,11 @@
 		return false
 	}
 	hub, now := NewHub(), start
-	hub.Take(now, answers(1, 2, 1))
+	hub.RecordReport(now, answers(1, 2, 1))
 	if failing(hub, now) {
 		t.Error("one failure makes a failing worker")
 	}
-	hub.Take(now, answers(2, 0, 1))
+	hub.RecordReport(now, answers(2, 0, 1))
 	if !failing(hub, now) {
 		t.Fatal("two failures of four answers don't")
 	}
@@ -160,7 +160,7 @@
 	if now = now.Add(4 * time.Second); failing(hub, now) {
 		t.Error("it is never tried again")
 	}
-	hub.Take(now, answers(1, 50, 3))
+	hub.RecordReport(now, answers(1, 50, 3))
 	if failing(hub, now) {
 		t.Error("a few failures of many answers make a failing worker")
 	}
@@ -185,21 +185,21 @@
 				report.Workers = append(report.Workers, wire.WorkerLoad{Worker: worker, Online: uint16(random.IntN(9)), Batch: uint16(random.IntN(9))})
 			}
 		}
-		hub.Take(now, report)
+		hub.RecordReport(now, report)
 		last[source], at[source] = report, now
 		except := uint32(random.IntN(6))
 		want := map[uint32]int{}
 		for name, known := range last {
 			for _, load := range known.Workers {
 				// Reports expire a little late.
-				if name != except && now.Sub(at[name]) <= Fresh {
+				if name != except && now.Sub(at[name]) <= ReportTTL {
 					want[load.Worker] += int(load.Online) + int(load.Batch)
 				}
 			}
 		}
 		hub.expireDue = time.Time{}
 		got := map[uint32]int{}
-		for _, load := range hub.Others(now, except) {
+		for _, load := range hub.PeerLoads(now, except) {
 			got[load.Worker] = int(load.Online) + int(load.Batch)
 		}
 		for worker := range uint32(4) {
@@ -212,12 +212,12 @@
 
 func TestOldReportsDoNotCount(t *testing.T) {
 	hub := NewHub()
-	hub.Take(start, report(1, 7, 3))
-	late := start.Add(Fresh + 1)
-	if others := hub.Others(late, 2); len(others) != 0 || hub.Sources(late) != 0 {
+	hub.RecordReport(start, report(1, 7, 3))
+	late := start.Add(ReportTTL + 1)
+	if others := hub.PeerLoads(late, 2); len(others) != 0 || hub.Sources(late) != 0 {
 		t.Errorf("others %+v", others)
 	}
-	hub.Take(late, report(2, 7, 1))
+	hub.RecordReport(late, report(2, 7, 1))
 	if len(hub.sources) != 1 {
 		t.Errorf("%d reports are kept", len(hub.sources))
 	}
@@ -248,10 +248,10 @@
 	go func() {
 		defer running.Done()
 		err := Report(ctx, &Reporter{
-			Hubs:  func() []string { return []string{silent, answering} },
-			Own:   func() *wire.LoadReport { return report(1, 7, 3) },
-			Learn: func(_ time.Time, answer *wire.LoadReport) { learned <- answer.Workers[0] },
-			Pause: func() time.Duration { return Interval },
+			Hubs:     func() []string { return []string{silent, answering} },
+			Report:   func() *wire.LoadReport { return report(1, 7, 3) },
+			OnAnswer: func(_ time.Time, answer *wire.LoadReport) { learned <- answer.Workers[0] },
+			Interval: func() time.Duration { return Interval },
 		})
 		if err != nil {
 			t.Error(err)
@@ -283,7 +283,7 @@
 	f.Fuzz(func(_ *testing.T, datagram []byte) {
 		var decoded wire.LoadReport
 		if _, err := decoded.UnmarshalMsg(datagram); err == nil {
-			NewHub().Take(start, &decoded)
+			NewHub().RecordReport(start, &decoded)
 		}
 	})
 }
@@ -302,14 +302,14 @@
 		_ = Serve(ctx, address, func(told *wire.LoadReport) *wire.LoadReport {
 			mutex.Lock()
 			defer mutex.Unlock()
-			hub.Take(time.Now(), told)
+			hub.RecordReport(time.Now(), told)
 			if told.Quiet {
 				quiet++
 			}
 			if told.Quiet || silent {
 				return nil
 			}
-			return &wire.LoadReport{Workers: hub.Others(time.Now(), told.Source)}
+			return &wire.LoadReport{Workers: hub.PeerLoads(time.Now(), told.Source)}
 		})
 	})
 	var online [3]uint16
@@ -318,12 +318,12 @@
 	for i := range exchanges {
 		exchanges[i] = NewExchange(&Reporter{
 			Hubs: func() []string { return []string{address} },
-			Own: func() *wire.LoadReport {
+			Report: func() *wire.LoadReport {
 				mutex.Lock()
 				defer mutex.Unlock()
 				return report(uint32(i+1), 7, online[i])
 			},
-			Learn: func(_ time.Time, answer *wire.LoadReport) {
+			OnAnswer: func(_ time.Time, answer *wire.LoadReport) {
 				mutex.Lock()
 				defer mutex.Unlock()
 				seen[i] = 0
@@ -331,14 +331,14 @@
 					seen[i] = row.Online
 				}
 			},
-			Pause: func() time.Duration { return Interval },
+			Interval: func() time.Duration { return Interval },
 		})
 		running.Go(func() { _ = exchanges[i].Run(ctx) })
 	}
 	// Nothing below rests on how long anything takes: a wait for a silent hub would not end.
 	const patience = time.Hour
 	knows := func(i int, want uint16) bool {
-		if !exchanges[i].Ask(ctx, patience, nil, false) {
+		if !exchanges[i].Query(ctx, patience, nil, false) {
 			return false
 		}
 		mutex.Lock()
@@ -353,18 +353,18 @@
 	mutex.Lock()
 	online[0] = 5
 	mutex.Unlock()
-	exchanges[0].Tell()
+	exchanges[0].Report()
 	for !knows(1, 5) {
 		time.Sleep(time.Millisecond)
 	}
 	mutex.Lock()
 	silent = true
 	mutex.Unlock()
-	for exchanges[2].Ask(ctx, time.Millisecond, nil, false) {
+	for exchanges[2].Query(ctx, time.Millisecond, nil, false) {
 		time.Sleep(time.Millisecond)
 	}
-	time.Sleep(Fresh)
-	if exchanges[2].Ask(ctx, patience, nil, false) {
+	time.Sleep(ReportTTL)
+	if exchanges[2].Query(ctx, patience, nil, false) {
 		t.Error("a silent hub has answered")
 	}
 	mutex.Lock()
--- a/internal/loadshare/pace_test.go
+++ b/internal/loadshare/pace_test.go
@@ -14,7 +14,7 @@
 }
 
 func loadOf(hub *Hub, now time.Time) wire.WorkerLoad {
-	for _, load := range hub.Others(now, 0) {
+	for _, load := range hub.PeerLoads(now, 0) {
 		if load.Worker == 7 {
 			return load
 		}
@@ -33,8 +33,8 @@
 	tell := func(seconds int, micros uint32) wire.WorkerLoad {
 		for range seconds * 10 {
 			now = now.Add(100 * time.Millisecond)
-			hub.Take(now, paced(1, 1, 5, 5*micros))
-			hub.Take(now, paced(2, 2, 5, 5*micros))
+			hub.RecordReport(now, paced(1, 1, 5, 5*micros))
+			hub.RecordReport(now, paced(2, 2, 5, 5*micros))
 		}
 		return loadOf(hub, now)
 	}
@@ -47,7 +47,7 @@
 	if got := loadOf(hub, now.Add(20*time.Second)); got.Step != 0 || got.Rate != 0 {
 		t.Errorf("after 20 s of silence: %+v", got)
 	}
-	hub.Take(now.Add(time.Minute), report(1, 8, 1))
+	hub.RecordReport(now.Add(time.Minute), report(1, 8, 1))
 	if len(hub.watched) != 0 {
 		t.Error("it is kept for ever")
 	}
--- a/internal/loadshare/part.go
+++ b/internal/loadshare/part.go
@@ -31,12 +31,12 @@
 	mostQuiet = 256
 )
 
-// Part returns the rows to tell a process of the zone, and whether some were left out:
+// Subset returns the rows to tell a process of the zone, and whether some were left out:
 // those of the zone's workers, and as many of the others, drawn by lot, as there is
 // room for. Workers of the zone come first because most requests go there; the others
 // matter where the zone is full, and then a few are enough to choose among. zoneOf
 // names the zone of a worker by its short name.
-func Part(rows []wire.WorkerLoad, zone string, zoneOf func(worker uint32) string, random *rand.Rand) (part []wire.WorkerLoad, left bool) {
+func Subset(rows []wire.WorkerLoad, zone string, zoneOf func(worker uint32) string, random *rand.Rand) (part []wire.WorkerLoad, left bool) {
 	if len(rows) <= maxRows {
 		return rows, false
 	}
@@ -54,14 +54,14 @@
 	return rows[:min(max(near, maxRows), len(rows))], true
 }
 
-// Told is what a hub tells another one, or a process that runs items.
-type Told struct {
+// Update is what a hub tells another one, or a process that runs items.
+type Update struct {
 	Rows []wire.WorkerLoad
-	// Rest is how many online requests the workers left out, because they have no load,
+	// UnlistedRate is how many online requests the workers left out, because they have no load,
 	// answer in ten seconds.
-	Rest int
-	// Left counts workers with any load that did not fit into a datagram.
-	Left int
+	UnlistedRate int
+	// Omitted counts workers with any load that did not fit into a datagram.
+	Omitted int
 }
 
 // loadedOf returns what to tell of the loads. Where there are many rows, those go that tell
@@ -70,12 +70,12 @@
 // workers and 360 requests a second, which took the top hub all of its half core: its news
 // were 2 s old, and so long did items wait). What does not fit into a datagram goes next,
 // those with the least load first.
-func loadedOf(loads map[uint32]wire.WorkerLoad) Told {
-	told := Told{}
+func loadedOf(loads map[uint32]wire.WorkerLoad) Update {
+	told := Update{}
 	if len(loads) > mostQuiet {
 		for worker, load := range loads {
 			if weight(&load) == 0 {
-				told.Rest += int(load.Rate)
+				told.UnlistedRate += int(load.Rate)
 				delete(loads, worker)
 			}
 		}
@@ -83,7 +83,7 @@
 	told.Rows = listed(loads)
 	if len(told.Rows) > maxTold {
 		slices.SortStableFunc(told.Rows, func(a, b wire.WorkerLoad) int { return cmp.Compare(weight(&b), weight(&a)) })
-		told.Left = len(told.Rows) - maxTold
+		told.Omitted = len(told.Rows) - maxTold
 		told.Rows = told.Rows[:maxTold]
 	}
 	return told
@@ -99,23 +99,23 @@
 	return load
 }
 
-// Lot is a set of workers to draw from, by short name. The zero Lot is empty.
-type Lot struct {
+// Set is a set of workers to draw from, by short name. The zero Set is empty.
+type Set struct {
 	workers []uint32
 	place   map[uint32]int
 }
 
 // Len returns how many there are.
-func (l *Lot) Len() int { return len(l.workers) }
+func (l *Set) Len() int { return len(l.workers) }
 
 // Has reports whether the worker is one of them.
-func (l *Lot) Has(worker uint32) bool {
+func (l *Set) Has(worker uint32) bool {
 	_, found := l.place[worker]
 	return found
 }
 
 // Add adds a worker.
-func (l *Lot) Add(worker uint32) {
+func (l *Set) Add(worker uint32) {
 	if _, found := l.place[worker]; found {
 		return
 	}
@@ -127,7 +127,7 @@
 }
 
 // Remove takes a worker out.
-func (l *Lot) Remove(worker uint32) {
+func (l *Set) Remove(worker uint32) {
 	at, found := l.place[worker]
 	if !found {
 		return
@@ -140,7 +140,7 @@
 }
 
 // draw adds so many different workers, or all, to those drawn.
-func (l *Lot) draw(random *rand.Rand, count int, drawn []uint32) []uint32 {
+func (l *Set) draw(random *rand.Rand, count int, drawn []uint32) []uint32 {
 	for i := range min(count, len(l.workers)) {
 		other := i + random.IntN(len(l.workers)-i)
 		l.workers[i], l.workers[other] = l.workers[other], l.workers[i]
@@ -151,11 +151,11 @@
 }
 
 // Large reports whether a zone has so many workers that an edge is told of some only.
-func Large(near *Lot) bool { return near.Len() > mostNear }
+func Large(near *Set) bool { return near.Len() > mostNear }
 
-// Draw returns the workers to tell an edge of that is about to choose: those asked for, and
+// Sample returns the workers to tell an edge of that is about to choose: those asked for, and
 // some of its zone and of others.
-func Draw(random *rand.Rand, asked []uint32, near, far *Lot) []uint32 {
+func Sample(random *rand.Rand, asked []uint32, near, far *Set) []uint32 {
 	drawn := slices.Clone(asked[:min(len(asked), maxAsked)])
 	drawn = near.draw(random, drawnNear, drawn)
 	drawn = far.draw(random, drawnFar, drawn)
--- a/internal/loadshare/part_test.go
+++ b/internal/loadshare/part_test.go
@@ -24,7 +24,7 @@
 			for worker := range rows {
 				rows[worker].Worker = uint32(worker)
 			}
-			part, left := Part(rows, "a", func(worker uint32) string { return zoneOf[worker] }, random)
+			part, left := Subset(rows, "a", func(worker uint32) string { return zoneOf[worker] }, random)
 			if len(part) != test.want || left != (test.want < test.workers) {
 				t.Fatalf("%+v: %d rows, left %t", test, len(part), left)
 			}
--- a/internal/loadshare/probe.go
+++ b/internal/loadshare/probe.go
@@ -36,8 +36,8 @@
 	return [...]string{"unchanged", "avoided", "probed", "readmitted"}[c]
 }
 
-// Judgement is a change in the judgement of a worker, with what it rests on.
-type Judgement struct {
+// HealthChange is a change in the judgement of a worker, with what it rests on.
+type HealthChange struct {
 	// Worker is the worker's short name.
 	Worker uint32
 	Change Change
@@ -46,10 +46,10 @@
 	Failed   float64
 	Answered float64
 	Relapses int
-	// Good is the weight of the good answers in a row while it was avoided.
-	Good int
-	// Ill is for how long it has been ill.
-	Ill time.Duration
+	// GoodStreak is the weight of the good answers in a row while it was avoided.
+	GoodStreak int
+	// UnhealthyFor is for how long it has been ill.
+	UnhealthyFor time.Duration
 }
 
 // probation is when an avoided worker is probed. Processes that send no probes don't avoid
@@ -121,8 +121,8 @@
 	return !now.Before(known.due)
 }
 
-// Probe takes in that a probe is sent to the worker.
-func (h *Hub) Probe(now time.Time, worker uint32) {
+// RecordProbe takes in that a probe is sent to the worker.
+func (h *Hub) RecordProbe(now time.Time, worker uint32) {
 	known := h.probations[worker]
 	if known == nil {
 		return
@@ -145,17 +145,17 @@
 			continue
 		}
 		if near(worker) && h.ProbeDue(now, worker) {
-			h.Probe(now, worker)
+			h.RecordProbe(now, worker)
 			return []uint32{worker}
 		}
 	}
 	return nil
 }
 
-// LoadedForHub returns what Loaded does, for a zone's hub: Start is set at an avoided worker
+// UpdateForHub returns what Loaded does, for a zone's hub: Start is set at an avoided worker
 // that items don't probe, so that one request may start there.
-func (h *Hub) LoadedForHub(now time.Time, except uint32) Told {
-	told := h.Loaded(now, except)
+func (h *Hub) UpdateForHub(now time.Time, except uint32) Update {
+	told := h.Update(now, except)
 	for i := range told.Rows {
 		if row := &told.Rows[i]; row.Failing && h.lacksItems(now, row.Worker) {
 			row.Start = 1
@@ -186,12 +186,12 @@
 	if change == Unchanged || len(h.judgements) >= mostJudgements {
 		return
 	}
-	judgement := Judgement{Worker: worker, Change: change}
+	judgement := HealthChange{Worker: worker, Change: change}
 	if known := h.watched[worker]; known != nil {
 		judgement.Failed, judgement.Answered = known.health.failed, known.health.answered
-		judgement.Relapses, judgement.Good = known.health.relapses, known.health.good
+		judgement.Relapses, judgement.GoodStreak = known.health.relapses, known.health.good
 		if !known.health.since.IsZero() {
-			judgement.Ill = now.Sub(known.health.since)
+			judgement.UnhealthyFor = now.Sub(known.health.since)
 		}
 	}
 	h.judgements = append(h.judgements, judgement)
@@ -200,8 +200,8 @@
 // mostJudgements bounds the changes that are kept for who writes them down.
 const mostJudgements = 256
 
-// Judgements returns what has changed since the last call.
-func (h *Hub) Judgements() []Judgement {
+// HealthChanges returns what has changed since the last call.
+func (h *Hub) HealthChanges() []HealthChange {
 	changed := h.judgements
 	h.judgements = nil
 	return changed
--- a/internal/loadshare/probe_test.go
+++ b/internal/loadshare/probe_test.go
@@ -74,13 +74,13 @@
 				kept = append(kept, pending)
 				continue
 			}
-			p.hub.Take(p.now, pending.report)
+			p.hub.RecordReport(p.now, pending.report)
 			if pending.probe {
 				p.under--
 			}
 		}
 		p.reports = kept
-		for _, judged := range p.hub.Judgements() {
+		for _, judged := range p.hub.HealthChanges() {
 			if judged.Change == Readmitted {
 				readmitted = p.now
 			}
@@ -89,7 +89,7 @@
 		case !p.hub.avoids(p.now, patientWorker):
 			p.send(false)
 		case p.hub.ProbeDue(p.now, patientWorker):
-			p.hub.Probe(p.now, patientWorker)
+			p.hub.RecordProbe(p.now, patientWorker)
 			p.send(true)
 		}
 	}
@@ -167,7 +167,7 @@
 	tell := func(rows []wire.WorkerLoad, times int) (named []uint32) {
 		for range times {
 			now = now.Add(Interval)
-			h.SetAbove(now, rows, 0, false)
+			h.SetParentLoads(now, rows, 0, false)
 			named = append(named, h.OnlineProbes(now, near)...)
 		}
 		return named
@@ -201,31 +201,31 @@
 	} {
 		top, zone := NewHub(), NewHub()
 		items := []wire.WorkerLoad{{Worker: 9, Batch: 1}}
-		zone.Take(start, &wire.LoadReport{Source: 1, Workers: []wire.WorkerLoad{{Worker: patientWorker, Failed: 5}}})
+		zone.RecordReport(start, &wire.LoadReport{Source: 1, Workers: []wire.WorkerLoad{{Worker: patientWorker, Failed: 5}}})
 		first, back, named, toldOn := time.Duration(0), time.Duration(0), 0, false
 		for after := Interval; after < 10*time.Second && back == 0; after += Interval {
 			now := start.Add(after)
 			report := &wire.LoadReport{Source: runner, Workers: items}
 			if top.ProbeDue(now, patientWorker) && test.granted {
-				top.Probe(now, patientWorker)
+				top.RecordProbe(now, patientWorker)
 				if test.answer {
 					report.Workers = append([]wire.WorkerLoad{{Worker: patientWorker, Failed: 1}}, items...)
 				}
 			}
-			top.Take(now, report)
+			top.RecordReport(now, report)
 			if sums := zone.Sums(now, zoneName); sums != nil {
-				top.Take(now, sums)
+				top.RecordReport(now, sums)
 			}
-			zone.SetAbove(now, top.LoadedForHub(now, zoneName).Rows, 0, false)
-			zone.Take(now, &wire.LoadReport{Source: 1})
+			zone.SetParentLoads(now, top.UpdateForHub(now, zoneName).Rows, 0, false)
+			zone.RecordReport(now, &wire.LoadReport{Source: 1})
 			for range zone.OnlineProbes(now, near) {
 				named++
 				if first == 0 {
 					first = after
 				}
-				zone.Take(now, &wire.LoadReport{Source: 1, Proofs: []wire.WorkerProof{{Worker: patientWorker, Well: 1}}})
+				zone.RecordReport(now, &wire.LoadReport{Source: 1, Proofs: []wire.WorkerProof{{Worker: patientWorker, Well: 1}}})
 			}
-			for _, row := range zone.Others(now, 1) {
+			for _, row := range zone.PeerLoads(now, 1) {
 				toldOn = toldOn || row.Start > 0
 			}
 			if first > 0 && !top.avoids(now, patientWorker) {
--- a/internal/loadshare/rate.go
+++ b/internal/loadshare/rate.go
@@ -13,8 +13,8 @@
 	perSecond float64
 }
 
-// Add takes in the count at a moment and returns the rate a second.
-func (r *Rate) Add(now time.Time, count uint64) float64 {
+// Observe takes in the count at a moment and returns the rate a second.
+func (r *Rate) Observe(now time.Time, count uint64) float64 {
 	passed := now.Sub(r.at)
 	if !r.at.IsZero() && passed > 0 {
 		latest := float64(count-r.count) / passed.Seconds()
--- a/internal/loadshare/replies_test.go
+++ b/internal/loadshare/replies_test.go
@@ -50,7 +50,7 @@
 	x.mutex.Lock()
 	x.replies = replies{keep: time.Hour}
 	x.mutex.Unlock()
-	go x.Ask(context.Background(), patience, []uint32{1}, false)
+	go x.Query(context.Background(), patience, []uint32{1}, false)
 	<-h.hold
 	go func() {
 		// The hub has the question, and answers once the claim is on its way.
@@ -61,7 +61,7 @@
 		}
 		h.hold <- struct{}{}
 	}()
-	standing, answered := x.Claim(context.Background(), patience, nil, &wire.RoomClaim{Ticket: 8}, false)
+	standing, answered := x.QueryClaim(context.Background(), patience, nil, &wire.RoomClaim{Ticket: 8}, false)
 	if !answered || standing == nil || standing.Ticket != 8 {
 		t.Errorf("%+v, answered %t", standing, answered)
 	}
--- a/internal/loadshare/room_test.go
+++ b/internal/loadshare/room_test.go
@@ -56,10 +56,10 @@
 	t.Cleanup(cancel)
 	go func() { _ = Serve(ctx, address, h.answer) }()
 	x := NewExchange(&Reporter{
-		Hubs:  func() []string { return []string{address} },
-		Own:   func() *wire.LoadReport { return &wire.LoadReport{Source: 1} },
-		Learn: func(time.Time, *wire.LoadReport) {},
-		Pause: func() time.Duration { return pause },
+		Hubs:     func() []string { return []string{address} },
+		Report:   func() *wire.LoadReport { return &wire.LoadReport{Source: 1} },
+		OnAnswer: func(time.Time, *wire.LoadReport) {},
+		Interval: func() time.Duration { return pause },
 	})
 	go func() { _ = x.Run(ctx) }()
 	for heard := false; !heard; time.Sleep(time.Millisecond) {
@@ -78,25 +78,25 @@
 	x := exchangeWith(t, h, Interval)
 	ctx := context.Background()
 	claim := &wire.RoomClaim{Ticket: 40, Tenant: 3}
-	if standing, answered := x.Claim(ctx, patience, nil, claim, false); standing != nil || !answered {
+	if standing, answered := x.QueryClaim(ctx, patience, nil, claim, false); standing != nil || !answered {
 		t.Errorf("an older hub: %+v, %t", standing, answered)
 	}
 	h.over.Store(true)
 	// A report's answer that takes longer than replyTime may be taken for the claim's.
 	told := 0
 	for range 20 {
-		if standing, answered := x.Claim(ctx, patience, nil, claim, false); answered && standing != nil && standing.Share == 7 && standing.Ticket == 40 {
+		if standing, answered := x.QueryClaim(ctx, patience, nil, claim, false); answered && standing != nil && standing.Share == 7 && standing.Ticket == 40 {
 			told++
 		}
 	}
 	if told < 18 {
 		t.Errorf("%d of 20 claims were told their standing", told)
 	}
-	verdict, standing, answered := x.Token(ctx, wire.TokenQuestion{Ticket: 40}, claim, false)
+	verdict, standing, answered := x.AcquireToken(ctx, wire.TokenQuestion{Ticket: 40}, claim, false)
 	if !answered || !verdict.Granted || standing == nil || standing.Share != 7 {
 		t.Errorf("with a token: %+v, %+v, %t", verdict, standing, answered)
 	}
-	if _, standing, _ := x.Token(ctx, wire.TokenQuestion{Ticket: 40}, nil, false); standing != nil {
+	if _, standing, _ := x.AcquireToken(ctx, wire.TokenQuestion{Ticket: 40}, nil, false); standing != nil {
 		t.Errorf("without a claim: %+v", standing)
 	}
 	x.mutex.Lock()
@@ -113,17 +113,17 @@
 	h.over.Store(true)
 	x := exchangeWith(t, h, time.Hour)
 	h.leave.Store(1)
-	standing, answered := x.Claim(context.Background(), patience, nil, &wire.RoomClaim{Ticket: 1}, false)
+	standing, answered := x.QueryClaim(context.Background(), patience, nil, &wire.RoomClaim{Ticket: 1}, false)
 	if asked := h.asked.Load(); !answered || standing == nil || asked != 2 {
 		t.Errorf("%+v, %t, asked %d times", standing, answered, asked)
 	}
 	h.leave.Store(1000)
-	if _, answered := x.Claim(context.Background(), patience, nil, &wire.RoomClaim{Ticket: 2}, false); answered {
+	if _, answered := x.QueryClaim(context.Background(), patience, nil, &wire.RoomClaim{Ticket: 2}, false); answered {
 		t.Error("answered by a silent hub")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if _, answered := x.Claim(ctx, time.Hour, nil, &wire.RoomClaim{Ticket: 3}, false); answered {
+	if _, answered := x.QueryClaim(ctx, time.Hour, nil, &wire.RoomClaim{Ticket: 3}, false); answered {
 		t.Error("answered though nobody waits")
 	}
 }
--- a/internal/loadshare/sums.go
+++ b/internal/loadshare/sums.go
@@ -62,7 +62,7 @@
 	}
 	h.toldAbove = true
 	told := loadedOf(loads)
-	h.left = told.Left
+	h.left = told.Omitted
 	return &wire.LoadReport{Source: name, Workers: told.Rows, Sources: clamp16(h.Sources(now)), Sums: true, Proofs: proofs}
 }
 
