--- a/cmd/sedgemast/fleet.go
+++ b/cmd/sedgemast/fleet.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		return err
 	}
-	process := edge.New(d, config, dialect.Own())
+	process := edge.New(d, config, dialect.Default())
 	if config.Callers != "" {
 		if err := d.AddServer(config.Callers, &edge.API{Edge: process}, nil); err != nil {
 			return err
@@ -119,7 +119,7 @@
 	if err != nil {
 		return err
 	}
-	process, err := batchstore.New(d, config, dialect.Own())
+	process, err := batchstore.New(d, config, dialect.Default())
 	if err != nil {
 		return err
 	}
--- a/internal/admission/collapse_test.go
+++ b/internal/admission/collapse_test.go
@@ -155,7 +155,7 @@
 // tell brings what an edge has to its hub.
 func (p *play) tell(e *playEdge) {
 	report := &wire.LoadReport{Source: uint32(e.number + 1), Workers: e.table.Loads()}
-	p.after(playWay, func() { p.hubs[e.number%playZones].RecordReport(p.clock(), report) })
+	p.after(playWay, func() { p.hubs[e.number%playZones].ApplyReport(p.clock(), report) })
 }
 
 // ask brings what the hub knows to the edge, and goes on then.
@@ -164,7 +164,7 @@
 	hub, source := p.hubs[e.number%playZones], uint32(e.number+1)
 	report := &wire.LoadReport{Source: source, Workers: e.table.Loads()}
 	p.after(playWay, func() {
-		hub.RecordReport(p.clock(), report)
+		hub.ApplyReport(p.clock(), report)
 		others := hub.PeerLoads(p.clock(), source)
 		p.after(playWay, func() {
 			e.table.SetPeerLoads(p.clock(), others, balance.ScopeAll)
@@ -177,7 +177,7 @@
 func (p *play) share(zone int) {
 	name := uint32(1000 + zone)
 	if sums := p.hubs[zone].Sums(p.clock(), name); sums != nil {
-		p.top.RecordReport(p.clock(), sums)
+		p.top.ApplyReport(p.clock(), sums)
 	}
 	told := p.top.Update(p.clock(), name)
 	p.hubs[zone].SetParentLoads(p.clock(), told.Rows, told.UnlistedRate, told.Omitted > 0)
--- a/internal/balance/answers.go
+++ b/internal/balance/answers.go
@@ -11,9 +11,9 @@
 // reports a moment old.
 const noiseParts = 8
 
-// RecordReport takes in what the worker says that it has, in the head of an answer. It is
+// ApplyReport takes in what the worker says that it has, in the head of an answer. It is
 // passed on with the next report of loads.
-func (l *Lease) RecordReport(told capacity.Report) {
+func (l *Lease) ApplyReport(told capacity.Report) {
 	l.table.mutex.Lock()
 	defer l.table.mutex.Unlock()
 	l.table.occupy(l.worker)
--- a/internal/balance/answers_test.go
+++ b/internal/balance/answers_test.go
@@ -75,7 +75,7 @@
 func TestToldIsPassedOnOnce(t *testing.T) {
 	table := tableOf(listed("a", "z1"))
 	lease := table.Acquire(start, &Request{Pool: "p"})
-	lease.RecordReport(capacity.Report{Running: 3, Waiting: 2})
+	lease.ApplyReport(capacity.Report{Running: 3, Waiting: 2})
 	lease.Release()
 	if loads := table.Loads(); len(loads) != 1 || loads[0].Told != 6 || loads[0].Online != 0 {
 		t.Errorf("first report %+v", loads)
--- a/internal/balance/outlook_test.go
+++ b/internal/balance/outlook_test.go
@@ -118,7 +118,7 @@
 func TestOutlooksCountToldSlots(t *testing.T) {
 	table := outlookTable()
 	lease := table.Acquire(start, &Request{Pool: "p", Exclude: map[string]bool{"b": true}})
-	lease.RecordReport(capacity.Report{Running: 1, Slots: 3, Pace: 100})
+	lease.ApplyReport(capacity.Report{Running: 1, Slots: 3, Pace: 100})
 	if table.Overloaded(start, "a") {
 		t.Error("somebody waits at a worker with two slots left")
 	}
--- a/internal/balance/size_test.go
+++ b/internal/balance/size_test.go
@@ -109,7 +109,7 @@
 func TestItemsFindTheirGrants(t *testing.T) {
 	table := fleetTable(10_000)
 	planner := batchroom.New()
-	planner.RecordReport(start, 1, 30, nil)
+	planner.ApplyReport(start, 1, 30, nil)
 	table.SetPeerLoads(start, nil, ScopeAll)
 	orders := planner.Plan(1, table.Workers(start, func(string) time.Duration { return 0 }))
 	table.SetOrders(orders)
@@ -169,7 +169,7 @@
 	benchmark(b, func(b *testing.B, table *Table, _ int) {
 		planner := batchroom.New()
 		for b.Loop() {
-			planner.RecordReport(start, 1, 20, nil)
+			planner.ApplyReport(start, 1, 20, nil)
 			table.SetOrders(planner.Plan(1, table.Workers(start, func(string) time.Duration { return 0 })))
 			table.Acquire(start, &Request{Pool: "p", Batch: true, BatchShare: 50}).Release()
 		}
--- a/internal/balance/times_test.go
+++ b/internal/balance/times_test.go
@@ -243,15 +243,15 @@
 	} {
 		table := tableOf(listed("a", "z1"))
 		lease := table.Acquire(start, &Request{Pool: "p"})
-		lease.RecordReport(test.told)
-		lease.RecordReport(test.told)
+		lease.ApplyReport(test.told)
+		lease.ApplyReport(test.told)
 		if got, doubts := table.slotsOf(lease.worker), len(table.SlotMismatches()); got != 4 || doubts != test.doubts {
 			t.Errorf("%+v without a pace: %d slots, %d doubts", test.told, got, doubts)
 		}
 		if table.ReportsPace("p") {
 			t.Errorf("%+v: tells its pace", test.told)
 		}
-		lease.RecordReport(capacity.Report{Pace: 100})
+		lease.ApplyReport(capacity.Report{Pace: 100})
 		if got := table.slotsOf(lease.worker); got != test.want {
 			t.Errorf("%+v: %d slots", test.told, got)
 		}
@@ -275,7 +275,7 @@
 		{62 * time.Second, 100, true},
 	} {
 		lease := table.Acquire(start.Add(test.after), &Request{Pool: "p"})
-		lease.RecordReport(capacity.Report{Pace: test.pace})
+		lease.ApplyReport(capacity.Report{Pace: test.pace})
 		if table.ReportsPace("p") != test.want || table.byTimes("p") != test.want || table.ReportsPace("q") {
 			t.Errorf("after %v: tells its pace %t, compared by times %t", test.after, table.ReportsPace("p"), table.byTimes("p"))
 		}
--- a/internal/balance/uneven_test.go
+++ b/internal/balance/uneven_test.go
@@ -178,7 +178,7 @@
 		return
 	}
 	f.after(inZone, func() {
-		f.hubs[zone].RecordReport(f.clock(), report)
+		f.hubs[zone].ApplyReport(f.clock(), report)
 		if !answer {
 			return
 		}
@@ -205,7 +205,7 @@
 	sums := f.hubs[zone].Sums(f.clock(), name)
 	f.after(across, func() {
 		if sums != nil {
-			f.top.RecordReport(f.clock(), sums)
+			f.top.ApplyReport(f.clock(), sums)
 		}
 		told := f.top.Update(f.clock(), name)
 		f.after(across, func() {
@@ -243,7 +243,7 @@
 		if f.plan.tells {
 			pace := f.paceOf(w)
 			f.after(trip, func() {
-				r.lease.RecordReport(capacity.Report{Running: running, Waiting: waiting, Slots: f.plan.slots, Pace: pace})
+				r.lease.ApplyReport(capacity.Report{Running: running, Waiting: waiting, Slots: f.plan.slots, Pace: pace})
 			})
 		}
 		if f.wave() {
@@ -367,7 +367,7 @@
 		}
 		report.Workers = append(report.Workers, wire.WorkerLoad{Worker: loadshare.Hash(w.id), Batch: uint16(w.items - w.stopping)})
 	}
-	f.after(across, func() { f.top.RecordReport(f.clock(), report) })
+	f.after(across, func() { f.top.ApplyReport(f.clock(), report) })
 }
 
 // turn begins or ends a spell.
--- a/internal/balance/wave_test.go
+++ b/internal/balance/wave_test.go
@@ -121,7 +121,7 @@
 // report is an edge's report, and the answer where it is about to choose.
 func (f *waveFleet) report(edge int, choosing bool) {
 	zone, table := zoneOfEdge(edge), f.tables[edge]
-	f.hubs[zone].RecordReport(f.clock(), &wire.LoadReport{Source: uint32(edge + 1), Workers: table.Loads()})
+	f.hubs[zone].ApplyReport(f.clock(), &wire.LoadReport{Source: uint32(edge + 1), Workers: table.Loads()})
 	switch {
 	case !choosing:
 	case f.whole:
@@ -141,7 +141,7 @@
 func (f *waveFleet) sum(zone int) {
 	name := uint32(1000 + zone)
 	if sums := f.hubs[zone].Sums(f.clock(), name); sums != nil {
-		f.top.RecordReport(f.clock(), sums)
+		f.top.ApplyReport(f.clock(), sums)
 	}
 	told := f.top.Update(f.clock(), name)
 	f.hubs[zone].SetParentLoads(f.clock(), told.Rows, told.UnlistedRate, told.Omitted > 0)
--- a/internal/batchroom/ahead_test.go
+++ b/internal/batchroom/ahead_test.go
@@ -41,7 +41,7 @@
 		for i := range places {
 			items[places[i].ShortName] = random.Intn(places[i].Slots/2 + 1)
 		}
-		p.RecordReport(start, name, random.Intn(60), items)
+		p.ApplyReport(start, name, random.Intn(60), items)
 	}
 	return names
 }
@@ -128,7 +128,7 @@
 func TestRoomIsSpread(t *testing.T) {
 	p := New()
 	places := []Worker{{ShortName: 1, Pool: "p", Slots: 8}, {ShortName: 2, Pool: "p", Slots: 8}, {ShortName: 3, Pool: "p", Slots: 8}}
-	p.RecordReport(start, 10, 0, map[uint32]int{1: 8, 2: 4, 3: 1})
+	p.ApplyReport(start, 10, 0, map[uint32]int{1: 8, 2: 4, 3: 1})
 	orders := p.Plan(10, Workers{Busy: places, Forecasts: []Forecast{outlookOf(places, 16, true)}})
 	if want := (map[uint32]Order{1: {Stop: 5}}); !maps.Equal(orders, want) {
 		t.Errorf("orders %+v, want %+v", orders, want)
@@ -144,7 +144,7 @@
 	places := []Worker{{ShortName: 1, Pool: "p", Slots: 8, Online: 1}, {ShortName: 2, Pool: "p", Slots: 8, Online: 1}}
 	for need, want := range map[float64]int{16: 0, 12: 3, 2: 14} {
 		p := New()
-		p.RecordReport(start, 10, 40, nil)
+		p.ApplyReport(start, 10, 40, nil)
 		started := 0
 		for _, order := range p.Plan(10, Workers{Busy: places, Forecasts: []Forecast{outlookOf(places, need, true)}}) {
 			started += order.Start
@@ -159,7 +159,7 @@
 func TestANewPlannerWaits(t *testing.T) {
 	places := []Worker{{ShortName: 1, Pool: "p", Slots: 8}}
 	p := New()
-	p.RecordReport(start, 10, 40, nil)
+	p.ApplyReport(start, 10, 40, nil)
 	held := outlookOf(places, 0, false)
 	held.Paused = true
 	if orders := p.Plan(10, Workers{Busy: places, Forecasts: []Forecast{held}}); len(orders) > 0 || !p.Summary().Paused {
@@ -185,7 +185,7 @@
 	}}
 	b.ReportAllocs()
 	for b.Loop() {
-		p.RecordReport(start, 10, 20, items)
+		p.ApplyReport(start, 10, 20, items)
 		p.Plan(10, told)
 	}
 }
@@ -221,7 +221,7 @@
 		}
 		places.ClearMaxWait()
 		planner := New()
-		planner.RecordReport(time.Unix(1000, 0), 1, 10, items)
+		planner.ApplyReport(time.Unix(1000, 0), 1, 10, items)
 		stops := 0
 		for _, order := range planner.Plan(1, places) {
 			stops += order.Stop
--- a/internal/batchroom/batchroom.go
+++ b/internal/batchroom/batchroom.go
@@ -116,9 +116,9 @@
 // New returns a planner that knows no runner.
 func New() *Planner { return &Planner{runners: map[uint32]*runner{}} }
 
-// RecordReport takes in a runner's report: how many items could start, and how many run at
+// ApplyReport takes in a runner's report: how many items could start, and how many run at
 // each worker.
-func (p *Planner) RecordReport(now time.Time, name uint32, waiting int, items map[uint32]int) {
+func (p *Planner) ApplyReport(now time.Time, name uint32, waiting int, items map[uint32]int) {
 	for known, r := range p.runners {
 		if now.Sub(r.at) > runnerFresh {
 			delete(p.runners, known)
--- a/internal/batchroom/batchroom_test.go
+++ b/internal/batchroom/batchroom_test.go
@@ -15,14 +15,14 @@
 func TestRoomIsDivided(t *testing.T) {
 	p := New()
 	places := []Worker{{ShortName: 1, Slots: 7, Online: 2}, {ShortName: 2, Slots: 7, Online: 7}, {ShortName: 3, Slots: 8, Closed: true}}
-	p.RecordReport(start, 10, 30, nil)
-	p.RecordReport(start, 20, 30, nil)
+	p.ApplyReport(start, 10, 30, nil)
+	p.ApplyReport(start, 20, 30, nil)
 	first := p.Plan(10, Workers{Busy: places})
 	second := p.Plan(20, Workers{Busy: places})
 	if first[1].Start != 3 || second[1].Start != 1 || first[2].Start+second[2].Start+first[3].Start+second[3].Start != 0 {
 		t.Errorf("orders %+v and %+v", first, second)
 	}
-	p.RecordReport(start, 20, 30, map[uint32]int{1: 1})
+	p.ApplyReport(start, 20, 30, map[uint32]int{1: 1})
 	if again := p.Plan(20, Workers{Busy: places}); again[1].Start != 1 {
 		t.Errorf("of one slot left: %+v", again)
 	}
@@ -34,13 +34,13 @@
 func TestStopsAreDivided(t *testing.T) {
 	p := New()
 	places := []Worker{{ShortName: 1, Slots: 8, Online: 6}}
-	p.RecordReport(start, 10, 0, map[uint32]int{1: 4})
-	p.RecordReport(start, 20, 0, map[uint32]int{1: 1})
+	p.ApplyReport(start, 10, 0, map[uint32]int{1: 4})
+	p.ApplyReport(start, 20, 0, map[uint32]int{1: 1})
 	if first, second := p.Plan(10, Workers{Busy: places}), p.Plan(20, Workers{Busy: places}); first[1].Stop != 3 || second[1].Stop != 0 {
 		t.Errorf("orders %+v and %+v", first, second)
 	}
 	later := start.Add(runnerFresh + 1)
-	p.RecordReport(later, 20, 0, map[uint32]int{1: 3})
+	p.ApplyReport(later, 20, 0, map[uint32]int{1: 3})
 	if orders := p.Plan(20, Workers{Busy: places}); orders[1].Stop != 1 {
 		t.Errorf("beside a runner of long ago: %+v", orders)
 	}
@@ -86,7 +86,7 @@
 					for worker, count := range items[name] {
 						reported[worker] = count
 					}
-					p.RecordReport(now, name, waiting[name], reported)
+					p.ApplyReport(now, name, waiting[name], reported)
 					for worker, order := range p.Plan(name, formOf(places)) {
 						place := &places[worker-1]
 						if order.Stop > items[name][worker] || order.Start > 0 && order.Stop > 0 {
@@ -148,7 +148,7 @@
 // TestSummary checks the sums that a plan is logged with.
 func TestSummary(t *testing.T) {
 	p := New()
-	p.RecordReport(start, 10, 5, map[uint32]int{1: 2})
+	p.ApplyReport(start, 10, 5, map[uint32]int{1: 2})
 	p.Plan(10, Workers{Busy: []Worker{{ShortName: 1, Slots: 4, Online: 3}, {ShortName: 2, Slots: 4, Online: 1}}})
 	want := Summary{Slots: 8, Online: 4, Items: 2, Queued: 1, Idle: 3, Waiting: 5, Free: 3, Granted: 3, Stops: 1}
 	if got := p.Summary(); got != want {
@@ -160,7 +160,7 @@
 // before room elsewhere is given out, and none where it is not, or where it would wait.
 func TestAvoidedWorkersGetOneProbe(t *testing.T) {
 	planner := New()
-	planner.RecordReport(start, 1, 2, nil)
+	planner.ApplyReport(start, 1, 2, nil)
 	places := Workers{Busy: []Worker{
 		{ShortName: 1, Slots: 8, Closed: true, Probe: true},
 		{ShortName: 2, Slots: 8, Closed: true},
@@ -171,11 +171,11 @@
 	if len(orders) != 2 || orders[1].Start != 1 || orders[4].Start != 1 {
 		t.Errorf("orders %+v", orders)
 	}
-	planner.RecordReport(start, 2, 5, nil)
+	planner.ApplyReport(start, 2, 5, nil)
 	if again := planner.Plan(2, places); again[1].Start != 1 || again[2].Start != 0 || again[3].Start != 0 {
 		t.Errorf("orders of another runner %+v", again)
 	}
-	planner.RecordReport(start, 1, 0, nil)
+	planner.ApplyReport(start, 1, 0, nil)
 	if none := planner.Plan(1, places); len(none) != 0 {
 		t.Errorf("orders without an item %+v", none)
 	}
--- a/internal/batchroom/runners_test.go
+++ b/internal/batchroom/runners_test.go
@@ -29,7 +29,7 @@
 			items[uint32(run.worker+1)]++
 		}
 	}
-	d.planner.RecordReport(start.Add(d.now), r.name, waiting, items)
+	d.planner.ApplyReport(start.Add(d.now), r.name, waiting, items)
 	r.orders, r.ordered = d.planner.Plan(r.name, d.places()), d.now
 }
 
--- a/internal/batchstate/machine.go
+++ b/internal/batchstate/machine.go
@@ -73,13 +73,13 @@
 func (j *Job) Open() bool { return !j.Ended && j.Results < len(j.Items) }
 
 // Account names what the job's waiting tokens count against: its route, for its owner.
-func (j *Job) Account() string { return AccountOf(j.Owner, j.Route) }
+func (j *Job) Account() string { return AccountName(j.Owner, j.Route) }
 
-// AccountOf names the account of an owner on a route.
-func AccountOf(owner tenancy.Name, route string) string { return tenancy.Scoped(owner, route) }
+// AccountName names the account of an owner on a route.
+func AccountName(owner tenancy.Name, route string) string { return tenancy.Scoped(owner, route) }
 
-// Find returns the number of the item with the id.
-func (j *Job) Find(id string) (int, bool) {
+// FindItem returns the number of the item with the id.
+func (j *Job) FindItem(id string) (int, bool) {
 	number, found := j.byID[id]
 	return number, found
 }
@@ -145,9 +145,9 @@
 // time.
 const quotaRetry = time.Second
 
-// Fits returns the refusal of a job that does not fit its owner's quota on the route
+// CheckQuota returns the refusal of a job that does not fit its owner's quota on the route
 // now, or nil.
-func (m *Machine) Fits(job *wire.SubmitBatch) error {
+func (m *Machine) CheckQuota(job *wire.SubmitBatch) error {
 	if job.Limit <= 0 {
 		return nil
 	}
@@ -155,7 +155,7 @@
 	for i := range job.Items {
 		tokens += job.Items[i].Tokens
 	}
-	if waiting := m.waiting[AccountOf(tenancy.Name(job.Owner), job.Route)]; waiting+tokens > job.Limit {
+	if waiting := m.waiting[AccountName(tenancy.Name(job.Owner), job.Route)]; waiting+tokens > job.Limit {
 		return failure.New(failure.OverLimit, "send it again when fewer tokens wait", "%d tokens of tenant %q wait on route %s, and %d more than %d may", waiting, job.Owner, job.Route, tokens, job.Limit).WithRetryAfter(quotaRetry)
 	}
 	return nil
@@ -166,7 +166,7 @@
 		result.Repeated = true
 		return nil
 	}
-	if err := m.Fits(submit); err != nil {
+	if err := m.CheckQuota(submit); err != nil {
 		return err
 	}
 	m.order++
@@ -318,18 +318,18 @@
 	return job, nil
 }
 
-// Jobs calls visit with every job, in no order.
-func (m *Machine) Jobs(visit func(job *Job)) {
+// EachJob calls visit with every job, in no order.
+func (m *Machine) EachJob(visit func(job *Job)) {
 	for _, job := range m.jobs {
 		visit(job)
 	}
 }
 
-// Waiting returns the tokens that wait on the account.
-func (m *Machine) Waiting(account string) int64 { return m.waiting[account] }
+// WaitingTokens returns the tokens that wait on the account.
+func (m *Machine) WaitingTokens(account string) int64 { return m.waiting[account] }
 
-// EachWaiting calls visit with each account on which tokens wait.
-func (m *Machine) EachWaiting(visit func(account string, tokens int64)) {
+// EachAccount calls visit with each account on which tokens wait.
+func (m *Machine) EachAccount(visit func(account string, tokens int64)) {
 	for account, tokens := range m.waiting {
 		visit(account, tokens)
 	}
--- a/internal/batchstate/machine_test.go
+++ b/internal/batchstate/machine_test.go
@@ -63,7 +63,7 @@
 		t.Fatalf("a job that fits got %+v", taken)
 	}
 	mustApply(t, machine, store, &wire.BatchCommand{End: &wire.BatchName{ID: "a"}})
-	if waiting := machine.Waiting("r"); waiting != 21 {
+	if waiting := machine.WaitingTokens("r"); waiting != 21 {
 		t.Errorf("%d tokens wait, want 21", waiting)
 	}
 }
@@ -216,7 +216,7 @@
 func (m *model) check(machine *Machine, store *storage.Memory) error {
 	var waiting int64
 	var failed error
-	machine.Jobs(func(job *Job) {
+	machine.EachJob(func(job *Job) {
 		read, err := machine.Read(store, job.ID, 0, 1<<20)
 		if err != nil {
 			failed = err
@@ -251,8 +251,8 @@
 			}
 		}
 	})
-	if failed == nil && waiting != machine.Waiting("r") {
-		return fmt.Errorf("%d tokens wait, the machine says %d", waiting, machine.Waiting("r"))
+	if failed == nil && waiting != machine.WaitingTokens("r") {
+		return fmt.Errorf("%d tokens wait, the machine says %d", waiting, machine.WaitingTokens("r"))
 	}
 	if failed == nil && waiting > 150 {
 		return fmt.Errorf("%d tokens wait, over the quota", waiting)
--- a/internal/batchstore/handlers.go
+++ b/internal/batchstore/handlers.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, err
 	}
-	job.Limit = s.limit(clock.Now(), g.number, batchstate.AccountOf(tenancy.Name(job.Owner), job.Route), job.Limit)
+	job.Limit = s.limit(clock.Now(), g.number, batchstate.AccountName(tenancy.Name(job.Owner), job.Route), job.Limit)
 	repeated := false
 	// What is refused anyway is not written to the log first.
 	err = g.read(func(storage.Reader) error {
@@ -49,7 +49,7 @@
 			repeated = true
 			return nil
 		}
-		return g.machine.Fits(job)
+		return g.machine.CheckQuota(job)
 	})
 	result := &wire.BatchResult{Repeated: repeated}
 	if err == nil && !repeated {
--- a/internal/batchstore/limits.go
+++ b/internal/batchstore/limits.go
@@ -58,18 +58,18 @@
 	var verdicts []wire.TokenVerdict
 	for _, question := range questions {
 		if question.Back {
-			l.hub.GiveBack(now, question.Ticket, question.Tenant)
+			l.hub.Release(now, question.Ticket, question.Tenant)
 			continue
 		}
 		verdict := l.hub.Take(now, question.Ticket, question.Tenant)
-		if verdict.Unsure {
+		if verdict.Uncertain {
 			// The edge asks again soon, here or at another hub.
 			continue
 		}
 		verdicts = append(verdicts, wire.TokenVerdict{
 			Ticket:      question.Ticket,
 			Granted:     verdict.Granted,
-			RetryMillis: uint32(verdict.Retry.Milliseconds()),
+			RetryMillis: uint32(verdict.RetryAfter.Milliseconds()),
 			Level:       int32(max(min(verdict.Level, math.MaxInt32), math.MinInt32)),
 			AgeMillis:   uint32(min(max(verdict.Age.Milliseconds(), 0), math.MaxUint32)),
 		})
@@ -88,26 +88,26 @@
 // learn takes in the top's answer, which may be nil.
 func (l *limiter) learn(now time.Time, news *wire.TenantNews) {
 	if news != nil {
-		l.hub.Learn(now, newsFromWire(news))
+		l.hub.Apply(now, newsFromWire(news))
 	}
 }
 
 // answerHub answers a hub, as the top.
 func (l *limiter) answerHub(now time.Time, report *wire.LoadReport) *wire.TenantNews {
-	return newsToWire(l.lead(now).Take(now, report.Source, report.Zone, int(report.Sources), newsFromWire(report.Tenants)))
+	return newsToWire(l.lead(now).ApplyReport(now, report.Source, report.Zone, int(report.Sources), newsFromWire(report.Tenants)))
 }
 
 // leave takes in that a hub has nobody left to answer, as the top.
 func (l *limiter) leave(now time.Time, source uint32) {
 	if len(l.limits) > 0 {
-		l.lead(now).Leave(now, source)
+		l.lead(now).RemoveHub(now, source)
 	}
 }
 
 // tellSelf lets the hub of this process tell the top of this process, and learn from it.
 func (l *limiter) tellSelf(now time.Time, source uint32, zone string, edges int) {
 	if len(l.limits) > 0 {
-		l.hub.Learn(now, l.lead(now).Take(now, source, zone, edges, l.hub.Report(now)))
+		l.hub.Apply(now, l.lead(now).ApplyReport(now, source, zone, edges, l.hub.Report(now)))
 	}
 }
 
@@ -127,16 +127,16 @@
 	shareParts = 1000
 )
 
-func newsToWire(news *ratelimit.News) *wire.TenantNews {
-	message := &wire.TenantNews{Epoch: news.Epoch, Mark: news.Mark, HeardEpoch: news.HeardEpoch, Heard: news.Heard, Complete: news.Complete}
+func newsToWire(news *ratelimit.Update) *wire.TenantNews {
+	message := &wire.TenantNews{Epoch: news.Epoch, Mark: news.Sequence, HeardEpoch: news.AckEpoch, Heard: news.AckSequence, Complete: news.AllZonesJoined}
 	for i := range news.Rows {
 		row := &news.Rows[i]
 		message.Rows = append(message.Rows, wire.TenantRow{
 			Tenant:  row.Tenant,
-			Count:   row.Count,
+			Count:   row.Taken,
 			Level:   int32(max(min(row.Level*levelParts, math.MaxInt32), math.MinInt32)),
 			Share:   uint16(row.Share * shareParts),
-			Refills: uint16(row.Refills * shareParts),
+			Refills: uint16(row.RefillShare * shareParts),
 			Joining: row.Joining,
 			Counted: row.Counted,
 		})
@@ -144,18 +144,18 @@
 	return message
 }
 
-func newsFromWire(message *wire.TenantNews) *ratelimit.News {
-	news := &ratelimit.News{Epoch: message.Epoch, Mark: message.Mark, HeardEpoch: message.HeardEpoch, Heard: message.Heard, Complete: message.Complete}
+func newsFromWire(message *wire.TenantNews) *ratelimit.Update {
+	news := &ratelimit.Update{Epoch: message.Epoch, Sequence: message.Mark, AckEpoch: message.HeardEpoch, AckSequence: message.Heard, AllZonesJoined: message.Complete}
 	for i := range message.Rows {
 		row := &message.Rows[i]
 		news.Rows = append(news.Rows, ratelimit.Row{
-			Tenant:  row.Tenant,
-			Count:   row.Count,
-			Level:   float64(row.Level) / levelParts,
-			Share:   float64(row.Share) / shareParts,
-			Refills: float64(row.Refills) / shareParts,
-			Joining: row.Joining,
-			Counted: row.Counted,
+			Tenant:      row.Tenant,
+			Taken:       row.Count,
+			Level:       float64(row.Level) / levelParts,
+			Share:       float64(row.Share) / shareParts,
+			RefillShare: float64(row.Refills) / shareParts,
+			Joining:     row.Joining,
+			Counted:     row.Counted,
 		})
 	}
 	return news
--- a/internal/batchstore/loads.go
+++ b/internal/batchstore/loads.go
@@ -182,7 +182,7 @@
 
 // answerZone takes in the report of an edge. The lock of the hubs is held.
 func (s *Store) answerZone(now time.Time, report *wire.LoadReport) *wire.LoadReport {
-	s.loads.zone.RecordReport(now, report)
+	s.loads.zone.ApplyReport(now, report)
 	s.noteJudged(s.loads.zone)
 	verdicts := s.loads.limits.answer(now, report.Tokens)
 	standings := s.loads.room.answer(now, report, verdicts)
@@ -215,7 +215,7 @@
 // answerTop takes in the report of a zone's hub or of a store that runs items. The lock
 // of the hubs is held.
 func (s *Store) answerTop(now time.Time, report *wire.LoadReport) *wire.LoadReport {
-	s.loads.top.RecordReport(now, report)
+	s.loads.top.ApplyReport(now, report)
 	s.noteJudged(s.loads.top)
 	if report.Left {
 		s.loads.limits.leave(now, report.Source)
@@ -269,14 +269,14 @@
 	s.loads.ownDue = now.Add(s.ownPause())
 	top, zone := s.loads.top, s.loads.zone
 	proofs := s.workers.ProbeResults()
-	top.RecordReport(now, &wire.LoadReport{Source: ownSource, Workers: s.workers.Loads(), Proofs: proofs})
+	top.ApplyReport(now, &wire.LoadReport{Source: ownSource, Workers: s.workers.Loads(), Proofs: proofs})
 	switch sums := zone.Sums(now, s.zoneSource()); {
 	case sums == nil:
 	case sums.Left:
-		top.RecordReport(now, sums)
+		top.ApplyReport(now, sums)
 		s.loads.limits.leave(now, s.zoneSource())
 	default:
-		top.RecordReport(now, sums)
+		top.ApplyReport(now, sums)
 		s.loads.limits.tellSelf(now, s.zoneSource(), s.settings.Zone, int(sums.Sources))
 	}
 	s.noteJudged(top)
--- a/internal/batchstore/loads_test.go
+++ b/internal/batchstore/loads_test.go
@@ -118,7 +118,7 @@
 	}
 	s.loads.setWorkers(workerset.Of(rows), "z")
 	now := clock.Now()
-	s.loads.zone.RecordReport(now, &wire.LoadReport{Source: 7, Workers: []wire.WorkerLoad{{Worker: loadshare.Hash("11"), Online: 3}}})
+	s.loads.zone.ApplyReport(now, &wire.LoadReport{Source: 7, Workers: []wire.WorkerLoad{{Worker: loadshare.Hash("11"), Online: 3}}})
 	first := s.answerZone(now, &wire.LoadReport{Source: 8, Zone: "z", First: true})
 	if first.Drawn || len(first.Workers) != 1 || first.Workers[0].Online != 3 {
 		t.Errorf("an edge of the first generation is told %+v", first)
--- a/internal/batchstore/outlook.go
+++ b/internal/batchstore/outlook.go
@@ -13,7 +13,7 @@
 // foresees reports whether the need of online requests is forecast for a pool: where
 // tenants share it, or where its workers tell their pace.
 func (s *Store) foresees(table *routetable.Table, pool string) bool {
-	return table.AsksForKeys() || s.workers.ReportsPace(pool)
+	return table.RequiresKeys() || s.workers.ReportsPace(pool)
 }
 
 // foresee takes in the present need and returns what is known of the next moments. The
--- a/internal/batchstore/plan.go
+++ b/internal/batchstore/plan.go
@@ -73,7 +73,7 @@
 // order returns the items that wait to run, in the order in which they do.
 func (r *runner) order(now time.Time, table *routetable.Table) []batchplan.Item {
 	var items []batchplan.Item
-	r.group.machine.Jobs(func(job *batchstate.Job) {
+	r.group.machine.EachJob(func(job *batchstate.Job) {
 		if r.seen[job.ID] == nil {
 			r.seen[job.ID] = &sighting{first: now}
 		}
@@ -127,7 +127,7 @@
 	if table == nil {
 		return 0
 	}
-	return time.Duration(table.Named(job.Route).RunGoalMillis) * time.Millisecond
+	return time.Duration(table.RouteByName(job.Route).RunGoalMillis) * time.Millisecond
 }
 
 // consider returns a task for the item if it can run now. full names the
@@ -159,12 +159,12 @@
 	}
 	demand := &balance.Request{
 		Pool:       r.splitter.Next(route, r.store.workers.Usable),
-		Parts:      dialect.Parts(dialect.Value(content.Headers, r.store.dialect.PromptParts)),
+		Parts:      dialect.ParseParts(dialect.Value(content.Headers, r.store.dialect.PromptParts)),
 		Batch:      true,
 		BatchShare: r.store.batchShare(),
 		NoProbe:    r.unproven[key],
 	}
-	demand.PromptTokens, _ = dialect.TokenCounts(dialect.Value(content.Headers, r.store.dialect.Tokens))
+	demand.PromptTokens, _ = dialect.ParseTokenCounts(dialect.Value(content.Headers, r.store.dialect.Tokens))
 	if r.store.foresees(table, demand.Pool) {
 		demand.LastWorker = r.carried[key].worker
 	}
--- a/internal/batchstore/planner.go
+++ b/internal/batchstore/planner.go
@@ -24,7 +24,7 @@
 	}
 	places.Forecasts = s.foresee(now, table, &places)
 	places.ClearMaxWait()
-	s.loads.planner.RecordReport(now, source, waiting, items)
+	s.loads.planner.ApplyReport(now, source, waiting, items)
 	orders := s.loads.planner.Plan(source, places)
 	s.noteProbes(now, places, orders)
 	s.logPlan(now, source, places)
--- a/internal/batchstore/probe_test.go
+++ b/internal/batchstore/probe_test.go
@@ -31,9 +31,9 @@
 	s.loads.setWorkers(set, "z")
 	s.workers.Update(set, nil)
 	ill := loadshare.Hash("w0")
-	s.loads.top.RecordReport(start, &wire.LoadReport{Source: 9, Workers: []wire.WorkerLoad{{Worker: ill, Failed: 5}}})
+	s.loads.top.ApplyReport(start, &wire.LoadReport{Source: 9, Workers: []wire.WorkerLoad{{Worker: ill, Failed: 5}}})
 	const wellAfter, step = time.Second, 20 * time.Millisecond
-	s.loads.planner.RecordReport(start, 1, 0, nil)
+	s.loads.planner.ApplyReport(start, 1, 0, nil)
 	probes, back := 0, time.Duration(0)
 	for after := step; after < 4*time.Second && back == 0; after += step {
 		now := start.Add(after)
--- a/internal/batchstore/quarantine.go
+++ b/internal/batchstore/quarantine.go
@@ -25,7 +25,7 @@
 // fingerprintOf returns the identity of an item, the same as that of an online request
 // with the same content.
 func fingerprintOf(job *batchstate.Job, content *wire.ItemContent) quarantine.Fingerprint {
-	return quarantine.Of(job.Owner, job.Host, http.MethodPost, content.Path, content.Body)
+	return quarantine.FingerprintOf(job.Owner, job.Host, http.MethodPost, content.Path, content.Body)
 }
 
 // quarantined reports whether an item must not start, because workers ended under it. It
@@ -51,7 +51,7 @@
 		return false
 	}
 	r.resting[key] = now.Add(quarantinePause)
-	if book.Wait(now, request) == 0 {
+	if book.TrialDelay(now, request) == 0 {
 		go r.askTrial(ctx, key, request)
 	}
 	return true
@@ -59,7 +59,7 @@
 
 // askTrial asks the coordinators whether an item may be tried.
 func (r *runner) askTrial(ctx context.Context, key itemKey, request quarantine.Fingerprint) {
-	granted, wait := r.store.watcher.MayTry(ctx, request)
+	granted, wait := r.store.watcher.RequestTrial(ctx, request)
 	logging.Info(r.store.logger, "item_quarantined", "job", key.job, "item", key.item, "request", request, "trial", granted, "wait_ms", wait.Milliseconds())
 	if !granted {
 		return
@@ -76,17 +76,17 @@
 	book := store.watcher.Quarantine()
 	if err == nil || moved && t.ran >= goodRun {
 		if book.InUse() {
-			book.Good(clock.Now(), t.print)
+			book.RecordSuccess(clock.Now(), t.print)
 		}
 		return
 	}
-	if t.context.Err() != nil || !upstream.BrokeOff(err) {
+	if t.context.Err() != nil || !upstream.Disconnected(err) {
 		return
 	}
-	ended := store.upstream.Ended(t.context, t.lease.Endpoint, t.started)
+	ended := store.upstream.WorkerExited(t.context, t.lease.Endpoint, t.started)
 	logging.Info(store.logger, "worker_broke_off", "job", t.key.job, "item", t.id, "request", t.print, "worker", t.lease.Endpoint.ID, "ended", ended, "events", t.carry.events, "ms", t.ran.Milliseconds())
 	if ended {
 		t.onTrial = false
-		book.Ended(clock.Now(), t.print, t.lease.Endpoint.ID, t.started)
+		book.RecordExit(clock.Now(), t.print, t.lease.Endpoint.ID, t.started)
 	}
 }
--- a/internal/batchstore/quarantine_test.go
+++ b/internal/batchstore/quarantine_test.go
@@ -52,10 +52,10 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			r := testRunner(t, 1)
-			r.store.upstream = upstream.NewClient(dialect.Own())
+			r.store.upstream = upstream.NewClient(dialect.Default())
 			book := r.store.watcher.Quarantine()
 			for _, worker := range []string{"a", "b"} {
-				book.Ended(clock.Now(), item, worker, time.Time{})
+				book.RecordExit(clock.Now(), item, worker, time.Time{})
 			}
 			running := r.runItem(t, 0, clock.Now())
 			running.print, running.ran = item, test.ran
@@ -73,7 +73,7 @@
 func TestTrialIsKeptUntilItIsMade(t *testing.T) {
 	for _, ends := range []bool{false, true} {
 		r := testRunner(t, 1)
-		r.store.upstream = upstream.NewClient(dialect.Own())
+		r.store.upstream = upstream.NewClient(dialect.Default())
 		running := r.runItem(t, 0, clock.Now())
 		running.onTrial, running.yielded = true, !ends
 		running.lease = &balance.Lease{Endpoint: upstream.Endpoint{ID: "w", Address: endedWorker(t)}}
@@ -99,7 +99,7 @@
 	content := &wire.ItemContent{Path: "/"}
 	book := r.store.watcher.Quarantine()
 	for _, worker := range []string{"a", "b", "c"} {
-		book.Ended(now, fingerprintOf(job, content), worker, time.Time{})
+		book.RecordExit(now, fingerprintOf(job, content), worker, time.Time{})
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/batchstore/reads.go
+++ b/internal/batchstore/reads.go
@@ -86,7 +86,7 @@
 		if err != nil {
 			return err
 		}
-		number, found := job.Find(request.Item)
+		number, found := job.FindItem(request.Item)
 		if !found || job.Items[number].State != wire.ItemWaiting {
 			return failure.New(failure.NotFound, "check the id, or read the result", "job %q has no item %q without a result", request.Job, request.Item)
 		}
--- a/internal/batchstore/room.go
+++ b/internal/batchstore/room.go
@@ -56,7 +56,7 @@
 // over their shares. What was not granted a token of its tenant's limit claims nothing.
 func (z *zoneRoom) answer(now time.Time, report *wire.LoadReport, verdicts []wire.TokenVerdict) []wire.RoomStanding {
 	if !report.Left {
-		z.meter.RecordCounts(now, report.Source, report.Begun, report.Short)
+		z.meter.ApplyCounts(now, report.Source, report.Begun, report.Short)
 	}
 	var standings []wire.RoomStanding
 	for i := range report.Claims {
--- a/internal/batchstore/store.go
+++ b/internal/batchstore/store.go
@@ -49,7 +49,7 @@
 	watcher  *fleetwatch.Watcher
 	workers  *balance.Table
 	upstream *upstream.Client
-	dialect  *dialect.Dialect
+	dialect  *dialect.Names
 	identity wire.Hello
 	metrics  *metrics
 	loads    *loads
@@ -63,7 +63,7 @@
 }
 
 // New opens the data folder and prepares the process; d.Run serves it.
-func New(d *daemon.Daemon, config *settings.Store, names *dialect.Dialect) (*Store, error) {
+func New(d *daemon.Daemon, config *settings.Store, names *dialect.Names) (*Store, error) {
 	store, err := storage.OpenPebble(config.DataFolder, vfs.Default)
 	if err != nil {
 		return nil, err
@@ -97,7 +97,7 @@
 	s.status = wire.ProcessReport{Kind: wire.ProcessStore, Name: config.Name, Zone: config.Zone, Replica: s.identity.Replica}
 	s.watcher = fleetwatch.New(d.Logger, d.Traffic, config.Seeds, s.report)
 	s.watcher.OnChange(s.adopt)
-	s.upstream.Measure(d.Traffic)
+	s.upstream.SetMeter(d.Traffic)
 	d.Registry.MustRegister(newRoomCollector(s.loads))
 	s.client.Measure(d.Traffic)
 	s.register()
@@ -165,11 +165,11 @@
 
 // adopt takes in a new snapshot of the fleet.
 func (s *Store) adopt(snapshot *fleetwatch.Snapshot) {
-	s.workers.Update(snapshot.Workers, snapshot.Table.Memory())
+	s.workers.Update(snapshot.Workers, snapshot.Table.MemoryTokens())
 	s.loads.setWorkers(snapshot.Workers, s.settings.Zone)
 	s.loads.setLimits(snapshot)
 	s.loads.setGroups(s.groupCount())
-	s.upstream.Forget(s.workers.Contains)
+	s.upstream.CloseIdle(s.workers.Contains)
 	s.daemon.MarkFleet(snapshot.Table != nil, snapshot.Fleet.Listed || snapshot.Fleet.Partial)
 	ctx := s.daemon.Context()
 	err := s.host.ListPeers(ctx, snapshot.Fleet.StoreAddresses())
--- a/internal/batchstore/task.go
+++ b/internal/batchstore/task.go
@@ -211,8 +211,8 @@
 		return err
 	}
 	defer response.Close()
-	if told, found := dialect.Load(response.Header.Get(store.dialect.Load)); found {
-		t.lease.RecordReport(told)
+	if told, found := dialect.ParseLoad(response.Header.Get(store.dialect.Load)); found {
+		t.lease.ApplyReport(told)
 		store.noteDoubts()
 	}
 	switch {
@@ -263,7 +263,7 @@
 func (t *task) headers() []wire.HeaderField {
 	names := t.runner.store.dialect
 	fields := make([]wire.HeaderField, 0, len(t.content.Headers)+3)
-	for _, field := range names.Owned(t.content.Headers, t.owner) {
+	for _, field := range names.ForTenant(t.content.Headers, t.owner) {
 		switch http.CanonicalHeaderKey(field.Name) {
 		case names.RequestID, names.ExpectWorker, names.LastEvent, "Host", "Content-Length", "Connection", "Transfer-Encoding":
 		default:
@@ -272,7 +272,7 @@
 	}
 	fields = append(fields,
 		wire.HeaderField{Name: names.RequestID, Value: t.id},
-		wire.HeaderField{Name: names.ExpectWorker, Value: life.Worker(t.lease.Endpoint.ID)},
+		wire.HeaderField{Name: names.ExpectWorker, Value: life.WorkerID(t.lease.Endpoint.ID)},
 	)
 	if t.carry.events > 0 {
 		fields = append(fields, wire.HeaderField{Name: names.LastEvent, Value: strconv.FormatInt(t.carry.lastEvent, 10)})
@@ -298,7 +298,7 @@
 			silence = gapSilence
 		}
 		switch {
-		case err == io.EOF && parser.Rest() == 0 && t.carry.events > 0:
+		case err == io.EOF && parser.Buffered() == 0 && t.carry.events > 0:
 			return nil
 		case err == io.EOF:
 			t.brokeOff()
--- a/internal/batchstore/tokens.go
+++ b/internal/batchstore/tokens.go
@@ -14,7 +14,7 @@
 	for _, g := range s.groups {
 		row := wire.GroupTokens{Group: uint8(g.number)}
 		err := g.read(func(storage.Reader) error {
-			g.machine.EachWaiting(func(account string, tokens int64) {
+			g.machine.EachAccount(func(account string, tokens int64) {
 				row.Routes = append(row.Routes, wire.RouteTokens{Route: loadshare.Hash(account), Tokens: tokens})
 			})
 			return nil
--- a/internal/coordinator/api.go
+++ b/internal/coordinator/api.go
@@ -93,7 +93,7 @@
 }
 
 func (a *API) release(request *http.Request, name string) error {
-	quarantined, err := quarantine.Parse(name)
+	quarantined, err := quarantine.ParseFingerprint(name)
 	if err != nil {
 		return err
 	}
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -68,7 +68,7 @@
 	// mutex guards what follows.
 	mutex   sync.Mutex
 	view    *fleetview.View
-	warden  *quarantine.Warden
+	warden  *quarantine.Timers
 	gate    quarantine.Gate
 	changed chan struct{}
 	// pages are those of a first reading that are still to be told, pagesAt is when some
@@ -79,7 +79,7 @@
 
 // New opens the data folder and prepares the process; d.Run serves it.
 // The pages are those of the platform's list of workers.
-func New(d *daemon.Daemon, config *settings.Coordinator, pages listreader.Pages) (*Coordinator, error) {
+func New(d *daemon.Daemon, config *settings.Coordinator, pages listreader.Pager) (*Coordinator, error) {
 	store, err := storage.OpenPebble(config.DataFolder, vfs.Default)
 	if err != nil {
 		return nil, err
@@ -105,7 +105,7 @@
 	d.MarkStep(daemon.StepStorage)
 	d.Registry.MustRegister(c.changes, c.watches, c.oddEntries)
 	c.relay = newRelay(c)
-	c.list.Came = c.addWorkers
+	c.list.OnPage = c.addWorkers
 	c.register()
 	d.BeforeStop(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
@@ -154,8 +154,8 @@
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
 		if c.view == nil || c.view.Term != term {
-			c.view, c.warden = fleetview.New(term), quarantine.NewWarden()
-			c.gate.Begin(c.machine.Quarantine())
+			c.view, c.warden = fleetview.New(term), quarantine.NewTimers()
+			c.gate.StartTerm(c.machine.Quarantine())
 			c.pages = nil
 			logging.Info(c.logger, "leading", "term", term)
 		}
@@ -179,16 +179,16 @@
 			c.daemon.MarkStep(daemon.StepPeer)
 		}
 		for i := range processes {
-			if processes[i].SilentMillis <= fleetview.ProcessFresh.Milliseconds() {
+			if processes[i].SilentMillis <= fleetview.ProcessTTL.Milliseconds() {
 				coordinators = append(coordinators, processes[i].Hello.Replica.Address)
 			}
 		}
 		changed := false
 		var form [][]wire.Replica
 		err = c.readLeader(func(now time.Time, v *fleetview.View) {
-			changed = v.Refresh(now, coordinators, c.machine.Initial(), c.machine.Retiring())
-			if len(c.machine.Initial()) == 0 {
-				form = v.FirstVoters(now, c.settings.Tolerate)
+			changed = v.Refresh(now, coordinators, c.machine.InitialVoters(), c.machine.Retiring())
+			if len(c.machine.InitialVoters()) == 0 {
+				form = v.InitialVoters(now, c.settings.Tolerate)
 			}
 		})
 		if err != nil {
@@ -224,11 +224,11 @@
 			return
 		}
 		if began != term {
-			c.list.Forget()
+			c.list.Reset()
 		}
 		term = began
 		calls := c.readList(ctx, &seen)
-		due = now.Add(listreader.Pause(c.settings.PollInterval.Std(), calls, c.settings.PlatformRate))
+		due = now.Add(listreader.PollInterval(c.settings.PollInterval.Std(), calls, c.settings.PlatformRate))
 	})
 }
 
@@ -245,7 +245,7 @@
 	callContext, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	reading, err := c.list.Read(callContext)
-	failing := err != nil || len(reading.Kept) > 0
+	failing := err != nil || len(reading.StaleZones) > 0
 	if failing != seen.failing {
 		seen.failing = failing
 		logging.Info(c.logger, "worker_list", "readable", !failing, "error", err)
@@ -253,10 +253,10 @@
 	if err != nil {
 		return 0
 	}
-	c.oddEntries.Add(float64(reading.Odd))
-	if reading.Odd != seen.odd {
-		seen.odd = reading.Odd
-		logging.Warn(c.logger, "worker_list_entries", "odd", reading.Odd, "workers", len(reading.Rows), "last", reading.Oddity)
+	c.oddEntries.Add(float64(reading.Invalid))
+	if reading.Invalid != seen.odd {
+		seen.odd = reading.Invalid
+		logging.Warn(c.logger, "worker_list_entries", "odd", reading.Invalid, "workers", len(reading.Rows), "last", reading.InvalidErr)
 	}
 	changed, number := false, uint64(0)
 	// An error means that another process leads now; it reads the list itself.
@@ -266,7 +266,7 @@
 		number = v.Number
 	})
 	if changed {
-		logging.Info(c.logger, "workers_changed", "workers", len(reading.Rows), "view", number, "calls", reading.Calls, "kept", len(reading.Kept), "ms", clock.Now().Sub(began).Milliseconds())
+		logging.Info(c.logger, "workers_changed", "workers", len(reading.Rows), "view", number, "calls", reading.Calls, "kept", len(reading.StaleZones), "ms", clock.Now().Sub(began).Milliseconds())
 		c.notify()
 	}
 	return reading.Calls
--- a/internal/coordinator/operate.go
+++ b/internal/coordinator/operate.go
@@ -91,8 +91,8 @@
 		var emptied []string
 		err := c.readLeader(func(now time.Time, v *fleetview.View) {
 			if first {
-				v.Heard(now, &request.Process)
-				emptied = v.Emptied(now, request, c.pendingRetirements(), len(c.machine.Initial()))
+				v.ApplyReport(now, &request.Process)
+				emptied = v.DrainedStores(now, request, c.pendingRetirements(), len(c.machine.InitialVoters()))
 			}
 			c.tell(v, request, response)
 			if response.Document != nil || response.Fleet != nil || c.mustKnow(request.Quarantine) {
@@ -168,7 +168,7 @@
 		}
 		// The answer is encoded after the lock is gone.
 		if request.Generation() == wire.GenerationFirst {
-			response.Fleet = v.SinceFirst(known)
+			response.Fleet = v.SinceGenerationFirst(known)
 		} else {
 			response.Fleet = v.Since(known, request.Digests)
 		}
@@ -257,9 +257,9 @@
 		if asked, _ := c.machine.Retirement(request.Name); asked {
 			return
 		}
-		remaining := v.Remaining(now, request.Name, c.machine.Retiring())
+		remaining := v.RemainingStores(now, request.Name, c.machine.Retiring())
 		switch {
-		case !v.Knows(request.Name):
+		case !v.HasStore(request.Name):
 			refusal = failure.New(failure.NotFound, "check the name", "there is no store %q", request.Name)
 		case remaining < 2*c.settings.Tolerate+1:
 			refusal = failure.New(failure.Conflict, "add a store first", "only %d stores would be left", remaining)
--- a/internal/coordinator/quarantine.go
+++ b/internal/coordinator/quarantine.go
@@ -133,7 +133,7 @@
 }
 
 func (c *Coordinator) decideTrial(now time.Time, request quarantine.Fingerprint, command *wire.QuarantineCommand, answer *wire.QuarantineAnswer) {
-	granted, wait := c.warden.Trial(now, c.machine.Quarantine(), request)
+	granted, wait := c.warden.GrantTrial(now, c.machine.Quarantine(), request)
 	answer.Granted, answer.WaitMillis = granted, wait.Milliseconds()
 	trials := 0
 	if entry := c.machine.Quarantine().Entry(request); granted && entry != nil {
@@ -147,7 +147,7 @@
 // each report would take more of a small machine than the reports.
 func (c *Coordinator) applied() {
 	table, before := c.machine.Quarantine(), c.quarantineAt
-	c.quarantineAt = quarantineMark{table.Revision(), table.Urgent()}
+	c.quarantineAt = quarantineMark{table.Revision(), table.UrgentRevision()}
 	if c.quarantineAt.revision != before.revision && c.quarantineAt.urgent == before.urgent {
 		return
 	}
@@ -161,7 +161,7 @@
 // at once.
 func (c *Coordinator) mustKnow(known uint64) bool {
 	table := c.machine.Quarantine()
-	return known < table.Urgent() || known > table.Revision()
+	return known < table.UrgentRevision() || known > table.Revision()
 }
 
 // tellQuarantine fills in what the caller of a watch does not know of requests under which
@@ -177,7 +177,7 @@
 func (c *Coordinator) keepQuarantine(ctx context.Context) {
 	var command *wire.QuarantineCommand
 	err := c.readLeader(func(now time.Time, _ *fleetview.View) {
-		command = c.gate.Command(c.warden.Look(now, c.machine.Quarantine()), c.machine.Quarantine())
+		command = c.gate.Command(c.warden.Tick(now, c.machine.Quarantine()), c.machine.Quarantine())
 	})
 	if err != nil || command == nil {
 		return
@@ -185,7 +185,7 @@
 	_, err = c.propose(ctx, &wire.FleetCommand{Quarantine: command})
 	if command.Restated != nil && err == nil {
 		c.mutex.Lock()
-		c.gate.Restated()
+		c.gate.RecordRestatement()
 		c.mutex.Unlock()
 	}
 	logging.Info(c.logger, "quarantine_kept", "settled", len(command.Settled), "expired", len(command.Expired), "restated", command.Restated != nil, "error", err)
@@ -195,8 +195,8 @@
 func (c *Coordinator) noteGenerations(processes []wire.Process) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.gate.Note(processes) {
-		logging.Info(c.logger, "quarantine_replicated", "possible", c.gate.Older() == "", "older_build_at", c.gate.Older())
+	if c.gate.ApplyProcesses(processes) {
+		logging.Info(c.logger, "quarantine_replicated", "possible", c.gate.OlderProcess() == "", "older_build_at", c.gate.OlderProcess())
 	}
 }
 
@@ -205,5 +205,5 @@
 func (c *Coordinator) passedOver() error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.gate.Refusal()
+	return c.gate.Err()
 }
--- a/internal/coordinator/relay.go
+++ b/internal/coordinator/relay.go
@@ -95,20 +95,20 @@
 	defer r.mutex.Unlock()
 	now := clock.Now()
 	snapshot := r.watcher.Current()
-	age := now.Sub(snapshot.Heard)
-	if stale := snapshot.Heard.IsZero() || age > relayFresh; stale != r.stale {
+	age := now.Sub(snapshot.LeaderSeen)
+	if stale := snapshot.LeaderSeen.IsZero() || age > relayFresh; stale != r.stale {
 		r.stale = stale
 		logging.Info(r.logger, "relay", "fresh", !stale, "age_ms", age.Milliseconds(), "term", r.mirror.Term(), "view", r.mirror.View())
 	}
 	if r.stale {
 		return nil, nil, false
 	}
-	r.mirror.Heard(now, request.Process.Name)
+	r.mirror.RecordWatch(now, request.Process.Name)
 	response = &wire.WatchResponse{Version: snapshot.Version(), Term: r.mirror.Term(), View: r.mirror.View(), AgeMillis: roundUp(age).Milliseconds()}
 	if snapshot.Version() > request.Version {
 		response.Document = snapshot.Document
 	}
-	response.Fleet = r.mirror.News(request)
-	response.Quarantine = r.watcher.Quarantine().News(request.Quarantine)
+	response.Fleet = r.mirror.UpdateFor(request)
+	response.Quarantine = r.watcher.Quarantine().UpdateSince(request.Quarantine)
 	return response, r.changed, true
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -107,7 +107,7 @@
 	if options.Logger == nil {
 		options.Logger = logging.Discard()
 	}
-	unread.LogTo(options.Logger)
+	unread.SetLogger(options.Logger)
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &Daemon{
 		Registry: prometheus.NewRegistry(),
--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -15,8 +15,8 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// Dialect holds the names of headers, in canonical form.
-type Dialect struct {
+// Names holds the names of headers, in canonical form.
+type Names struct {
 	// RequestID carries a request's id, which workers echo.
 	RequestID string
 	// Deadline carries how many milliseconds are left.
@@ -43,29 +43,29 @@
 	// Tenant tells workers whose request it is. What callers send there counts for
 	// nothing.
 	Tenant string
-	// Report is the path at which a worker tells of itself, empty where there is none, and
+	// ReportPath is the path at which a worker tells of itself, empty where there is none, and
 	// Born the field with the Unix millisecond of its start.
-	Report string
-	Born   string
+	ReportPath     string
+	StartTimeField string
 }
 
-// BornOf returns when a worker started by what it tells of itself, zero where it does not
+// ParseStartTime returns when a worker started by what it tells of itself, zero where it does not
 // tell, or tells something else than a whole number.
-func (d *Dialect) BornOf(report []byte) int64 {
+func (d *Names) ParseStartTime(report []byte) int64 {
 	var fields map[string]json.RawMessage
 	if json.Unmarshal(report, &fields) != nil {
 		return 0
 	}
-	born, err := strconv.ParseInt(string(fields[d.Born]), 10, 64)
+	born, err := strconv.ParseInt(string(fields[d.StartTimeField]), 10, 64)
 	if err != nil || born < 0 {
 		return 0
 	}
 	return born
 }
 
-// Own is the product's own dialect.
-func Own() *Dialect {
-	return &Dialect{
+// Default is the product's own dialect.
+func Default() *Names {
+	return &Names{
 		RequestID:    "Sedgemast-Request-Id",
 		Deadline:     "Sedgemast-Deadline-Ms",
 		ExpectWorker: "Sedgemast-Expect-Worker",
@@ -86,8 +86,8 @@
 	Tokens int64
 }
 
-// Parts reads the parts of a prompt; what does not parse ends the list.
-func Parts(value string) []Part {
+// ParseParts reads the parts of a prompt; what does not parse ends the list.
+func ParseParts(value string) []Part {
 	var parts []Part
 	for _, field := range strings.Split(value, ",") {
 		id, count, found := strings.Cut(strings.TrimSpace(field), ":")
@@ -100,18 +100,18 @@
 	return parts
 }
 
-// TokenCounts reads the tokens of the prompt and the most out; zero where they
+// ParseTokenCounts reads the tokens of the prompt and the most out; zero where they
 // are not told.
-func TokenCounts(value string) (prompt, out int64) {
+func ParseTokenCounts(value string) (prompt, out int64) {
 	first, second, _ := strings.Cut(value, ",")
 	prompt, _ = strconv.ParseInt(strings.TrimSpace(first), 10, 64)
 	out, _ = strconv.ParseInt(strings.TrimSpace(second), 10, 64)
 	return prompt, out
 }
 
-// Expected reads how many tokens the caller expects to be made, of the most that may be:
+// ParseExpected reads how many tokens the caller expects to be made, of the most that may be:
 // zero where that is not told.
-func Expected(hint string, most int64) int64 {
+func ParseExpected(hint string, most int64) int64 {
 	expected, err := strconv.ParseInt(strings.TrimSpace(hint), 10, 64)
 	if err != nil || expected <= 0 {
 		return 0
@@ -122,9 +122,9 @@
 	return expected
 }
 
-// TimeLeft reads a deadline header; without one it returns the longest time
+// ParseTimeLeft reads a deadline header; without one it returns the longest time
 // given.
-func TimeLeft(value string, longest time.Duration) time.Duration {
+func ParseTimeLeft(value string, longest time.Duration) time.Duration {
 	millis, err := strconv.ParseInt(strings.TrimSpace(value), 10, 64)
 	if err != nil || millis < 0 {
 		return longest
@@ -132,10 +132,10 @@
 	return min(longest, time.Duration(millis)*time.Millisecond)
 }
 
-// Load reads what a worker tells of itself. It reports whether it tells anything: the
+// ParseLoad reads what a worker tells of itself. It reports whether it tells anything: the
 // requests that it runs and those that wait at least. Slots and pace are zero where they are
 // missing, or no positive whole number.
-func Load(value string) (told capacity.Report, found bool) {
+func ParseLoad(value string) (told capacity.Report, found bool) {
 	fields := strings.Split(value, ",")
 	if len(fields) < 2 {
 		return capacity.Report{}, false
@@ -203,10 +203,10 @@
 	return fields
 }
 
-// Owned returns the headers of a request of the tenant as a worker gets them: without
+// ForTenant returns the headers of a request of the tenant as a worker gets them: without
 // any key, and with the tenant's name in place of what the caller said. A request that
 // belongs to nobody names no tenant.
-func (d *Dialect) Owned(fields []wire.HeaderField, tenant tenancy.Name) []wire.HeaderField {
+func (d *Names) ForTenant(fields []wire.HeaderField, tenant tenancy.Name) []wire.HeaderField {
 	owned := make([]wire.HeaderField, 0, len(fields)+1)
 	for _, field := range fields {
 		switch http.CanonicalHeaderKey(field.Name) {
--- a/internal/dialect/dialect_test.go
+++ b/internal/dialect/dialect_test.go
@@ -28,7 +28,7 @@
 		{"1,-2,8", capacity.Report{}, false},
 		{"a,b", capacity.Report{}, false},
 	} {
-		told, found := Load(test.value)
+		told, found := ParseLoad(test.value)
 		if told != test.want || found != test.found {
 			t.Errorf("%q: %+v, %t", test.value, told, found)
 		}
--- a/internal/dispatcher/quarantine.go
+++ b/internal/dispatcher/quarantine.go
@@ -42,11 +42,11 @@
 	switch {
 	case err == nil:
 		if local.InUse() {
-			local.Good(clock.Now(), t.fingerprint())
+			local.RecordSuccess(clock.Now(), t.fingerprint())
 		}
 	case failure.Is(err, failure.OutcomeUnknown) && errors.Is(err, syscall.ECONNREFUSED):
 		t.underEnd = true
-		local.Ended(clock.Now(), t.fingerprint(), t.worker, t.began)
+		local.RecordExit(clock.Now(), t.fingerprint(), t.worker, t.began)
 		logging.Info(t.dispatcher.logger, "worker_broke_off", "request", t.request.RequestID, "identity", t.fingerprint(), "worker", t.worker, "ended", true, "tokens", t.answer.tokens)
 	}
 }
@@ -55,5 +55,5 @@
 func (t *task) fingerprint() quarantine.Fingerprint {
 	r := t.request
 	target := fmt.Sprintf("%s/%d", r.Adapter, r.MaxTokens)
-	return quarantine.Of(tenancy.Name(r.Tenant), r.Model, "", target, []byte(r.Prompt))
+	return quarantine.FingerprintOf(tenancy.Name(r.Tenant), r.Model, "", target, []byte(r.Prompt))
 }
--- a/internal/edge/api.go
+++ b/internal/edge/api.go
@@ -64,7 +64,7 @@
 		return
 	}
 	if err := a.serveJob(writer, request, rest); err != nil {
-		a.Edge.Refuse(writer, request, err)
+		a.Edge.Reject(writer, request, err)
 	}
 }
 
--- a/internal/edge/call.go
+++ b/internal/edge/call.go
@@ -94,7 +94,7 @@
 
 func newCall(e *Edge, ctx context.Context, table *routetable.Table, route *routetable.Route, tenant *routetable.Tenant, writer http.ResponseWriter, controller *http.ResponseController, request *http.Request, body []byte, arrived, deadline time.Time) *call {
 	header := request.Header
-	prompt, _ := dialect.TokenCounts(header.Get(e.dialect.Tokens))
+	prompt, _ := dialect.ParseTokenCounts(header.Get(e.dialect.Tokens))
 	c := &call{
 		edge:         e,
 		context:      ctx,
@@ -111,7 +111,7 @@
 		demand: balance.Request{
 			Pool:         e.pool(route),
 			Exclude:      map[string]bool{},
-			Parts:        dialect.Parts(header.Get(e.dialect.PromptParts)),
+			Parts:        dialect.ParseParts(header.Get(e.dialect.PromptParts)),
 			PromptTokens: prompt,
 		},
 	}
@@ -119,7 +119,7 @@
 		Method:  request.Method,
 		Target:  request.RequestURI,
 		Host:    request.Host,
-		Headers: e.dialect.Owned(dialect.Forwardable(header), tenant.Owner()),
+		Headers: e.dialect.ForTenant(dialect.Forwardable(header), tenant.Owner()),
 		Body:    body,
 		ID:      c.id,
 	}
@@ -299,7 +299,7 @@
 	left := max(min(time.Until(c.deadline), c.bootDeadline.Sub(clock.Now())).Milliseconds(), 1)
 	fields = append(fields,
 		wire.HeaderField{Name: names.Deadline, Value: strconv.FormatInt(left, 10)},
-		wire.HeaderField{Name: names.ExpectWorker, Value: life.Worker(lease.Endpoint.ID)},
+		wire.HeaderField{Name: names.ExpectWorker, Value: life.WorkerID(lease.Endpoint.ID)},
 	)
 	if c.hasEvent {
 		fields = append(fields, wire.HeaderField{Name: names.LastEvent, Value: strconv.FormatInt(c.lastEvent, 10)})
@@ -323,8 +323,8 @@
 	}
 	defer response.Close()
 	c.status = response.Status
-	if told, found := dialect.Load(response.Header.Get(c.edge.dialect.Load)); found {
-		lease.RecordReport(told)
+	if told, found := dialect.ParseLoad(response.Header.Get(c.edge.dialect.Load)); found {
+		lease.ApplyReport(told)
 		c.edge.noteDoubts()
 	}
 	notRunHere := response.Status == http.StatusMisdirectedRequest || response.Header.Get(c.edge.dialect.NotRun) != ""
--- a/internal/edge/claim.go
+++ b/internal/edge/claim.go
@@ -29,7 +29,7 @@
 
 // newShareState returns what a request of the tenant on the route claims by.
 func newShareState(table *routetable.Table, tenant *routetable.Tenant, route *routetable.Route) shareState {
-	if !table.AsksForKeys() {
+	if !table.RequiresKeys() {
 		return shareState{}
 	}
 	party := fairshare.Claimant{Tenant: fairshare.Public, Rank: tenant.RankOn(route)}
--- a/internal/edge/claim_test.go
+++ b/internal/edge/claim_test.go
@@ -136,7 +136,7 @@
 func testCall(t *testing.T, f *tenantFleet, tenant *routetable.Tenant, left time.Duration) (*call, *httptest.ResponseRecorder) {
 	t.Helper()
 	table := f.edge.Table()
-	route := table.Named("r")
+	route := table.RouteByName("r")
 	route.GoalMillis = 300
 	f.edge.observe(route, func(known *admission.Route) {
 		known.ObserveArrival(5 * time.Second)
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -37,7 +37,7 @@
 	daemon   *daemon.Daemon
 	settings *settings.Edge
 	logger   logging.Logger
-	dialect  *dialect.Dialect
+	dialect  *dialect.Names
 	watcher  *fleetwatch.Watcher
 	workers  *balance.Table
 	upstream *upstream.Client
@@ -49,7 +49,7 @@
 	// gate holds requests that came before the configuration and the workers were known.
 	gate *startGate
 	// standstill notices that this process stood still.
-	standstill *standstill.Watch
+	standstill *standstill.Detector
 	// begun and short count the requests that began to run, and those that found no worker
 	// with room, where scarce room is divided.
 	begun atomic.Uint32
@@ -81,7 +81,7 @@
 }
 
 // New prepares the process; d.Run serves it.
-func New(d *daemon.Daemon, config *settings.Edge, names *dialect.Dialect) *Edge {
+func New(d *daemon.Daemon, config *settings.Edge, names *dialect.Names) *Edge {
 	seed := uint64(time.Now().UnixNano())
 	e := &Edge{
 		daemon:     d,
@@ -108,7 +108,7 @@
 	e.watcher.UseRelays(config.Name, config.Zone)
 	e.watcher.OnChange(e.adopt)
 	e.Stores = storeclient.New(d.Traffic, config.Zone, func() *wire.FleetView { return &e.watcher.Current().Fleet })
-	e.upstream.Measure(d.Traffic)
+	e.upstream.SetMeter(d.Traffic)
 	d.Go(e.watcher.Run)
 	e.loads = e.newLoads()
 	d.Go(e.shareLoads)
@@ -174,8 +174,8 @@
 // coordinators can't be reached.
 func (e *Edge) adopt(snapshot *fleetwatch.Snapshot) {
 	e.setHubs(snapshot.Fleet.Stores)
-	e.workers.Update(snapshot.Workers, snapshot.Table.Memory())
-	e.upstream.Forget(e.workers.Contains)
+	e.workers.Update(snapshot.Workers, snapshot.Table.MemoryTokens())
+	e.upstream.CloseIdle(e.workers.Contains)
 	e.keepTenants(snapshot.Table)
 	listed := snapshot.Fleet.Listed || snapshot.Fleet.Partial
 	if !e.gate.knows(needWorkers) {
@@ -200,7 +200,7 @@
 	limits := table.Limits()
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.reserve.Keep(limits)
+	e.reserve.Retain(limits)
 	counted := map[tenancy.Name]bool{}
 	if table != nil {
 		for i := range table.Configuration.Tenants {
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -29,8 +29,8 @@
 const patience = 30 * time.Second
 
 // standInNames are the names that the stand-in workers know.
-func standInNames() *dialect.Dialect {
-	names := dialect.Own()
+func standInNames() *dialect.Names {
+	names := dialect.Default()
 	names.RequestID, names.Deadline, names.ExpectWorker = "Request-Id", "Deadline-Ms", "Expect-Instance"
 	names.NotRun, names.Tokens = "Not-Run", "Token-Count"
 	return names
@@ -54,7 +54,7 @@
 			return response, nil
 		}
 		response.Document = document
-		response.Fleet = &wire.FleetView{Listed: true, News: workerset.Of(workers).News()}
+		response.Fleet = &wire.FleetView{Listed: true, News: workerset.Of(workers).FullUpdate()}
 		return response, nil
 	})
 	server := httptest.NewServer(mux)
@@ -286,7 +286,7 @@
 	if status, _, _, err := send(context.Background(), t, server, "a", 1, patience); err != nil || status != http.StatusOK {
 		t.Fatalf("status %d, %v", status, err)
 	}
-	now := e.watcher.Current().Heard.Add(time.Hour)
+	now := e.watcher.Current().LeaderSeen.Add(time.Hour)
 	if err := e.frozen(now); err != nil {
 		t.Error(err)
 	}
--- a/internal/edge/hold_test.go
+++ b/internal/edge/hold_test.go
@@ -57,7 +57,7 @@
 		if c.listed.Load() {
 			response.View = 2
 			if request.View < 2 {
-				response.Fleet = &wire.FleetView{Listed: true, News: workerset.Of(rows).News()}
+				response.Fleet = &wire.FleetView{Listed: true, News: workerset.Of(rows).FullUpdate()}
 			}
 		}
 		if response.Fleet == nil {
--- a/internal/edge/identity.go
+++ b/internal/edge/identity.go
@@ -17,12 +17,12 @@
 // is not known is refused for good only by a process that hears the coordinators, because
 // it may have been added a moment ago.
 func (e *Edge) identify(now time.Time, table *routetable.Table, public bool, request *http.Request) (*routetable.Tenant, error) {
-	if !table.AsksForKeys() {
+	if !table.RequiresKeys() {
 		return nil, nil
 	}
 	keys := request.Header.Values(e.dialect.Key)
 	if len(keys) == 1 {
-		if tenant := table.Holder(keys[0]); tenant != nil {
+		if tenant := table.TenantByKey(keys[0]); tenant != nil {
 			return tenant, nil
 		}
 	}
@@ -31,7 +31,7 @@
 		return nil, nil
 	case len(keys) != 1:
 		return nil, failure.New(failure.Unauthenticated, "send one key in the header for keys", "the request has %d keys", len(keys))
-	case now.Sub(e.watcher.Current().Heard) > certainTime:
+	case now.Sub(e.watcher.Current().LeaderSeen) > certainTime:
 		return nil, failure.New(failure.NotRun, "ask another edge", "the key is not known here, and no coordinator is heard").WithRetryAfter(shortRetry)
 	}
 	return nil, failure.New(failure.Unauthenticated, "ask your operator for a key", "no tenant holds the key in version %d", table.Configuration.Version)
@@ -44,6 +44,6 @@
 		return "", err
 	}
 	table := e.Table()
-	tenant, err := e.identify(now, table, table.TakesPublicJobs(request.Host), request)
+	tenant, err := e.identify(now, table, table.AcceptsPublicJobs(request.Host), request)
 	return tenant.Owner(), err
 }
--- a/internal/edge/identity_test.go
+++ b/internal/edge/identity_test.go
@@ -166,7 +166,7 @@
 			for _, worker := range f.workers {
 				workers = append(workers, wire.PoolWorker{ID: worker.ID, Pool: "p", Address: worker.Address(), Slots: worker.Slots})
 			}
-			response.Fleet = &wire.FleetView{Listed: true, News: workerset.Of(workers).News(), Stores: []wire.ProcessAddress{{Address: store}}, Initial: make([][]wire.Replica, placement.MaxGroups), Edges: 1}
+			response.Fleet = &wire.FleetView{Listed: true, News: workerset.Of(workers).FullUpdate(), Stores: []wire.ProcessAddress{{Address: store}}, Initial: make([][]wire.Replica, placement.MaxGroups), Edges: 1}
 		}
 		if response.Document == nil && response.Fleet == nil {
 			time.Sleep(time.Millisecond)
@@ -298,7 +298,7 @@
 	}
 	request := httptest.NewRequest(http.MethodPost, "/x", nil)
 	request.Header.Set(keyHeader, "added elsewhere")
-	late := f.edge.watcher.Current().Heard.Add(time.Minute)
+	late := f.edge.watcher.Current().LeaderSeen.Add(time.Minute)
 	if _, err := f.edge.identify(late, f.edge.Table(), false, request); !failure.Is(err, failure.NotRun) {
 		t.Errorf("a key that may have been added meanwhile: %v", err)
 	}
--- a/internal/edge/jobs.go
+++ b/internal/edge/jobs.go
@@ -51,8 +51,8 @@
 func (e *Edge) expect(job *wire.SubmitBatch) {
 	for i := range job.Items {
 		item := &job.Items[i]
-		_, most := dialect.TokenCounts(dialect.Value(item.Headers, e.dialect.Tokens))
-		item.Expected = dialect.Expected(dialect.Value(item.Headers, e.dialect.LengthHint), most)
+		_, most := dialect.ParseTokenCounts(dialect.Value(item.Headers, e.dialect.Tokens))
+		item.Expected = dialect.ParseExpected(dialect.Value(item.Headers, e.dialect.LengthHint), most)
 	}
 }
 
--- a/internal/edge/quarantine.go
+++ b/internal/edge/quarantine.go
@@ -20,8 +20,8 @@
 	if c.standing() != quarantine.Refused {
 		return false
 	}
-	granted, wait := c.edge.watcher.MayTry(c.context, c.fingerprint())
-	logging.Info(c.edge.logger, "request_quarantined", "id", c.id, "request", c.fingerprint(), "route", c.route.Name, "trial", granted, "wait_ms", wait.Milliseconds(), "revision", c.edge.watcher.Quarantine().Revision(), "heard_ms", clock.Since(c.edge.watcher.Current().Heard).Milliseconds())
+	granted, wait := c.edge.watcher.RequestTrial(c.context, c.fingerprint())
+	logging.Info(c.edge.logger, "request_quarantined", "id", c.id, "request", c.fingerprint(), "route", c.route.Name, "trial", granted, "wait_ms", wait.Milliseconds(), "revision", c.edge.watcher.Quarantine().Revision(), "heard_ms", clock.Since(c.edge.watcher.Current().LeaderSeen).Milliseconds())
 	if granted {
 		c.onTrial = true
 		return false
@@ -48,14 +48,14 @@
 
 // lookAt finds out whether the worker of an attempt that broke off has ended.
 func (c *call) lookAt(lease *balance.Lease, result outcome) {
-	if result != failed || !upstream.BrokeOff(c.lastErr) {
+	if result != failed || !upstream.Disconnected(c.lastErr) {
 		return
 	}
-	c.underEnd = c.edge.upstream.Ended(c.context, lease.Endpoint, c.sentAt)
+	c.underEnd = c.edge.upstream.WorkerExited(c.context, lease.Endpoint, c.sentAt)
 	logging.Info(c.edge.logger, "worker_broke_off", "id", c.id, "request", c.fingerprint(), "worker", lease.Endpoint.ID, "ended", c.underEnd, "last_event", c.lastEvent, "ms", c.elapsed())
 	if c.underEnd {
 		c.edge.metrics.ended.Inc()
-		c.edge.watcher.Quarantine().Ended(clock.Now(), c.fingerprint(), lease.Endpoint.ID, c.sentAt)
+		c.edge.watcher.Quarantine().RecordExit(clock.Now(), c.fingerprint(), lease.Endpoint.ID, c.sentAt)
 	}
 }
 
@@ -63,7 +63,7 @@
 // says nothing: it may not have begun.
 func (c *call) ranWell() {
 	if book := c.edge.watcher.Quarantine(); book.InUse() && c.status < http.StatusBadRequest {
-		book.Good(clock.Now(), c.fingerprint())
+		book.RecordSuccess(clock.Now(), c.fingerprint())
 	}
 }
 
@@ -71,7 +71,7 @@
 func (c *call) fingerprint() quarantine.Fingerprint {
 	if c.print == 0 {
 		r := &c.request
-		c.print = quarantine.Of(c.tenant.Owner(), r.Host, r.Method, r.Target, r.Body)
+		c.print = quarantine.FingerprintOf(c.tenant.Owner(), r.Host, r.Method, r.Target, r.Body)
 	}
 	return c.print
 }
--- a/internal/edge/quarantine_test.go
+++ b/internal/edge/quarantine_test.go
@@ -12,7 +12,7 @@
 )
 
 // identity is that of the requests that send makes.
-var identity = quarantine.Of("", "h.example", http.MethodPost, "/a", []byte("prompt"))
+var identity = quarantine.FingerprintOf("", "h.example", http.MethodPost, "/a", []byte("prompt"))
 
 // TestOnlyGoodEndsCount lets two workers end under a request: a failure that a worker
 // answers leaves it suspect, a good end clears it.
@@ -21,7 +21,7 @@
 	server, e := startEdge(t, stream(false, 1), workers...)
 	book := e.watcher.Quarantine()
 	for _, worker := range []string{"a", "b"} {
-		book.Ended(clock.Now(), identity, worker, time.Time{})
+		book.RecordExit(clock.Now(), identity, worker, time.Time{})
 	}
 	behaveAll(workers, emulator.HostedFault{Status: http.StatusInternalServerError})
 	if status, _, _, err := send(context.Background(), t, server, "1", 2, patience); err != nil || status != http.StatusInternalServerError {
@@ -45,7 +45,7 @@
 	workers := startWorkers(t, 2)
 	server, e := startEdge(t, stream(true, 2), workers...)
 	for _, worker := range []string{"a", "b", "c"} {
-		e.watcher.Quarantine().Ended(clock.Now(), identity, worker, time.Time{})
+		e.watcher.Quarantine().RecordExit(clock.Now(), identity, worker, time.Time{})
 	}
 	status, header, _, err := send(context.Background(), t, server, "1", 2, patience)
 	if err != nil || status != http.StatusServiceUnavailable || header.Get("Retry-After") == "" || runs(workers) != 0 {
--- a/internal/edge/queue.go
+++ b/internal/edge/queue.go
@@ -294,7 +294,7 @@
 // usesQueue reports whether requests of the pool wait in a queue of this process: where the
 // configuration names tenants, or the workers tell their pace.
 func (e *Edge) usesQueue(pool string) bool {
-	return e.Table().AsksForKeys() || e.workers.ReportsPace(pool)
+	return e.Table().RequiresKeys() || e.workers.ReportsPace(pool)
 }
 
 // queueOf returns the pool's queue.
--- a/internal/edge/queue_test.go
+++ b/internal/edge/queue_test.go
@@ -606,7 +606,7 @@
 	t.Cleanup(cancel)
 	go func() {
 		_ = loadshare.Serve(ctx, address, func(report *wire.LoadReport) *wire.LoadReport {
-			hub.RecordReport(clock.Now(), report)
+			hub.ApplyReport(clock.Now(), report)
 			if report.Quiet {
 				return nil
 			}
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -72,7 +72,7 @@
 
 // readBroke takes in that no more can be read from the worker.
 func (c *call) readBroke(lease *balance.Lease, err error) outcome {
-	if upstream.BrokeOff(err) && c.context.Err() == nil {
+	if upstream.Disconnected(err) && c.context.Err() == nil {
 		lease.RecordDisconnect()
 	}
 	return c.streamBroke(lease, err)
@@ -136,7 +136,7 @@
 // endStream ends the answer. What is left over is no whole event; it belongs to
 // the worker's body all the same.
 func (c *call) endStream(response *upstream.Response, parser *upstream.EventParser) outcome {
-	if parser.Rest() > 0 {
+	if parser.Buffered() > 0 {
 		c.lastErr = failure.Wrap(io.ErrUnexpectedEOF, failure.OutcomeUnknown, "", "the stream ended within an event")
 		return failed
 	}
--- a/internal/edge/serve.go
+++ b/internal/edge/serve.go
@@ -38,7 +38,7 @@
 func (e *Edge) ServeWithJobs(writer http.ResponseWriter, request *http.Request, submit Submit) {
 	arrived := time.Now()
 	if err := e.await(writer, request, arrived, needConfiguration); err != nil {
-		e.Refuse(writer, request, err)
+		e.Reject(writer, request, err)
 		return
 	}
 	table := e.Table()
@@ -48,7 +48,7 @@
 		return
 	}
 	if err := submit(request, table, route); err != nil {
-		e.Refuse(writer, request, err)
+		e.Reject(writer, request, err)
 		return
 	}
 	writer.WriteHeader(http.StatusAccepted)
@@ -58,7 +58,7 @@
 func (e *Edge) serve(writer http.ResponseWriter, request *http.Request, arrived time.Time) {
 	e.closeWhenStopping(writer)
 	if err := e.await(writer, request, arrived, needWorkers); err != nil {
-		e.Refuse(writer, request, err)
+		e.Reject(writer, request, err)
 		return
 	}
 	waited, err := e.wake(request.Context(), arrived)
@@ -70,28 +70,28 @@
 		err = httpapi.CheckHead(request, table.Configuration.Limits.MaxHeaderBytes)
 	}
 	if err != nil {
-		e.Refuse(writer, request, err)
+		e.Reject(writer, request, err)
 		return
 	}
 	route := table.Match(request.Host, request.URL.Path)
 	if route == nil || route.Kind == routetable.KindBatch {
-		e.Refuse(writer, request, failure.New(failure.NotFound, "check host and path", "no route leads to %s%s in version %d", request.Host, request.URL.Path, table.Configuration.Version))
+		e.Reject(writer, request, failure.New(failure.NotFound, "check host and path", "no route leads to %s%s in version %d", request.Host, request.URL.Path, table.Configuration.Version))
 		return
 	}
 	tenant, err := e.identify(now, table, route.Public, request)
 	if err != nil {
-		e.Refuse(writer, request, err)
+		e.Reject(writer, request, err)
 		return
 	}
 	body, err := httpapi.ReadBody(request, table.Configuration.Limits.MaxBodyBytes)
 	if err != nil {
-		e.Refuse(writer, request, err)
+		e.Reject(writer, request, err)
 		return
 	}
-	left := dialect.TimeLeft(request.Header.Get(e.dialect.Deadline), route.Timeout())
+	left := dialect.ParseTimeLeft(request.Header.Get(e.dialect.Deadline), route.Timeout())
 	deadline := arrived.Add(left - waited)
 	if waited > 0 && !time.Now().Before(deadline) {
-		e.Refuse(writer, request, stoodStill())
+		e.Reject(writer, request, stoodStill())
 		return
 	}
 	ctx, cancel := context.WithDeadline(request.Context(), deadline)
@@ -121,7 +121,7 @@
 // than the settings allow.
 func (e *Edge) frozen(now time.Time) error {
 	limit := e.settings.FreezeTime.Std()
-	silent := now.Sub(e.watcher.Current().Heard)
+	silent := now.Sub(e.watcher.Current().LeaderSeen)
 	if limit == 0 || silent <= limit {
 		return nil
 	}
@@ -135,8 +135,8 @@
 	}
 }
 
-// Refuse answers a request that was not passed on.
-func (e *Edge) Refuse(writer http.ResponseWriter, request *http.Request, err error) {
+// Reject answers a request that was not passed on.
+func (e *Edge) Reject(writer http.ResponseWriter, request *http.Request, err error) {
 	// The stop may have begun while the request was held.
 	e.closeWhenStopping(writer)
 	typed := failure.From(err)
--- a/internal/edge/standstill.go
+++ b/internal/edge/standstill.go
@@ -29,7 +29,7 @@
 
 // checkStandstill returns from when until when this process stood still last.
 func (e *Edge) checkStandstill(now time.Time) (from, until time.Time) {
-	from, until, noticed := e.standstill.Look(now)
+	from, until, noticed := e.standstill.Check(now)
 	if noticed {
 		e.metrics.standstills.Inc()
 		logging.Warn(e.logger, "stood_still", "ms", until.Sub(from).Milliseconds())
@@ -54,7 +54,7 @@
 // awaitNews waits, after a standstill, until the coordinators have been heard again.
 func (e *Edge) awaitNews(ctx context.Context, until time.Time) {
 	for end := until.Add(wakeNews); ctx.Err() == nil && clock.Now().Before(end); {
-		if e.watcher.Current().Heard.After(until) {
+		if e.watcher.Current().LeaderSeen.After(until) {
 			return
 		}
 		select {
--- a/internal/fairshare/fleet_test.go
+++ b/internal/fairshare/fleet_test.go
@@ -203,7 +203,7 @@
 		e.reportAt = f.now + reports
 		begun, short := e.begun, e.short
 		if hub := f.hubOf(i); hub != nil {
-			f.send(func(now time.Time) { hub.RecordCounts(now, uint32(i), begun, short) })
+			f.send(func(now time.Time) { hub.ApplyCounts(now, uint32(i), begun, short) })
 		}
 	}
 }
@@ -547,7 +547,7 @@
 		for tenant := range tenants {
 			m.RecordDemand(now, uint64(round*tenants+tenant), Claimant{Tenant: uint32(tenant) + 1})
 		}
-		m.RecordCounts(now, 1, uint32(round*tenants/2), uint32(round*tenants))
+		m.ApplyCounts(now, 1, uint32(round*tenants/2), uint32(round*tenants))
 	}
 	return m, now
 }
@@ -562,7 +562,7 @@
 	for b.Loop() {
 		ticket++
 		now = now.Add(time.Millisecond)
-		m.RecordCounts(now, 2, uint32(ticket/2), uint32(ticket))
+		m.ApplyCounts(now, 2, uint32(ticket/2), uint32(ticket))
 		m.RecordDemand(now, ticket, Claimant{Tenant: uint32(ticket%tenants) + 1})
 	}
 	if !m.scarce || len(m.parties) != tenants {
--- a/internal/fairshare/meter.go
+++ b/internal/fairshare/meter.go
@@ -254,9 +254,9 @@
 	return known
 }
 
-// RecordCounts takes in what an edge has counted since its start: its requests that have begun to
+// ApplyCounts takes in what an edge has counted since its start: its requests that have begun to
 // run, and those that found no room. What is lost on the way is in the next report.
-func (m *Meter) RecordCounts(now time.Time, edge, begun, short uint32) {
+func (m *Meter) ApplyCounts(now time.Time, edge, begun, short uint32) {
 	if m.settings == nil {
 		return
 	}
--- a/internal/fairshare/meter_test.go
+++ b/internal/fairshare/meter_test.go
@@ -30,7 +30,7 @@
 			}
 		}
 		begun += room / 100
-		m.RecordCounts(now, 1, uint32(begun), uint32(short))
+		m.ApplyCounts(now, 1, uint32(begun), uint32(short))
 	}
 	for party := range asked {
 		within[party] /= asked[party]
@@ -99,7 +99,7 @@
 	for range 2 {
 		for ticket := range uint64(1000) {
 			now = now.Add(time.Millisecond)
-			m.RecordCounts(now, 1, uint32(ticket/4), uint32(ticket))
+			m.ApplyCounts(now, 1, uint32(ticket/4), uint32(ticket))
 			if standing := m.RecordDemand(now, ticket, Claimant{Tenant: uint32(ticket % 3)}); standing != (Standing{}) {
 				t.Fatalf("%+v", standing)
 			}
@@ -120,7 +120,7 @@
 	now := start
 	for ticket := range uint64(5000) {
 		now = now.Add(time.Millisecond)
-		m.RecordCounts(now, 1, uint32(ticket), uint32(ticket/100))
+		m.ApplyCounts(now, 1, uint32(ticket), uint32(ticket/100))
 		if m.RecordDemand(now, ticket, Claimant{Tenant: uint32(ticket%20) / 19}).OverShare {
 			t.Fatal("over its share though there is room")
 		}
@@ -152,7 +152,7 @@
 	m := NewMeter()
 	m.Configure(start, &Settings{})
 	tell := func(after time.Duration, begun, short uint32) (float64, float64) {
-		m.RecordCounts(start.Add(after), 7, begun, short)
+		m.ApplyCounts(start.Add(after), 7, begun, short)
 		return m.given.fresh, m.short.fresh
 	}
 	for i, step := range []struct {
@@ -167,7 +167,7 @@
 		}
 	}
 	// What an edge counted while it was silent may have been told elsewhere.
-	m.RecordCounts(start.Add(2*time.Second), 7, 500, 500)
+	m.ApplyCounts(start.Add(2*time.Second), 7, 500, 500)
 	if m.given.fresh != 0 {
 		t.Errorf("%g given", m.given.fresh)
 	}
@@ -179,7 +179,7 @@
 	m.Configure(start, &Settings{})
 	for i := range 3 * maxParties {
 		m.RecordDemand(start, uint64(i), Claimant{Tenant: uint32(i)})
-		m.RecordCounts(start, uint32(i), 1, 1)
+		m.ApplyCounts(start, uint32(i), 1, 1)
 	}
 	if len(m.parties) != maxParties || len(m.list) != maxParties || len(m.sources) > maxSources {
 		t.Errorf("%d parties, %d sources", len(m.parties), len(m.sources))
--- a/internal/fleetsim/builds.go
+++ b/internal/fleetsim/builds.go
@@ -55,7 +55,7 @@
 		m.gate = quarantine.Gate{}
 		return
 	}
-	m.gate.Note(m.node.Processes(m.clock()))
+	m.gate.ApplyProcesses(m.node.Processes(m.clock()))
 }
 
 // beginBuilds plans the replacement of the coordinators, which begin on the older build.
--- a/internal/fleetsim/edges.go
+++ b/internal/fleetsim/edges.go
@@ -75,7 +75,7 @@
 // edge is a process that serves callers. It keeps nothing on disk.
 type edge struct {
 	*machine
-	book *quarantine.Book
+	book *quarantine.Cache
 	// reporting is the number of the report on its way, zero for none.
 	reporting int
 	reports   int
@@ -120,7 +120,7 @@
 func (e *edge) begin() {
 	e.life++
 	e.alive, e.frozen, e.backlog = true, false, nil
-	e.book, e.reporting, e.disturbed = quarantine.NewBook(), 0, e.world.now
+	e.book, e.reporting, e.disturbed = quarantine.NewCache(), 0, e.world.now
 	life := e.life
 	running := func(action func()) func() bool {
 		return func() bool {
@@ -192,7 +192,7 @@
 		e.try(run)
 		return
 	}
-	if e.book.Wait(e.clock(), request) > 0 {
+	if e.book.TrialDelay(e.clock(), request) > 0 {
 		e.refuse(request)
 		return
 	}
@@ -234,7 +234,7 @@
 		}
 		delete(worker.running, run)
 		if e.life == run.life {
-			e.book.Good(e.clock(), run.request)
+			e.book.RecordSuccess(e.clock(), run.request)
 		}
 	})
 }
@@ -293,7 +293,7 @@
 func (r *simRun) broke(worker string) {
 	e := r.edge
 	e.whenAwake(r.life, func() {
-		e.book.Ended(e.clock(), r.request, worker, r.began)
+		e.book.RecordExit(e.clock(), r.request, worker, r.began)
 		if !r.trial && r.tries < maxTries && e.book.Standing(e.clock(), r.request) != quarantine.Refused {
 			e.try(r)
 		}
@@ -322,7 +322,7 @@
 			core.lead(func(*fleetview.View) {
 				news := core.fleet.Quarantine().Since(known)
 				if news.Revision != known {
-					core.transmit(e.machine, func() { e.whenAwake(life, func() { e.book.Learn(&news) }) })
+					core.transmit(e.machine, func() { e.whenAwake(life, func() { e.book.Apply(&news) }) })
 				}
 			})
 		})
@@ -331,7 +331,7 @@
 
 // report tells the coordinators of runs, one report at a time.
 func (e *edge) report() {
-	if e.reporting != 0 || e.world.mutation == MutationOwnEnds {
+	if e.reporting != 0 || e.world.mutation == MutationLocalExits {
 		return
 	}
 	report := e.book.Report(e.clock())
@@ -344,13 +344,13 @@
 	e.world.after(reportTimeout, func() {
 		if e.life == life && e.reporting == number {
 			e.reporting = 0
-			e.book.Sent(nil)
+			e.book.RecordAnswer(nil)
 		}
 	})
 	e.callQuarantine(report, func(answer *wire.QuarantineAnswer) {
 		if e.life == life && e.reporting == number {
 			e.reporting = 0
-			e.book.Sent(&answer.News)
+			e.book.RecordAnswer(&answer.News)
 		}
 	})
 }
@@ -364,9 +364,9 @@
 			return
 		}
 		asked = true
-		e.book.Learn(&answer.News)
+		e.book.Apply(&answer.News)
 		if !answer.Granted {
-			e.book.Deny(e.clock(), run.request, time.Duration(answer.WaitMillis)*time.Millisecond)
+			e.book.DenyTrial(e.clock(), run.request, time.Duration(answer.WaitMillis)*time.Millisecond)
 			e.refuse(run.request)
 			return
 		}
@@ -393,12 +393,12 @@
 	command := &wire.QuarantineCommand{Runs: report.Runs, AtMillis: m.clock().UnixMilli()}
 	leads := false
 	m.lead(func(*fleetview.View) {
-		leads = !m.older && m.gate.Refusal() == nil
+		leads = !m.older && m.gate.Err() == nil
 		if report.Trial == 0 {
 			return
 		}
 		request := quarantine.Fingerprint(report.Trial)
-		granted, wait := m.warden.Trial(m.clock(), m.fleet.Quarantine(), request)
+		granted, wait := m.warden.GrantTrial(m.clock(), m.fleet.Quarantine(), request)
 		answer.Granted, answer.WaitMillis = granted, wait.Milliseconds()
 		if granted && m.fleet.Quarantine().Entry(request) != nil {
 			command.Trial = report.Trial
@@ -427,14 +427,14 @@
 	m.noteGenerations()
 	var command *wire.QuarantineCommand
 	m.lead(func(*fleetview.View) {
-		command = m.gate.Command(m.warden.Look(m.clock(), m.fleet.Quarantine()), m.fleet.Quarantine())
+		command = m.gate.Command(m.warden.Tick(m.clock(), m.fleet.Quarantine()), m.fleet.Quarantine())
 	})
 	if command == nil {
 		return
 	}
 	m.propose(0, &wire.FleetCommand{Quarantine: command}, func(_ []byte, err error) {
 		if err == nil && command.Restated != nil {
-			m.gate.Restated()
+			m.gate.RecordRestatement()
 		}
 	})
 }
--- a/internal/fleetsim/ledger.go
+++ b/internal/fleetsim/ledger.go
@@ -267,7 +267,7 @@
 // checkQuota checks that no tenant has more tokens waiting in a group than it may.
 func (l *ledger) checkQuota(m *machine, group int) {
 	waiting := map[tenancy.Name]int64{}
-	m.batch[group].Jobs(func(job *batchstate.Job) {
+	m.batch[group].EachJob(func(job *batchstate.Job) {
 		if job.Ended {
 			return
 		}
--- a/internal/fleetsim/machine.go
+++ b/internal/fleetsim/machine.go
@@ -63,7 +63,7 @@
 	fleet  *fleetstate.Machine
 	batch  []*batchstate.Machine
 	view   *fleetview.View
-	warden *quarantine.Warden
+	warden *quarantine.Timers
 	gate   quarantine.Gate
 	// older is set while the machine runs a build of the first generation.
 	older bool
@@ -277,8 +277,8 @@
 func (m *machine) lead(read func(v *fleetview.View)) {
 	_ = m.node.Read(m.clock(), 0, func(term uint64, _ storage.Reader) error {
 		if m.view == nil || m.view.Term != term {
-			m.view, m.warden = fleetview.New(term), quarantine.NewWarden()
-			m.gate.Begin(m.fleet.Quarantine())
+			m.view, m.warden = fleetview.New(term), quarantine.NewTimers()
+			m.gate.StartTerm(m.fleet.Quarantine())
 		}
 		read(m.view)
 		return nil
@@ -317,14 +317,14 @@
 	var answer *wire.FleetView
 	var term, number uint64
 	m.lead(func(v *fleetview.View) {
-		v.Heard(m.clock(), &request.Process)
+		v.ApplyReport(m.clock(), &request.Process)
 		var pending []string
 		for _, name := range m.fleet.Retiring() {
 			if _, done := m.fleet.Retirement(name); !done {
 				pending = append(pending, name)
 			}
 		}
-		emptied = v.Emptied(m.clock(), request, pending, groups)
+		emptied = v.DrainedStores(m.clock(), request, pending, groups)
 		if v.Number > 0 && (request.Term != v.Term || request.View != v.Number) {
 			known := request.View
 			if request.Term != v.Term {
@@ -358,9 +358,9 @@
 func (m *machine) refresh() {
 	var form [][]wire.Replica
 	m.lead(func(v *fleetview.View) {
-		v.Refresh(m.clock(), nil, m.fleet.Initial(), m.fleet.Retiring())
-		if len(m.fleet.Initial()) == 0 {
-			form = v.FirstVoters(m.clock(), tolerate)
+		v.Refresh(m.clock(), nil, m.fleet.InitialVoters(), m.fleet.Retiring())
+		if len(m.fleet.InitialVoters()) == 0 {
+			form = v.InitialVoters(m.clock(), tolerate)
 		}
 	})
 	m.keepQuarantine()
--- a/internal/fleetsim/mutation.go
+++ b/internal/fleetsim/mutation.go
@@ -35,15 +35,15 @@
 	// MutationSteadyClock lets leases and ages go by a clock that stands still while a
 	// machine is suspended.
 	MutationSteadyClock Mutation = "steady_clock"
-	// MutationOwnEnds keeps what an edge sees of workers' ends to itself.
-	MutationOwnEnds Mutation = "own_ends"
-	// MutationForgetEnds keeps the coordinators' knowledge of ends off their disks.
-	MutationForgetEnds Mutation = "forget_ends"
-	// MutationNoAcquittal lets good ends count for nothing.
-	MutationNoAcquittal Mutation = "no_acquittal"
-	// MutationOneLife keeps over a worker's lives that it ended under a request: a further
+	// MutationLocalExits keeps what an edge sees of workers' ends to itself.
+	MutationLocalExits Mutation = "own_ends"
+	// MutationForgetExits keeps the coordinators' knowledge of ends off their disks.
+	MutationForgetExits Mutation = "forget_ends"
+	// MutationIgnoreSuccess lets good ends count for nothing.
+	MutationIgnoreSuccess Mutation = "no_acquittal"
+	// MutationOneIncarnation keeps over a worker's lives that it ended under a request: a further
 	// end under its id is none.
-	MutationOneLife Mutation = "one_life"
+	MutationOneIncarnation Mutation = "one_life"
 	// MutationNoGate writes commands of the quarantine whatever builds are there, and
 	// restates nothing.
 	MutationNoGate Mutation = "no_gate"
@@ -53,7 +53,7 @@
 )
 
 // Mutations lists all that take something away.
-var Mutations = []Mutation{MutationForgetSync, MutationKeepIdentity, MutationAnyVersion, MutationGaps, MutationMixChains, MutationLoseBodies, MutationLoseOwner, MutationNoQuota, MutationSteadyClock, MutationOwnEnds, MutationForgetEnds, MutationNoAcquittal, MutationOneLife, MutationNoGate, MutationEarlyVotes}
+var Mutations = []Mutation{MutationForgetSync, MutationKeepIdentity, MutationAnyVersion, MutationGaps, MutationMixChains, MutationLoseBodies, MutationLoseOwner, MutationNoQuota, MutationSteadyClock, MutationLocalExits, MutationForgetExits, MutationIgnoreSuccess, MutationOneIncarnation, MutationNoGate, MutationEarlyVotes}
 
 // mutatedStore returns the machine's disk, or one that lies.
 func (m *machine) mutatedStore() storage.Store {
@@ -74,7 +74,7 @@
 // machine returns the state machine, or a mutated one.
 func (m Mutation) machine(whole replication.StateMachine) replication.StateMachine {
 	switch m {
-	case MutationAnyVersion, MutationGaps, MutationMixChains, MutationLoseBodies, MutationLoseOwner, MutationNoQuota, MutationForgetEnds, MutationNoAcquittal, MutationOneLife:
+	case MutationAnyVersion, MutationGaps, MutationMixChains, MutationLoseBodies, MutationLoseOwner, MutationNoQuota, MutationForgetExits, MutationIgnoreSuccess, MutationOneIncarnation:
 		return &mutated{StateMachine: whole, mutation: m}
 	}
 	return whole
@@ -102,11 +102,11 @@
 		}))
 	case MutationMixChains:
 		return m.StateMachine.Apply(withRecords(command, func(record *wire.ItemRecord) { record.Opens = true }))
-	case MutationNoAcquittal:
+	case MutationIgnoreSuccess:
 		return m.StateMachine.Apply(withoutRuns(command, func(run *wire.RunReport) bool { return run.Worker == 0 }))
-	case MutationOneLife:
+	case MutationOneIncarnation:
 		return m.StateMachine.Apply(withoutRuns(command, m.repeated))
-	case MutationForgetEnds:
+	case MutationForgetExits:
 		answer, mutations := m.StateMachine.Apply(command)
 		if isQuarantine(command) {
 			mutations = nil
@@ -206,7 +206,7 @@
 	m.lead(func(v *fleetview.View) {
 		command.Counted = len(m.fleet.Retiring())
 		asked, _ := m.fleet.Retirement(name)
-		refused = asked || !v.Knows(name) || v.Remaining(m.clock(), name, m.fleet.Retiring()) < 2*tolerate+1
+		refused = asked || !v.HasStore(name) || v.RemainingStores(m.clock(), name, m.fleet.Retiring()) < 2*tolerate+1
 	})
 	if !refused {
 		m.propose(0, &wire.FleetCommand{Retire: command}, nil)
--- a/internal/fleetstate/machine.go
+++ b/internal/fleetstate/machine.go
@@ -213,8 +213,8 @@
 // Quarantine returns the requests under which workers ended. The caller must not change it.
 func (m *Machine) Quarantine() *quarantine.Table { return m.quarantine }
 
-// Initial returns the first voters of each store group, nothing before there are any.
-func (m *Machine) Initial() [][]wire.Replica { return m.initial }
+// InitialVoters returns the first voters of each store group, nothing before there are any.
+func (m *Machine) InitialVoters() [][]wire.Replica { return m.initial }
 
 // Retirement reports whether the store is to be emptied, and whether it is.
 func (m *Machine) Retirement(name string) (asked, done bool) {
--- a/internal/fleetstate/machine_test.go
+++ b/internal/fleetstate/machine_test.go
@@ -67,7 +67,7 @@
 			t.Fatal(err)
 		}
 	}
-	if initial := machine.Initial(); len(initial) != 2 || len(initial[1]) != 1 || initial[0][0].ID != 1 || initial[1][0].ID != 11 {
+	if initial := machine.InitialVoters(); len(initial) != 2 || len(initial[1]) != 1 || initial[0][0].ID != 1 || initial[1][0].ID != 11 {
 		t.Errorf("first voters %+v", initial)
 	}
 }
--- a/internal/fleetview/first_test.go
+++ b/internal/fleetview/first_test.go
@@ -49,14 +49,14 @@
 		case random.IntN(2) == 0:
 			v.SetWorkers(rows)
 		default:
-			v.Heard(now, store(fmt.Sprintf("s%d", random.IntN(4)), "z", 1))
+			v.ApplyReport(now, store(fmt.Sprintf("s%d", random.IntN(4)), "z", 1))
 		}
 		v.Refresh(now, []string{fmt.Sprint(random.IntN(2))}, nil, nil)
 		reader := &readers[random.IntN(len(readers))]
 		if reader.view == v.Number {
 			continue
 		}
-		news := v.SinceFirst(reader.view)
+		news := v.SinceGenerationFirst(reader.view)
 		if news.News != nil {
 			t.Fatalf("step %d: the answer holds %+v", step, news.News)
 		}
--- a/internal/fleetview/groups.go
+++ b/internal/fleetview/groups.go
@@ -45,7 +45,7 @@
 func (v *View) claims(now time.Time) map[int]claim {
 	claims := map[int]claim{}
 	for _, known := range v.processes {
-		if known.report.Kind != wire.ProcessStore || now.Sub(known.at) > ProcessFresh {
+		if known.report.Kind != wire.ProcessStore || now.Sub(known.at) > ProcessTTL {
 			continue
 		}
 		for i := range known.report.Led {
--- a/internal/fleetview/groups_test.go
+++ b/internal/fleetview/groups_test.go
@@ -25,8 +25,8 @@
 	if groups := refresh(); groups != nil {
 		t.Errorf("groups %+v before any report", groups)
 	}
-	v.Heard(start, leading("b", 2, 7, "b", "a", "unheard"))
-	v.Heard(start, leading("a", 1, 6, "a"))
+	v.ApplyReport(start, leading("b", 2, 7, "b", "a", "unheard"))
+	v.ApplyReport(start, leading("a", 1, 6, "a"))
 	groups := refresh()
 	want := wire.GroupPlace{Leader: "b:1", Members: []string{"a:1", "b:1"}}
 	if len(groups) != 2 || !samePlace(groups[1], want) || groups[0].Leader != "" {
@@ -36,8 +36,8 @@
 	if refresh(); v.Number != number {
 		t.Error("the same groups are a change")
 	}
-	v.Heard(start, store("b", "z", 2))
-	v.Heard(start, store("a", "z", 1))
+	v.ApplyReport(start, store("b", "z", 2))
+	v.ApplyReport(start, store("a", "z", 1))
 	if groups = refresh(); groups[1].Leader != "" || !slices.Equal(groups[1].Members, want.Members) {
 		t.Errorf("groups %+v without a leader", groups)
 	}
--- a/internal/fleetview/mirror.go
+++ b/internal/fleetview/mirror.go
@@ -49,9 +49,9 @@
 	m.mark, m.fleet = mark, *fleet
 }
 
-// News returns what an edge lacks that has a leader's view, nil where it lacks nothing: a
+// UpdateFor returns what an edge lacks that has a leader's view, nil where it lacks nothing: a
 // relay never tells of an older view than the edge has seen.
-func (m *Mirror) News(request *wire.WatchRequest) *wire.FleetView {
+func (m *Mirror) UpdateFor(request *wire.WatchRequest) *wire.FleetView {
 	known := markOf(request.Term, request.View)
 	if m.mark == 0 || known > m.mark || known == m.mark && !request.Lost {
 		return nil
@@ -78,8 +78,8 @@
 // View is the number of the newest view in its term.
 func (m *Mirror) View() uint64 { return m.mark & (1<<termShift - 1) }
 
-// Heard takes in that an edge watches here.
-func (m *Mirror) Heard(now time.Time, name string) { m.edges[name] = now }
+// RecordWatch takes in that an edge watches here.
+func (m *Mirror) RecordWatch(now time.Time, name string) { m.edges[name] = now }
 
 // Edges counts the edges that watch here.
 func (m *Mirror) Edges(now time.Time) int {
--- a/internal/fleetview/mirror_test.go
+++ b/internal/fleetview/mirror_test.go
@@ -41,7 +41,7 @@
 	case news.Partial && f.fleet.Listed:
 		f.told = nowhere
 	default:
-		learnt := f.workers.Learn(news.News)
+		learnt := f.workers.Apply(news.News)
 		if f.lost = learnt.Digest() != news.News.Digest; f.lost {
 			return false
 		}
@@ -89,7 +89,7 @@
 		}
 	}
 	if f.random.IntN(5) == 0 {
-		f.leader.Heard(f.now, store(fmt.Sprintf("s%d", f.random.IntN(5)), "z", 1))
+		f.leader.ApplyReport(f.now, store(fmt.Sprintf("s%d", f.random.IntN(5)), "z", 1))
 	}
 	f.leader.Refresh(f.now, nil, nil, nil)
 	if !f.leader.Current.Listed && f.random.IntN(3) > 0 {
@@ -142,7 +142,7 @@
 		return
 	}
 	m := f.mirrors[place]
-	if edge.learn(place, m.Term(), m.View(), m.News(request)) {
+	if edge.learn(place, m.Term(), m.View(), m.UpdateFor(request)) {
 		f.t.Fatal("an edge went back at a relay")
 	}
 }
@@ -184,7 +184,7 @@
 
 // settle lets all ask until they have the leader's view.
 func (f *mirrorFleet) settle(seed uint64) {
-	f.leader.Heard(f.now, store("last", "z", 1))
+	f.leader.ApplyReport(f.now, store("last", "z", 1))
 	f.leader.Refresh(f.now, []string{fmt.Sprint(seed)}, nil, nil)
 	f.read()
 	for range 4 {
@@ -216,11 +216,11 @@
 			mirrors[i] = NewMirror()
 		}
 		for edge := range edges {
-			mirrors[edge%relays].Heard(start, fmt.Sprint(edge))
+			mirrors[edge%relays].RecordWatch(start, fmt.Sprint(edge))
 		}
-		mirrors[0].Heard(start.Add(-2*ProcessFresh), "gone")
+		mirrors[0].RecordWatch(start.Add(-2*ProcessTTL), "gone")
 		for i := range mirrors {
-			v.Heard(start, &wire.ProcessReport{Kind: wire.ProcessRelay, Name: fmt.Sprint(i), Edges: mirrors[i].Edges(start)})
+			v.ApplyReport(start, &wire.ProcessReport{Kind: wire.ProcessRelay, Name: fmt.Sprint(i), Edges: mirrors[i].Edges(start)})
 		}
 		v.Refresh(start, nil, nil, nil)
 		if v.Current.Edges != edges || len(v.Current.Relays) != relays {
--- a/internal/fleetview/since_test.go
+++ b/internal/fleetview/since_test.go
@@ -28,9 +28,9 @@
 		case 0:
 			v.SetWorkers([]wire.PoolWorker{{ID: fmt.Sprint(random.IntN(3))}})
 		case 1:
-			v.Heard(now, store(fmt.Sprintf("s%d", random.IntN(5)), "z", 1))
+			v.ApplyReport(now, store(fmt.Sprintf("s%d", random.IntN(5)), "z", 1))
 		case 2:
-			v.Heard(now, &wire.ProcessReport{Kind: wire.ProcessEdge, Name: fmt.Sprintf("e%d", random.IntN(20))})
+			v.ApplyReport(now, &wire.ProcessReport{Kind: wire.ProcessEdge, Name: fmt.Sprintf("e%d", random.IntN(20))})
 		}
 		v.Refresh(now, []string{fmt.Sprint(random.IntN(2))}, nil, nil)
 		c := &callers[random.IntN(len(callers))]
@@ -39,7 +39,7 @@
 		}
 		news := v.Since(c.number, c.workers.Digests())
 		if news.News != nil {
-			c.workers = c.workers.Learn(news.News)
+			c.workers = c.workers.Apply(news.News)
 		}
 		c.known = news.Upon(&c.known)
 		c.number = v.Number
@@ -62,7 +62,7 @@
 	v := New(1)
 	edges := func(now time.Time, count int) bool {
 		for number := range count {
-			v.Heard(now, &wire.ProcessReport{Kind: wire.ProcessEdge, Name: fmt.Sprint(number)})
+			v.ApplyReport(now, &wire.ProcessReport{Kind: wire.ProcessEdge, Name: fmt.Sprint(number)})
 		}
 		return v.Refresh(now, nil, nil, nil)
 	}
@@ -75,7 +75,7 @@
 	if !edges(start, 113) || v.Current.Edges != 113 {
 		t.Errorf("an eighth more is none: %d", v.Current.Edges)
 	}
-	if !edges(start.Add(ProcessFresh+1), 0) || v.Current.Edges != 0 {
+	if !edges(start.Add(ProcessTTL+1), 0) || v.Current.Edges != 0 {
 		t.Errorf("that all have gone is no news: %d", v.Current.Edges)
 	}
 }
--- a/internal/fleetview/view.go
+++ b/internal/fleetview/view.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// ProcessFresh is how long a process counts as living after its last call.
-	ProcessFresh = 3 * time.Second
+	// ProcessTTL is how long a process counts as living after its last call.
+	ProcessTTL = 3 * time.Second
 	// settleTime is how long no new store must have come before the store
 	// group forms, and patientTime the same where stores are fewer than wanted.
 	settleTime = 500 * time.Millisecond
@@ -62,8 +62,8 @@
 	return &View{Term: term, workers: workerset.NewLog(0), processes: map[string]*process{}}
 }
 
-// Heard takes in a process's report on itself.
-func (v *View) Heard(now time.Time, report *wire.ProcessReport) {
+// ApplyReport takes in a process's report on itself.
+func (v *View) ApplyReport(now time.Time, report *wire.ProcessReport) {
 	known := v.processes[report.Name]
 	if known == nil && report.Kind == wire.ProcessStore {
 		v.lastNew = now
@@ -78,7 +78,7 @@
 func (v *View) living(now time.Time, kind wire.ProcessKind) []*wire.ProcessReport {
 	var living []*wire.ProcessReport
 	for _, known := range v.processes {
-		if known.report.Kind == kind && now.Sub(known.at) <= ProcessFresh {
+		if known.report.Kind == kind && now.Sub(known.at) <= ProcessTTL {
 			living = append(living, &known.report)
 		}
 	}
@@ -164,9 +164,9 @@
 	return &news
 }
 
-// SinceFirst is Since for a process of wire.GenerationFirst, which is told the list of
+// SinceGenerationFirst is Since for a process of wire.GenerationFirst, which is told the list of
 // workers whole, once all of it has been read, wherever it has changed.
-func (v *View) SinceFirst(number uint64) *wire.FleetView {
+func (v *View) SinceGenerationFirst(number uint64) *wire.FleetView {
 	news := v.Since(number, nil)
 	changes := news.News
 	news.News = nil
@@ -178,7 +178,7 @@
 		news.Workers = v.Workers().Rows()
 		for i := range news.Workers {
 			// That generation knows of no lives: it tells the worker the name that it is told.
-			news.Workers[i].ID = life.Worker(news.Workers[i].ID)
+			news.Workers[i].ID = life.WorkerID(news.Workers[i].ID)
 		}
 	}
 	return news
@@ -220,9 +220,9 @@
 	return true
 }
 
-// FirstVoters returns the voters that the store groups are to form with, once they
+// InitialVoters returns the voters that the store groups are to form with, once they
 // may, by group: 2 x tolerate + 1 of the stores each.
-func (v *View) FirstVoters(now time.Time, tolerate int) [][]wire.Replica {
+func (v *View) InitialVoters(now time.Time, tolerate int) [][]wire.Replica {
 	stores := v.stores(now)
 	wanted := 2*tolerate + 1
 	quiet := now.Sub(v.lastNew)
@@ -246,9 +246,9 @@
 	return groups
 }
 
-// Remaining counts the stores that are there now and are not to be emptied, without the
+// RemainingStores counts the stores that are there now and are not to be emptied, without the
 // named one.
-func (v *View) Remaining(now time.Time, name string, retiring []string) int {
+func (v *View) RemainingStores(now time.Time, name string, retiring []string) int {
 	count := 0
 	for _, known := range v.processes {
 		store := &known.report
@@ -260,16 +260,16 @@
 	return count
 }
 
-// Knows reports whether a store of that name has been heard.
-func (v *View) Knows(name string) bool {
+// HasStore reports whether a store of that name has been heard.
+func (v *View) HasStore(name string) bool {
 	known := v.processes[name]
 	return known != nil && known.report.Kind == wire.ProcessStore
 }
 
-// Emptied returns the stores among the retiring ones that hold nothing any more,
+// DrainedStores returns the stores among the retiring ones that hold nothing any more,
 // by the reports of the leaders of all groups. A report counts only if its leader
 // knows this view, and so what is to retire, and for ProcessFresh.
-func (v *View) Emptied(now time.Time, request *wire.WatchRequest, pending []string, groups int) []string {
+func (v *View) DrainedStores(now time.Time, request *wire.WatchRequest, pending []string, groups int) []string {
 	if request.Term != v.Term || request.View != v.Number {
 		return nil
 	}
@@ -303,7 +303,7 @@
 func (v *View) leftAll(now time.Time, name string, groups int) bool {
 	for group := range groups {
 		at, left := v.left[name][group]
-		if !left || now.Sub(at) > ProcessFresh {
+		if !left || now.Sub(at) > ProcessTTL {
 			return false
 		}
 	}
--- a/internal/fleetview/view_test.go
+++ b/internal/fleetview/view_test.go
@@ -16,12 +16,12 @@
 func TestFirstVotersAreSpreadAndWaited(t *testing.T) {
 	v := New(1)
 	for i, row := range []struct{ name, zone string }{{"a", "z1"}, {"b", "z1"}, {"c", "z2"}, {"d", "z3"}} {
-		v.Heard(start, store(row.name, row.zone, uint64(i+1)))
+		v.ApplyReport(start, store(row.name, row.zone, uint64(i+1)))
 	}
-	if voters := v.FirstVoters(start.Add(settleTime/2), 1); voters != nil {
+	if voters := v.InitialVoters(start.Add(settleTime/2), 1); voters != nil {
 		t.Errorf("the group forms while stores still come: %+v", voters)
 	}
-	groups := v.FirstVoters(start.Add(settleTime), 1)
+	groups := v.InitialVoters(start.Add(settleTime), 1)
 	if len(groups) != 3 {
 		t.Fatalf("groups %+v", groups)
 	}
@@ -38,14 +38,14 @@
 
 func TestFewStoresFormLate(t *testing.T) {
 	v := New(1)
-	v.Heard(start, store("a", "z1", 1))
-	v.Heard(start, store("b", "z1", 2))
-	if voters := v.FirstVoters(start.Add(settleTime), 1); voters != nil {
+	v.ApplyReport(start, store("a", "z1", 1))
+	v.ApplyReport(start, store("b", "z1", 2))
+	if voters := v.InitialVoters(start.Add(settleTime), 1); voters != nil {
 		t.Errorf("two of three wanted stores form at once: %+v", voters)
 	}
-	v.Heard(start.Add(patientTime), store("a", "z1", 1))
-	v.Heard(start.Add(patientTime), store("b", "z1", 2))
-	if groups := v.FirstVoters(start.Add(patientTime), 1); len(groups) != 3 || len(groups[0]) != 2 {
+	v.ApplyReport(start.Add(patientTime), store("a", "z1", 1))
+	v.ApplyReport(start.Add(patientTime), store("b", "z1", 2))
+	if groups := v.InitialVoters(start.Add(patientTime), 1); len(groups) != 3 || len(groups[0]) != 2 {
 		t.Errorf("groups %+v", groups)
 	}
 }
@@ -58,11 +58,11 @@
 	if v.Refresh(start, []string{"c:1"}, nil, nil) {
 		t.Error("the same view is a change")
 	}
-	v.Heard(start, store("a", "z1", 1))
+	v.ApplyReport(start, store("a", "z1", 1))
 	if !v.Refresh(start, []string{"c:1"}, nil, nil) || len(v.Current.Stores) != 1 {
 		t.Errorf("a new store is no change: %+v", v.Current)
 	}
-	if !v.Refresh(start.Add(ProcessFresh+1), []string{"c:1"}, nil, nil) || len(v.Current.Stores) != 0 {
+	if !v.Refresh(start.Add(ProcessTTL+1), []string{"c:1"}, nil, nil) || len(v.Current.Stores) != 0 {
 		t.Errorf("a silent store is no change: %+v", v.Current)
 	}
 	if !v.SetWorkers([]wire.PoolWorker{{ID: "w"}}) || v.SetWorkers([]wire.PoolWorker{{ID: "w"}}) {
@@ -73,12 +73,12 @@
 func TestRemaining(t *testing.T) {
 	v := New(1)
 	for i, name := range []string{"a", "b", "c", "d"} {
-		v.Heard(start, store(name, "z1", uint64(i)))
+		v.ApplyReport(start, store(name, "z1", uint64(i)))
 	}
-	if got := v.Remaining(start, "a", []string{"b"}); got != 2 {
+	if got := v.RemainingStores(start, "a", []string{"b"}); got != 2 {
 		t.Errorf("%d stores remain, want 2", got)
 	}
-	if !v.Knows("a") || v.Knows("x") {
+	if !v.HasStore("a") || v.HasStore("x") {
 		t.Error("stores are not known by name")
 	}
 }
@@ -88,11 +88,11 @@
 func TestRetiringCountsWhoIsThere(t *testing.T) {
 	v := New(1)
 	for i, name := range []string{"a", "b", "c"} {
-		v.Heard(start, store(name, "z1", uint64(i)))
+		v.ApplyReport(start, store(name, "z1", uint64(i)))
 	}
 	later := start.Add(remainFresh + time.Millisecond)
-	v.Heard(later, store("b", "z1", 1))
-	if got := v.Remaining(later, "b", nil); got != 0 {
+	v.ApplyReport(later, store("b", "z1", 1))
+	if got := v.RemainingStores(later, "b", nil); got != 0 {
 		t.Errorf("%d stores remain, a and c were lost", got)
 	}
 	if v.Refresh(later, nil, nil, nil); len(v.Current.Stores) != 3 {
@@ -124,7 +124,7 @@
 		{"gone", request(5, 1, true, "b"), 1},
 	}
 	for _, test := range cases {
-		if got := v.Emptied(start, test.request, []string{"a"}, 1); len(got) != test.want {
+		if got := v.DrainedStores(start, test.request, []string{"a"}, 1); len(got) != test.want {
 			t.Errorf("%s: %v", test.name, got)
 		}
 	}
@@ -137,15 +137,15 @@
 	v.Refresh(start, nil, nil, []string{"a"})
 	emptied := func(now time.Time, group int, members ...string) int {
 		report := wire.ProcessReport{Kind: wire.ProcessStore, Name: "b", Led: []wire.GroupReport{{Group: group, Members: members}}}
-		return len(v.Emptied(now, &wire.WatchRequest{Term: 5, View: 1, Process: report}, []string{"a"}, 2))
+		return len(v.DrainedStores(now, &wire.WatchRequest{Term: 5, View: 1, Process: report}, []string{"a"}, 2))
 	}
 	if emptied(start, 0, "b") != 0 {
 		t.Error("emptied by the word of one group of two")
 	}
-	if emptied(start.Add(ProcessFresh+1), 1, "b") != 0 {
+	if emptied(start.Add(ProcessTTL+1), 1, "b") != 0 {
 		t.Error("emptied by an old word")
 	}
-	now := start.Add(ProcessFresh + 2)
+	now := start.Add(ProcessTTL + 2)
 	if emptied(now, 0, "b") != 1 {
 		t.Error("not emptied though both groups say so")
 	}
--- a/internal/fleetwatch/quarantine.go
+++ b/internal/fleetwatch/quarantine.go
@@ -22,7 +22,7 @@
 )
 
 // Quarantine returns what this process knows of the requests under which workers ended.
-func (w *Watcher) Quarantine() *quarantine.Book { return w.book }
+func (w *Watcher) Quarantine() *quarantine.Cache { return w.book }
 
 // reportRuns tells the coordinators what this process saw of runs, until ctx ends: at once,
 // and again until one has taken it in.
@@ -41,15 +41,15 @@
 		answer, err := w.callQuarantine(callContext, turn, report)
 		cancel()
 		if err == nil {
-			w.book.Sent(&answer.News)
+			w.book.RecordAnswer(&answer.News)
 			if failing {
 				failing = false
-				logging.Info(w.logger, "runs_reported", "runs", len(report.Runs), "lost", w.book.Lost(), "turns", turn)
+				logging.Info(w.logger, "runs_reported", "runs", len(report.Runs), "lost", w.book.DroppedReports(), "turns", turn)
 			}
 			turn = 0
 			continue
 		}
-		w.book.Sent(nil)
+		w.book.RecordAnswer(nil)
 		turn++
 		if !failing {
 			failing = true
@@ -85,11 +85,11 @@
 	return addresses[turn/2%len(addresses)]
 }
 
-// MayTry reports whether a refused request may be tried, once, by this process, and else
+// RequestTrial reports whether a refused request may be tried, once, by this process, and else
 // after which time it may come back.
-func (w *Watcher) MayTry(ctx context.Context, request quarantine.Fingerprint) (bool, time.Duration) {
+func (w *Watcher) RequestTrial(ctx context.Context, request quarantine.Fingerprint) (bool, time.Duration) {
 	now := clock.Now()
-	if wait := w.book.Wait(now, request); wait > 0 {
+	if wait := w.book.TrialDelay(now, request); wait > 0 {
 		return false, wait
 	}
 	ctx, cancel := context.WithTimeout(ctx, trialTime)
@@ -97,13 +97,13 @@
 	answer, err := w.callQuarantine(ctx, 0, &wire.QuarantineReport{Trial: uint64(request), Known: w.book.Revision()})
 	if err != nil {
 		logging.Info(w.logger, "trial_not_asked", "request", request, "error", err)
-		w.book.Deny(now, request, unheardWait)
+		w.book.DenyTrial(now, request, unheardWait)
 		return false, unheardWait
 	}
-	w.book.Learn(&answer.News)
+	w.book.Apply(&answer.News)
 	wait := time.Duration(answer.WaitMillis) * time.Millisecond
 	if !answer.Granted {
-		w.book.Deny(now, request, wait)
+		w.book.DenyTrial(now, request, wait)
 	}
 	return answer.Granted, wait
 }
--- a/internal/fleetwatch/quarantine_test.go
+++ b/internal/fleetwatch/quarantine_test.go
@@ -66,7 +66,7 @@
 		all, meters = append(all, w), append(meters, meter)
 	}
 	for _, w := range all {
-		await(tb, func() bool { return !w.Current().Heard.IsZero() })
+		await(tb, func() bool { return !w.Current().LeaderSeen.IsZero() })
 	}
 	return all, meters
 }
@@ -92,7 +92,7 @@
 	address := startCoordinator(t)
 	all, _ := watchers(t, address, 5)
 	for number := range 3 {
-		all[number].Quarantine().Ended(clock.Now(), request, fmt.Sprintf("w-%d", number), time.Time{})
+		all[number].Quarantine().RecordExit(clock.Now(), request, fmt.Sprintf("w-%d", number), time.Time{})
 	}
 	late, _ := watchers(t, address, 1)
 	all = append(all, late...)
@@ -102,12 +102,12 @@
 	granted := 0
 	await(t, func() bool {
 		for _, w := range all {
-			if w.Quarantine().Wait(clock.Now(), request) > 0 {
+			if w.Quarantine().TrialDelay(clock.Now(), request) > 0 {
 				continue
 			}
-			if may, _ := w.MayTry(context.Background(), request); may {
+			if may, _ := w.RequestTrial(context.Background(), request); may {
 				granted++
-				w.Quarantine().Good(clock.Now(), request)
+				w.Quarantine().RecordSuccess(clock.Now(), request)
 				return true
 			}
 		}
@@ -127,12 +127,12 @@
 	const request = quarantine.Fingerprint(77)
 	w := fleetwatch.New(logging.Discard(), nil, []string{"127.0.0.1:1"}, func() wire.ProcessReport { return wire.ProcessReport{} })
 	for number := range quarantine.Threshold {
-		w.Quarantine().Ended(clock.Now(), request, fmt.Sprintf("w-%d", number), time.Time{})
+		w.Quarantine().RecordExit(clock.Now(), request, fmt.Sprintf("w-%d", number), time.Time{})
 	}
 	if !stands(w, request, quarantine.Refused)() {
 		t.Error("the request is not refused")
 	}
-	if may, wait := w.MayTry(context.Background(), request); may || wait <= 0 {
+	if may, wait := w.RequestTrial(context.Background(), request); may || wait <= 0 {
 		t.Errorf("a trial is granted (%t), or may be asked for at once (%s)", may, wait)
 	}
 }
--- a/internal/fleetwatch/watcher.go
+++ b/internal/fleetwatch/watcher.go
@@ -41,8 +41,8 @@
 	View  uint64
 	// Workers is the list of workers.
 	Workers *workerset.Set
-	// Heard is when the leader was last heard, by this process or by its relay.
-	Heard time.Time
+	// LeaderSeen is when the leader was last heard, by this process or by its relay.
+	LeaderSeen time.Time
 }
 
 // Version is the version of the configuration, zero before the first one.
@@ -69,7 +69,7 @@
 	// the list of workers was another one than it should be.
 	told string
 	lost int
-	book *quarantine.Book
+	book *quarantine.Cache
 
 	mutex     sync.Mutex
 	seeds     []string
@@ -81,7 +81,7 @@
 func New(logger logging.Logger, meter *traffic.Meter, seeds []string, report func() wire.ProcessReport) *Watcher {
 	client := rpc.NewClientDialing(rpc.ShortDial)
 	client.Measure(meter)
-	w := &Watcher{logger: logger, meter: meter, client: client, report: report, seeds: seeds, book: quarantine.NewBook()}
+	w := &Watcher{logger: logger, meter: meter, client: client, report: report, seeds: seeds, book: quarantine.NewCache()}
 	w.current.Store(&Snapshot{})
 	return w
 }
@@ -160,7 +160,7 @@
 		Version:    known.Version(),
 		View:       known.View,
 		Term:       known.Term,
-		WaitMillis: patience(clock.Since(known.Heard)).Milliseconds(),
+		WaitMillis: patience(clock.Since(known.LeaderSeen)).Milliseconds(),
 		Quarantine: w.book.Revision(),
 		Lost:       w.lost > 0,
 	}
@@ -184,7 +184,7 @@
 func (w *Watcher) adopt(target string, response *wire.WatchResponse) error {
 	before := w.Current()
 	after := *before
-	after.Heard = clock.Now().Add(-time.Duration(response.AgeMillis) * time.Millisecond)
+	after.LeaderSeen = clock.Now().Add(-time.Duration(response.AgeMillis) * time.Millisecond)
 	changed := false
 	if response.Document != nil && response.Version > before.Version() {
 		configuration, err := routetable.Decode(response.Document)
@@ -202,7 +202,7 @@
 		changed = w.adoptFleet(target, response, before, &after) || changed
 	}
 	if response.Quarantine != nil {
-		w.book.Learn(response.Quarantine)
+		w.book.Apply(response.Quarantine)
 		changed = changed || response.Quarantine.Urgent()
 	}
 	w.current.Store(&after)
@@ -229,7 +229,7 @@
 		w.told = ""
 	default:
 		rows, gone = len(news.Rows), len(news.Gone)
-		after.Workers = before.Workers.Learn(news)
+		after.Workers = before.Workers.Apply(news)
 		if after.Workers.Digest() != news.Digest {
 			logging.Warn(w.logger, "worker_list_differs", "from", target, "term", response.Term, "view", response.View, "workers", after.Workers.Len())
 			after.Workers = before.Workers
@@ -252,7 +252,7 @@
 	if fleet.News != nil || !fleet.Listed || fleet.SameWorkers {
 		return fleet.News
 	}
-	return workerset.Of(fleet.Workers).News()
+	return workerset.Of(fleet.Workers).FullUpdate()
 }
 
 // setZones tells the meter the zones of stores and workers by their addresses.
--- a/internal/life/life.go
+++ b/internal/life/life.go
@@ -20,23 +20,23 @@
 	return id + separator + strconv.FormatInt(born, 10)
 }
 
-// Worker returns the id of the worker whose life has the name: what the worker itself
+// WorkerID returns the id of the worker whose life has the name: what the worker itself
 // answers to, and what it is known by to processes that know of no lives.
-func Worker(name string) string {
+func WorkerID(name string) string {
 	id, _, _ := strings.Cut(name, separator)
 	return id
 }
 
-// Born returns when the life began, zero where that is not known.
-func Born(name string) int64 {
+// StartTime returns when the life began, zero where that is not known.
+func StartTime(name string) int64 {
 	_, born, _ := strings.Cut(name, separator)
 	// A name made here always parses; another one has no start.
 	at, _ := strconv.ParseInt(born, 10, 64)
 	return at
 }
 
-// Valid reports whether an id can be a worker's: it is not empty, and travels in a header
+// ValidWorkerID reports whether an id can be a worker's: it is not empty, and travels in a header
 // and as a part of a name.
-func Valid(id string) bool {
+func ValidWorkerID(id string) bool {
 	return id != "" && !strings.ContainsFunc(id, func(r rune) bool { return r <= ' ' || r == 0x7f })
 }
--- a/internal/listreader/entries.go
+++ b/internal/listreader/entries.go
@@ -9,9 +9,9 @@
 
 // noteOdd takes in what is odd of a page.
 func (p *part) noteOdd(page *Page) {
-	p.odd += page.Odd
-	if page.Oddity != nil {
-		p.oddity = page.Oddity
+	p.odd += page.Invalid
+	if page.InvalidErr != nil {
+		p.oddity = page.InvalidErr
 	}
 }
 
@@ -19,16 +19,16 @@
 // read. Of two lives of a worker the later one counts. Two entries of one id in different
 // places are not of one writer: what was known before holds, and else neither is used.
 func (p *part) add(rows rowsByID, row *wire.PoolWorker) {
-	id := life.Worker(row.ID)
+	id := life.WorkerID(row.ID)
 	if p.disputed[id] {
 		return
 	}
 	before, twice := rows[id]
 	switch {
-	case !twice || samePlace(&before, row) && life.Born(row.ID) == life.Born(before.ID):
+	case !twice || samePlace(&before, row) && life.StartTime(row.ID) == life.StartTime(before.ID):
 		rows[id] = *row
-	case life.Born(row.ID) != life.Born(before.ID):
-		if life.Born(row.ID) > life.Born(before.ID) {
+	case life.StartTime(row.ID) != life.StartTime(before.ID):
+		if life.StartTime(row.ID) > life.StartTime(before.ID) {
 			rows[id] = *row
 		}
 	default:
--- a/internal/listreader/lives.go
+++ b/internal/listreader/lives.go
@@ -37,7 +37,7 @@
 
 // settle returns the row to use of a worker, and what is odd of the one that was read.
 func (r *Reader) settle(id string, known, row *wire.PoolWorker) (wire.PoolWorker, error) {
-	was, is := life.Born(known.ID), life.Born(row.ID)
+	was, is := life.StartTime(known.ID), life.StartTime(row.ID)
 	settled := *row
 	if is == 0 {
 		// The list tells no starts: it is the life that was known, but for what follows.
--- a/internal/listreader/lives_test.go
+++ b/internal/listreader/lives_test.go
@@ -17,7 +17,7 @@
 	}
 	var used *wire.PoolWorker
 	for i := range reading.Rows {
-		if life.Worker(reading.Rows[i].ID) != "w" {
+		if life.WorkerID(reading.Rows[i].ID) != "w" {
 			continue
 		}
 		if used != nil {
@@ -60,8 +60,8 @@
 		if used != nil {
 			got = used.Address
 		}
-		if got != test.want || reading.Odd != test.odd || (reading.Oddity != nil) != (test.odd > 0) {
-			t.Errorf("%s: %q is used, %d odd (%v); want %q, %d", test.name, got, reading.Odd, reading.Oddity, test.want, test.odd)
+		if got != test.want || reading.Invalid != test.odd || (reading.InvalidErr != nil) != (test.odd > 0) {
+			t.Errorf("%s: %q is used, %d odd (%v); want %q, %d", test.name, got, reading.Invalid, reading.InvalidErr, test.want, test.odd)
 		}
 	}
 }
@@ -80,8 +80,8 @@
 		t.Errorf("a later life: %+v", used)
 	}
 	for range lifeReadings - 1 {
-		if used, reading := readOne(t, r, p, row(5, true)); used.ID != life.Name("w", 6) || used.Leaving || reading.Odd != 1 {
-			t.Fatalf("an earlier life is believed: %+v, %d odd", used, reading.Odd)
+		if used, reading := readOne(t, r, p, row(5, true)); used.ID != life.Name("w", 6) || used.Leaving || reading.Invalid != 1 {
+			t.Fatalf("an earlier life is believed: %+v, %d odd", used, reading.Invalid)
 		}
 	}
 	if used, _ := readOne(t, r, p, row(5, true)); used.ID != life.Name("w", 5) || !used.Leaving {
@@ -96,7 +96,7 @@
 		}
 	}
 	again, _ := readOne(t, r, p, row(0, false))
-	if life.Born(again.ID) <= 5 || again.Leaving {
+	if life.StartTime(again.ID) <= 5 || again.Leaving {
 		t.Fatalf("a worker that is ready again is no new life: %+v", again)
 	}
 	if used, _ := readOne(t, r, p, row(0, false)); used.ID != again.ID {
--- a/internal/listreader/reader.go
+++ b/internal/listreader/reader.go
@@ -37,21 +37,21 @@
 	Rows []wire.PoolWorker
 	// Next names the page that follows, empty for none.
 	Next string
-	// Odd counts entries that name no worker to use, and Oddity says why the last one
+	// Invalid counts entries that name no worker to use, and Oddity says why the last one
 	// does not: they come from another writer, or can't be read.
-	Odd    int
-	Oddity error
+	Invalid    int
+	InvalidErr error
 }
 
-// NoteOdd counts an entry that names no worker to use.
-func (p *Page) NoteOdd(why error) {
-	p.Odd++
-	p.Oddity = why
+// AddInvalid counts an entry that names no worker to use.
+func (p *Page) AddInvalid(why error) {
+	p.Invalid++
+	p.InvalidErr = why
 }
 
-// Pages reads one page of the list of a zone, of all zones where that is empty. The first
+// Pager reads one page of the list of a zone, of all zones where that is empty. The first
 // page has the empty name.
-type Pages interface {
+type Pager interface {
 	Page(ctx context.Context, zone, name string) (Page, error)
 }
 
@@ -61,20 +61,20 @@
 	Rows []wire.PoolWorker
 	// Calls is how many pages were asked for. Kept names zones that could not be read,
 	// whose rows are those of the last reading.
-	Calls int
-	Kept  []string
-	// Odd counts entries that name no worker to use, Oddity says why the last one does not.
-	Odd    int
-	Oddity error
+	Calls      int
+	StaleZones []string
+	// Invalid counts entries that name no worker to use, Oddity says why the last one does not.
+	Invalid    int
+	InvalidErr error
 }
 
 // Reader reads the list again and again. It is used by one goroutine.
 type Reader struct {
-	pages Pages
+	pages Pager
 	zones []string
-	// Came, if set, is called with the rows of each page of a first reading as it comes. It
+	// OnPage, if set, is called with the rows of each page of a first reading as it comes. It
 	// is called by several goroutines.
-	Came func(rows []wire.PoolWorker)
+	OnPage func(rows []wire.PoolWorker)
 	// byZones is set once the list has been found to be long.
 	byZones bool
 	// known holds the rows of the last reading by zone, or all under wholeZone, and missed
@@ -91,13 +91,13 @@
 
 // New returns a reader of the pages. zones are the zones that workers may be in; where
 // there are none, or a row has another one, the list is read whole.
-func New(pages Pages, zones []string) *Reader {
+func New(pages Pager, zones []string) *Reader {
 	return &Reader{pages: pages, zones: zones, known: map[string]rowsByID{}, missed: map[string]int{}, doubted: map[string]int{}}
 }
 
-// Forget drops what was known, so that the next reading stands for itself: for a process
+// Reset drops what was known, so that the next reading stands for itself: for a process
 // that has not read the list for a while.
-func (r *Reader) Forget() {
+func (r *Reader) Reset() {
 	r.known, r.missed, r.doubted = map[string]rowsByID{}, map[string]int{}, map[string]int{}
 }
 
@@ -111,7 +111,7 @@
 	parts := make([]part, len(zones))
 	var readings sync.WaitGroup
 	for i, zone := range zones {
-		parts[i] = part{zone: zone, known: r.known[zone], came: r.Came}
+		parts[i] = part{zone: zone, known: r.known[zone], came: r.OnPage}
 		readings.Go(func() { parts[i].read(ctx, r.pages) })
 	}
 	readings.Wait()
@@ -134,13 +134,13 @@
 		if p.known == nil {
 			return p.err
 		}
-		reading.Kept = append(reading.Kept, p.zone)
+		reading.StaleZones = append(reading.StaleZones, p.zone)
 		p.rows = p.known
 	}
 	r.settleLives(p)
-	reading.Odd += p.odd
+	reading.Invalid += p.odd
 	if p.oddity != nil {
-		reading.Oddity = p.oddity
+		reading.InvalidErr = p.oddity
 	}
 	r.keepMissing(p)
 	r.known[p.zone] = p.rows
@@ -176,7 +176,7 @@
 		if parts[row.Zone] == nil {
 			return
 		}
-		parts[row.Zone][life.Worker(row.ID)] = row
+		parts[row.Zone][life.WorkerID(row.ID)] = row
 	}
 	r.byZones, r.known = true, parts
 }
@@ -202,7 +202,7 @@
 // forward, and one of them may slip from a page that comes into one that was read. So
 // where a row is missing the zone is read a second time: if both readings are alike,
 // nothing moved. Else a row of either is there.
-func (p *part) read(ctx context.Context, pages Pages) {
+func (p *part) read(ctx context.Context, pages Pager) {
 	pageCount := 0
 	p.rows, pageCount, p.err = p.readOnce(ctx, pages)
 	if p.err != nil {
@@ -235,7 +235,7 @@
 }
 
 // readOnce reads all pages one after the other.
-func (p *part) readOnce(ctx context.Context, pages Pages) (rowsByID, int, error) {
+func (p *part) readOnce(ctx context.Context, pages Pager) (rowsByID, int, error) {
 	rows := rowsByID{}
 	p.odd, p.oddity, p.disputed = 0, nil, map[string]bool{}
 	name, count := "", 0
@@ -260,7 +260,7 @@
 }
 
 // page reads a page, again where that fails.
-func (p *part) page(ctx context.Context, pages Pages, name string) (Page, error) {
+func (p *part) page(ctx context.Context, pages Pager, name string) (Page, error) {
 	for try := 1; ; try++ {
 		p.calls++
 		page, err := pages.Page(ctx, p.zone, name)
@@ -284,10 +284,10 @@
 	longestPause = 1500 * time.Millisecond
 )
 
-// Pause returns the time to the next reading after one of so many calls: interval, or
+// PollInterval returns the time to the next reading after one of so many calls: interval, or
 // longer where the platform takes so few calls a second (0 for unknown). At 430 calls a
 // second it is 1.2 s for the 51 pages of 10,000 workers.
-func Pause(interval time.Duration, calls int, perSecond float64) time.Duration {
+func PollInterval(interval time.Duration, calls int, perSecond float64) time.Duration {
 	if perSecond <= 0 {
 		return interval
 	}
--- a/internal/listreader/reader_test.go
+++ b/internal/listreader/reader_test.go
@@ -150,8 +150,8 @@
 		p.failed = func(zone, name string) bool { return zone == "z1" && name == "40" }
 		p.rows = slices.DeleteFunc(p.rows, func(row wire.PoolWorker) bool { return row.ID < "w00030" })
 		reading, err = r.Read(t.Context())
-		if ids := idsOf(t, reading, err); len(ids) != 280 || !slices.Equal(reading.Kept, []string{"z1"}) {
-			t.Errorf("%d workers, kept %v", len(ids), reading.Kept)
+		if ids := idsOf(t, reading, err); len(ids) != 280 || !slices.Equal(reading.StaleZones, []string{"z1"}) {
+			t.Errorf("%d workers, kept %v", len(ids), reading.StaleZones)
 		}
 	})
 }
@@ -195,7 +195,7 @@
 		perSecond float64
 		want      time.Duration
 	}{{1, 44, interval}, {51, 0, interval}, {43, 430, time.Second}, {500, 430, longestPause}} {
-		if got := Pause(interval, test.calls, test.perSecond); got != test.want {
+		if got := PollInterval(interval, test.calls, test.perSecond); got != test.want {
 			t.Errorf("%+v: %v", test, got)
 		}
 	}
--- a/internal/loadshare/datagrams.go
+++ b/internal/loadshare/datagrams.go
@@ -58,7 +58,7 @@
 	report := &wire.LoadReport{}
 	if _, err := report.UnmarshalMsg(datagram); err != nil {
 		// A datagram tells no generation where it can't be read.
-		unread.Note(string(traffic.Loads), sender.String(), 0, err)
+		unread.Record(string(traffic.Loads), sender.String(), 0, err)
 		return nil
 	}
 	return report
@@ -375,7 +375,7 @@
 		if err != nil {
 			continue
 		}
-		x.reporter.Meter.Received(traffic.Loads, sender.String(), count)
+		x.reporter.Meter.AddReceived(traffic.Loads, sender.String(), count)
 		report := read(buffer[:count], sender)
 		if report == nil {
 			continue
--- a/internal/loadshare/hub.go
+++ b/internal/loadshare/hub.go
@@ -35,7 +35,7 @@
 // WorkerHash returns the short name of a worker by the name of its life. It is the same for
 // all its lives: loads are counted anew several times a second, and processes that know of
 // no lives tell of the same worker by the same name.
-func WorkerHash(name string) uint32 { return Hash(life.Worker(name)) }
+func WorkerHash(name string) uint32 { return Hash(life.WorkerID(name)) }
 
 // Hub adds the reports up. It is pure and not safe for concurrent use.
 type Hub struct {
@@ -101,8 +101,8 @@
 	return &Hub{sources: map[uint32]*source{}, totals: map[uint32]total{}, watched: map[uint32]*watched{}, probations: map[uint32]*probation{}}
 }
 
-// RecordReport takes in a report.
-func (h *Hub) RecordReport(now time.Time, report *wire.LoadReport) {
+// ApplyReport takes in a report.
+func (h *Hub) ApplyReport(now time.Time, report *wire.LoadReport) {
 	h.expire(now)
 	if before := h.sources[report.Source]; before != nil {
 		h.count(before, -1)
--- a/internal/loadshare/large_test.go
+++ b/internal/loadshare/large_test.go
@@ -31,7 +31,7 @@
 	for step := range 500 {
 		now = now.Add(time.Duration(random.IntN(80)) * time.Millisecond)
 		source := uint32(random.IntN(5))
-		h.RecordReport(now, &wire.LoadReport{Source: source, Workers: loads()})
+		h.ApplyReport(now, &wire.LoadReport{Source: source, Workers: loads()})
 		if random.IntN(9) == 0 {
 			h.SetParentLoads(now, loads(), 0, random.IntN(2) == 0)
 		}
@@ -97,7 +97,7 @@
 			}
 			rows = append(rows, wire.WorkerLoad{Worker: worker, Online: 3, Batch: 2, Unread: 700, Answered: 1})
 		}
-		h.RecordReport(start, &wire.LoadReport{Source: 1, Workers: rows})
+		h.ApplyReport(start, &wire.LoadReport{Source: 1, Workers: rows})
 		if !Large(&near) {
 			t.Fatal("the zone counts as small")
 		}
@@ -173,7 +173,7 @@
 				}
 				rows = append(rows, wire.WorkerLoad{Worker: worker, Online: 3})
 			}
-			h.RecordReport(start, &wire.LoadReport{Source: 1, Workers: rows})
+			h.ApplyReport(start, &wire.LoadReport{Source: 1, Workers: rows})
 			random := rand.New(rand.NewPCG(6, 6))
 			zone := map[uint32]string{}
 			b.ReportAllocs()
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -19,10 +19,10 @@
 
 func TestHubAddsUp(t *testing.T) {
 	hub := NewHub()
-	hub.RecordReport(start, report(1, 7, 3))
-	hub.RecordReport(start, report(2, 7, 4))
-	hub.RecordReport(start, report(2, 7, 5))
-	hub.RecordReport(start, report(3, 8, 1))
+	hub.ApplyReport(start, report(1, 7, 3))
+	hub.ApplyReport(start, report(2, 7, 4))
+	hub.ApplyReport(start, report(2, 7, 5))
+	hub.ApplyReport(start, report(3, 8, 1))
 	others := hub.PeerLoads(start, 1)
 	if len(others) != 2 || others[0].Worker != 7 || others[0].Online != 5 || others[1].Online != 1 {
 		t.Errorf("others of 1: %+v", others)
@@ -53,8 +53,8 @@
 // the worker tells of them no more, or tells nothing.
 func TestOrphansAreSeenAndForgotten(t *testing.T) {
 	hub, now := NewHub(), start
-	hub.RecordReport(now, told(1, 2))
-	hub.RecordReport(now, told(2, 2))
+	hub.ApplyReport(now, told(1, 2))
+	hub.ApplyReport(now, told(2, 2))
 	if got := orphansOf(hub, now); got != 0 {
 		t.Fatalf("%d orphans where all is known", got)
 	}
@@ -63,7 +63,7 @@
 			t.Errorf("%d orphans after %d answers", got, i)
 		}
 		now = now.Add(20 * time.Millisecond)
-		hub.RecordReport(now, told(uint32(1+i%2), 7))
+		hub.ApplyReport(now, told(uint32(1+i%2), 7))
 	}
 	if got := orphansOf(hub, now); got != 5 {
 		t.Errorf("%d orphans, want 5", got)
@@ -71,11 +71,11 @@
 	if got := orphansOf(hub, now.Add(toldFresh+1)); got != 0 {
 		t.Errorf("%d orphans by answers of long ago", got)
 	}
-	hub.RecordReport(now, told(1, 2))
+	hub.ApplyReport(now, told(1, 2))
 	if got := orphansOf(hub, now); got != 0 {
 		t.Errorf("%d orphans after the worker told of none", got)
 	}
-	hub.RecordReport(now.Add(2*toldFresh), report(1, 7, 1))
+	hub.ApplyReport(now.Add(2*toldFresh), report(1, 7, 1))
 	if len(hub.watched) != 0 {
 		t.Error("estimates are kept for ever")
 	}
@@ -85,7 +85,7 @@
 func TestNoiseIsNoOrphan(t *testing.T) {
 	hub := NewHub()
 	for _, count := range []uint16{9, 1, 9, 9, 1, 9, 0} {
-		hub.RecordReport(start, told(1, count))
+		hub.ApplyReport(start, told(1, count))
 		if got := orphansOf(hub, start); got != 0 {
 			t.Errorf("%d orphans by noise", got)
 		}
@@ -146,11 +146,11 @@
 		return false
 	}
 	hub, now := NewHub(), start
-	hub.RecordReport(now, answers(1, 2, 1))
+	hub.ApplyReport(now, answers(1, 2, 1))
 	if failing(hub, now) {
 		t.Error("one failure makes a failing worker")
 	}
-	hub.RecordReport(now, answers(2, 0, 1))
+	hub.ApplyReport(now, answers(2, 0, 1))
 	if !failing(hub, now) {
 		t.Fatal("two failures of four answers don't")
 	}
@@ -160,7 +160,7 @@
 	if now = now.Add(4 * time.Second); failing(hub, now) {
 		t.Error("it is never tried again")
 	}
-	hub.RecordReport(now, answers(1, 50, 3))
+	hub.ApplyReport(now, answers(1, 50, 3))
 	if failing(hub, now) {
 		t.Error("a few failures of many answers make a failing worker")
 	}
@@ -185,7 +185,7 @@
 				report.Workers = append(report.Workers, wire.WorkerLoad{Worker: worker, Online: uint16(random.IntN(9)), Batch: uint16(random.IntN(9))})
 			}
 		}
-		hub.RecordReport(now, report)
+		hub.ApplyReport(now, report)
 		last[source], at[source] = report, now
 		except := uint32(random.IntN(6))
 		want := map[uint32]int{}
@@ -212,12 +212,12 @@
 
 func TestOldReportsDoNotCount(t *testing.T) {
 	hub := NewHub()
-	hub.RecordReport(start, report(1, 7, 3))
+	hub.ApplyReport(start, report(1, 7, 3))
 	late := start.Add(ReportTTL + 1)
 	if others := hub.PeerLoads(late, 2); len(others) != 0 || hub.Sources(late) != 0 {
 		t.Errorf("others %+v", others)
 	}
-	hub.RecordReport(late, report(2, 7, 1))
+	hub.ApplyReport(late, report(2, 7, 1))
 	if len(hub.sources) != 1 {
 		t.Errorf("%d reports are kept", len(hub.sources))
 	}
@@ -283,7 +283,7 @@
 	f.Fuzz(func(_ *testing.T, datagram []byte) {
 		var decoded wire.LoadReport
 		if _, err := decoded.UnmarshalMsg(datagram); err == nil {
-			NewHub().RecordReport(start, &decoded)
+			NewHub().ApplyReport(start, &decoded)
 		}
 	})
 }
@@ -302,7 +302,7 @@
 		_ = Serve(ctx, address, func(told *wire.LoadReport) *wire.LoadReport {
 			mutex.Lock()
 			defer mutex.Unlock()
-			hub.RecordReport(time.Now(), told)
+			hub.ApplyReport(time.Now(), told)
 			if told.Quiet {
 				quiet++
 			}
--- a/internal/loadshare/pace_test.go
+++ b/internal/loadshare/pace_test.go
@@ -33,8 +33,8 @@
 	tell := func(seconds int, micros uint32) wire.WorkerLoad {
 		for range seconds * 10 {
 			now = now.Add(100 * time.Millisecond)
-			hub.RecordReport(now, paced(1, 1, 5, 5*micros))
-			hub.RecordReport(now, paced(2, 2, 5, 5*micros))
+			hub.ApplyReport(now, paced(1, 1, 5, 5*micros))
+			hub.ApplyReport(now, paced(2, 2, 5, 5*micros))
 		}
 		return loadOf(hub, now)
 	}
@@ -47,7 +47,7 @@
 	if got := loadOf(hub, now.Add(20*time.Second)); got.Step != 0 || got.Rate != 0 {
 		t.Errorf("after 20 s of silence: %+v", got)
 	}
-	hub.RecordReport(now.Add(time.Minute), report(1, 8, 1))
+	hub.ApplyReport(now.Add(time.Minute), report(1, 8, 1))
 	if len(hub.watched) != 0 {
 		t.Error("it is kept for ever")
 	}
--- a/internal/loadshare/probe_test.go
+++ b/internal/loadshare/probe_test.go
@@ -74,7 +74,7 @@
 				kept = append(kept, pending)
 				continue
 			}
-			p.hub.RecordReport(p.now, pending.report)
+			p.hub.ApplyReport(p.now, pending.report)
 			if pending.probe {
 				p.under--
 			}
@@ -201,7 +201,7 @@
 	} {
 		top, zone := NewHub(), NewHub()
 		items := []wire.WorkerLoad{{Worker: 9, Batch: 1}}
-		zone.RecordReport(start, &wire.LoadReport{Source: 1, Workers: []wire.WorkerLoad{{Worker: patientWorker, Failed: 5}}})
+		zone.ApplyReport(start, &wire.LoadReport{Source: 1, Workers: []wire.WorkerLoad{{Worker: patientWorker, Failed: 5}}})
 		first, back, named, toldOn := time.Duration(0), time.Duration(0), 0, false
 		for after := Interval; after < 10*time.Second && back == 0; after += Interval {
 			now := start.Add(after)
@@ -212,18 +212,18 @@
 					report.Workers = append([]wire.WorkerLoad{{Worker: patientWorker, Failed: 1}}, items...)
 				}
 			}
-			top.RecordReport(now, report)
+			top.ApplyReport(now, report)
 			if sums := zone.Sums(now, zoneName); sums != nil {
-				top.RecordReport(now, sums)
+				top.ApplyReport(now, sums)
 			}
 			zone.SetParentLoads(now, top.UpdateForHub(now, zoneName).Rows, 0, false)
-			zone.RecordReport(now, &wire.LoadReport{Source: 1})
+			zone.ApplyReport(now, &wire.LoadReport{Source: 1})
 			for range zone.OnlineProbes(now, near) {
 				named++
 				if first == 0 {
 					first = after
 				}
-				zone.RecordReport(now, &wire.LoadReport{Source: 1, Proofs: []wire.WorkerProof{{Worker: patientWorker, Well: 1}}})
+				zone.ApplyReport(now, &wire.LoadReport{Source: 1, Proofs: []wire.WorkerProof{{Worker: patientWorker, Well: 1}}})
 			}
 			for _, row := range zone.PeerLoads(now, 1) {
 				toldOn = toldOn || row.Start > 0
--- a/internal/loadshare/sums_test.go
+++ b/internal/loadshare/sums_test.go
@@ -34,7 +34,7 @@
 func (z *zones) exchange(now time.Time, mutation string) {
 	for i, hub := range z.hubs {
 		if sums := hub.Sums(now, z.name(i)); sums != nil {
-			z.top.RecordReport(now, sums)
+			z.top.ApplyReport(now, sums)
 		}
 	}
 	for i, hub := range z.hubs {
@@ -90,7 +90,7 @@
 			}
 			if random.IntN(10) == 0 {
 				if mutation != "who leaves is not told of" {
-					z.hubs[at[process]].RecordReport(now, &wire.LoadReport{Source: process + 1, Left: true})
+					z.hubs[at[process]].ApplyReport(now, &wire.LoadReport{Source: process + 1, Left: true})
 				}
 				at[process] = random.IntN(len(z.hubs))
 			}
@@ -100,8 +100,8 @@
 					report.Workers = append(report.Workers, wire.WorkerLoad{Worker: worker, Online: uint16(1 + random.IntN(4)), Answered: 1})
 				}
 			}
-			z.single.RecordReport(now, report)
-			z.hubs[at[process]].RecordReport(now, report)
+			z.single.ApplyReport(now, report)
+			z.hubs[at[process]].ApplyReport(now, report)
 		}
 		for _, hub := range append([]*Hub{z.single, z.top}, z.hubs[:]...) {
 			hub.expireDue = time.Time{}
@@ -127,7 +127,7 @@
 // zone's hub and Fresh of the top hub nobody counts it any more.
 func TestSilentProcessAgesOutEverywhere(t *testing.T) {
 	z, now := newZones(), start
-	z.hubs[0].RecordReport(now, report(1, 7, 3))
+	z.hubs[0].ApplyReport(now, report(1, 7, 3))
 	z.exchange(now, "")
 	if got := online(z.hubs[1].PeerLoads(now, 0)); got[7] != 3 {
 		t.Fatalf("another zone is told %v", got)
@@ -147,12 +147,12 @@
 // still know of one another, and of slow workers by what they saw themselves.
 func TestZoneGoesOnWithoutTheTop(t *testing.T) {
 	z, now := newZones(), start
-	z.hubs[1].RecordReport(now, report(2, 7, 2))
+	z.hubs[1].ApplyReport(now, report(2, 7, 2))
 	z.exchange(now, "")
 	for range 20 {
 		now = now.Add(Interval)
-		z.hubs[0].RecordReport(now, paced(1, 1, 5, 500))
-		z.hubs[0].RecordReport(now, report(3, 7, 4))
+		z.hubs[0].ApplyReport(now, paced(1, 1, 5, 500))
+		z.hubs[0].ApplyReport(now, report(3, 7, 4))
 	}
 	rows := z.hubs[0].PeerLoads(now, 1)
 	if len(rows) != 1 || rows[0].Online != 4 || rows[0].Step != 100 || rows[0].Rate == 0 {
@@ -164,9 +164,9 @@
 // counted twice meanwhile.
 func TestLeavingCountsNoMore(t *testing.T) {
 	hub := NewHub()
-	hub.RecordReport(start, report(1, 7, 3))
-	hub.RecordReport(start, report(2, 7, 1))
-	hub.RecordReport(start, &wire.LoadReport{Source: 1, Left: true})
+	hub.ApplyReport(start, report(1, 7, 3))
+	hub.ApplyReport(start, report(2, 7, 1))
+	hub.ApplyReport(start, &wire.LoadReport{Source: 1, Left: true})
 	if rows := hub.PeerLoads(start, 0); len(rows) != 1 || rows[0].Online != 1 || hub.Sources(start) != 1 {
 		t.Errorf("%+v of %d processes", rows, hub.Sources(start))
 	}
@@ -176,8 +176,8 @@
 // once, added up, with the least count that the worker told.
 func TestSumsPassOnWhatWasSeenOnce(t *testing.T) {
 	hub := NewHub()
-	hub.RecordReport(start, &wire.LoadReport{Source: 1, Workers: []wire.WorkerLoad{{Worker: 7, Told: 9, Answered: 2, Failed: 1, Steps: 3, StepMicros: 30}}})
-	hub.RecordReport(start, &wire.LoadReport{Source: 2, Workers: []wire.WorkerLoad{{Worker: 7, Told: 6, Answered: 1, Steps: 1, StepMicros: 10}}})
+	hub.ApplyReport(start, &wire.LoadReport{Source: 1, Workers: []wire.WorkerLoad{{Worker: 7, Told: 9, Answered: 2, Failed: 1, Steps: 3, StepMicros: 30}}})
+	hub.ApplyReport(start, &wire.LoadReport{Source: 2, Workers: []wire.WorkerLoad{{Worker: 7, Told: 6, Answered: 1, Steps: 1, StepMicros: 10}}})
 	want := []wire.WorkerLoad{{Worker: 7, Told: 6, Answered: 3, Failed: 1, Steps: 4, StepMicros: 40}}
 	sums := hub.Sums(start, 100)
 	if !sums.Sums || sums.Sources != 2 || !slices.Equal(sums.Workers, want) {
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -20,10 +20,10 @@
 	maxOwn = 1024
 )
 
-// Book is what a process knows of the requests under which workers ended: what the
+// Cache is what a process knows of the requests under which workers ended: what the
 // coordinators tell, and what it saw itself and they have not taken in yet. A process that
 // hears no coordinator refuses by what it has. It is safe for concurrent use.
-type Book struct {
+type Cache struct {
 	// used is set while anything at all is known; otherwise no request is looked up.
 	used atomic.Bool
 
@@ -48,9 +48,9 @@
 	began  time.Time
 }
 
-// NewBook returns an empty book.
-func NewBook() *Book {
-	return &Book{told: map[Fingerprint]wire.QuarantineRow{}, waits: map[Fingerprint]time.Time{}, pending: make(chan struct{}, 1)}
+// NewCache returns an empty book.
+func NewCache() *Cache {
+	return &Cache{told: map[Fingerprint]wire.QuarantineRow{}, waits: map[Fingerprint]time.Time{}, pending: make(chan struct{}, 1)}
 }
 
 // Standing is how a request is known.
@@ -66,16 +66,16 @@
 )
 
 // InUse reports whether any request is known. While none is, no fingerprint is needed.
-func (b *Book) InUse() bool { return b.used.Load() }
+func (b *Cache) InUse() bool { return b.used.Load() }
 
 // Standing returns how the request is known at now.
-func (b *Book) Standing(now time.Time, request Fingerprint) Standing {
+func (b *Cache) Standing(now time.Time, request Fingerprint) Standing {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.standing(now, request)
 }
 
-func (b *Book) standing(now time.Time, request Fingerprint) Standing {
+func (b *Cache) standing(now time.Time, request Fingerprint) Standing {
 	row := b.told[request]
 	told := map[uint32]int{}
 	for _, worker := range row.Ended {
@@ -129,21 +129,21 @@
 // WorkerHash returns the short name of a worker in reports; it is never zero.
 func WorkerHash(id string) uint32 { return max(uint32(xxhash.Sum64String(id)), 1) }
 
-// Ended takes in that the worker ended under a run of the request that began at began, zero
+// RecordExit takes in that the worker ended under a run of the request that began at began, zero
 // for unknown.
-func (b *Book) Ended(now time.Time, request Fingerprint, worker string, began time.Time) {
+func (b *Cache) RecordExit(now time.Time, request Fingerprint, worker string, began time.Time) {
 	b.add(ownRun{wire.RunReport{Request: uint64(request), Worker: WorkerHash(worker)}, now, began})
 }
 
-// Good takes in that a run of the request came to a good end. It is told only where some
+// RecordSuccess takes in that a run of the request came to a good end. It is told only where some
 // worker is known to have ended under the request.
-func (b *Book) Good(now time.Time, request Fingerprint) {
+func (b *Cache) RecordSuccess(now time.Time, request Fingerprint) {
 	if b.Standing(now, request) != Unknown {
 		b.add(ownRun{wire.RunReport{Request: uint64(request)}, now, time.Time{}})
 	}
 }
 
-func (b *Book) add(run ownRun) {
+func (b *Cache) add(run ownRun) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if len(b.own) >= maxOwn {
@@ -165,10 +165,10 @@
 }
 
 // Pending wakes whoever sends reports.
-func (b *Book) Pending() <-chan struct{} { return b.pending }
+func (b *Cache) Pending() <-chan struct{} { return b.pending }
 
-// Lost returns how many reports were dropped, because no coordinator took any for long.
-func (b *Book) Lost() uint64 {
+// DroppedReports returns how many reports were dropped, because no coordinator took any for long.
+func (b *Cache) DroppedReports() uint64 {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.lost
@@ -176,7 +176,7 @@
 
 // Report returns what a coordinator is to be told, nil for nothing. It must be followed by
 // Sent.
-func (b *Book) Report(now time.Time) *wire.QuarantineReport {
+func (b *Cache) Report(now time.Time) *wire.QuarantineReport {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	fresh := b.own[:0]
@@ -206,8 +206,8 @@
 	return report
 }
 
-// Sent takes in the answer to the last Report; nil means that there was none.
-func (b *Book) Sent(news *wire.QuarantineNews) {
+// RecordAnswer takes in the answer to the last Report; nil means that there was none.
+func (b *Cache) RecordAnswer(news *wire.QuarantineNews) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if news != nil {
@@ -219,21 +219,21 @@
 }
 
 // Revision returns the revision that this process knows.
-func (b *Book) Revision() uint64 {
+func (b *Cache) Revision() uint64 {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.revision
 }
 
-// Learn takes in what a coordinator tells.
-func (b *Book) Learn(news *wire.QuarantineNews) {
+// Apply takes in what a coordinator tells.
+func (b *Cache) Apply(news *wire.QuarantineNews) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.learn(news)
 	b.look()
 }
 
-func (b *Book) learn(news *wire.QuarantineNews) {
+func (b *Cache) learn(news *wire.QuarantineNews) {
 	if news.Revision < b.revision && !news.Whole {
 		// Answers may overtake one another. Only coordinators that have lost what they
 		// knew tell all of an earlier revision.
@@ -256,10 +256,10 @@
 	}
 }
 
-// News returns all that the coordinators have told, for a process that knows a revision of
+// UpdateSince returns all that the coordinators have told, for a process that knows a revision of
 // it; nil where that one is as new. A process that knows more than the coordinators lost
 // hears of it from the leader, never from who only follows it.
-func (b *Book) News(known uint64) *wire.QuarantineNews {
+func (b *Cache) UpdateSince(known uint64) *wire.QuarantineNews {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if b.revision <= known {
@@ -273,14 +273,14 @@
 	return news
 }
 
-func (b *Book) look() { b.used.Store(len(b.told)+len(b.own) > 0) }
+func (b *Cache) look() { b.used.Store(len(b.told)+len(b.own) > 0) }
 
 // reportPause is when to come back with a request of which the coordinators have not taken
 // in yet what this process saw.
 const reportPause = 150 * time.Millisecond
 
-// Wait returns after which time a trial of a refused request may be asked for, zero for now.
-func (b *Book) Wait(now time.Time, request Fingerprint) time.Duration {
+// TrialDelay returns after which time a trial of a refused request may be asked for, zero for now.
+func (b *Cache) TrialDelay(now time.Time, request Fingerprint) time.Duration {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	for i := range b.own {
@@ -291,8 +291,8 @@
 	return max(b.waits[request].Sub(now), 0)
 }
 
-// Deny takes in that a refused request is not to be tried before the wait is over.
-func (b *Book) Deny(now time.Time, request Fingerprint, wait time.Duration) {
+// DenyTrial takes in that a refused request is not to be tried before the wait is over.
+func (b *Cache) DenyTrial(now time.Time, request Fingerprint, wait time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if len(b.waits) >= maxRows {
--- a/internal/quarantine/book_test.go
+++ b/internal/quarantine/book_test.go
@@ -10,7 +10,7 @@
 // TestBookOfAProcess follows one process: what it saw counts beside what it is told, each
 // worker once, also while no coordinator hears it; what is reported is not reported again.
 func TestBookOfAProcess(t *testing.T) {
-	book, table, now := NewBook(), NewTable(), time.Unix(1000, 0)
+	book, table, now := NewCache(), NewTable(), time.Unix(1000, 0)
 	stands := func(want Standing, when string) {
 		t.Helper()
 		if got := book.Standing(now, 1); got != want {
@@ -20,44 +20,44 @@
 	if book.InUse() || book.Report(now) != nil {
 		t.Error("an empty book is in use")
 	}
-	book.Good(now, 1)
+	book.RecordSuccess(now, 1)
 	if book.InUse() {
 		t.Error("a good end of an unknown request is told")
 	}
-	book.Ended(now, 1, "a", time.Time{})
+	book.RecordExit(now, 1, "a", time.Time{})
 	stands(Suspect, "one worker")
-	book.Ended(now, 1, "b", time.Time{})
-	book.Ended(now, 1, "b", time.Time{})
+	book.RecordExit(now, 1, "b", time.Time{})
+	book.RecordExit(now, 1, "b", time.Time{})
 	stands(Suspect, "two workers")
 
 	report := book.Report(now)
 	table.Apply(&wire.QuarantineCommand{Runs: report.Runs})
 	told := table.Since(report.Known)
-	book.Learn(&told)
+	book.Apply(&told)
 	stands(Suspect, "told of what it reported before the answer has come")
-	book.Sent(&told)
+	book.RecordAnswer(&told)
 	if book.Report(now) != nil {
 		t.Error("what was taken in is reported again")
 	}
-	book.Ended(now, 1, "c", time.Time{})
+	book.RecordExit(now, 1, "c", time.Time{})
 	stands(Refused, "a third worker, seen here alone")
-	if book.Wait(now, 1) == 0 {
+	if book.TrialDelay(now, 1) == 0 {
 		t.Error("a trial is asked for before its end is reported")
 	}
 	book.Report(now)
-	book.Sent(nil)
+	book.RecordAnswer(nil)
 	stands(Refused, "no coordinator answers")
 	now = now.Add(ownTime + time.Second)
 	stands(Suspect, "none has for long")
 	if book.Report(now) != nil {
 		t.Error("old ends are reported")
 	}
-	book.Good(now, 1)
+	book.RecordSuccess(now, 1)
 	stands(Unknown, "a good end")
 	good := book.Report(now)
 	table.Apply(&wire.QuarantineCommand{Runs: good.Runs})
 	news := table.Since(good.Known)
-	book.Sent(&news)
+	book.RecordAnswer(&news)
 	stands(Unknown, "a good end that is known")
 	if book.InUse() {
 		t.Error("the book is in use for nothing")
@@ -66,25 +66,25 @@
 
 // TestBookIsBounded floods a process that reaches no coordinator.
 func TestBookIsBounded(t *testing.T) {
-	book, now := NewBook(), time.Unix(1000, 0)
+	book, now := NewCache(), time.Unix(1000, 0)
 	for request := Fingerprint(1); request <= 3*maxOwn; request++ {
-		book.Ended(now, request, "a", time.Time{})
-		book.Deny(now, request, time.Minute)
+		book.RecordExit(now, request, "a", time.Time{})
+		book.DenyTrial(now, request, time.Minute)
 	}
-	if len(book.own) != maxOwn || book.Lost() != 2*maxOwn || len(book.waits) > maxRows {
-		t.Errorf("%d runs, %d lost, %d waits", len(book.own), book.Lost(), len(book.waits))
+	if len(book.own) != maxOwn || book.DroppedReports() != 2*maxOwn || len(book.waits) > maxRows {
+		t.Errorf("%d runs, %d lost, %d waits", len(book.own), book.DroppedReports(), len(book.waits))
 	}
 }
 
 // TestOlderNewsAreNotTakenIn lets answers overtake one another.
 func TestOlderNewsAreNotTakenIn(t *testing.T) {
-	book, table := NewBook(), NewTable()
+	book, table := NewCache(), NewTable()
 	table.Apply(&wire.QuarantineCommand{Runs: []wire.RunReport{end(1, 1), end(1, 2)}})
 	older := table.Since(0)
 	table.Apply(&wire.QuarantineCommand{Runs: []wire.RunReport{end(1, 3)}})
 	newer := table.Since(0)
-	book.Learn(&newer)
-	book.Learn(&older)
+	book.Apply(&newer)
+	book.Apply(&older)
 	if book.Standing(time.Time{}, 1) != Refused {
 		t.Error("older news put a refused request back")
 	}
@@ -93,7 +93,7 @@
 // TestBookCountsEndsOfOneWorker lets a worker end again and again under its id: a run that
 // began after an end tells of another one, those that it broke off together do not.
 func TestBookCountsEndsOfOneWorker(t *testing.T) {
-	book, now := NewBook(), time.Unix(1000, 0)
+	book, now := NewCache(), time.Unix(1000, 0)
 	for _, step := range []struct {
 		name  string
 		after time.Duration
@@ -106,7 +106,7 @@
 		{"a third one", 200 * time.Millisecond, 50 * time.Millisecond, Refused},
 	} {
 		now = now.Add(step.after)
-		book.Ended(now, 1, "a", now.Add(-step.ran))
+		book.RecordExit(now, 1, "a", now.Add(-step.ran))
 		if got := book.Standing(now, 1); got != step.want {
 			t.Errorf("%s: %d, want %d", step.name, got, step.want)
 		}
--- a/internal/quarantine/bound_test.go
+++ b/internal/quarantine/bound_test.go
@@ -13,22 +13,22 @@
 // way is taken off by its answer, no more.
 func TestNewRunsStay(t *testing.T) {
 	now := time.Unix(1000, 0)
-	b := NewBook()
+	b := NewCache()
 	for request := range maxOwn {
-		b.Ended(now, Fingerprint(request+1), "w", time.Time{})
+		b.RecordExit(now, Fingerprint(request+1), "w", time.Time{})
 	}
 	for number := range Threshold {
-		b.Ended(now, Fingerprint(99_999), fmt.Sprint("w", number), time.Time{})
+		b.RecordExit(now, Fingerprint(99_999), fmt.Sprint("w", number), time.Time{})
 	}
-	if b.Standing(now, Fingerprint(99_999)) != Refused || b.Lost() != Threshold {
-		t.Errorf("a request under which three workers ended is not refused, %d reports lost", b.Lost())
+	if b.Standing(now, Fingerprint(99_999)) != Refused || b.DroppedReports() != Threshold {
+		t.Errorf("a request under which three workers ended is not refused, %d reports lost", b.DroppedReports())
 	}
 	report := b.Report(now)
-	b.Ended(now, Fingerprint(77_777), "w", time.Time{})
+	b.RecordExit(now, Fingerprint(77_777), "w", time.Time{})
 	if len(report.Runs) != maxOwn || b.Standing(now, Fingerprint(77_777)) != Unknown {
 		t.Errorf("%d runs are told; one came in their place", len(report.Runs))
 	}
-	b.Sent(&wire.QuarantineNews{Revision: 1})
+	b.RecordAnswer(&wire.QuarantineNews{Revision: 1})
 	if b.Report(now) != nil {
 		t.Error("runs are left after all were taken in")
 	}
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -23,8 +23,8 @@
 // String returns the fingerprint as it stands in logs.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(f)) }
 
-// Parse reads a fingerprint as it stands in logs. It fails with BadRequest.
-func Parse(text string) (Fingerprint, error) {
+// ParseFingerprint reads a fingerprint as it stands in logs. It fails with BadRequest.
+func ParseFingerprint(text string) (Fingerprint, error) {
 	value, err := strconv.ParseUint(text, 16, 64)
 	if err != nil {
 		return 0, failure.Wrap(err, failure.BadRequest, "copy the request's identity from a log line", "%q is no identity of a request", text)
@@ -32,9 +32,9 @@
 	return Fingerprint(value), nil
 }
 
-// Of returns a request's fingerprint. It is cut from a SHA-256, so that nobody can make a
+// FingerprintOf returns a request's fingerprint. It is cut from a SHA-256, so that nobody can make a
 // request that has the fingerprint of another's: the other would be refused with it.
-func Of(owner tenancy.Name, host, method, target string, body []byte) Fingerprint {
+func FingerprintOf(owner tenancy.Name, host, method, target string, body []byte) Fingerprint {
 	digest := sha256.New()
 	for _, part := range []string{string(owner), host, method, target} {
 		writePart(digest, part)
--- a/internal/quarantine/gate.go
+++ b/internal/quarantine/gate.go
@@ -22,9 +22,9 @@
 // back, what it passed over is restated.
 const goneAfter = 20 * time.Second
 
-// Note takes in the processes that hold replicas, also those that are silent, and reports
+// ApplyProcesses takes in the processes that hold replicas, also those that are silent, and reports
 // whether that opened or closed the gate.
-func (g *Gate) Note(processes []wire.Process) bool {
+func (g *Gate) ApplyProcesses(processes []wire.Process) bool {
 	before := g.older
 	g.older = ""
 	for i := range processes {
@@ -40,14 +40,14 @@
 	return (g.older == "") != (before == "")
 }
 
-// Begin takes in that this process begins to lead with the table.
-func (g *Gate) Begin(t *Table) { g.restate = g.restate || t.Revision() > 0 }
+// StartTerm takes in that this process begins to lead with the table.
+func (g *Gate) StartTerm(t *Table) { g.restate = g.restate || t.Revision() > 0 }
 
-// Older returns the address of a process whose build would pass over commands, empty for none.
-func (g *Gate) Older() string { return g.older }
+// OlderProcess returns the address of a process whose build would pass over commands, empty for none.
+func (g *Gate) OlderProcess() string { return g.older }
 
-// Refusal returns why no command may be written now, or nil.
-func (g *Gate) Refusal() error {
+// Err returns why no command may be written now, or nil.
+func (g *Gate) Err() error {
 	if g.older == "" {
 		return nil
 	}
@@ -66,5 +66,5 @@
 	return due
 }
 
-// Restated takes in that what is known has been restated.
-func (g *Gate) Restated() { g.restate = false }
+// RecordRestatement takes in that what is known has been restated.
+func (g *Gate) RecordRestatement() { g.restate = false }
--- a/internal/quarantine/gate_test.go
+++ b/internal/quarantine/gate_test.go
@@ -34,23 +34,23 @@
 		{"it is gone", []wire.Process{own, gone, newer}, true, false, true, false},
 		{"it is replaced", []wire.Process{own, newer}, false, false, true, false},
 	} {
-		if turned := gate.Note(step.processes); turned != step.turned {
+		if turned := gate.ApplyProcesses(step.processes); turned != step.turned {
 			t.Errorf("%s: turned %t", step.name, turned)
 		}
-		if refusal := gate.Refusal(); (refusal != nil) != step.closed || refusal != nil && (!failure.Is(refusal, failure.NotRun) || gate.Older() != "c") {
-			t.Errorf("%s: %v, older %q", step.name, refusal, gate.Older())
+		if refusal := gate.Err(); (refusal != nil) != step.closed || refusal != nil && (!failure.Is(refusal, failure.NotRun) || gate.OlderProcess() != "c") {
+			t.Errorf("%s: %v, older %q", step.name, refusal, gate.OlderProcess())
 		}
 		command := gate.Command(due, table)
 		if (command == due) != step.carryOut || (command != nil && command.Restated != nil) != step.restated {
 			t.Errorf("%s: %+v", step.name, command)
 		}
 	}
-	gate.Restated()
-	if gate.Begin(table); gate.Command(due, table) != due {
+	gate.RecordRestatement()
+	if gate.StartTerm(table); gate.Command(due, table) != due {
 		t.Error("a leader that knows nothing restates it")
 	}
 	table.Apply(&wire.QuarantineCommand{Runs: []wire.RunReport{end(1, 11)}})
-	if gate.Begin(table); gate.Command(due, table).Restated == nil {
+	if gate.StartTerm(table); gate.Command(due, table).Restated == nil {
 		t.Error("a new leader does not restate what it knows")
 	}
 }
--- a/internal/quarantine/local.go
+++ b/internal/quarantine/local.go
@@ -12,20 +12,20 @@
 type Local struct {
 	mutex  sync.Mutex
 	table  *Table
-	warden *Warden
+	warden *Timers
 }
 
 // NewLocal returns an empty quarantine.
-func NewLocal() *Local { return &Local{table: NewTable(), warden: NewWarden()} }
+func NewLocal() *Local { return &Local{table: NewTable(), warden: NewTimers()} }
 
-// Ended takes in that a worker ended under a run of the request that began at began.
-func (l *Local) Ended(now time.Time, request Fingerprint, worker string, began time.Time) {
+// RecordExit takes in that a worker ended under a run of the request that began at began.
+func (l *Local) RecordExit(now time.Time, request Fingerprint, worker string, began time.Time) {
 	run := ownRun{wire.RunReport{Request: uint64(request), Worker: WorkerHash(worker)}, now, began}
 	l.take(now, run.reportAt(now))
 }
 
-// Good takes in that the request came to a good end.
-func (l *Local) Good(now time.Time, request Fingerprint) {
+// RecordSuccess takes in that the request came to a good end.
+func (l *Local) RecordSuccess(now time.Time, request Fingerprint) {
 	l.take(now, wire.RunReport{Request: uint64(request)})
 }
 
@@ -47,10 +47,10 @@
 func (l *Local) MayRun(now time.Time, request Fingerprint) (bool, time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if command := l.warden.Look(now, l.table); command != nil {
+	if command := l.warden.Tick(now, l.table); command != nil {
 		l.table.Apply(command)
 	}
-	may, wait := l.warden.Trial(now, l.table, request)
+	may, wait := l.warden.GrantTrial(now, l.table, request)
 	if may {
 		l.table.Apply(&wire.QuarantineCommand{Trial: uint64(request)})
 	}
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -243,9 +243,9 @@
 // Revision returns how often the table has changed.
 func (t *Table) Revision() uint64 { return t.revision }
 
-// Urgent returns the revision from which on a process must know the table at once: a
+// UrgentRevision returns the revision from which on a process must know the table at once: a
 // request was refused or let in again in it.
-func (t *Table) Urgent() uint64 { return t.urgent }
+func (t *Table) UrgentRevision() uint64 { return t.urgent }
 
 // Entry returns what is stored of a request, nil for nothing. The caller must not change it.
 func (t *Table) Entry(request Fingerprint) *wire.QuarantineEntry { return t.rows[request] }
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -32,15 +32,15 @@
 func TestFingerprintTellsRequestsApart(t *testing.T) {
 	prints := map[Fingerprint]string{}
 	for name, print := range map[string]Fingerprint{
-		"whole":      Of("owner", "host", "POST", "/a", []byte("body")),
-		"owner":      Of("other", "host", "POST", "/a", []byte("body")),
-		"host":       Of("owner", "other", "POST", "/a", []byte("body")),
-		"method":     Of("owner", "host", "PUT", "/a", []byte("body")),
-		"target":     Of("owner", "host", "POST", "/a?b", []byte("body")),
-		"body":       Of("owner", "host", "POST", "/a", []byte("bodY")),
-		"run over":   Of("ownerh", "ost", "POST", "/a", []byte("body")),
-		"into body":  Of("owner", "host", "POST", "/", []byte("abody")),
-		"empty body": Of("owner", "host", "POST", "/abody", nil),
+		"whole":      FingerprintOf("owner", "host", "POST", "/a", []byte("body")),
+		"owner":      FingerprintOf("other", "host", "POST", "/a", []byte("body")),
+		"host":       FingerprintOf("owner", "other", "POST", "/a", []byte("body")),
+		"method":     FingerprintOf("owner", "host", "PUT", "/a", []byte("body")),
+		"target":     FingerprintOf("owner", "host", "POST", "/a?b", []byte("body")),
+		"body":       FingerprintOf("owner", "host", "POST", "/a", []byte("bodY")),
+		"run over":   FingerprintOf("ownerh", "ost", "POST", "/a", []byte("body")),
+		"into body":  FingerprintOf("owner", "host", "POST", "/", []byte("abody")),
+		"empty body": FingerprintOf("owner", "host", "POST", "/abody", nil),
 	} {
 		if other, taken := prints[print]; taken {
 			t.Errorf("%s has the identity of %s", name, other)
@@ -134,7 +134,7 @@
 // a good end is refused from its third worker on.
 func TestRandomTables(t *testing.T) {
 	proptest.Run(t, "quarantine", func(random *rand.Rand) error {
-		table, replica, book := NewTable(), NewTable(), NewBook()
+		table, replica, book := NewTable(), NewTable(), NewCache()
 		for step := range 60 {
 			command := drawnCommand(random, int64(step)*700)
 			if !reflect.DeepEqual(table.Apply(command), replica.Apply(command)) {
@@ -151,11 +151,11 @@
 				// The news come from either.
 				from := []*Table{table, replica}[random.Intn(2)]
 				news := from.Since(book.Revision())
-				book.Learn(&news)
+				book.Apply(&news)
 			}
 		}
 		news := replica.Since(book.Revision())
-		book.Learn(&news)
+		book.Apply(&news)
 		for request := Fingerprint(1); request <= 5; request++ {
 			if got, want := book.Standing(time.Time{}, request) == Refused, refused(table, request); got != want && len(table.rows[request].Ends) > 0 {
 				return fmt.Errorf("request %d: refused %t by the news, %t by the table", request, got, want)
@@ -194,42 +194,42 @@
 // TestTrials gives trials and terms: after a second, a minute, two, an hour at most, by each
 // leader's own time.
 func TestTrials(t *testing.T) {
-	table, warden, now := NewTable(), NewWarden(), time.Unix(1000, 0)
+	table, warden, now := NewTable(), NewTimers(), time.Unix(1000, 0)
 	table.Apply(&wire.QuarantineCommand{Runs: []wire.RunReport{end(1, 1), end(1, 2), end(1, 3), end(2, 1)}})
-	if warden.Look(now, table) != nil {
+	if warden.Tick(now, table) != nil {
 		t.Error("something follows at once")
 	}
 	var pauses []time.Duration
 	last := now
 	for range 9 {
-		granted, wait := warden.Trial(now, table, 1)
+		granted, wait := warden.GrantTrial(now, table, 1)
 		if granted {
 			t.Fatalf("a trial is granted %s early", wait)
 		}
 		now = now.Add(wait)
 		pauses = append(pauses, now.Sub(last))
 		last = now
-		if granted, _ := warden.Trial(now, table, 1); !granted {
+		if granted, _ := warden.GrantTrial(now, table, 1); !granted {
 			t.Fatal("no trial is granted when it is due")
 		}
-		if granted, wait := warden.Trial(now, table, 1); granted || wait != trialPoll {
+		if granted, wait := warden.GrantTrial(now, table, 1); granted || wait != trialPoll {
 			t.Fatalf("while a trial runs: granted %t, come back after %s", granted, wait)
 		}
 		table.Apply(&wire.QuarantineCommand{Trial: 1})
-		warden.Look(now, table)
+		warden.Tick(now, table)
 		now = now.Add(trialTime)
 	}
 	want := []time.Duration{time.Second, time.Minute, 2 * time.Minute, 4 * time.Minute, 8 * time.Minute, 16 * time.Minute, 32 * time.Minute, time.Hour, time.Hour}
 	if !reflect.DeepEqual(pauses, want) {
 		t.Errorf("trials after %v, want %v", pauses, want)
 	}
-	if command := warden.Look(now, table); command == nil || !reflect.DeepEqual(command.Expired, []uint64{2}) || !reflect.DeepEqual(command.Settled, []uint64{1}) {
+	if command := warden.Tick(now, table); command == nil || !reflect.DeepEqual(command.Expired, []uint64{2}) || !reflect.DeepEqual(command.Settled, []uint64{1}) {
 		t.Errorf("what follows is %+v", command)
 	}
-	if command := NewWarden().Look(now, table); command != nil {
+	if command := NewTimers().Tick(now, table); command != nil {
 		t.Errorf("a new leader does %+v at once", command)
 	}
-	if granted, _ := warden.Trial(now, table, 7); !granted {
+	if granted, _ := warden.GrantTrial(now, table, 7); !granted {
 		t.Error("a request that is not refused may not run")
 	}
 }
@@ -240,18 +240,18 @@
 	body := make([]byte, 8<<10)
 	b.ReportAllocs()
 	for b.Loop() {
-		Of("owner", "host.example", "POST", "/a/b", body)
+		FingerprintOf("owner", "host.example", "POST", "/a/b", body)
 	}
 }
 
 // BenchmarkStanding: the look-up with a full table, 77 ns, no allocation.
 func BenchmarkStanding(b *testing.B) {
-	table, book := NewTable(), NewBook()
+	table, book := NewTable(), NewCache()
 	for request := Fingerprint(1); request <= maxRows; request++ {
 		table.Apply(&wire.QuarantineCommand{Runs: []wire.RunReport{end(request, 1), end(request, 2), end(request, 3)}})
 	}
 	news := table.Since(0)
-	book.Learn(&news)
+	book.Apply(&news)
 	b.ReportAllocs()
 	for b.Loop() {
 		book.Standing(time.Time{}, 77)
@@ -280,7 +280,7 @@
 		if _, err := told.UnmarshalMsg(encoded); err != nil {
 			b.Fatal(err)
 		}
-		NewBook().Learn(&told)
+		NewCache().Apply(&told)
 	}
 	b.ReportMetric(float64(len(encoded)), "bytes/news")
 }
--- a/internal/quarantine/warden.go
+++ b/internal/quarantine/warden.go
@@ -31,10 +31,10 @@
 	refusedTime = 24 * time.Hour
 )
 
-// Warden counts the terms of a table's rows while its process leads: by package clock from
+// Timers counts the terms of a table's rows while its process leads: by package clock from
 // when this leader knew of them, so that a new leader begins anew and no term is shorter
 // than it should be. It is not safe for concurrent use.
-type Warden struct {
+type Timers struct {
 	terms map[Fingerprint]*term
 	// trying is the request that was granted a trial last, at tryingAt, ended what had
 	// ended last under it by then.
@@ -55,12 +55,12 @@
 	granted time.Time
 }
 
-// NewWarden returns the warden of a new leader.
-func NewWarden() *Warden { return &Warden{terms: map[Fingerprint]*term{}} }
+// NewTimers returns the warden of a new leader.
+func NewTimers() *Timers { return &Timers{terms: map[Fingerprint]*term{}} }
 
-// Look takes in the table as it is now and returns the command that follows from the time
+// Tick takes in the table as it is now and returns the command that follows from the time
 // that has passed, nil for none.
-func (w *Warden) Look(now time.Time, t *Table) *wire.QuarantineCommand {
+func (w *Timers) Tick(now time.Time, t *Table) *wire.QuarantineCommand {
 	command := &wire.QuarantineCommand{}
 	for request, row := range t.rows {
 		known := w.term(now, request, row)
@@ -85,7 +85,7 @@
 }
 
 // term returns the term of a row, brought up to date.
-func (w *Warden) term(now time.Time, request Fingerprint, row *wire.QuarantineEntry) *term {
+func (w *Timers) term(now time.Time, request Fingerprint, row *wire.QuarantineEntry) *term {
 	known := w.terms[request]
 	if known == nil {
 		known = &term{}
@@ -118,9 +118,9 @@
 	return pause
 }
 
-// Trial reports whether a request may be tried now, or else after which time to ask again.
+// GrantTrial reports whether a request may be tried now, or else after which time to ask again.
 // Whoever is granted it must commit the trial before it tells.
-func (w *Warden) Trial(now time.Time, t *Table, request Fingerprint) (granted bool, wait time.Duration) {
+func (w *Timers) GrantTrial(now time.Time, t *Table, request Fingerprint) (granted bool, wait time.Duration) {
 	row := t.rows[request]
 	if row == nil || !row.Refused {
 		return true, 0
@@ -144,7 +144,7 @@
 // isTrying reports whether another request is on trial. Requests that were refused together
 // are due together, too: on one worker a harmless one would be taken for deadly once more,
 // and rest for nextTrial.
-func (w *Warden) isTrying(now time.Time, t *Table, request Fingerprint) bool {
+func (w *Timers) isTrying(now time.Time, t *Table, request Fingerprint) bool {
 	other := t.rows[w.trying]
 	if w.trying == request || other == nil || !other.Refused || now.Sub(w.tryingAt) >= trialTime {
 		return false
--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -149,10 +149,10 @@
 		if f.top != top || !f.reach(i) {
 			return
 		}
-		answer := top.Take(f.now, uint32(i+1), f.zones[i], 10, news)
+		answer := top.ApplyReport(f.now, uint32(i+1), f.zones[i], 10, news)
 		f.send(func() {
 			if f.hubs[i] == h && f.reach(i) {
-				h.Learn(f.now, answer)
+				h.Apply(f.now, answer)
 			}
 		})
 	})
@@ -165,7 +165,7 @@
 	if f.random.Float64() < f.loss {
 		// The same question again, because the answer was late.
 		again := f.hubs[i].Take(f.now, f.tickets, tenant)
-		if again != verdict && !verdict.Unsure {
+		if again != verdict && !verdict.Uncertain {
 			f.doubled++
 		}
 	}
@@ -178,7 +178,7 @@
 // askUntilSure asks again, as an edge does, while the hub can't be sure.
 func (f *fleet) askUntilSure(i int) Verdict {
 	verdict := f.ask(i)
-	for tries := 0; verdict.Unsure && tries < 9; tries++ {
+	for tries := 0; verdict.Uncertain && tries < 9; tries++ {
 		f.tick()
 		f.tick()
 		verdict = f.ask(i)
--- a/internal/ratelimit/hub.go
+++ b/internal/ratelimit/hub.go
@@ -77,7 +77,7 @@
 	if h.heardAt.IsZero() {
 		return h.began, true
 	}
-	since = h.heardAt.Add(Fresh)
+	since = h.heardAt.Add(UpdateTTL)
 	return since, now.After(since)
 }
 
@@ -142,7 +142,7 @@
 		return before
 	}
 	verdict := h.take(now, tenant)
-	if !verdict.Unsure {
+	if !verdict.Uncertain {
 		h.tickets.add(now, ticket, verdict)
 	}
 	return verdict
@@ -157,8 +157,8 @@
 	if known.level < 1 || !h.mayTake(now, known) {
 		// Where a token is left by the copy, only news are wanting: with two reports lost in
 		// a row a tenant below its limit had taken all that may be taken between two.
-		verdict.Unsure = known.level >= 1 || known.parted || !h.joined(known) || !h.complete
-		verdict.Retry = h.promise(now, known, h.limits[tenant])
+		verdict.Uncertain = known.level >= 1 || known.parted || !h.joined(known) || !h.complete
+		verdict.RetryAfter = h.promise(now, known, h.limits[tenant])
 		return verdict
 	}
 	known.level--
@@ -201,8 +201,8 @@
 	return next.Sub(now)
 }
 
-// GiveBack gives the token of a question back: its request did not run.
-func (h *Hub) GiveBack(now time.Time, ticket uint64, tenant Tenant) {
+// Release gives the token of a question back: its request did not run.
+func (h *Hub) Release(now time.Time, ticket uint64, tenant Tenant) {
 	verdict, asked := h.tickets.find(now, ticket)
 	if !asked || !verdict.Granted {
 		return
@@ -220,26 +220,26 @@
 	known.changed = h.mark
 }
 
-// News is what a hub and the top tell each other: what has changed since the last change
+// Update is what a hub and the top tell each other: what has changed since the last change
 // that the other side has heard of.
-type News struct {
+type Update struct {
 	// Epoch tells the lives of the sender apart, Mark counts its changes so far.
-	Epoch uint32
-	Mark  uint64
-	// HeardEpoch and Heard name the last change of the receiver that the sender has
+	Epoch    uint32
+	Sequence uint64
+	// AckEpoch and Heard name the last change of the receiver that the sender has
 	// taken in.
-	HeardEpoch uint32
-	Heard      uint64
-	// Complete is set by a top that hubs of all zones have joined.
-	Complete bool
-	Rows     []Row
+	AckEpoch    uint32
+	AckSequence uint64
+	// AllZonesJoined is set by a top that hubs of all zones have joined.
+	AllZonesJoined bool
+	Rows           []Row
 }
 
 // Row is the news of one tenant.
 type Row struct {
 	Tenant Tenant
-	// Count is how many tokens the hub has taken, in the top's news as far as it knows.
-	Count int64
+	// Taken is how many tokens the hub has taken, in the top's news as far as it knows.
+	Taken int64
 	// Level is how many are left. A hub tells it only while it joins a top.
 	Level float64
 	// Joining is set by a hub that has taken tokens under another top, or under none:
@@ -250,23 +250,23 @@
 	// Share is the part that is the hub's while it hears no top. A hub tells it only
 	// while it joins one.
 	Share float64
-	// Refills is set by the top: the part of the rate at which the bucket refills.
-	Refills float64
+	// RefillShare is set by the top: the part of the rate at which the bucket refills.
+	RefillShare float64
 }
 
 // Report returns the news for the top.
-func (h *Hub) Report(now time.Time) *News {
-	news := &News{Epoch: h.epoch, Mark: h.mark, HeardEpoch: h.top, Heard: h.heard}
+func (h *Hub) Report(now time.Time) *Update {
+	news := &Update{Epoch: h.epoch, Sequence: h.mark, AckEpoch: h.top, AckSequence: h.heard}
 	if _, blind := h.blind(now); blind {
 		// Its copies hold its shares alone, so all of them are to be told.
-		news.Heard = 0
+		news.AckSequence = 0
 	}
 	for tenant, known := range h.accounts {
 		if known.changed <= h.confirmed {
 			continue
 		}
 		h.advance(now, known, h.limits[tenant])
-		row := Row{Tenant: tenant, Count: known.own, Joining: !h.joined(known), Counted: h.joined(known) && known.counted}
+		row := Row{Tenant: tenant, Taken: known.own, Joining: !h.joined(known), Counted: h.joined(known) && known.counted}
 		if row.Joining {
 			row.Level, row.Share = known.part(), known.share
 		}
@@ -278,9 +278,9 @@
 // joined reports whether the top counts what is taken from the account.
 func (h *Hub) joined(known *account) bool { return known.joined != 0 && known.joined == h.top }
 
-// Learn takes in the top's answer.
-func (h *Hub) Learn(now time.Time, news *News) {
-	if news.HeardEpoch != h.epoch {
+// Apply takes in the top's answer.
+func (h *Hub) Apply(now time.Time, news *Update) {
+	if news.AckEpoch != h.epoch {
 		// It is for another life of this process.
 		return
 	}
@@ -290,12 +290,12 @@
 			// The new top must hear of all of them.
 			h.change(known, 0)
 		}
-	} else if news.Mark < h.heard {
+	} else if news.Sequence < h.heard {
 		// It was overtaken by a later one.
 		return
 	}
-	h.heard, h.complete = news.Mark, news.Complete
-	h.confirmed = max(h.confirmed, news.Heard)
+	h.heard, h.complete = news.Sequence, news.AllZonesJoined
+	h.confirmed = max(h.confirmed, news.AckSequence)
 	// From now on the copies are those of a hub that hears the top.
 	h.heardAt = now
 	for i := range news.Rows {
@@ -312,7 +312,7 @@
 		return
 	}
 	known.joined, known.counted, known.parted = h.top, known.counted || row.Counted, false
-	known.acked, known.share, known.refills = row.Count, row.Share, row.Refills
+	known.acked, known.share, known.refills = row.Taken, row.Share, row.RefillShare
 	known.level = row.Level - float64(known.own-known.acked)
 	known.at = now
 }
--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -60,9 +60,9 @@
 func (t Tolerance) start(limit Limit) float64 { return t.Spare(limit) + limit.Burst/startParts }
 
 const (
-	// Fresh is how long news of the other side count. A hub reports each 50 ms, and
+	// UpdateTTL is how long news of the other side count. A hub reports each 50 ms, and
 	// some reports in a row may be lost.
-	Fresh = 400 * time.Millisecond
+	UpdateTTL = 400 * time.Millisecond
 	// lapse is for how long a hub that hears no top goes on with its whole share, and
 	// lapsedPart the part of it, one in so many, that it goes on with after that. A zone
 	// that is cut off for longer is not waited for: the others get what it had.
@@ -73,11 +73,11 @@
 // Verdict is the answer to the question for a token.
 type Verdict struct {
 	Granted bool
-	// Unsure is set where a token may be there that this hub does not know of: the
+	// Uncertain is set where a token may be there that this hub does not know of: the
 	// question is to be asked again, here or elsewhere.
-	Unsure bool
-	// Retry is when one more request would be let in, if it is not now.
-	Retry time.Duration
+	Uncertain bool
+	// RetryAfter is when one more request would be let in, if it is not now.
+	RetryAfter time.Duration
 	// Level is how many tokens were left by what was known, Age how old that was.
 	Level float64
 	Age   time.Duration
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -222,10 +222,10 @@
 			continue
 		}
 		refused++
-		if verdict.Retry <= last || verdict.Retry > time.Second {
-			t.Fatalf("come back after %s, the one before after %s", verdict.Retry, last)
+		if verdict.RetryAfter <= last || verdict.RetryAfter > time.Second {
+			t.Fatalf("come back after %s, the one before after %s", verdict.RetryAfter, last)
 		}
-		last = verdict.Retry
+		last = verdict.RetryAfter
 	}
 	for end := f.now.Add(last + 2*reportPeriod); f.now.Before(end); {
 		f.tick()
@@ -283,7 +283,7 @@
 			case passed < 3300*time.Millisecond:
 				f.downTil[0] = start.Add(time.Hour)
 				if says {
-					f.top.Leave(f.now, 1)
+					f.top.RemoveHub(f.now, 1)
 				}
 				continue
 			default:
@@ -332,14 +332,14 @@
 func TestGivenBackOnce(t *testing.T) {
 	hub := NewHub(start, 1, Tolerance{Window: time.Second})
 	hub.SetLimits(limits(Limit{Rate: 0.001, Burst: 1}), 1)
-	hub.Learn(start, &News{Epoch: 9, HeardEpoch: 1, Complete: true, Rows: []Row{{Tenant: tenant, Level: 1, Share: 1, Refills: 1}}})
+	hub.Apply(start, &Update{Epoch: 9, AckEpoch: 1, AllZonesJoined: true, Rows: []Row{{Tenant: tenant, Level: 1, Share: 1, RefillShare: 1}}})
 	now := start.Add(time.Millisecond)
 	if first, second := hub.Take(now, 1, tenant), hub.Take(now, 2, tenant); !first.Granted || second.Granted {
 		t.Fatalf("%+v and %+v of one token", first, second)
 	}
-	hub.GiveBack(now, 1, tenant)
-	hub.GiveBack(now, 1, tenant)
-	hub.GiveBack(now, 2, tenant)
+	hub.Release(now, 1, tenant)
+	hub.Release(now, 1, tenant)
+	hub.Release(now, 2, tenant)
 	if third, fourth := hub.Take(now, 3, tenant), hub.Take(now, 4, tenant); !third.Granted || fourth.Granted {
 		t.Errorf("%+v and %+v of one token given back", third, fourth)
 	}
--- a/internal/ratelimit/reserve.go
+++ b/internal/ratelimit/reserve.go
@@ -36,8 +36,8 @@
 	return true
 }
 
-// Keep forgets the tenants that are not kept.
-func (r *Reserve) Keep(limits map[Tenant]Limit) {
+// Retain forgets the tenants that are not kept.
+func (r *Reserve) Retain(limits map[Tenant]Limit) {
 	for tenant := range r.spent {
 		if _, limited := limits[tenant]; !limited {
 			delete(r.spent, tenant)
--- a/internal/ratelimit/top.go
+++ b/internal/ratelimit/top.go
@@ -93,9 +93,9 @@
 	}
 }
 
-// Take takes in the report of a hub in a zone, to which so many edges report, and returns
+// ApplyReport takes in the report of a hub in a zone, to which so many edges report, and returns
 // the answer.
-func (t *Top) Take(now time.Time, source uint32, zone string, edges int, report *News) *News {
+func (t *Top) ApplyReport(now time.Time, source uint32, zone string, edges int, report *Update) *Update {
 	t.expire(now)
 	known := t.hubs[source]
 	if known == nil || known.epoch != report.Epoch {
@@ -109,19 +109,19 @@
 		t.heardAgain(now, source, known)
 	}
 	known.at, known.edges = now, edges
-	if report.HeardEpoch != t.epoch {
+	if report.AckEpoch != t.epoch {
 		// It was counted for another top. Once the hub has heard of this one it says
 		// what it brings.
 		known.heard, known.confirmed = 0, 0
 		return t.answer(now, source, known)
 	}
-	known.heard, known.joined = report.Heard, true
-	if report.Mark >= known.confirmed {
+	known.heard, known.joined = report.AckSequence, true
+	if report.Sequence >= known.confirmed {
 		// One that was overtaken by a later one says nothing.
 		for i := range report.Rows {
 			t.take(now, source, &report.Rows[i])
 		}
-		known.confirmed = report.Mark
+		known.confirmed = report.Sequence
 	}
 	return t.answer(now, source, known)
 }
@@ -160,11 +160,11 @@
 		case row.Counted:
 			// The tenant's limit was gone here for a moment, and not there: what was
 			// taken before that has been counted.
-			used.count = row.Count
+			used.count = row.Taken
 		}
 	}
-	taken := float64(row.Count - used.count)
-	used.count = row.Count
+	taken := float64(row.Taken - used.count)
+	used.count = row.Taken
 	used.weigh(now)
 	used.weight = max(used.weight+taken, 0)
 	known.level -= taken
@@ -187,7 +187,7 @@
 	used.weight = row.Share * t.limits[row.Tenant].Rate * shareHalf.Seconds()
 	used.told, used.share = row.Share, row.Share
 	known.level = min(known.level+row.Level, t.tolerance.capacity(t.limits[row.Tenant]))
-	used.count = row.Count
+	used.count = row.Taken
 }
 
 func (u *user) weigh(now time.Time) {
@@ -236,8 +236,8 @@
 }
 
 // answer returns what the hub has not heard of yet.
-func (t *Top) answer(now time.Time, source uint32, known *hub) *News {
-	news := &News{Epoch: t.epoch, Mark: t.mark, HeardEpoch: known.epoch, Heard: known.confirmed, Complete: t.complete}
+func (t *Top) answer(now time.Time, source uint32, known *hub) *Update {
+	news := &Update{Epoch: t.epoch, Sequence: t.mark, AckEpoch: known.epoch, AckSequence: known.confirmed, AllZonesJoined: t.complete}
 	for tenant, b := range t.buckets {
 		if b.changed <= known.heard {
 			continue
@@ -245,7 +245,7 @@
 		t.bucketOf(now, tenant)
 		share := t.tell(now, b, source, known.heard)
 		used := b.users[source]
-		news.Rows = append(news.Rows, Row{Tenant: tenant, Count: used.count, Counted: used.joined, Level: b.level, Share: share, Refills: b.refills()})
+		news.Rows = append(news.Rows, Row{Tenant: tenant, Taken: used.count, Counted: used.joined, Level: b.level, Share: share, RefillShare: b.refills()})
 	}
 	return news
 }
@@ -255,7 +255,7 @@
 func (t *Top) expire(now time.Time) {
 	t.gather(now)
 	for source, known := range t.hubs {
-		if known.silentSince.IsZero() && now.Sub(known.at) > Fresh {
+		if known.silentSince.IsZero() && now.Sub(known.at) > UpdateTTL {
 			known.silentSince = now
 			if known.released = t.hasSuccessor(now, source, known); !known.released {
 				t.setAside(now, source)
@@ -280,7 +280,7 @@
 			zones[h.zone] = true
 		}
 	}
-	if len(zones) < t.zones && now.Sub(t.began) <= lapse+Fresh {
+	if len(zones) < t.zones && now.Sub(t.began) <= lapse+UpdateTTL {
 		return
 	}
 	t.complete = true
@@ -310,15 +310,15 @@
 	const hundredths = 100
 	edges := 0
 	for other, h := range t.hubs {
-		if other != source && h.zone == known.zone && now.Sub(h.at) <= Fresh {
+		if other != source && h.zone == known.zone && now.Sub(h.at) <= UpdateTTL {
 			edges += h.edges
 		}
 	}
 	return edges*hundredths >= known.edges*successorPart
 }
 
-// Leave takes in that no edge reports to a hub any more.
-func (t *Top) Leave(now time.Time, source uint32) {
+// RemoveHub takes in that no edge reports to a hub any more.
+func (t *Top) RemoveHub(now time.Time, source uint32) {
 	if known := t.hubs[source]; known != nil && known.silentSince.IsZero() {
 		known.silentSince, known.released = now, true
 	}
--- a/internal/routetable/routetable_test.go
+++ b/internal/routetable/routetable_test.go
@@ -104,7 +104,7 @@
 	}
 	table := NewTable(decoded)
 	for key, want := range map[string]tenancy.Name{"secret-1": "a", "secret-2": "a", "secret-3": "b", "secret-4": "", "": ""} {
-		if got := table.Holder(key).Owner(); got != want {
+		if got := table.TenantByKey(key).Owner(); got != want {
 			t.Errorf("%q belongs to %q, want %q", key, got, want)
 		}
 	}
@@ -115,7 +115,7 @@
 		t.Error("ranks are not kept")
 	}
 	var none *Table
-	if table.AsksForKeys() == none.AsksForKeys() || len(none.Limits()) != 0 || none.Tenant("a") != nil {
+	if table.RequiresKeys() == none.RequiresKeys() || len(none.Limits()) != 0 || none.Tenant("a") != nil {
 		t.Error("a configuration without tenants asks for keys, or one with tenants does not")
 	}
 }
--- a/internal/routetable/table.go
+++ b/internal/routetable/table.go
@@ -62,11 +62,11 @@
 	return table
 }
 
-// AsksForKeys reports whether requests need a key, but for those on public routes.
-func (t *Table) AsksForKeys() bool { return t != nil && len(t.tenants) > 0 }
+// RequiresKeys reports whether requests need a key, but for those on public routes.
+func (t *Table) RequiresKeys() bool { return t != nil && len(t.tenants) > 0 }
 
-// Holder returns the tenant that holds the key, or nil.
-func (t *Table) Holder(key string) *Tenant {
+// TenantByKey returns the tenant that holds the key, or nil.
+func (t *Table) TenantByKey(key string) *Tenant {
 	if key == "" {
 		return nil
 	}
@@ -81,8 +81,8 @@
 	return t.tenants[name]
 }
 
-// TakesPublicJobs reports whether a batch route of the host is public.
-func (t *Table) TakesPublicJobs(host string) bool {
+// AcceptsPublicJobs reports whether a batch route of the host is public.
+func (t *Table) AcceptsPublicJobs(host string) bool {
 	for _, route := range t.hosts[hostName(host)] {
 		if route.Kind == KindBatch && route.Public {
 			return true
@@ -136,8 +136,8 @@
 	return nil
 }
 
-// Named returns the route with the name, or one without goals.
-func (t *Table) Named(name string) *Route {
+// RouteByName returns the route with the name, or one without goals.
+func (t *Table) RouteByName(name string) *Route {
 	if route := t.names[name]; route != nil {
 		return route
 	}
@@ -147,9 +147,9 @@
 // Pool returns the pool with the name, or nil.
 func (t *Table) Pool(name string) *Pool { return t.pools[name] }
 
-// Memory returns how many tokens a worker of each pool holds, where that is told.
+// MemoryTokens returns how many tokens a worker of each pool holds, where that is told.
 // Without a configuration nothing is.
-func (t *Table) Memory() map[string]int64 {
+func (t *Table) MemoryTokens() map[string]int64 {
 	memory := map[string]int64{}
 	if t == nil {
 		return memory
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -101,7 +101,7 @@
 func noteUnread(method, from string, header http.Header, err error) {
 	var form *formError
 	if errors.As(err, &form) {
-		unread.Note(method, from, generationOf(header), err)
+		unread.Record(method, from, generationOf(header), err)
 	}
 }
 
--- a/internal/standstill/standstill.go
+++ b/internal/standstill/standstill.go
@@ -12,13 +12,13 @@
 const (
 	// Interval is the time between two looks of a process that has nothing else to do.
 	Interval = 50 * time.Millisecond
-	// Least is the shortest standstill. A process that shares a processor is kept waiting for
+	// MinDuration is the shortest standstill. A process that shares a processor is kept waiting for
 	// some tenths of a second without having stood still.
-	Least = 500 * time.Millisecond
+	MinDuration = 500 * time.Millisecond
 )
 
-// Watch keeps when a process stood still last. It is safe for concurrent use.
-type Watch struct {
+// Detector keeps when a process stood still last. It is safe for concurrent use.
+type Detector struct {
 	mutex sync.Mutex
 	seen  time.Time
 	from  time.Time
@@ -26,21 +26,21 @@
 }
 
 // New returns a watch of a process that runs now.
-func New(now time.Time) *Watch { return &Watch{seen: now} }
+func New(now time.Time) *Detector { return &Detector{seen: now} }
 
 // Assume takes in a standstill as if it had been noticed, for tests of who goes by it.
-func (w *Watch) Assume(from, until time.Time) {
+func (w *Detector) Assume(from, until time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.from, w.until, w.seen = from, until, until
 }
 
-// Look takes in that the process runs now. It returns from when until when it stood still
+// Check takes in that the process runs now. It returns from when until when it stood still
 // last, and whether that was noticed by this look. Both are zero where it never did.
-func (w *Watch) Look(now time.Time) (from, until time.Time, noticed bool) {
+func (w *Detector) Check(now time.Time) (from, until time.Time, noticed bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if now.Sub(w.seen) >= Least {
+	if now.Sub(w.seen) >= MinDuration {
 		w.from, w.until, noticed = w.seen, now, true
 	}
 	if now.After(w.seen) {
--- a/internal/standstill/standstill_test.go
+++ b/internal/standstill/standstill_test.go
@@ -20,7 +20,7 @@
 		{"a look that was late to take the lock", 1055, 549, 1049, false},
 		{"it stood still once more", 9000, 1060, 9000, true},
 	} {
-		from, until, noticed := w.Look(at(look.now))
+		from, until, noticed := w.Check(at(look.now))
 		want := func(millis int) time.Time {
 			if millis < 0 {
 				return time.Time{}
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -83,8 +83,8 @@
 	c.received.Add(uint64(received))
 }
 
-// Received counts bytes that came for an exchange counted before.
-func (m *Meter) Received(kind Kind, address string, received int) {
+// AddReceived counts bytes that came for an exchange counted before.
+func (m *Meter) AddReceived(kind Kind, address string, received int) {
 	if m == nil {
 		return
 	}
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -10,7 +10,7 @@
 	m := NewMeter()
 	m.AddZones(map[string]string{"10.0.0.1:1": "a", "10.0.0.2:1": "b"})
 	m.Add(Loads, "10.0.0.1:1", 10, 0)
-	m.Received(Loads, "10.0.0.1:1", 30)
+	m.AddReceived(Loads, "10.0.0.1:1", 30)
 	m.Add(Loads, "10.0.0.1:1", 5, 0)
 	m.Add(Requests, "10.0.0.2:1", 100, 200)
 	m.Add("batch_read", "10.0.0.9:1", 1, 2)
@@ -29,7 +29,7 @@
 	var m *Meter
 	m.AddZones(nil)
 	m.Add(Loads, "10.0.0.1:1", 1, 1)
-	m.Received(Loads, "10.0.0.1:1", 1)
+	m.AddReceived(Loads, "10.0.0.1:1", 1)
 	if rows := m.Rows(); rows != nil {
 		t.Errorf("rows %+v", rows)
 	}
--- a/internal/unread/unread.go
+++ b/internal/unread/unread.go
@@ -29,16 +29,16 @@
 	since  map[string]int
 }{logger: logging.Discard(), due: map[string]time.Time{}, since: map[string]int{}}
 
-// LogTo names who writes the lines: one logger for all that runs in this process.
-func LogTo(logger logging.Logger) {
+// SetLogger names who writes the lines: one logger for all that runs in this process.
+func SetLogger(logger logging.Logger) {
 	book.mutex.Lock()
 	defer book.mutex.Unlock()
 	book.logger = logger
 }
 
-// Note takes in that a message of a kind (a method, or that of a datagram) could not be
+// Record takes in that a message of a kind (a method, or that of a datagram) could not be
 // read. from is the address that it came from. It may be called from any goroutine.
-func Note(kind, from string, generation wire.Generation, cause error) {
+func Record(kind, from string, generation wire.Generation, cause error) {
 	Messages.WithLabelValues(kind, strconv.Itoa(int(generation))).Inc()
 	book.mutex.Lock()
 	defer book.mutex.Unlock()
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -57,7 +57,7 @@
 
 // Client sends requests over pooled connections.
 type Client struct {
-	dialect *dialect.Dialect
+	dialect *dialect.Names
 	dialer  net.Dialer
 	mutex   sync.Mutex
 	idle    map[string][]*connection
@@ -71,12 +71,12 @@
 	born map[string]int64
 }
 
-// Measure makes the client count its requests in the meter. It must be called before
+// SetMeter makes the client count its requests in the meter. It must be called before
 // the first request.
-func (c *Client) Measure(meter *traffic.Meter) { c.meter = meter }
+func (c *Client) SetMeter(meter *traffic.Meter) { c.meter = meter }
 
 // NewClient returns a client without connections.
-func NewClient(names *dialect.Dialect) *Client {
+func NewClient(names *dialect.Names) *Client {
 	return &Client{dialect: names, dialer: net.Dialer{Timeout: dialTimeout}, idle: map[string][]*connection{}, looks: map[string]*look{}, born: map[string]int64{}}
 }
 
@@ -88,8 +88,8 @@
 	return c.dialed, c.reused
 }
 
-// Forget drops the idle connections to all workers but those that keep accepts.
-func (c *Client) Forget(keep func(id string) bool) {
+// CloseIdle drops the idle connections to all workers but those that keep accepts.
+func (c *Client) CloseIdle(keep func(id string) bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for id := range c.born {
--- a/internal/upstream/ended.go
+++ b/internal/upstream/ended.go
@@ -16,9 +16,9 @@
 // end of a connection, so it answers within a round trip, or not at all.
 const endedTimeout = 150 * time.Millisecond
 
-// BrokeOff reports whether an exchange ended because the other side closed or reset the
+// Disconnected reports whether an exchange ended because the other side closed or reset the
 // connection in the midst of it.
-func BrokeOff(err error) bool {
+func Disconnected(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
@@ -34,11 +34,11 @@
 	before  int64
 }
 
-// Ended reports whether the worker, which has just broken off a request that began at
+// WorkerExited reports whether the worker, which has just broken off a request that began at
 // began, has ended: nobody listens at its address any more, or it says that it has started
 // since. A reset connection, a spoilt answer or a silent network is not an end. Those who
 // ask at the same time share one look.
-func (c *Client) Ended(ctx context.Context, endpoint Endpoint, began time.Time) bool {
+func (c *Client) WorkerExited(ctx context.Context, endpoint Endpoint, began time.Time) bool {
 	c.mutex.Lock()
 	shared := c.looks[endpoint.ID]
 	if shared == nil {
@@ -97,12 +97,12 @@
 // askBorn asks a worker since when it has been there, and keeps the connection. It returns
 // zero where the worker does not tell.
 func (c *Client) askBorn(ctx context.Context, endpoint Endpoint, fresh *connection) int64 {
-	if c.dialect.Report == "" {
+	if c.dialect.ReportPath == "" {
 		fresh.idleUntil = clock.Now().Add(defaultIdle)
 		c.keep(endpoint.ID, fresh)
 		return 0
 	}
-	request := &Request{Method: http.MethodGet, Target: c.dialect.Report, Host: endpoint.Address}
+	request := &Request{Method: http.MethodGet, Target: c.dialect.ReportPath, Host: endpoint.Address}
 	response, err := c.sendOver(ctx, endpoint, fresh, request, time.Now().Add(endedTimeout))
 	if err != nil {
 		return 0
@@ -112,7 +112,7 @@
 	if err != nil || response.Status != http.StatusOK {
 		return 0
 	}
-	return c.dialect.BornOf(body)
+	return c.dialect.ParseStartTime(body)
 }
 
 // maxReportBytes bounds what a worker says of itself.
--- a/internal/upstream/ended_test.go
+++ b/internal/upstream/ended_test.go
@@ -36,12 +36,12 @@
 				}
 				w.play(breakOff, connection)
 			}()
-			client := NewClient(dialect.Own())
+			client := NewClient(dialect.Default())
 			_, err = client.Send(context.Background(), w.endpoint, &Request{Method: http.MethodPost, Target: "/", Host: "h", ID: "a"}, time.Now().Add(patience))
-			if !BrokeOff(err) {
+			if !Disconnected(err) {
 				t.Fatalf("the end of the exchange is %v", err)
 			}
-			if ended := client.Ended(context.Background(), w.endpoint, clock.Now()); ended != test.ends {
+			if ended := client.WorkerExited(context.Background(), w.endpoint, clock.Now()); ended != test.ends {
 				t.Errorf("ended %t", ended)
 			}
 			if kept := len(client.idle[w.endpoint.ID]); kept > 0 == test.ends {
--- a/internal/upstream/events.go
+++ b/internal/upstream/events.go
@@ -46,8 +46,8 @@
 	return events
 }
 
-// Rest returns how many bytes of an unfinished event there are.
-func (p *EventParser) Rest() int { return len(p.pending) }
+// Buffered returns how many bytes of an unfinished event there are.
+func (p *EventParser) Buffered() int { return len(p.pending) }
 
 func parseEvent(raw []byte) Event {
 	event := Event{Raw: raw}
--- a/internal/upstream/events_test.go
+++ b/internal/upstream/events_test.go
@@ -15,8 +15,8 @@
 func TestEvents(t *testing.T) {
 	var parser EventParser
 	events := parser.Feed([]byte(sampleStream + "id: 4\nda"))
-	if len(events) != 3 || parser.Rest() == 0 {
-		t.Fatalf("%d events, %d bytes left", len(events), parser.Rest())
+	if len(events) != 3 || parser.Buffered() == 0 {
+		t.Fatalf("%d events, %d bytes left", len(events), parser.Buffered())
 	}
 	want := []Event{{ID: 1, HasID: true, Data: "one"}, {ID: 2, HasID: true, Data: "two\nlines"}, {ID: 3, HasID: true}}
 	for i := range want {
@@ -40,7 +40,7 @@
 			}
 			rest = rest[length:]
 		}
-		if count != 3 || string(raw) != sampleStream || parser.Rest() != 0 {
+		if count != 3 || string(raw) != sampleStream || parser.Buffered() != 0 {
 			return errors.Newf("%d events: %q", count, raw)
 		}
 		return nil
@@ -61,8 +61,8 @@
 			}
 			rest = rest[length:]
 		}
-		if !bytes.HasPrefix(input, raw) || len(raw)+parser.Rest() != len(input) {
-			t.Errorf("%d bytes in events, %d left of %d", len(raw), parser.Rest(), len(input))
+		if !bytes.HasPrefix(input, raw) || len(raw)+parser.Buffered() != len(input) {
+			t.Errorf("%d bytes in events, %d left of %d", len(raw), parser.Buffered(), len(input))
 		}
 	})
 }
--- a/internal/workerset/log.go
+++ b/internal/workerset/log.go
@@ -99,13 +99,13 @@
 	}
 }
 
-// News returns news that tell the whole set.
-func (s *Set) News() *wire.WorkerNews {
+// FullUpdate returns news that tell the whole set.
+func (s *Set) FullUpdate() *wire.WorkerNews {
 	return &wire.WorkerNews{Whole: true, Rows: s.Rows(), Digest: s.Digest()}
 }
 
-// Learn returns the set of a reader who is told the news.
-func (s *Set) Learn(news *wire.WorkerNews) *Set {
+// Apply returns the set of a reader who is told the news.
+func (s *Set) Apply(news *wire.WorkerNews) *Set {
 	if news.Whole {
 		return s.Replaced(news.Rows)
 	}
--- a/internal/workerset/set_test.go
+++ b/internal/workerset/set_test.go
@@ -88,7 +88,7 @@
 			r.number, digests = 0, r.set.Digests()
 		}
 		news := log.Since(r.number, digests)
-		r.set, r.number = r.set.Learn(&news), number
+		r.set, r.number = r.set.Apply(&news), number
 		if r.set.Digest() != news.Digest || !slices.Equal(r.set.Rows(), log.Set().Rows()) {
 			t.Fatalf("change %d: a reader has another list", number)
 		}
@@ -109,7 +109,7 @@
 	log.Put(3, Of(rows[:100]))
 	for _, digests := range [][]byte{r.Digests(), nil} {
 		news := log.Since(1, digests)
-		if learnt := r.Learn(&news); learnt.Digest() != log.Set().Digest() {
+		if learnt := r.Apply(&news); learnt.Digest() != log.Set().Digest() {
 			t.Errorf("%d workers, want 100", learnt.Len())
 		}
 	}
@@ -167,7 +167,7 @@
 				news[turn].Rows = []wire.PoolWorker{changed}
 			}
 			for turn := 0; b.Loop(); turn++ {
-				s = s.Learn(&news[turn%2])
+				s = s.Apply(&news[turn%2])
 			}
 		})
 	}
