--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -24,10 +24,10 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
+	"github.com/sedgemast/sedgemast/internal/decodeerror"
 	"github.com/sedgemast/sedgemast/internal/failure"
 	"github.com/sedgemast/sedgemast/internal/logging"
 	"github.com/sedgemast/sedgemast/internal/traffic"
-	"github.com/sedgemast/sedgemast/internal/unread"
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
@@ -107,7 +107,7 @@
 	if options.Logger == nil {
 		options.Logger = logging.Discard()
 	}
-	unread.SetLogger(options.Logger)
+	decodeerror.SetLogger(options.Logger)
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &Daemon{
 		Registry: prometheus.NewRegistry(),
@@ -173,7 +173,7 @@
 }
 
 func (d *Daemon) registerCommon() {
-	d.Registry.MustRegister(collectors.NewGoCollector(), collectors.NewBuildInfoCollector(), d.Traffic, unread.Messages, d.steps.seconds)
+	d.Registry.MustRegister(collectors.NewGoCollector(), collectors.NewBuildInfoCollector(), d.Traffic, decodeerror.Messages, d.steps.seconds)
 	if !d.options.Embedded {
 		d.Registry.MustRegister(collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	}
--- a/internal/unread/unread.go
+++ b/internal/decodeerror/unread.go
@@ -1,7 +1,7 @@
 // Package unread counts what other processes sent and this one could not read, and writes
 // a line of it now and then. A build that reads less than its peers write must not pass
 // over that in silence: half of a fleet may live on old news meanwhile.
-package unread
+package decodeerror
 
 import (
 	"strconv"
--- a/internal/loadshare/datagrams.go
+++ b/internal/loadshare/datagrams.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"github.com/sedgemast/sedgemast/internal/clock"
+	"github.com/sedgemast/sedgemast/internal/decodeerror"
 	"github.com/sedgemast/sedgemast/internal/failure"
 	"github.com/sedgemast/sedgemast/internal/traffic"
-	"github.com/sedgemast/sedgemast/internal/unread"
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
@@ -58,7 +58,7 @@
 	report := &wire.LoadReport{}
 	if _, err := report.UnmarshalMsg(datagram); err != nil {
 		// A datagram tells no generation where it can't be read.
-		unread.Record(string(traffic.Loads), sender.String(), 0, err)
+		decodeerror.Record(string(traffic.Loads), sender.String(), 0, err)
 		return nil
 	}
 	return report
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -12,8 +12,8 @@
 	"github.com/cockroachdb/errors"
 	"github.com/tinylib/msgp/msgp"
 
+	"github.com/sedgemast/sedgemast/internal/decodeerror"
 	"github.com/sedgemast/sedgemast/internal/failure"
-	"github.com/sedgemast/sedgemast/internal/unread"
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
@@ -101,7 +101,7 @@
 func noteUnread(method, from string, header http.Header, err error) {
 	var form *formError
 	if errors.As(err, &form) {
-		unread.Record(method, from, generationOf(header), err)
+		decodeerror.Record(method, from, generationOf(header), err)
 	}
 }
 
