--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/sedgemast/sedgemast/internal/dialect"
-	"github.com/sedgemast/sedgemast/internal/life"
+	"github.com/sedgemast/sedgemast/internal/incarnation"
 	"github.com/sedgemast/sedgemast/internal/proptest"
 	"github.com/sedgemast/sedgemast/internal/wire"
 	"github.com/sedgemast/sedgemast/internal/workerset"
@@ -78,7 +78,7 @@
 // TestNewLifeIsAnotherWorker lets a worker that leaves start again under its id: the new
 // life is asked at once, and holds nothing of what was known of the old one.
 func TestNewLifeIsAnotherWorker(t *testing.T) {
-	old, again := listed(life.Name("a", 1), "z1"), listed(life.Name("a", 2), "z1")
+	old, again := listed(incarnation.Name("a", 1), "z1"), listed(incarnation.Name("a", 2), "z1")
 	table := tableOf(old)
 	demand := &Request{Pool: "p", Parts: []dialect.Part{{ID: "x", Tokens: 500}, {ID: "own", Tokens: 5}}}
 	lease := table.Acquire(start, demand)
--- a/internal/batchstore/task.go
+++ b/internal/batchstore/task.go
@@ -13,7 +13,7 @@
 	"github.com/sedgemast/sedgemast/internal/clock"
 	"github.com/sedgemast/sedgemast/internal/dialect"
 	"github.com/sedgemast/sedgemast/internal/failure"
-	"github.com/sedgemast/sedgemast/internal/life"
+	"github.com/sedgemast/sedgemast/internal/incarnation"
 	"github.com/sedgemast/sedgemast/internal/logging"
 	"github.com/sedgemast/sedgemast/internal/quarantine"
 	"github.com/sedgemast/sedgemast/internal/routetable"
@@ -272,7 +272,7 @@
 	}
 	fields = append(fields,
 		wire.HeaderField{Name: names.RequestID, Value: t.id},
-		wire.HeaderField{Name: names.ExpectWorker, Value: life.WorkerID(t.lease.Endpoint.ID)},
+		wire.HeaderField{Name: names.ExpectWorker, Value: incarnation.WorkerID(t.lease.Endpoint.ID)},
 	)
 	if t.carry.events > 0 {
 		fields = append(fields, wire.HeaderField{Name: names.LastEvent, Value: strconv.FormatInt(t.carry.lastEvent, 10)})
--- a/internal/edge/call.go
+++ b/internal/edge/call.go
@@ -12,7 +12,7 @@
 	"github.com/sedgemast/sedgemast/internal/dialect"
 	"github.com/sedgemast/sedgemast/internal/failure"
 	"github.com/sedgemast/sedgemast/internal/httpapi"
-	"github.com/sedgemast/sedgemast/internal/life"
+	"github.com/sedgemast/sedgemast/internal/incarnation"
 	"github.com/sedgemast/sedgemast/internal/logging"
 	"github.com/sedgemast/sedgemast/internal/quarantine"
 	"github.com/sedgemast/sedgemast/internal/routetable"
@@ -299,7 +299,7 @@
 	left := max(min(time.Until(c.deadline), c.bootDeadline.Sub(clock.Now())).Milliseconds(), 1)
 	fields = append(fields,
 		wire.HeaderField{Name: names.Deadline, Value: strconv.FormatInt(left, 10)},
-		wire.HeaderField{Name: names.ExpectWorker, Value: life.WorkerID(lease.Endpoint.ID)},
+		wire.HeaderField{Name: names.ExpectWorker, Value: incarnation.WorkerID(lease.Endpoint.ID)},
 	)
 	if c.hasEvent {
 		fields = append(fields, wire.HeaderField{Name: names.LastEvent, Value: strconv.FormatInt(c.lastEvent, 10)})
--- a/internal/fleetview/view.go
+++ b/internal/fleetview/view.go
@@ -9,7 +9,7 @@
 	"sort"
 	"time"
 
-	"github.com/sedgemast/sedgemast/internal/life"
+	"github.com/sedgemast/sedgemast/internal/incarnation"
 	"github.com/sedgemast/sedgemast/internal/placement"
 	"github.com/sedgemast/sedgemast/internal/wire"
 	"github.com/sedgemast/sedgemast/internal/workerset"
@@ -178,7 +178,7 @@
 		news.Workers = v.Workers().Rows()
 		for i := range news.Workers {
 			// That generation knows of no lives: it tells the worker the name that it is told.
-			news.Workers[i].ID = life.WorkerID(news.Workers[i].ID)
+			news.Workers[i].ID = incarnation.WorkerID(news.Workers[i].ID)
 		}
 	}
 	return news
--- a/internal/life/life.go
+++ b/internal/incarnation/life.go
@@ -1,7 +1,7 @@
 // Package life names the lives of workers. A worker may start again under the id that it
 // had; it holds and knows nothing of before then. What is known of a worker is kept by the
 // name of its life, so that nothing of an earlier life is taken for the present one's.
-package life
+package incarnation
 
 import (
 	"strconv"
--- a/internal/listreader/entries.go
+++ b/internal/listreader/entries.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/cockroachdb/errors"
 
-	"github.com/sedgemast/sedgemast/internal/life"
+	"github.com/sedgemast/sedgemast/internal/incarnation"
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
@@ -19,16 +19,16 @@
 // read. Of two lives of a worker the later one counts. Two entries of one id in different
 // places are not of one writer: what was known before holds, and else neither is used.
 func (p *part) add(rows rowsByID, row *wire.PoolWorker) {
-	id := life.WorkerID(row.ID)
+	id := incarnation.WorkerID(row.ID)
 	if p.disputed[id] {
 		return
 	}
 	before, twice := rows[id]
 	switch {
-	case !twice || samePlace(&before, row) && life.StartTime(row.ID) == life.StartTime(before.ID):
+	case !twice || samePlace(&before, row) && incarnation.StartTime(row.ID) == incarnation.StartTime(before.ID):
 		rows[id] = *row
-	case life.StartTime(row.ID) != life.StartTime(before.ID):
-		if life.StartTime(row.ID) > life.StartTime(before.ID) {
+	case incarnation.StartTime(row.ID) != incarnation.StartTime(before.ID):
+		if incarnation.StartTime(row.ID) > incarnation.StartTime(before.ID) {
 			rows[id] = *row
 		}
 	default:
--- a/internal/listreader/lives.go
+++ b/internal/listreader/lives.go
@@ -4,7 +4,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/sedgemast/sedgemast/internal/clock"
-	"github.com/sedgemast/sedgemast/internal/life"
+	"github.com/sedgemast/sedgemast/internal/incarnation"
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
@@ -37,7 +37,7 @@
 
 // settle returns the row to use of a worker, and what is odd of the one that was read.
 func (r *Reader) settle(id string, known, row *wire.PoolWorker) (wire.PoolWorker, error) {
-	was, is := life.StartTime(known.ID), life.StartTime(row.ID)
+	was, is := incarnation.StartTime(known.ID), incarnation.StartTime(row.ID)
 	settled := *row
 	if is == 0 {
 		// The list tells no starts: it is the life that was known, but for what follows.
@@ -57,7 +57,7 @@
 	}
 	delete(r.doubted, id)
 	if again {
-		settled.ID = life.Name(id, max(clock.Now().UnixMilli(), was+1))
+		settled.ID = incarnation.Name(id, max(clock.Now().UnixMilli(), was+1))
 	}
 	return settled, nil
 }
--- a/internal/listreader/lives_test.go
+++ b/internal/listreader/lives_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"github.com/sedgemast/sedgemast/internal/life"
+	"github.com/sedgemast/sedgemast/internal/incarnation"
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
@@ -17,7 +17,7 @@
 	}
 	var used *wire.PoolWorker
 	for i := range reading.Rows {
-		if life.WorkerID(reading.Rows[i].ID) != "w" {
+		if incarnation.WorkerID(reading.Rows[i].ID) != "w" {
 			continue
 		}
 		if used != nil {
@@ -32,7 +32,7 @@
 // neither is used; of two lives the later one counts, whichever comes first.
 func TestTwoEntriesOfOneID(t *testing.T) {
 	at := func(address string, born int64) wire.PoolWorker {
-		return wire.PoolWorker{ID: life.Name("w", born), Pool: "p", Zone: "z", Address: address}
+		return wire.PoolWorker{ID: incarnation.Name("w", born), Pool: "p", Zone: "z", Address: address}
 	}
 	other := wire.PoolWorker{ID: "v", Pool: "p", Zone: "z", Address: "9"}
 	for _, test := range []struct {
@@ -69,34 +69,34 @@
 // TestLivesFollowOneAnother reads lists that contradict what is known of a worker's life.
 func TestLivesFollowOneAnother(t *testing.T) {
 	row := func(born int64, leaving bool) wire.PoolWorker {
-		return wire.PoolWorker{ID: life.Name("w", born), Pool: "p", Zone: "z", Address: "1", Leaving: leaving}
+		return wire.PoolWorker{ID: incarnation.Name("w", born), Pool: "p", Zone: "z", Address: "1", Leaving: leaving}
 	}
 	p := &platform{size: 10}
 	r := New(p, nil)
-	if used, _ := readOne(t, r, p, row(5, true)); used.ID != life.Name("w", 5) || !used.Leaving {
+	if used, _ := readOne(t, r, p, row(5, true)); used.ID != incarnation.Name("w", 5) || !used.Leaving {
 		t.Fatalf("first %+v", used)
 	}
-	if used, _ := readOne(t, r, p, row(6, false)); used.ID != life.Name("w", 6) || used.Leaving {
+	if used, _ := readOne(t, r, p, row(6, false)); used.ID != incarnation.Name("w", 6) || used.Leaving {
 		t.Errorf("a later life: %+v", used)
 	}
 	for range lifeReadings - 1 {
-		if used, reading := readOne(t, r, p, row(5, true)); used.ID != life.Name("w", 6) || used.Leaving || reading.Invalid != 1 {
+		if used, reading := readOne(t, r, p, row(5, true)); used.ID != incarnation.Name("w", 6) || used.Leaving || reading.Invalid != 1 {
 			t.Fatalf("an earlier life is believed: %+v, %d odd", used, reading.Invalid)
 		}
 	}
-	if used, _ := readOne(t, r, p, row(5, true)); used.ID != life.Name("w", 5) || !used.Leaving {
+	if used, _ := readOne(t, r, p, row(5, true)); used.ID != incarnation.Name("w", 5) || !used.Leaving {
 		t.Errorf("a list that stays with an earlier life is not believed: %+v", used)
 	}
-	if used, _ := readOne(t, r, p, row(0, true)); used.ID != life.Name("w", 5) {
+	if used, _ := readOne(t, r, p, row(0, true)); used.ID != incarnation.Name("w", 5) {
 		t.Errorf("without a start it is another life: %+v", used)
 	}
 	for range lifeReadings - 1 {
-		if used, _ := readOne(t, r, p, row(0, false)); used.ID != life.Name("w", 5) || !used.Leaving {
+		if used, _ := readOne(t, r, p, row(0, false)); used.ID != incarnation.Name("w", 5) || !used.Leaving {
 			t.Fatalf("a worker that left is ready at once: %+v", used)
 		}
 	}
 	again, _ := readOne(t, r, p, row(0, false))
-	if life.StartTime(again.ID) <= 5 || again.Leaving {
+	if incarnation.StartTime(again.ID) <= 5 || again.Leaving {
 		t.Fatalf("a worker that is ready again is no new life: %+v", again)
 	}
 	if used, _ := readOne(t, r, p, row(0, false)); used.ID != again.ID {
--- a/internal/listreader/reader.go
+++ b/internal/listreader/reader.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"github.com/sedgemast/sedgemast/internal/failure"
-	"github.com/sedgemast/sedgemast/internal/life"
+	"github.com/sedgemast/sedgemast/internal/incarnation"
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
@@ -176,7 +176,7 @@
 		if parts[row.Zone] == nil {
 			return
 		}
-		parts[row.Zone][life.WorkerID(row.ID)] = row
+		parts[row.Zone][incarnation.WorkerID(row.ID)] = row
 	}
 	r.byZones, r.known = true, parts
 }
--- a/internal/loadshare/hub.go
+++ b/internal/loadshare/hub.go
@@ -14,7 +14,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/sedgemast/sedgemast/internal/life"
+	"github.com/sedgemast/sedgemast/internal/incarnation"
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
@@ -35,7 +35,7 @@
 // WorkerHash returns the short name of a worker by the name of its life. It is the same for
 // all its lives: loads are counted anew several times a second, and processes that know of
 // no lives tell of the same worker by the same name.
-func WorkerHash(name string) uint32 { return Hash(life.WorkerID(name)) }
+func WorkerHash(name string) uint32 { return Hash(incarnation.WorkerID(name)) }
 
 // Hub adds the reports up. It is pure and not safe for concurrent use.
 type Hub struct {
