--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -25,7 +25,7 @@
 	"github.com/sedgemast/sedgemast/internal/ratelimit"
 	"github.com/sedgemast/sedgemast/internal/routetable"
 	"github.com/sedgemast/sedgemast/internal/settings"
-	"github.com/sedgemast/sedgemast/internal/standstill"
+	"github.com/sedgemast/sedgemast/internal/stall"
 	"github.com/sedgemast/sedgemast/internal/storeclient"
 	"github.com/sedgemast/sedgemast/internal/tenancy"
 	"github.com/sedgemast/sedgemast/internal/upstream"
@@ -49,7 +49,7 @@
 	// gate holds requests that came before the configuration and the workers were known.
 	gate *startGate
 	// standstill notices that this process stood still.
-	standstill *standstill.Detector
+	standstill *stall.Detector
 	// begun and short count the requests that began to run, and those that found no worker
 	// with room, where scarce room is divided.
 	begun atomic.Uint32
@@ -101,7 +101,7 @@
 		started:    clock.Now(),
 		gate:       newStartGate(),
 
-		standstill: standstill.New(clock.Now()),
+		standstill: stall.New(clock.Now()),
 	}
 	e.setHubs(nil)
 	e.watcher = fleetwatch.New(d.Logger, d.Traffic, config.Seeds, e.report)
--- a/internal/edge/standstill.go
+++ b/internal/edge/standstill.go
@@ -8,7 +8,7 @@
 	"github.com/sedgemast/sedgemast/internal/daemon"
 	"github.com/sedgemast/sedgemast/internal/failure"
 	"github.com/sedgemast/sedgemast/internal/logging"
-	"github.com/sedgemast/sedgemast/internal/standstill"
+	"github.com/sedgemast/sedgemast/internal/stall"
 )
 
 const (
@@ -24,7 +24,7 @@
 
 // watchStandstills notices standstills of this process, also while no request comes.
 func (e *Edge) watchStandstills(ctx context.Context) {
-	daemon.Every(ctx, standstill.Interval, func() { e.checkStandstill(clock.Now()) })
+	daemon.Every(ctx, stall.Interval, func() { e.checkStandstill(clock.Now()) })
 }
 
 // checkStandstill returns from when until when this process stood still last.
--- a/internal/standstill/standstill.go
+++ b/internal/stall/standstill.go
@@ -2,7 +2,7 @@
 // its processor, or on a machine that was suspended. What it knew is as old then as the
 // standstill was long, and so may be what it reads first. It is pure: the time, by package
 // clock, is the caller's.
-package standstill
+package stall
 
 import (
 	"sync"
--- a/internal/standstill/standstill_test.go
+++ b/internal/stall/standstill_test.go
@@ -1,4 +1,4 @@
-package standstill
+package stall
 
 import (
 	"testing"
