--- a/cmd/sedgemast/fleet.go
+++ b/cmd/sedgemast/fleet.go
@@ -7,9 +7,9 @@
 	"github.com/sedgemast/sedgemast/internal/batchstore"
 	"github.com/sedgemast/sedgemast/internal/command"
 	"github.com/sedgemast/sedgemast/internal/coordinator"
-	"github.com/sedgemast/sedgemast/internal/dialect"
 	"github.com/sedgemast/sedgemast/internal/edge"
 	"github.com/sedgemast/sedgemast/internal/failure"
+	"github.com/sedgemast/sedgemast/internal/httpheader"
 	"github.com/sedgemast/sedgemast/internal/listreader"
 	"github.com/sedgemast/sedgemast/internal/settings"
 	"github.com/sedgemast/sedgemast/internal/wire"
@@ -63,7 +63,7 @@
 	if err != nil {
 		return err
 	}
-	process := edge.New(d, config, dialect.Default())
+	process := edge.New(d, config, httpheader.Default())
 	if config.Callers != "" {
 		if err := d.AddServer(config.Callers, &edge.API{Edge: process}, nil); err != nil {
 			return err
@@ -119,7 +119,7 @@
 	if err != nil {
 		return err
 	}
-	process, err := batchstore.New(d, config, dialect.Default())
+	process, err := batchstore.New(d, config, httpheader.Default())
 	if err != nil {
 		return err
 	}
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/sedgemast/sedgemast/internal/dialect"
+	"github.com/sedgemast/sedgemast/internal/httpheader"
 	"github.com/sedgemast/sedgemast/internal/incarnation"
 	"github.com/sedgemast/sedgemast/internal/proptest"
 	"github.com/sedgemast/sedgemast/internal/wire"
@@ -80,7 +80,7 @@
 func TestNewLifeIsAnotherWorker(t *testing.T) {
 	old, again := listed(incarnation.Name("a", 1), "z1"), listed(incarnation.Name("a", 2), "z1")
 	table := tableOf(old)
-	demand := &Request{Pool: "p", Parts: []dialect.Part{{ID: "x", Tokens: 500}, {ID: "own", Tokens: 5}}}
+	demand := &Request{Pool: "p", Parts: []httpheader.Part{{ID: "x", Tokens: 500}, {ID: "own", Tokens: 5}}}
 	lease := table.Acquire(start, demand)
 	old.Leaving = true
 	table.Update(workerset.Of([]wire.PoolWorker{old}), nil)
@@ -125,7 +125,7 @@
 
 func TestSharedPartsMeet(t *testing.T) {
 	table := tableOf(listed("a", "z1"), listed("b", "z1"), listed("c", "z1"))
-	parts := []dialect.Part{{ID: "s", Tokens: 800}, {ID: "own", Tokens: 200}}
+	parts := []httpheader.Part{{ID: "s", Tokens: 800}, {ID: "own", Tokens: 200}}
 	first := table.Acquire(start, &Request{Pool: "p", PromptTokens: 1000, Parts: parts})
 	first.Release()
 	for i := 0; i < 5; i++ {
--- a/internal/balance/cold_test.go
+++ b/internal/balance/cold_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/sedgemast/sedgemast/internal/dialect"
+	"github.com/sedgemast/sedgemast/internal/httpheader"
 	"github.com/sedgemast/sedgemast/internal/wire"
 	"github.com/sedgemast/sedgemast/internal/workerset"
 )
@@ -16,10 +16,10 @@
 // or none for long, they meet there.
 func TestChoiceWithoutNewsSpreads(t *testing.T) {
 	const slots = 8
-	parts := []dialect.Part{{ID: "shared", Tokens: 300}, {ID: "own", Tokens: 50}}
+	parts := []httpheader.Part{{ID: "shared", Tokens: 300}, {ID: "own", Tokens: 50}}
 	for _, test := range []struct {
 		name   string
-		parts  []dialect.Part
+		parts  []httpheader.Part
 		after  time.Duration
 		news   bool
 		spread bool
@@ -39,7 +39,7 @@
 
 // busiestOf lets edges choose workers for a third of their slots, some time after they
 // began, and returns how many requests the busiest worker has.
-func busiestOf(slots int, parts []dialect.Part, after time.Duration, news bool) int {
+func busiestOf(slots int, parts []httpheader.Part, after time.Duration, news bool) int {
 	const edges, workers = 24, 30
 	var rows []wire.PoolWorker
 	for i := range workers {
--- a/internal/balance/cost.go
+++ b/internal/balance/cost.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/sedgemast/sedgemast/internal/dialect"
+	"github.com/sedgemast/sedgemast/internal/httpheader"
 )
 
 const (
@@ -56,7 +56,7 @@
 
 // shared returns the ids of the parts that other requests may have too: all but
 // the last.
-func shared(parts []dialect.Part) []string {
+func shared(parts []httpheader.Part) []string {
 	ids := make([]string, 0, len(parts))
 	for i := 0; i+1 < len(parts); i++ {
 		ids = append(ids, parts[i].ID)
--- a/internal/balance/homes_test.go
+++ b/internal/balance/homes_test.go
@@ -5,14 +5,14 @@
 	"math/rand/v2"
 	"testing"
 
-	"github.com/sedgemast/sedgemast/internal/dialect"
+	"github.com/sedgemast/sedgemast/internal/httpheader"
 	"github.com/sedgemast/sedgemast/internal/wire"
 	"github.com/sedgemast/sedgemast/internal/workerset"
 )
 
 // longPrompt is a prompt of which two thirds are shared.
 func longPrompt(part string) *Request {
-	return &Request{Pool: "p", PromptTokens: 9000, Parts: []dialect.Part{{ID: "all", Tokens: 2000}, {ID: part, Tokens: 4000}, {ID: "own", Tokens: 3000}}}
+	return &Request{Pool: "p", PromptTokens: 9000, Parts: []httpheader.Part{{ID: "all", Tokens: 2000}, {ID: part, Tokens: 4000}, {ID: "own", Tokens: 3000}}}
 }
 
 // TestSharedPartsMeetAcrossProcesses lets a hundred processes send one prompt each, all
--- a/internal/balance/size_test.go
+++ b/internal/balance/size_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/sedgemast/sedgemast/internal/batchroom"
-	"github.com/sedgemast/sedgemast/internal/dialect"
+	"github.com/sedgemast/sedgemast/internal/httpheader"
 	"github.com/sedgemast/sedgemast/internal/loadshare"
 	"github.com/sedgemast/sedgemast/internal/wire"
 	"github.com/sedgemast/sedgemast/internal/workerset"
@@ -145,7 +145,7 @@
 // BenchmarkChooseOnline is a choice for an online request with shared parts.
 func BenchmarkChooseOnline(b *testing.B) {
 	benchmark(b, func(b *testing.B, table *Table, _ int) {
-		demand := &Request{Pool: "p", PromptTokens: 450, Parts: []dialect.Part{{ID: "s", Tokens: 200}, {ID: "o", Tokens: 250}}}
+		demand := &Request{Pool: "p", PromptTokens: 450, Parts: []httpheader.Part{{ID: "s", Tokens: 200}, {ID: "o", Tokens: 250}}}
 		for b.Loop() {
 			table.Acquire(start, demand).Release()
 		}
@@ -156,7 +156,7 @@
 func BenchmarkChooseByTimes(b *testing.B) {
 	benchmark(b, func(b *testing.B, table *Table, _ int) {
 		table.scoring = byTimes
-		demand := &Request{Pool: "p", PromptTokens: 450, Parts: []dialect.Part{{ID: "s", Tokens: 200}, {ID: "o", Tokens: 250}}}
+		demand := &Request{Pool: "p", PromptTokens: 450, Parts: []httpheader.Part{{ID: "s", Tokens: 200}, {ID: "o", Tokens: 250}}}
 		for b.Loop() {
 			table.Acquire(start, demand).Release()
 		}
--- a/internal/balance/table.go
+++ b/internal/balance/table.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"github.com/sedgemast/sedgemast/internal/dialect"
+	"github.com/sedgemast/sedgemast/internal/httpheader"
 	"github.com/sedgemast/sedgemast/internal/loadshare"
 	"github.com/sedgemast/sedgemast/internal/upstream"
 	"github.com/sedgemast/sedgemast/internal/wire"
@@ -161,7 +161,7 @@
 	Pool string
 	// Exclude names workers that were tried already.
 	Exclude map[string]bool
-	Parts   []dialect.Part
+	Parts   []httpheader.Part
 	// PromptTokens is the length of the prompt.
 	PromptTokens int64
 	// Batch is set for items of jobs. They start where the planner of all items
--- a/internal/batchstore/plan.go
+++ b/internal/batchstore/plan.go
@@ -9,7 +9,7 @@
 	"github.com/sedgemast/sedgemast/internal/batchplan"
 	"github.com/sedgemast/sedgemast/internal/batchstate"
 	"github.com/sedgemast/sedgemast/internal/clock"
-	"github.com/sedgemast/sedgemast/internal/dialect"
+	"github.com/sedgemast/sedgemast/internal/httpheader"
 	"github.com/sedgemast/sedgemast/internal/logging"
 	"github.com/sedgemast/sedgemast/internal/routetable"
 	"github.com/sedgemast/sedgemast/internal/storage"
@@ -159,12 +159,12 @@
 	}
 	demand := &balance.Request{
 		Pool:       r.splitter.Next(route, r.store.workers.Usable),
-		Parts:      dialect.ParseParts(dialect.Value(content.Headers, r.store.dialect.PromptParts)),
+		Parts:      httpheader.ParseParts(httpheader.Value(content.Headers, r.store.dialect.PromptParts)),
 		Batch:      true,
 		BatchShare: r.store.batchShare(),
 		NoProbe:    r.unproven[key],
 	}
-	demand.PromptTokens, _ = dialect.ParseTokenCounts(dialect.Value(content.Headers, r.store.dialect.Tokens))
+	demand.PromptTokens, _ = httpheader.ParseTokenCounts(httpheader.Value(content.Headers, r.store.dialect.Tokens))
 	if r.store.foresees(table, demand.Pool) {
 		demand.LastWorker = r.carried[key].worker
 	}
--- a/internal/batchstore/quarantine_test.go
+++ b/internal/batchstore/quarantine_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/sedgemast/sedgemast/internal/balance"
 	"github.com/sedgemast/sedgemast/internal/clock"
-	"github.com/sedgemast/sedgemast/internal/dialect"
 	"github.com/sedgemast/sedgemast/internal/failure"
+	"github.com/sedgemast/sedgemast/internal/httpheader"
 	"github.com/sedgemast/sedgemast/internal/quarantine"
 	"github.com/sedgemast/sedgemast/internal/upstream"
 	"github.com/sedgemast/sedgemast/internal/wire"
@@ -52,7 +52,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			r := testRunner(t, 1)
-			r.store.upstream = upstream.NewClient(dialect.Default())
+			r.store.upstream = upstream.NewClient(httpheader.Default())
 			book := r.store.watcher.Quarantine()
 			for _, worker := range []string{"a", "b"} {
 				book.RecordExit(clock.Now(), item, worker, time.Time{})
@@ -73,7 +73,7 @@
 func TestTrialIsKeptUntilItIsMade(t *testing.T) {
 	for _, ends := range []bool{false, true} {
 		r := testRunner(t, 1)
-		r.store.upstream = upstream.NewClient(dialect.Default())
+		r.store.upstream = upstream.NewClient(httpheader.Default())
 		running := r.runItem(t, 0, clock.Now())
 		running.onTrial, running.yielded = true, !ends
 		running.lease = &balance.Lease{Endpoint: upstream.Endpoint{ID: "w", Address: endedWorker(t)}}
--- a/internal/batchstore/store.go
+++ b/internal/batchstore/store.go
@@ -16,8 +16,8 @@
 	"github.com/sedgemast/sedgemast/internal/balance"
 	"github.com/sedgemast/sedgemast/internal/consensus"
 	"github.com/sedgemast/sedgemast/internal/daemon"
-	"github.com/sedgemast/sedgemast/internal/dialect"
 	"github.com/sedgemast/sedgemast/internal/fleetwatch"
+	"github.com/sedgemast/sedgemast/internal/httpheader"
 	"github.com/sedgemast/sedgemast/internal/logging"
 	"github.com/sedgemast/sedgemast/internal/placement"
 	"github.com/sedgemast/sedgemast/internal/replication"
@@ -49,7 +49,7 @@
 	watcher  *fleetwatch.Watcher
 	workers  *balance.Table
 	upstream *upstream.Client
-	dialect  *dialect.Names
+	dialect  *httpheader.Names
 	identity wire.Hello
 	metrics  *metrics
 	loads    *loads
@@ -63,7 +63,7 @@
 }
 
 // New opens the data folder and prepares the process; d.Run serves it.
-func New(d *daemon.Daemon, config *settings.Store, names *dialect.Names) (*Store, error) {
+func New(d *daemon.Daemon, config *settings.Store, names *httpheader.Names) (*Store, error) {
 	store, err := storage.OpenPebble(config.DataFolder, vfs.Default)
 	if err != nil {
 		return nil, err
--- a/internal/batchstore/task.go
+++ b/internal/batchstore/task.go
@@ -11,8 +11,8 @@
 	"github.com/sedgemast/sedgemast/internal/balance"
 	"github.com/sedgemast/sedgemast/internal/batchplan"
 	"github.com/sedgemast/sedgemast/internal/clock"
-	"github.com/sedgemast/sedgemast/internal/dialect"
 	"github.com/sedgemast/sedgemast/internal/failure"
+	"github.com/sedgemast/sedgemast/internal/httpheader"
 	"github.com/sedgemast/sedgemast/internal/incarnation"
 	"github.com/sedgemast/sedgemast/internal/logging"
 	"github.com/sedgemast/sedgemast/internal/quarantine"
@@ -211,7 +211,7 @@
 		return err
 	}
 	defer response.Close()
-	if told, found := dialect.ParseLoad(response.Header.Get(store.dialect.Load)); found {
+	if told, found := httpheader.ParseLoad(response.Header.Get(store.dialect.Load)); found {
 		t.lease.ApplyReport(told)
 		store.noteDoubts()
 	}
--- a/internal/batchstore/task_test.go
+++ b/internal/batchstore/task_test.go
@@ -12,7 +12,7 @@
 	"github.com/sedgemast/sedgemast/internal/balance"
 	"github.com/sedgemast/sedgemast/internal/batchplan"
 	"github.com/sedgemast/sedgemast/internal/clock"
-	"github.com/sedgemast/sedgemast/internal/dialect"
+	"github.com/sedgemast/sedgemast/internal/httpheader"
 	"github.com/sedgemast/sedgemast/internal/loadshare"
 	"github.com/sedgemast/sedgemast/internal/routetable"
 	"github.com/sedgemast/sedgemast/internal/settings"
@@ -38,7 +38,7 @@
 	s := r.store
 	s.settings = &settings.Store{}
 	s.metrics = newMetrics(prometheus.NewRegistry())
-	s.dialect = &dialect.Names{NotRun: "Not-Run", Load: "Load", RequestID: "Request-Id", ExpectWorker: "Expect-Worker", LastEvent: "Last-Event"}
+	s.dialect = &httpheader.Names{NotRun: "Not-Run", Load: "Load", RequestID: "Request-Id", ExpectWorker: "Expect-Worker", LastEvent: "Last-Event"}
 	s.upstream = upstream.NewClient(s.dialect)
 	s.workers.Update(workerset.Of([]wire.PoolWorker{
 		{ID: "w", Pool: "p", Zone: "z", Slots: slots, Address: address},
--- a/internal/edge/call.go
+++ b/internal/edge/call.go
@@ -9,9 +9,9 @@
 	"github.com/sedgemast/sedgemast/internal/balance"
 	"github.com/sedgemast/sedgemast/internal/clock"
 	"github.com/sedgemast/sedgemast/internal/daemon"
-	"github.com/sedgemast/sedgemast/internal/dialect"
 	"github.com/sedgemast/sedgemast/internal/failure"
 	"github.com/sedgemast/sedgemast/internal/httpapi"
+	"github.com/sedgemast/sedgemast/internal/httpheader"
 	"github.com/sedgemast/sedgemast/internal/incarnation"
 	"github.com/sedgemast/sedgemast/internal/logging"
 	"github.com/sedgemast/sedgemast/internal/quarantine"
@@ -94,7 +94,7 @@
 
 func newCall(e *Edge, ctx context.Context, table *routetable.Table, route *routetable.Route, tenant *routetable.Tenant, writer http.ResponseWriter, controller *http.ResponseController, request *http.Request, body []byte, arrived, deadline time.Time) *call {
 	header := request.Header
-	prompt, _ := dialect.ParseTokenCounts(header.Get(e.dialect.Tokens))
+	prompt, _ := httpheader.ParseTokenCounts(header.Get(e.dialect.Tokens))
 	c := &call{
 		edge:         e,
 		context:      ctx,
@@ -111,7 +111,7 @@
 		demand: balance.Request{
 			Pool:         e.pool(route),
 			Exclude:      map[string]bool{},
-			Parts:        dialect.ParseParts(header.Get(e.dialect.PromptParts)),
+			Parts:        httpheader.ParseParts(header.Get(e.dialect.PromptParts)),
 			PromptTokens: prompt,
 		},
 	}
@@ -119,7 +119,7 @@
 		Method:  request.Method,
 		Target:  request.RequestURI,
 		Host:    request.Host,
-		Headers: e.dialect.ForTenant(dialect.Forwardable(header), tenant.Owner()),
+		Headers: e.dialect.ForTenant(httpheader.Forwardable(header), tenant.Owner()),
 		Body:    body,
 		ID:      c.id,
 	}
@@ -323,7 +323,7 @@
 	}
 	defer response.Close()
 	c.status = response.Status
-	if told, found := dialect.ParseLoad(response.Header.Get(c.edge.dialect.Load)); found {
+	if told, found := httpheader.ParseLoad(response.Header.Get(c.edge.dialect.Load)); found {
 		lease.ApplyReport(told)
 		c.edge.noteDoubts()
 	}
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -17,9 +17,9 @@
 	"github.com/sedgemast/sedgemast/internal/balance"
 	"github.com/sedgemast/sedgemast/internal/clock"
 	"github.com/sedgemast/sedgemast/internal/daemon"
-	"github.com/sedgemast/sedgemast/internal/dialect"
 	"github.com/sedgemast/sedgemast/internal/fairshare"
 	"github.com/sedgemast/sedgemast/internal/fleetwatch"
+	"github.com/sedgemast/sedgemast/internal/httpheader"
 	"github.com/sedgemast/sedgemast/internal/loadshare"
 	"github.com/sedgemast/sedgemast/internal/logging"
 	"github.com/sedgemast/sedgemast/internal/ratelimit"
@@ -37,7 +37,7 @@
 	daemon   *daemon.Daemon
 	settings *settings.Edge
 	logger   logging.Logger
-	dialect  *dialect.Names
+	dialect  *httpheader.Names
 	watcher  *fleetwatch.Watcher
 	workers  *balance.Table
 	upstream *upstream.Client
@@ -81,7 +81,7 @@
 }
 
 // New prepares the process; d.Run serves it.
-func New(d *daemon.Daemon, config *settings.Edge, names *dialect.Names) *Edge {
+func New(d *daemon.Daemon, config *settings.Edge, names *httpheader.Names) *Edge {
 	seed := uint64(time.Now().UnixNano())
 	e := &Edge{
 		daemon:     d,
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -14,9 +14,9 @@
 	"github.com/tinylib/msgp/msgp"
 
 	"github.com/sedgemast/sedgemast/internal/daemon"
-	"github.com/sedgemast/sedgemast/internal/dialect"
 	"github.com/sedgemast/sedgemast/internal/emulator"
 	"github.com/sedgemast/sedgemast/internal/failure"
+	"github.com/sedgemast/sedgemast/internal/httpheader"
 	"github.com/sedgemast/sedgemast/internal/routetable"
 	"github.com/sedgemast/sedgemast/internal/rpc"
 	"github.com/sedgemast/sedgemast/internal/rpc/rpctest"
@@ -29,8 +29,8 @@
 const patience = 30 * time.Second
 
 // standInNames are the names that the stand-in workers know.
-func standInNames() *dialect.Names {
-	names := dialect.Default()
+func standInNames() *httpheader.Names {
+	names := httpheader.Default()
 	names.RequestID, names.Deadline, names.ExpectWorker = "Request-Id", "Deadline-Ms", "Expect-Instance"
 	names.NotRun, names.Tokens = "Not-Run", "Token-Count"
 	return names
--- a/internal/edge/hold.go
+++ b/internal/edge/hold.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"github.com/sedgemast/sedgemast/internal/clock"
-	"github.com/sedgemast/sedgemast/internal/dialect"
 	"github.com/sedgemast/sedgemast/internal/failure"
 	"github.com/sedgemast/sedgemast/internal/httpapi"
+	"github.com/sedgemast/sedgemast/internal/httpheader"
 	"github.com/sedgemast/sedgemast/internal/logging"
 	"github.com/sedgemast/sedgemast/internal/routetable"
 )
@@ -181,7 +181,7 @@
 // hold holds a request and reports whether what it needs is known then. A failure means
 // that the request could not be read.
 func (e *Edge) hold(writer http.ResponseWriter, request *http.Request, arrived time.Time, n need) (known bool, err error) {
-	left := dialect.ParseTimeLeft(request.Header.Get(e.dialect.Deadline), maxLeft)
+	left := httpheader.ParseTimeLeft(request.Header.Get(e.dialect.Deadline), maxLeft)
 	until := arrived.Add(e.gate.holdFor(clock.Now().Sub(e.started)-time.Since(arrived), left))
 	bound := int64(0)
 	if writer != nil {
--- a/internal/edge/jobs.go
+++ b/internal/edge/jobs.go
@@ -9,8 +9,8 @@
 
 	"github.com/sedgemast/sedgemast/internal/clock"
 
-	"github.com/sedgemast/sedgemast/internal/dialect"
 	"github.com/sedgemast/sedgemast/internal/failure"
+	"github.com/sedgemast/sedgemast/internal/httpheader"
 	"github.com/sedgemast/sedgemast/internal/routetable"
 	"github.com/sedgemast/sedgemast/internal/tenancy"
 	"github.com/sedgemast/sedgemast/internal/wire"
@@ -51,8 +51,8 @@
 func (e *Edge) expect(job *wire.SubmitBatch) {
 	for i := range job.Items {
 		item := &job.Items[i]
-		_, most := dialect.ParseTokenCounts(dialect.Value(item.Headers, e.dialect.Tokens))
-		item.Expected = dialect.ParseExpected(dialect.Value(item.Headers, e.dialect.LengthHint), most)
+		_, most := httpheader.ParseTokenCounts(httpheader.Value(item.Headers, e.dialect.Tokens))
+		item.Expected = httpheader.ParseExpected(httpheader.Value(item.Headers, e.dialect.LengthHint), most)
 	}
 }
 
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -8,8 +8,8 @@
 
 	"github.com/sedgemast/sedgemast/internal/balance"
 	"github.com/sedgemast/sedgemast/internal/clock"
-	"github.com/sedgemast/sedgemast/internal/dialect"
 	"github.com/sedgemast/sedgemast/internal/failure"
+	"github.com/sedgemast/sedgemast/internal/httpheader"
 	"github.com/sedgemast/sedgemast/internal/upstream"
 )
 
@@ -35,7 +35,7 @@
 	c.firstAt = time.Now()
 	c.countGiven()
 	header := c.writer.Header()
-	for _, field := range dialect.Forwardable(response.Header) {
+	for _, field := range httpheader.Forwardable(response.Header) {
 		header.Add(field.Name, field.Value)
 	}
 	if response.Header.Get("Content-Type") == "" {
--- a/internal/edge/serve.go
+++ b/internal/edge/serve.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"github.com/sedgemast/sedgemast/internal/clock"
-	"github.com/sedgemast/sedgemast/internal/dialect"
 	"github.com/sedgemast/sedgemast/internal/failure"
 	"github.com/sedgemast/sedgemast/internal/httpapi"
+	"github.com/sedgemast/sedgemast/internal/httpheader"
 	"github.com/sedgemast/sedgemast/internal/logging"
 	"github.com/sedgemast/sedgemast/internal/routetable"
 )
@@ -88,7 +88,7 @@
 		e.Reject(writer, request, err)
 		return
 	}
-	left := dialect.ParseTimeLeft(request.Header.Get(e.dialect.Deadline), route.Timeout())
+	left := httpheader.ParseTimeLeft(request.Header.Get(e.dialect.Deadline), route.Timeout())
 	deadline := arrived.Add(left - waited)
 	if waited > 0 && !time.Now().Before(deadline) {
 		e.Reject(writer, request, stoodStill())
--- a/internal/emulator/hosted.go
+++ b/internal/emulator/hosted.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"github.com/sedgemast/sedgemast/internal/dialect"
+	"github.com/sedgemast/sedgemast/internal/httpheader"
 )
 
 // HostedWorker is a stand-in for a model worker of the users' platform: it
@@ -24,7 +24,7 @@
 	Pause time.Duration
 	// Names are the headers that it knows; those of the users' platform unless
 	// they are set before the first request.
-	Names *dialect.Names
+	Names *httpheader.Names
 	// KeepsID is set where the worker comes back under its ID after an end; it must be set
 	// before the first request. Otherwise each life has another one.
 	KeepsID bool
@@ -82,8 +82,8 @@
 
 // platformNames are the names of the users' platform, as far as the stand-in
 // knows them.
-func platformNames() *dialect.Names {
-	return &dialect.Names{
+func platformNames() *httpheader.Names {
+	return &httpheader.Names{
 		RequestID:    "Request-Id",
 		ExpectWorker: "Expect-Instance",
 		NotRun:       "Not-Run",
--- a/internal/dialect/dialect.go
+++ b/internal/httpheader/dialect.go
@@ -1,6 +1,6 @@
 // Package dialect names the headers of opaque requests as callers and workers
 // know them, so that nothing else in the product does.
-package dialect
+package httpheader
 
 import (
 	"encoding/json"
--- a/internal/dialect/dialect_test.go
+++ b/internal/httpheader/dialect_test.go
@@ -1,4 +1,4 @@
-package dialect
+package httpheader
 
 import (
 	"testing"
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -18,8 +18,8 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/sedgemast/sedgemast/internal/dialect"
 	"github.com/sedgemast/sedgemast/internal/failure"
+	"github.com/sedgemast/sedgemast/internal/httpheader"
 	"github.com/sedgemast/sedgemast/internal/traffic"
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
@@ -57,7 +57,7 @@
 
 // Client sends requests over pooled connections.
 type Client struct {
-	dialect *dialect.Names
+	dialect *httpheader.Names
 	dialer  net.Dialer
 	mutex   sync.Mutex
 	idle    map[string][]*connection
@@ -76,7 +76,7 @@
 func (c *Client) SetMeter(meter *traffic.Meter) { c.meter = meter }
 
 // NewClient returns a client without connections.
-func NewClient(names *dialect.Names) *Client {
+func NewClient(names *httpheader.Names) *Client {
 	return &Client{dialect: names, dialer: net.Dialer{Timeout: dialTimeout}, idle: map[string][]*connection{}, looks: map[string]*look{}, born: map[string]int64{}}
 }
 
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"github.com/sedgemast/sedgemast/internal/dialect"
 	"github.com/sedgemast/sedgemast/internal/failure"
+	"github.com/sedgemast/sedgemast/internal/httpheader"
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
@@ -94,7 +94,7 @@
 		got <- request.Method + " " + request.RequestURI + " " + request.Host + " " + request.Header.Get("Sedgemast-Request-Id") + " " + body
 		say(answer("1", "ok"))(request, body, connection)
 	}})
-	if body, err := ask(t, NewClient(dialect.Default()), w, "1"); err != nil || body != "ok" {
+	if body, err := ask(t, NewClient(httpheader.Default()), w, "1"); err != nil || body != "ok" {
 		t.Fatalf("%q, %v", body, err)
 	}
 	if want := "POST /p/a?b=c h.example 1 hello"; <-got != want {
@@ -104,7 +104,7 @@
 
 func TestConnectionIsKept(t *testing.T) {
 	w := startWorker(t, script{say(answer("1", "a")), say(answer("2", "b"))})
-	client := NewClient(dialect.Default())
+	client := NewClient(httpheader.Default())
 	for _, id := range []string{"1", "2"} {
 		if _, err := ask(t, client, w, id); err != nil {
 			t.Fatal(err)
@@ -128,7 +128,7 @@
 	for name, first := range cases {
 		t.Run(name, func(t *testing.T) {
 			w := startWorker(t, script{say(first)}, script{say(answer("2", "b"))})
-			client := NewClient(dialect.Default())
+			client := NewClient(httpheader.Default())
 			if body, err := ask(t, client, w, "1"); err != nil || body != "a" {
 				t.Fatalf("%q, %v", body, err)
 			}
@@ -155,7 +155,7 @@
 	for name, first := range cases {
 		t.Run(name, func(t *testing.T) {
 			w := startWorker(t, script{say(first)})
-			body, err := ask(t, NewClient(dialect.Default()), w, "1")
+			body, err := ask(t, NewClient(httpheader.Default()), w, "1")
 			if err == nil {
 				t.Fatalf("it counts as whole: %q", body)
 			}
@@ -176,7 +176,7 @@
 	}
 	w := &worker{endpoint: Endpoint{ID: "w-1", Address: listener.Addr().String()}}
 	_ = listener.Close()
-	if _, err := ask(t, NewClient(dialect.Default()), w, "1"); !failure.Is(err, failure.NotRun) {
+	if _, err := ask(t, NewClient(httpheader.Default()), w, "1"); !failure.Is(err, failure.NotRun) {
 		t.Errorf("%v", err)
 	}
 }
@@ -191,7 +191,7 @@
 	}})
 	ctx, cancel := context.WithCancel(context.Background())
 	request := &Request{Method: http.MethodPost, Target: "/", Host: "h"}
-	response, err := NewClient(dialect.Default()).Send(ctx, w.endpoint, request, time.Now().Add(patience))
+	response, err := NewClient(httpheader.Default()).Send(ctx, w.endpoint, request, time.Now().Add(patience))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -207,7 +207,7 @@
 func TestSilenceTimesOut(t *testing.T) {
 	w := startWorker(t, script{func(_ *http.Request, _ string, connection net.Conn) { _, _ = connection.Read(make([]byte, 1)) }})
 	request := &Request{Method: http.MethodGet, Target: "/", Host: "h"}
-	_, err := NewClient(dialect.Default()).Send(context.Background(), w.endpoint, request, time.Now().Add(20*time.Millisecond))
+	_, err := NewClient(httpheader.Default()).Send(context.Background(), w.endpoint, request, time.Now().Add(20*time.Millisecond))
 	if !TimedOut(err) || !failure.Is(err, failure.OutcomeUnknown) {
 		t.Errorf("%v", err)
 	}
@@ -232,7 +232,7 @@
 		_, _ = connection.Write([]byte("HTTP/1.1 503 Busy\r\nSedgemast-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"))
 		<-release
 	}()
-	client := NewClient(dialect.Default())
+	client := NewClient(httpheader.Default())
 	request := &Request{Method: http.MethodPost, Target: "/", Host: "h", Body: make([]byte, 32<<20)}
 	response, err := client.Send(context.Background(), Endpoint{ID: "w", Address: listener.Addr().String()}, request, time.Now().Add(patience))
 	if err != nil {
--- a/internal/upstream/ended_test.go
+++ b/internal/upstream/ended_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/sedgemast/sedgemast/internal/clock"
-	"github.com/sedgemast/sedgemast/internal/dialect"
+	"github.com/sedgemast/sedgemast/internal/httpheader"
 )
 
 // TestEndedIsSeen tells a worker that has ended from one that only broke a connection
@@ -36,7 +36,7 @@
 				}
 				w.play(breakOff, connection)
 			}()
-			client := NewClient(dialect.Default())
+			client := NewClient(httpheader.Default())
 			_, err = client.Send(context.Background(), w.endpoint, &Request{Method: http.MethodPost, Target: "/", Host: "h", ID: "a"}, time.Now().Add(patience))
 			if !Disconnected(err) {
 				t.Fatalf("the end of the exchange is %v", err)
--- a/test/fleet_api_test.go
+++ b/test/fleet_api_test.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"github.com/sedgemast/sedgemast/internal/coordinator"
-	"github.com/sedgemast/sedgemast/internal/dialect"
 	"github.com/sedgemast/sedgemast/internal/edge"
 	"github.com/sedgemast/sedgemast/internal/emulator"
+	"github.com/sedgemast/sedgemast/internal/httpheader"
 	"github.com/sedgemast/sedgemast/internal/quarantine"
 	"github.com/sedgemast/sedgemast/internal/routetable"
 	"github.com/sedgemast/sedgemast/internal/workerlist"
@@ -77,7 +77,7 @@
 	f := &ownFleet{t: t, binary: filepath.Join(folder, "sedgemast"), port: freePorts(t)}
 	for i := range 2 {
 		worker := emulator.NewHostedWorker(fmt.Sprintf("w-%d", i), 8, time.Millisecond)
-		worker.Names = dialect.Default()
+		worker.Names = httpheader.Default()
 		t.Cleanup(worker.Close)
 		f.workers = append(f.workers, worker)
 	}
@@ -104,8 +104,8 @@
 		f.t.Fatal(err)
 	}
 	request.Host = hostedHost
-	request.Header.Set(dialect.Default().RequestID, id)
-	request.Header.Set(dialect.Default().Tokens, "5,4")
+	request.Header.Set(httpheader.Default().RequestID, id)
+	request.Header.Set(httpheader.Default().Tokens, "5,4")
 	response, err := hostedClient.Do(request)
 	if err != nil {
 		return 0, err.Error()
@@ -199,8 +199,8 @@
 func (f *ownFleet) testJob(callers string) {
 	t := f.t
 	job := edge.JobDocument{Items: []edge.JobItem{
-		{ID: "i-1", Path: "/jobs/x", Headers: map[string]string{dialect.Default().Tokens: "5,3"}, Body: []byte("one"), Tokens: 8},
-		{ID: "i-2", Path: "/jobs/x", Headers: map[string]string{dialect.Default().Tokens: "5,2"}, Body: []byte("two"), Tokens: 7},
+		{ID: "i-1", Path: "/jobs/x", Headers: map[string]string{httpheader.Default().Tokens: "5,3"}, Body: []byte("one"), Tokens: 8},
+		{ID: "i-2", Path: "/jobs/x", Headers: map[string]string{httpheader.Default().Tokens: "5,2"}, Body: []byte("two"), Tokens: 7},
 	}}
 	body, err := json.Marshal(job)
 	if err != nil {
