--- a/internal/admission/collapse_test.go
+++ b/internal/admission/collapse_test.go
@@ -239,8 +239,8 @@
 
 // look returns the best place at a worker.
 func (p *play) look(e *playEdge, given string) (*balance.Candidate, admission.Candidate) {
-	place := e.table.FindCandidate(p.clock(), &balance.Request{Pool: "p"}, balance.Search{Peers: playEdges, ReleasedAt: given})
-	return place, admission.Candidate{Full: place.Full, Wait: place.Wait, MaxWait: place.MaxWait, Spare: place.Spare, LeftToOthers: place.LeftToOthers}
+	place := e.table.FindCandidate(p.clock(), &balance.Request{Pool: "p"}, balance.SearchOptions{Peers: playEdges, ReleasedWorker: given})
+	return place, admission.Candidate{Full: place.Full, Wait: place.Wait, MaxWait: place.MaxWait, Spare: place.Spare, LeftToPeers: place.LeftToPeers}
 }
 
 // take sends a request to the place.
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -48,8 +48,8 @@
 	// Spare is set where more slots are free than those that wait at other processes are
 	// about to take.
 	Spare bool
-	// LeftToOthers is set where a slot is free, and is left to other processes by lot.
-	LeftToOthers bool
+	// LeftToPeers is set where a slot is free, and is left to other processes by lot.
+	LeftToPeers bool
 }
 
 // takes reports whether the claim's request may go to the worker. What can be in time may
@@ -58,7 +58,7 @@
 // in nobody's way: those that are in time may wait at another process. What is indifferent gains
 // nothing by that, and is not made later still.
 func (o Candidate) takes(now time.Time, claim *Entry) bool {
-	if o.LeftToOthers {
+	if o.LeftToPeers {
 		return false
 	}
 	if o.Wait <= 0 {
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -51,14 +51,14 @@
 	var trace strings.Builder
 	for _, waiting := range []int{0, 20} {
 		for _, age := range []time.Duration{0, 1500 * ms, 4000 * ms} {
-			for _, offer := range []Candidate{{Spare: true}, {}, {LeftToOthers: true}, fullOffer(0), fullOffer(100 * ms), fullOffer(250 * ms), {Wait: 250 * ms, MaxWait: 250 * ms}} {
+			for _, offer := range []Candidate{{Spare: true}, {}, {LeftToPeers: true}, fullOffer(0), fullOffer(100 * ms), fullOffer(250 * ms), {Wait: 250 * ms, MaxWait: 250 * ms}} {
 				queue := NewQueue(Bounds{Requests: 64, Bytes: 1 << 20})
 				for range waiting {
 					queue.enter(claimOf(queueStart.Add(-time.Second), 1000*ms))
 				}
 				decision := queue.Admit(queueStart, arrivalOf(queueStart, claimOf(queueStart, age), offer), 0.5)
 				fmt.Fprintf(&trace, "%d late ones wait, first asked %s ago, full %t wait %s spare %t left %t: %s, %d ahead, predicted %s, comeback %s, displaced %d\n",
-					waiting, age, offer.Full, offer.Wait, offer.Spare, offer.LeftToOthers, decision.Result, decision.Ahead, decision.Predicted.Round(ms), decision.RetryAfter, len(decision.Displaced))
+					waiting, age, offer.Full, offer.Wait, offer.Spare, offer.LeftToPeers, decision.Result, decision.Ahead, decision.Predicted.Round(ms), decision.RetryAfter, len(decision.Displaced))
 			}
 		}
 	}
@@ -121,7 +121,7 @@
 	proptest.Run(t, "order", func(random *rand.Rand) error {
 		queue := NewQueue(Bounds{Requests: 100, Bytes: 1 << 20})
 		for range 1 + random.Intn(40) {
-			queue.Admit(queueStart, arrivalOf(queueStart, randomClaim(random, queueStart), Candidate{LeftToOthers: true}), 0)
+			queue.Admit(queueStart, arrivalOf(queueStart, randomClaim(random, queueStart), Candidate{LeftToPeers: true}), 0)
 		}
 		waiting := queue.Len()
 		order := served(queue, queueStart)
@@ -170,10 +170,10 @@
 	for range 10 {
 		claim := claimOf(queueStart.Add(-time.Second), 0)
 		claim.Goal, claim.GoalDeadline = 0, claim.Arrived
-		queue.Admit(queueStart, arrivalOf(queueStart, claim, Candidate{LeftToOthers: true}), 0)
+		queue.Admit(queueStart, arrivalOf(queueStart, claim, Candidate{LeftToPeers: true}), 0)
 	}
 	aimed := claimOf(queueStart, 0)
-	queue.Admit(queueStart, arrivalOf(queueStart, aimed, Candidate{LeftToOthers: true}), 0)
+	queue.Admit(queueStart, arrivalOf(queueStart, aimed, Candidate{LeftToPeers: true}), 0)
 	if first := queue.First(queueStart); first != aimed {
 		t.Errorf("%+v goes first", first)
 	}
@@ -266,7 +266,7 @@
 	proptest.Run(t, "free slots", func(random *rand.Rand) error {
 		queue := NewQueue(Bounds{Requests: 50, Bytes: 1 << 20})
 		for range 50 {
-			offer := Candidate{Spare: random.Intn(2) == 0, LeftToOthers: random.Intn(2) == 0}
+			offer := Candidate{Spare: random.Intn(2) == 0, LeftToPeers: random.Intn(2) == 0}
 			arrival := arrivalOf(queueStart, randomClaim(random, queueStart), offer)
 			arrival.Supply = Supply{Throughput: random.Float64() * 10, OverloadTimeLeft: time.Duration(random.Intn(5000)) * ms}
 			decision := queue.Admit(queueStart, arrival, random.Float64())
@@ -323,7 +323,7 @@
 		if got := (Candidate{}).takes(queueStart, claim); got != test.want {
 			t.Errorf("%s of %s: takes a free slot: %t", test.begin, test.goal, got)
 		}
-		for _, offer := range []Candidate{{LeftToOthers: true}, fullOffer(0), fullOffer(ms)} {
+		for _, offer := range []Candidate{{LeftToPeers: true}, fullOffer(0), fullOffer(ms)} {
 			if offer.takes(queueStart, claim) {
 				t.Errorf("%s of %s: takes %+v", test.begin, test.goal, offer)
 			}
@@ -339,7 +339,7 @@
 		queue.Admit(queueStart, arrivalOf(queueStart, claimOf(queueStart, 2000*ms), fullOffer(0)), 0)
 	}
 	late := queueStart.Add(testGoal)
-	if first := queue.First(late); queue.TryDispatch(late, first, Candidate{}) || queue.TryDispatch(late, first, fullOffer(10*ms)) || queue.TryDispatch(late, first, Candidate{Spare: true, LeftToOthers: true}) {
+	if first := queue.First(late); queue.TryDispatch(late, first, Candidate{}) || queue.TryDispatch(late, first, fullOffer(10*ms)) || queue.TryDispatch(late, first, Candidate{Spare: true, LeftToPeers: true}) {
 		t.Error("a late one went where others are about to go")
 	}
 	for tick := late; tick.Before(queueStart.Add(2500 * ms)); tick = tick.Add(100 * ms) {
--- a/internal/balance/free.go
+++ b/internal/balance/free.go
@@ -21,13 +21,13 @@
 	reservedParts = 8
 )
 
-// Search says how room is looked for.
-type Search struct {
+// SearchOptions says how room is looked for.
+type SearchOptions struct {
 	// Peers is how many processes of all zones choose workers, this one included.
 	Peers int
-	// ReleasedAt is the worker at which this process has just given a slot back, if any: nobody
+	// ReleasedWorker is the worker at which this process has just given a slot back, if any: nobody
 	// else has been told of that slot.
-	ReleasedAt string
+	ReleasedWorker string
 }
 
 // Candidate is the worker that Look chose for one request, and what is known of it. It holds no
@@ -45,8 +45,8 @@
 	MaxWait time.Duration
 	// Spare is set where more slots are free than those who wait elsewhere are about to
 	// take, LeftToOthers where one is free and is left to others by lot.
-	Spare        bool
-	LeftToOthers bool
+	Spare       bool
+	LeftToPeers bool
 	// PeerLoadAge is how old the news of the others is that this rests on, negative where there
 	// is none.
 	PeerLoadAge time.Duration
@@ -61,7 +61,7 @@
 // free, all processes see the same ones; so a request takes one by lot, and leaves it to
 // others otherwise. Slots of other zones are known by older news, and are drawn for as well.
 // It returns nil if there is no worker.
-func (t *Table) FindCandidate(now time.Time, demand *Request, search Search) *Candidate {
+func (t *Table) FindCandidate(now time.Time, demand *Request, search SearchOptions) *Candidate {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.see(now)
@@ -74,7 +74,7 @@
 	chosen := t.freeProbe(now, demand)
 	probe := chosen != nil
 	if chosen == nil {
-		chosen = t.chooseGiven(now, demand, search.ReleasedAt)
+		chosen = t.chooseGiven(now, demand, search.ReleasedWorker)
 	}
 	if chosen == nil {
 		chosen = t.chooseBySlots(now, demand, known, search.Peers)
@@ -103,7 +103,7 @@
 }
 
 // weigh finds out whether a free slot is to spare, and whether it is left to others.
-func (t *Table) weigh(now time.Time, demand *Request, known *pool, choice *Candidate, search Search) {
+func (t *Table) weigh(now time.Time, demand *Request, known *pool, choice *Candidate, search SearchOptions) {
 	if t.slotsOf(choice.worker) <= 0 {
 		// Nothing says how many slots there are to wait for.
 		choice.Spare = true
@@ -111,12 +111,12 @@
 	}
 	if t.away(choice.worker) > 0 {
 		choice.Spare = t.farSlots(now, demand, known) > reserved(known.farRate, known.slots-known.nearSlots)
-		choice.LeftToOthers = len(known.near) == 0 && !t.drawsFar(now, demand, known, search.Peers)
+		choice.LeftToPeers = len(known.near) == 0 && !t.drawsFar(now, demand, known, search.Peers)
 		return
 	}
 	near := t.nearSlots(now, demand, known)
 	choice.Spare = near > reserved(known.nearRate, known.nearSlots)
-	choice.LeftToOthers = choice.Worker != search.ReleasedAt && !mostFree(near, known.nearSlots) && t.leavesByLot(near, known.nearPeers(search.Peers))
+	choice.LeftToPeers = choice.Worker != search.ReleasedWorker && !mostFree(near, known.nearSlots) && t.leavesByLot(near, known.nearPeers(search.Peers))
 }
 
 // mostFree reports whether more than half of the slots are free: then nobody waits, and who would
--- a/internal/balance/free_test.go
+++ b/internal/balance/free_test.go
@@ -54,11 +54,11 @@
 		table := zonesOf(len(online), 1)
 		tellOnline(table, online)
 		demand := &Request{Pool: "p"}
-		place := table.FindCandidate(start, demand, Search{Peers: 1})
-		if place.Full != (free == 0) || place.LeftToOthers || place.Full != (place.Wait > 0) || place.MaxWait < place.Wait {
+		place := table.FindCandidate(start, demand, SearchOptions{Peers: 1})
+		if place.Full != (free == 0) || place.LeftToPeers || place.Full != (place.Wait > 0) || place.MaxWait < place.Wait {
 			return errors.Newf("%d workers have a slot free: %+v", free, place)
 		}
-		if loads := table.Loads(); len(loads) > 0 || table.Acquired() > 0 {
+		if loads := table.Loads(); len(loads) > 0 || table.AcquiredCount() > 0 {
 			return errors.Newf("by looking: %+v", loads)
 		}
 		lease := table.AcquireCandidate(start, demand, place)
@@ -77,21 +77,21 @@
 	online := []int{freeSlots, freeSlots - 1, freeSlots}
 	table := zonesOf(len(online), 1)
 	tellOnline(table, online)
-	taken := func(search Search) (count int) {
+	taken := func(search SearchOptions) (count int) {
 		for range looks {
-			if place := table.FindCandidate(start, &Request{Pool: "p"}, search); !place.LeftToOthers && !place.Full {
+			if place := table.FindCandidate(start, &Request{Pool: "p"}, search); !place.LeftToPeers && !place.Full {
 				count++
 			}
 		}
 		return count
 	}
-	if count := taken(Search{Peers: 1}); count != looks {
+	if count := taken(SearchOptions{Peers: 1}); count != looks {
 		t.Errorf("alone: %d of %d", count, looks)
 	}
-	if count := taken(Search{Peers: 51, ReleasedAt: "w1"}); count != looks {
+	if count := taken(SearchOptions{Peers: 51, ReleasedWorker: "w1"}); count != looks {
 		t.Errorf("who gave it back: %d of %d", count, looks)
 	}
-	if count := taken(Search{Peers: 51}); count < looks/20 || count > looks/4 {
+	if count := taken(SearchOptions{Peers: 51}); count < looks/20 || count > looks/4 {
 		t.Errorf("one of 51: %d of %d", count, looks)
 	}
 }
@@ -137,8 +137,8 @@
 		table := poolOf(test.slots, test.online, test.zones...)
 		found := 0
 		for look := range looks {
-			place := table.FindCandidate(start.Add(time.Duration(look)*time.Microsecond), &Request{Pool: "p"}, Search{Peers: peers})
-			if !place.Full && !place.LeftToOthers {
+			place := table.FindCandidate(start.Add(time.Duration(look)*time.Microsecond), &Request{Pool: "p"}, SearchOptions{Peers: peers})
+			if !place.Full && !place.LeftToPeers {
 				found++
 			}
 			if test.slots == 0 && !place.Spare {
@@ -166,7 +166,7 @@
 				loads = append(loads, wire.WorkerLoad{Worker: loadshare.WorkerHash(fmt.Sprintf("w%d", number)), Online: uint16(held), Rate: 20000})
 			}
 			table.SetPeerLoads(start, loads, ScopeAll)
-			place := table.FindCandidate(start, &Request{Pool: "p"}, Search{Peers: 1})
+			place := table.FindCandidate(start, &Request{Pool: "p"}, SearchOptions{Peers: 1})
 			if want := free > 2*freeSlots/reservedParts; place.Spare != want {
 				t.Errorf("%d of %d free in %s: %+v", free, 2*freeSlots, zone, place)
 			}
@@ -188,8 +188,8 @@
 	demand := &Request{Pool: "p", Repeatable: true}
 	var place *Candidate
 	for look := range looks {
-		place = table.FindCandidate(start, demand, Search{Peers: 51})
-		if place.Worker != "w1" || !place.Spare || place.LeftToOthers || place.Full {
+		place = table.FindCandidate(start, demand, SearchOptions{Peers: 51})
+		if place.Worker != "w1" || !place.Spare || place.LeftToPeers || place.Full {
 			t.Fatalf("look %d: %+v", look, place)
 		}
 	}
@@ -198,7 +198,7 @@
 		t.Error("the lease is no probe")
 	}
 	lease.Release()
-	if place := table.FindCandidate(start, demand, Search{Peers: 51}); place.Worker == "w1" && place.Spare {
+	if place := table.FindCandidate(start, demand, SearchOptions{Peers: 51}); place.Worker == "w1" && place.Spare {
 		t.Errorf("a second probe by one word: %+v", place)
 	}
 }
@@ -215,7 +215,7 @@
 	}
 	table := zonesOf(workers, 2)
 	tellOnline(table, online)
-	if place := table.FindCandidate(start, &Request{Pool: "p"}, Search{Peers: peers}); place.Full {
+	if place := table.FindCandidate(start, &Request{Pool: "p"}, SearchOptions{Peers: peers}); place.Full {
 		t.Errorf("%+v beside an idle zone", place)
 	}
 	// All but one slot is taken there: a tenth of the peers may go.
@@ -227,7 +227,7 @@
 	count := 0
 	const looks = 1000
 	for look := range looks {
-		if place := table.FindCandidate(start.Add(time.Duration(look)*time.Microsecond), &Request{Pool: "p"}, Search{Peers: peers}); !place.Full {
+		if place := table.FindCandidate(start.Add(time.Duration(look)*time.Microsecond), &Request{Pool: "p"}, SearchOptions{Peers: peers}); !place.Full {
 			count++
 		}
 	}
@@ -245,7 +245,7 @@
 	for over := 1; over <= 3; over++ {
 		tellOnline(table, []int{freeSlots + over - 1})
 		table.pools["p"].hold = hold
-		place := table.FindCandidate(start, &Request{Pool: "p"}, Search{Peers: 1})
+		place := table.FindCandidate(start, &Request{Pool: "p"}, SearchOptions{Peers: 1})
 		late := 0
 		const draws = 10000
 		for range draws {
@@ -277,7 +277,7 @@
 			tellOnline(table, online)
 			b.ReportAllocs()
 			for b.Loop() {
-				if place := table.FindCandidate(start, &Request{Pool: "p"}, Search{Peers: 51}); !place.Full {
+				if place := table.FindCandidate(start, &Request{Pool: "p"}, SearchOptions{Peers: 51}); !place.Full {
 					b.Fatalf("%+v", place)
 				}
 			}
--- a/internal/balance/outlook_test.go
+++ b/internal/balance/outlook_test.go
@@ -144,7 +144,7 @@
 		t.Errorf("while it is idle: %+v, %d idle slots", got, places.IdleSlots)
 	}
 	drawn := 0
-	for _, place := range places.Draw(3) {
+	for _, place := range places.Sample(3) {
 		drawn += place.Slots
 	}
 	if drawn != 9 {
--- a/internal/balance/share.go
+++ b/internal/balance/share.go
@@ -95,7 +95,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.see(now)
-	places := batchroom.Workers{Draw: t.drawIdle}
+	places := batchroom.Workers{Sample: t.drawIdle}
 	busy := map[*worker]bool{}
 	for _, list := range [][]*worker{t.told, t.busy, t.suspected(now)} {
 		for _, known := range list {
--- a/internal/balance/size_test.go
+++ b/internal/balance/size_test.go
@@ -54,7 +54,7 @@
 		if len(places.Busy) > 302 || len(places.Busy)+places.IdleWorkers != count {
 			t.Errorf("%d workers: a plan is told of %d and %d idle ones", count, len(places.Busy), places.IdleWorkers)
 		}
-		if drawn := places.Draw(40); len(drawn) != 40 {
+		if drawn := places.Sample(40); len(drawn) != 40 {
 			t.Errorf("%d workers: %d are drawn", count, len(drawn))
 		}
 	}
@@ -85,7 +85,7 @@
 		rows = rows[100:]
 		table.Update(workerset.Of(rows), nil)
 		places := table.Workers(start, func(string) time.Duration { return 0 })
-		for _, place := range append(places.Busy, places.Draw(1000)...) {
+		for _, place := range append(places.Busy, places.Sample(1000)...) {
 			if left[place.ShortName] {
 				t.Fatalf("round %d: a worker that left is planned for", round)
 			}
--- a/internal/balance/table.go
+++ b/internal/balance/table.go
@@ -81,7 +81,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.memory = memory
-	set.Changes(t.set, t.join, t.drop)
+	set.Diff(t.set, t.join, t.drop)
 	t.set = set
 }
 
@@ -135,8 +135,8 @@
 	t.beganAt = now
 }
 
-// Acquired returns how many leases have been given so far.
-func (t *Table) Acquired() uint64 {
+// AcquiredCount returns how many leases have been given so far.
+func (t *Table) AcquiredCount() uint64 {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.acquired
--- a/internal/balance/times.go
+++ b/internal/balance/times.go
@@ -106,8 +106,8 @@
 	if t.scoring == byFreeAt {
 		return prediction, prediction.Wait.Seconds()
 	}
-	score := (prediction.FirstEvent - prediction.Wait).Seconds() + waitWeight*max(prediction.Wait, prediction.Risk).Seconds()
-	score += holdWeight * (prediction.LastEvent - prediction.FirstEvent + prediction.Delay).Seconds()
+	score := (prediction.FirstEvent - prediction.Wait).Seconds() + waitWeight*max(prediction.Wait, prediction.RiskAdjustedWait).Seconds()
+	score += holdWeight * (prediction.LastEvent - prediction.FirstEvent + prediction.AddedDelay).Seconds()
 	return prediction, score
 }
 
--- a/internal/balance/times_test.go
+++ b/internal/balance/times_test.go
@@ -431,7 +431,7 @@
 		if got := table.Acquire(start, demand).Slowness; got != test.want {
 			t.Errorf("a step of %d µs: slowness %g", test.step, got)
 		}
-		if got := table.FindCandidate(start, demand, Search{Peers: 1}).Slowness; got != test.want {
+		if got := table.FindCandidate(start, demand, SearchOptions{Peers: 1}).Slowness; got != test.want {
 			t.Errorf("a step of %d µs: slowness %g of a place", test.step, got)
 		}
 	}
--- a/internal/batchplan/batchplan.go
+++ b/internal/batchplan/batchplan.go
@@ -33,8 +33,8 @@
 type Item struct {
 	Job    string
 	Number int
-	// Order numbers jobs as they were accepted.
-	Order uint64
+	// Sequence numbers jobs as they were accepted.
+	Sequence uint64
 	// Overdue is set where it will be late.
 	Overdue bool
 	// Slack is how much later than now it could begin and still be in time.
@@ -61,7 +61,7 @@
 		if a.Overdue != b.Overdue {
 			return boolOrder(a.Overdue)
 		}
-		return cmp.Or(cmp.Compare(a.Slack, b.Slack), cmp.Compare(a.Order, b.Order), cmp.Compare(a.Number, b.Number))
+		return cmp.Or(cmp.Compare(a.Slack, b.Slack), cmp.Compare(a.Sequence, b.Sequence), cmp.Compare(a.Number, b.Number))
 	})
 }
 
@@ -82,7 +82,7 @@
 	if first.Slack != second.Slack {
 		return first.Slack > second.Slack
 	}
-	return first.Order > second.Order
+	return first.Sequence > second.Sequence
 }
 
 // PreemptedInAdvanceBefore reports whether the first item leaves before the second where requests are
--- a/internal/batchplan/batchplan_test.go
+++ b/internal/batchplan/batchplan_test.go
@@ -46,7 +46,7 @@
 	proptest.Run(t, "order", func(random *rand.Rand) error {
 		items := make([]Item, 1+random.Intn(20))
 		for i := range items {
-			items[i] = Item{Order: uint64(i / 2), Number: i % 2, Overdue: random.Intn(3) == 0, Slack: time.Duration(random.Intn(3)) * time.Second}
+			items[i] = Item{Sequence: uint64(i / 2), Number: i % 2, Overdue: random.Intn(3) == 0, Slack: time.Duration(random.Intn(3)) * time.Second}
 		}
 		random.Shuffle(len(items), func(a, b int) { items[a], items[b] = items[b], items[a] })
 		Sort(items)
@@ -58,7 +58,7 @@
 			if before.Overdue == after.Overdue && before.Slack > after.Slack {
 				return errors.Newf("%+v stands before %+v", before, after)
 			}
-			if before.Overdue == after.Overdue && before.Slack == after.Slack && (before.Order > after.Order || before.Order == after.Order && before.Number > after.Number) {
+			if before.Overdue == after.Overdue && before.Slack == after.Slack && (before.Sequence > after.Sequence || before.Sequence == after.Sequence && before.Number > after.Number) {
 				return errors.Newf("%+v stands before %+v", before, after)
 			}
 			if PreemptedBefore(before, after) {
@@ -163,7 +163,7 @@
 func TestLeavingIsAnOrder(t *testing.T) {
 	proptest.Run(t, "leaving", func(random *rand.Rand) error {
 		draw := func() Item {
-			return Item{Order: uint64(random.Intn(4)), Overdue: random.Intn(2) == 0, Slack: time.Duration(random.Intn(4)) * time.Second, Remaining: time.Duration(random.Intn(3)) * time.Second}
+			return Item{Sequence: uint64(random.Intn(4)), Overdue: random.Intn(2) == 0, Slack: time.Duration(random.Intn(4)) * time.Second, Remaining: time.Duration(random.Intn(3)) * time.Second}
 		}
 		a, b, c := draw(), draw(), draw()
 		const wait = 2 * time.Second
--- a/internal/batchplan/share_test.go
+++ b/internal/batchplan/share_test.go
@@ -18,7 +18,7 @@
 	for i := range items {
 		tenant := random.Intn(tenants)
 		items[i] = Item{
-			Order: uint64(i / 2), Number: i % 2, Overdue: random.Intn(4) == 0, Slack: time.Duration(random.Intn(5)) * time.Second,
+			Sequence: uint64(i / 2), Number: i % 2, Overdue: random.Intn(4) == 0, Slack: time.Duration(random.Intn(5)) * time.Second,
 			Owner: Owner{Tenant: strconv.Itoa(tenant), Weight: float64(1 + tenant%3)},
 		}
 	}
@@ -139,7 +139,7 @@
 func TestFloodOfItems(t *testing.T) {
 	var items []Item
 	for i := range 1010 {
-		item := Item{Order: uint64(i), Slack: time.Second, Owner: Owner{Tenant: "large", Weight: 1}}
+		item := Item{Sequence: uint64(i), Slack: time.Second, Owner: Owner{Tenant: "large", Weight: 1}}
 		if i >= 1000 {
 			item.Owner.Tenant, item.Slack = "small", time.Duration(math.MaxInt64)
 		}
@@ -186,7 +186,7 @@
 	random := rand.New(rand.NewSource(1))
 	items := make([]Item, 1000)
 	for i := range items {
-		items[i] = Item{Order: uint64(i), Slack: time.Duration(random.Intn(1000)), Owner: Owner{Tenant: strconv.Itoa(random.Intn(100)), Weight: 1}}
+		items[i] = Item{Sequence: uint64(i), Slack: time.Duration(random.Intn(1000)), Owner: Owner{Tenant: strconv.Itoa(random.Intn(100)), Weight: 1}}
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/batchplan/stops.go
+++ b/internal/batchplan/stops.go
@@ -6,8 +6,8 @@
 type Worker struct {
 	Slots  int
 	Online int
-	// Batch counts items that are not about to stop.
-	Batch int
+	// Items counts items that are not about to stop.
+	Items int
 }
 
 // RequiredStops returns how many items at a worker must stop so that the online requests
@@ -16,11 +16,11 @@
 // ends soon; where items do, none does, because items run for long. hold is how
 // long an online request holds a slot; where it is unknown, nobody is to wait.
 func RequiredStops(place Worker, hold, patience time.Duration) int {
-	over := place.Online + place.Batch - place.Slots
+	over := place.Online + place.Items - place.Slots
 	stops := 0
-	for ; stops < min(over, place.Batch); stops++ {
+	for ; stops < min(over, place.Items); stops++ {
 		waiting := over - stops
-		running := place.Slots - (place.Batch - stops)
+		running := place.Slots - (place.Items - stops)
 		if hold > 0 && running > 0 && hold*time.Duration(waiting) <= patience*time.Duration(running) {
 			break
 		}
--- a/internal/batchroom/ahead_test.go
+++ b/internal/batchroom/ahead_test.go
@@ -176,7 +176,7 @@
 		items[uint32(i+1)] = 2
 	}
 	p := New()
-	told := Workers{Busy: places, IdleWorkers: 9700, IdleSlots: 77600, Forecasts: outlooks(places), Draw: func(count int) []Worker {
+	told := Workers{Busy: places, IdleWorkers: 9700, IdleSlots: 77600, Forecasts: outlooks(places), Sample: func(count int) []Worker {
 		drawn := make([]Worker, count)
 		for i := range drawn {
 			drawn[i] = Worker{ShortName: uint32(1000 + i), Pool: "p", Slots: 8}
--- a/internal/batchroom/batchroom.go
+++ b/internal/batchroom/batchroom.go
@@ -53,7 +53,7 @@
 	// are workers.
 	IdleWorkers int
 	IdleSlots   int
-	Draw        func(count int) []Worker
+	Sample      func(count int) []Worker
 	// Forecasts are what is known of the next moments, by pool; none where nothing is forecast.
 	Forecasts []Forecast
 }
@@ -80,13 +80,13 @@
 	Waiting int
 	// Queued counts requests beyond the slots of their workers, Idle the slots that
 	// nothing holds at other workers.
-	Queued int
-	Idle   int
-	// Free counts the slots found for items, Granted those that the runner got, Stops how many items
+	Queued    int
+	IdleSlots int
+	// FreeSlots counts the slots found for items, Granted those that the runner got, Stops how many items
 	// stood in the way.
-	Free    int
-	Granted int
-	Stops   int
+	FreeSlots int
+	Granted   int
+	Stops     int
 	// AdvanceStops counts those of the stops that make room for requests to come, Need the online
 	// need that they rest on where a forecast of a pool is sure, until which moment.
 	AdvanceStops int
@@ -133,7 +133,7 @@
 	if own == nil {
 		return nil
 	}
-	p.summary = Summary{Waiting: p.waiting(), Slots: places.IdleSlots, Idle: places.IdleSlots}
+	p.summary = Summary{Waiting: p.waiting(), Slots: places.IdleSlots, IdleSlots: places.IdleSlots}
 	items, stops := p.survey(&places)
 	p.zones.take(own.at, &places)
 	prospects := p.lookAhead(name, own, &places, items, stops)
@@ -141,12 +141,12 @@
 	open, probes := p.openBusy(name, &places, items, stops, prospects, orders)
 	probes = probes[:min(len(probes), own.waiting)]
 	taken := p.takenIdle(name, &places)
-	p.summary.Free += max(places.IdleSlots-taken, 0)
-	p.summary.Free -= prospects.withheld(taken)
-	share := p.shareOf(own, p.summary.Free)
+	p.summary.FreeSlots += max(places.IdleSlots-taken, 0)
+	p.summary.FreeSlots -= prospects.withheld(taken)
+	share := p.shareOf(own, p.summary.FreeSlots)
 	if share > 0 && places.IdleWorkers > 0 {
 		// As many as are taken may come up in vain.
-		open = append(open, p.openIdle(name, places.Draw(share+taken), prospects)...)
+		open = append(open, p.openIdle(name, places.Sample(share+taken), prospects)...)
 	}
 	count := min(share, own.waiting-len(probes))
 	if prospects != nil {
@@ -173,7 +173,7 @@
 		place := &places.Busy[i]
 		items[i] = p.itemsAt(place.ShortName)
 		p.summary.add(place, items[i])
-		stops[i] = batchplan.RequiredStops(batchplan.Worker{Slots: place.Slots, Online: place.Online, Batch: items[i]}, place.HoldTime, place.MaxWait)
+		stops[i] = batchplan.RequiredStops(batchplan.Worker{Slots: place.Slots, Online: place.Online, Items: items[i]}, place.HoldTime, place.MaxWait)
 	}
 	return items, stops
 }
@@ -196,7 +196,7 @@
 		}
 		if free := p.openAt(name, place, items[i]); free > 0 {
 			open = append(open, opening{worker: place.ShortName, slots: free, tie: place.ShortName ^ name})
-			p.summary.Free += free
+			p.summary.FreeSlots += free
 			prospects.offer(place, free, true)
 		}
 	}
@@ -263,7 +263,7 @@
 	if over := place.Online + items - place.Slots; over > 0 {
 		s.Queued += over
 	} else {
-		s.Idle -= over
+		s.IdleSlots -= over
 	}
 }
 
--- a/internal/batchroom/batchroom_test.go
+++ b/internal/batchroom/batchroom_test.go
@@ -122,7 +122,7 @@
 		form.IdleWorkers++
 		form.IdleSlots += place.Slots
 	}
-	form.Draw = func(count int) []Worker { return idle[:min(count, len(idle))] }
+	form.Sample = func(count int) []Worker { return idle[:min(count, len(idle))] }
 	return form
 }
 
@@ -150,7 +150,7 @@
 	p := New()
 	p.ApplyReport(start, 10, 5, map[uint32]int{1: 2})
 	p.Plan(10, Workers{Busy: []Worker{{ShortName: 1, Slots: 4, Online: 3}, {ShortName: 2, Slots: 4, Online: 1}}})
-	want := Summary{Slots: 8, Online: 4, Items: 2, Queued: 1, Idle: 3, Waiting: 5, Free: 3, Granted: 3, Stops: 1}
+	want := Summary{Slots: 8, Online: 4, Items: 2, Queued: 1, IdleSlots: 3, Waiting: 5, FreeSlots: 3, Granted: 3, Stops: 1}
 	if got := p.Summary(); got != want {
 		t.Errorf("summary %+v, want %+v", got, want)
 	}
--- a/internal/batchroom/play_test.go
+++ b/internal/batchroom/play_test.go
@@ -412,7 +412,7 @@
 
 // places returns the workers as the planner sees them.
 func (d *day) places() Workers {
-	places := Workers{Busy: make([]Worker, 0, d.workers), Draw: func(int) []Worker { return nil }}
+	places := Workers{Busy: make([]Worker, 0, d.workers), Sample: func(int) []Worker { return nil }}
 	total := 0
 	for worker, online := range d.seen[0] {
 		total += online
@@ -422,7 +422,7 @@
 		now := start.Add(d.now)
 		d.forecast.Observe(now, float64(total))
 		places.Forecasts = []Forecast{{
-			Pool: "p", Slots: d.workers * d.slots, ReportAge: playLag, Paused: !d.forecast.Warm(),
+			Pool: "p", Slots: d.workers * d.slots, ReportAge: playLag, Paused: !d.forecast.WarmedUp(),
 			Peak: func(ahead time.Duration) forecast.Demand {
 				need := d.forecast.Peak(now, ahead)
 				if d.blind && need.Rising {
--- a/internal/batchroom/runners_test.go
+++ b/internal/batchroom/runners_test.go
@@ -41,7 +41,7 @@
 	}
 	remaining := d.mean.Remaining(done, 0)
 	age := d.now - item.submitted
-	return batchplan.Item{Number: item.number, Order: uint64(item.number), Remaining: remaining, Overdue: batchplan.Overdue(age, playDue, remaining), Slack: batchplan.Slack(age, playDue, remaining)}
+	return batchplan.Item{Number: item.number, Sequence: uint64(item.number), Remaining: remaining, Overdue: batchplan.Overdue(age, playDue, remaining), Slack: batchplan.Slack(age, playDue, remaining)}
 }
 
 // lookOf lets a runner stop and start items.
--- a/internal/batchstate/machine.go
+++ b/internal/batchstate/machine.go
@@ -42,10 +42,10 @@
 	Host  string
 	// Owner is the tenant that the job belongs to, empty for nobody.
 	Owner tenancy.Name
-	// Order numbers jobs as they were accepted.
-	Order uint64
-	Ended bool
-	Items []Item
+	// Sequence numbers jobs as they were accepted.
+	Sequence uint64
+	Ended    bool
+	Items    []Item
 	// Results counts the items with a result, which is the next position.
 	Results int
 	byID    map[string]int
@@ -186,7 +186,7 @@
 }
 
 func newJob(meta *wire.BatchMeta) *Job {
-	return &Job{ID: meta.ID, Route: meta.Route, Host: meta.Host, Owner: tenancy.Name(meta.Owner), Order: meta.Order, byID: map[string]int{}}
+	return &Job{ID: meta.ID, Route: meta.Route, Host: meta.Host, Owner: tenancy.Name(meta.Owner), Sequence: meta.Order, byID: map[string]int{}}
 }
 
 // count adds waiting tokens of a job to its account, or takes them off.
@@ -270,7 +270,7 @@
 	for i := range job.Items {
 		job.Items[i].Text = ""
 	}
-	meta := wire.BatchMeta{ID: id, Route: job.Route, Host: job.Host, Owner: string(job.Owner), Order: job.Order, Ended: true}
+	meta := wire.BatchMeta{ID: id, Route: job.Route, Host: job.Host, Owner: string(job.Owner), Order: job.Sequence, Ended: true}
 	for i := range job.Items {
 		meta.Items = append(meta.Items, wire.BatchItemMeta{ID: job.Items[i].ID, Tokens: job.Items[i].Tokens, Expected: job.Items[i].Expected})
 	}
--- a/internal/batchstate/read.go
+++ b/internal/batchstate/read.go
@@ -48,7 +48,7 @@
 			job.add(&meta.Items[i])
 		}
 		m.jobs[job.ID] = job
-		m.order = max(m.order, job.Order)
+		m.order = max(m.order, job.Sequence)
 		return true
 	})
 	return errors.CombineErrors(err, decodeErr)
--- a/internal/batchstore/loads.go
+++ b/internal/batchstore/loads.go
@@ -100,13 +100,13 @@
 	defer l.hubs.Unlock()
 	// A worker that starts again leaves the list as one life and joins it as another one
 	// with the same short name, so who leaves is taken out first.
-	set.Changes(l.listed, func(*wire.PoolWorker) {}, func(row *wire.PoolWorker) {
+	set.Diff(l.listed, func(*wire.PoolWorker) {}, func(row *wire.PoolWorker) {
 		worker := loadshare.WorkerHash(row.ID)
 		delete(l.zones, worker)
 		l.near.Remove(worker)
 		l.far.Remove(worker)
 	})
-	set.Changes(l.listed, func(row *wire.PoolWorker) {
+	set.Diff(l.listed, func(row *wire.PoolWorker) {
 		worker := loadshare.WorkerHash(row.ID)
 		l.zones[worker] = row.Zone
 		if row.Zone == zone {
@@ -282,7 +282,7 @@
 	s.noteJudged(top)
 	above := top.UpdateForHub(now, s.zoneSource())
 	zone.SetParentLoads(now, above.Rows, above.UnlistedRate, above.Omitted > 0)
-	s.loads.reporting.Store(int64(top.Sources(now)) - 1)
+	s.loads.reporting.Store(int64(top.SourceCount(now)) - 1)
 	own := top.Update(now, ownSource)
 	s.workers.SetUnlistedRate(own.UnlistedRate)
 	s.workers.SetPeerLoads(now, own.Rows, balance.ScopeAll)
@@ -314,7 +314,7 @@
 			now := clock.Now()
 			sums := s.loads.zone.Sums(now, s.zoneSource())
 			if sums != nil && !sums.Left {
-				s.noteLeft(now, "summed", s.loads.zone.Omitted())
+				s.noteLeft(now, "summed", s.loads.zone.OmittedCount())
 				sums.Zone, sums.Tenants = s.settings.Zone, s.loads.limits.report(now)
 			}
 			return sums
--- a/internal/batchstore/outlook.go
+++ b/internal/batchstore/outlook.go
@@ -32,7 +32,7 @@
 		known := s.forecastOf(outlook.Pool)
 		known.Observe(now, float64(outlook.Online))
 		outlook.ReportAge = loadshare.HubReportInterval(s.workers.RequestRate(), s.loads.listed.Len())
-		outlook.Paused = !known.Warm()
+		outlook.Paused = !known.WarmedUp()
 		outlook.Peak = func(ahead time.Duration) forecast.Demand { return known.Peak(now, ahead) }
 		foreseen = append(foreseen, outlook)
 		s.tellForecast(outlook.Pool, known)
--- a/internal/batchstore/plan.go
+++ b/internal/batchstore/plan.go
@@ -106,7 +106,7 @@
 
 // planOf returns an item as the order sees it.
 func (r *runner) planOf(now time.Time, table *routetable.Table, job *batchstate.Job, number int) batchplan.Item {
-	planned := batchplan.Item{Job: job.ID, Number: number, Order: job.Order, Owner: batchplan.Owner{Tenant: string(job.Owner), Weight: table.WeightOf(job.Owner)}}
+	planned := batchplan.Item{Job: job.ID, Number: number, Sequence: job.Sequence, Owner: batchplan.Owner{Tenant: string(job.Owner), Weight: table.WeightOf(job.Owner)}}
 	if seen := r.seen[job.ID]; seen != nil {
 		age, due := now.Sub(seen.first), dueOf(table, job)
 		remaining := r.store.runTimes.remaining(r.eventsOf(job, number), job.Items[number].Expected)
--- a/internal/batchstore/planner.go
+++ b/internal/batchstore/planner.go
@@ -73,7 +73,7 @@
 	for i := range places.Busy {
 		orphans += places.Busy[i].Orphans
 	}
-	logging.Info(s.logger, "items_planned", "runner", source, "slots", plan.Slots, "online", plan.Online, "orphans", orphans, "items", plan.Items, "queued", plan.Queued, "idle", plan.Idle, "waiting", plan.Waiting, "free", plan.Free, "granted", plan.Granted, "stops", plan.Stops, "ahead", plan.AdvanceStops, "level", int(plan.Demand.Slots), "sure", plan.Demand.Confident, "until_ms", untilMillis(now, plan.Demand), "rising", plan.Rising, "held", plan.Paused)
+	logging.Info(s.logger, "items_planned", "runner", source, "slots", plan.Slots, "online", plan.Online, "orphans", orphans, "items", plan.Items, "queued", plan.Queued, "idle", plan.IdleSlots, "waiting", plan.Waiting, "free", plan.FreeSlots, "granted", plan.Granted, "stops", plan.Stops, "ahead", plan.AdvanceStops, "level", int(plan.Demand.Slots), "sure", plan.Demand.Confident, "until_ms", untilMillis(now, plan.Demand), "rising", plan.Rising, "held", plan.Paused)
 }
 
 // ordered returns the rows with the orders.
--- a/internal/batchstore/room.go
+++ b/internal/batchstore/room.go
@@ -126,7 +126,7 @@
 		use, number := &summary.Usages[i], strconv.Itoa(i+1)
 		fields = append(fields, "tenant_"+number, z.nameOf(use.Claimant.Tenant), "rank_"+number, use.Claimant.Rank, "asked_"+number, use.Demand, "over_"+number, use.Excess, "share_"+number, use.Share)
 	}
-	fields = append(fields, "others", summary.Others, "others_asked", summary.Rest.Demand, "others_over", summary.Rest.Excess)
+	fields = append(fields, "others", summary.OtherCount, "others_asked", summary.Rest.Demand, "others_over", summary.Rest.Excess)
 	logging.Info(s.logger, "room_divided", fields...)
 }
 
@@ -186,7 +186,7 @@
 			gauge(c.use, use.Share, tenant, rank, "share")
 		}
 	}
-	if summary.Others > 0 {
+	if summary.OtherCount > 0 {
 		gauge(c.use, summary.Rest.Demand, "(others)", "", "asked")
 		gauge(c.use, summary.Rest.Excess, "(others)", "", "over")
 	}
--- a/internal/capacity/worker.go
+++ b/internal/capacity/worker.go
@@ -49,11 +49,11 @@
 	Wait       time.Duration
 	FirstEvent time.Duration
 	LastEvent  time.Duration
-	// Risk is the wait that is to be expected if the counts are wrong by as much as they
+	// RiskAdjustedWait is the wait that is to be expected if the counts are wrong by as much as they
 	// usually are, and Delay how long the request holds up those that come after it. Both
 	// grow without a step from an idle worker to a crowded one.
-	Risk  time.Duration
-	Delay time.Duration
+	RiskAdjustedWait time.Duration
+	AddedDelay       time.Duration
 	// FreeSlots is how many slots stay free, less than zero where requests queue.
 	FreeSlots int
 }
@@ -71,11 +71,11 @@
 	if p.Wait == 0 && w.Online+w.Items+1 > slots {
 		p.Wait = pool.PreemptionTime
 	}
-	p.Risk = time.Duration(each * soften(over))
+	p.RiskAdjustedWait = time.Duration(each * soften(over))
 	read := float64(pool.PrefillTime) * float64(w.PendingPromptTokens+tokens) / 1000
 	p.FirstEvent = p.Wait + time.Duration((read+float64(pool.EventInterval))*slowness)
 	p.LastEvent = p.FirstEvent + time.Duration(hold)
-	p.Delay = time.Duration(hold * float64(w.Online) / float64(slots*slots))
+	p.AddedDelay = time.Duration(hold * float64(w.Online) / float64(slots*slots))
 	return p
 }
 
--- a/internal/capacity/worker_test.go
+++ b/internal/capacity/worker_test.go
@@ -43,10 +43,10 @@
 	each, before := 100*time.Millisecond, time.Duration(0)
 	for online := range 40 {
 		p := (&Worker{Slots: 8, Online: online, Slowness: 1}).Predict(usual, 0)
-		if p.Risk < before || p.Risk < p.Wait || p.Risk > p.Wait+each {
+		if p.RiskAdjustedWait < before || p.RiskAdjustedWait < p.Wait || p.RiskAdjustedWait > p.Wait+each {
 			t.Errorf("%d online: %+v after %v", online, p, before)
 		}
-		before = p.Risk
+		before = p.RiskAdjustedWait
 	}
 }
 
@@ -55,7 +55,7 @@
 	for _, slowness := range []float64{0, -3, math.NaN(), math.Inf(1), math.Inf(-1), 1e300, 1e-300} {
 		for _, slots := range []int{-5, 0, math.MaxInt32} {
 			p := (&Worker{Slots: slots, Online: 3, Slowness: slowness}).Predict(usual, 1000)
-			if p.Wait < 0 || p.FirstEvent <= 0 || p.LastEvent < p.FirstEvent || p.Risk < 0 || p.LastEvent > time.Minute {
+			if p.Wait < 0 || p.FirstEvent <= 0 || p.LastEvent < p.FirstEvent || p.RiskAdjustedWait < 0 || p.LastEvent > time.Minute {
 				t.Errorf("slowness %g, %d slots: %+v", slowness, slots, p)
 			}
 		}
--- a/internal/coordinator/operate.go
+++ b/internal/coordinator/operate.go
@@ -257,7 +257,7 @@
 		if asked, _ := c.machine.Retirement(request.Name); asked {
 			return
 		}
-		remaining := v.RemainingStores(now, request.Name, c.machine.Retiring())
+		remaining := v.RemainingStoreCount(now, request.Name, c.machine.Retiring())
 		switch {
 		case !v.HasStore(request.Name):
 			refusal = failure.New(failure.NotFound, "check the name", "there is no store %q", request.Name)
--- a/internal/coordinator/relay.go
+++ b/internal/coordinator/relay.go
@@ -49,7 +49,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	report := r.self
-	report.Edges = r.mirror.Edges(clock.Now())
+	report.Edges = r.mirror.EdgeCount(clock.Now())
 	return report
 }
 
@@ -95,8 +95,8 @@
 	defer r.mutex.Unlock()
 	now := clock.Now()
 	snapshot := r.watcher.Current()
-	age := now.Sub(snapshot.LeaderSeen)
-	if stale := snapshot.LeaderSeen.IsZero() || age > relayFresh; stale != r.stale {
+	age := now.Sub(snapshot.LeaderSeenAt)
+	if stale := snapshot.LeaderSeenAt.IsZero() || age > relayFresh; stale != r.stale {
 		r.stale = stale
 		logging.Info(r.logger, "relay", "fresh", !stale, "age_ms", age.Milliseconds(), "term", r.mirror.Term(), "view", r.mirror.View())
 	}
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -146,7 +146,7 @@
 		},
 		Interval: func() time.Duration {
 			snapshot := e.watcher.Current()
-			return loadshare.ReportInterval(rate.Observe(clock.Now(), e.workers.Acquired()), snapshot.Fleet.Edges, snapshot.Workers.Len())
+			return loadshare.ReportInterval(rate.Observe(clock.Now(), e.workers.AcquiredCount()), snapshot.Fleet.Edges, snapshot.Workers.Len())
 		},
 	})
 }
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -286,7 +286,7 @@
 	if status, _, _, err := send(context.Background(), t, server, "a", 1, patience); err != nil || status != http.StatusOK {
 		t.Fatalf("status %d, %v", status, err)
 	}
-	now := e.watcher.Current().LeaderSeen.Add(time.Hour)
+	now := e.watcher.Current().LeaderSeenAt.Add(time.Hour)
 	if err := e.frozen(now); err != nil {
 		t.Error(err)
 	}
--- a/internal/edge/identity.go
+++ b/internal/edge/identity.go
@@ -31,7 +31,7 @@
 		return nil, nil
 	case len(keys) != 1:
 		return nil, failure.New(failure.Unauthenticated, "send one key in the header for keys", "the request has %d keys", len(keys))
-	case now.Sub(e.watcher.Current().LeaderSeen) > certainTime:
+	case now.Sub(e.watcher.Current().LeaderSeenAt) > certainTime:
 		return nil, failure.New(failure.NotRun, "ask another edge", "the key is not known here, and no coordinator is heard").WithRetryAfter(shortRetry)
 	}
 	return nil, failure.New(failure.Unauthenticated, "ask your operator for a key", "no tenant holds the key in version %d", table.Configuration.Version)
--- a/internal/edge/identity_test.go
+++ b/internal/edge/identity_test.go
@@ -298,7 +298,7 @@
 	}
 	request := httptest.NewRequest(http.MethodPost, "/x", nil)
 	request.Header.Set(keyHeader, "added elsewhere")
-	late := f.edge.watcher.Current().LeaderSeen.Add(time.Minute)
+	late := f.edge.watcher.Current().LeaderSeenAt.Add(time.Minute)
 	if _, err := f.edge.identify(late, f.edge.Table(), false, request); !failure.Is(err, failure.NotRun) {
 		t.Errorf("a key that may have been added meanwhile: %v", err)
 	}
--- a/internal/edge/quarantine.go
+++ b/internal/edge/quarantine.go
@@ -21,7 +21,7 @@
 		return false
 	}
 	granted, wait := c.edge.watcher.RequestTrial(c.context, c.fingerprint())
-	logging.Info(c.edge.logger, "request_quarantined", "id", c.id, "request", c.fingerprint(), "route", c.route.Name, "trial", granted, "wait_ms", wait.Milliseconds(), "revision", c.edge.watcher.Quarantine().Revision(), "heard_ms", clock.Since(c.edge.watcher.Current().LeaderSeen).Milliseconds())
+	logging.Info(c.edge.logger, "request_quarantined", "id", c.id, "request", c.fingerprint(), "route", c.route.Name, "trial", granted, "wait_ms", wait.Milliseconds(), "revision", c.edge.watcher.Quarantine().Revision(), "heard_ms", clock.Since(c.edge.watcher.Current().LeaderSeenAt).Milliseconds())
 	if granted {
 		c.onTrial = true
 		return false
--- a/internal/edge/queue.go
+++ b/internal/edge/queue.go
@@ -136,11 +136,11 @@
 
 // look returns the best place for the request, or nil if there is no worker.
 func (q *poolQueue) look(now time.Time, w *waiter, given string) *balance.Candidate {
-	return q.edge.workers.FindCandidate(now, w.demand, balance.Search{Peers: q.edge.peers(), ReleasedAt: given})
+	return q.edge.workers.FindCandidate(now, w.demand, balance.SearchOptions{Peers: q.edge.peers(), ReleasedWorker: given})
 }
 
 func offerOf(choice *balance.Candidate) admission.Candidate {
-	return admission.Candidate{Full: choice.Full, Wait: choice.Wait, MaxWait: choice.MaxWait, Spare: choice.Spare, LeftToOthers: choice.LeftToOthers}
+	return admission.Candidate{Full: choice.Full, Wait: choice.Wait, MaxWait: choice.MaxWait, Spare: choice.Spare, LeftToPeers: choice.LeftToPeers}
 }
 
 // supply returns what this process can expect of the pool.
--- a/internal/edge/queue_test.go
+++ b/internal/edge/queue_test.go
@@ -397,7 +397,7 @@
 		turns := make([]*waiter, 0, count)
 		for range count {
 			turn, _ := f.call(httptest.NewRecorder(), patience, patience).newWaiter()
-			l.queue.Admit(clock.Now(), &admission.Arrival{Entry: &turn.claim, Candidate: admission.Candidate{LeftToOthers: true}}, 0)
+			l.queue.Admit(clock.Now(), &admission.Arrival{Entry: &turn.claim, Candidate: admission.Candidate{LeftToPeers: true}}, 0)
 			l.waiting[&turn.claim] = turn
 			turns = append(turns, turn)
 		}
--- a/internal/edge/serve.go
+++ b/internal/edge/serve.go
@@ -121,7 +121,7 @@
 // than the settings allow.
 func (e *Edge) frozen(now time.Time) error {
 	limit := e.settings.FreezeTime.Std()
-	silent := now.Sub(e.watcher.Current().LeaderSeen)
+	silent := now.Sub(e.watcher.Current().LeaderSeenAt)
 	if limit == 0 || silent <= limit {
 		return nil
 	}
--- a/internal/edge/standstill.go
+++ b/internal/edge/standstill.go
@@ -54,7 +54,7 @@
 // awaitNews waits, after a standstill, until the coordinators have been heard again.
 func (e *Edge) awaitNews(ctx context.Context, until time.Time) {
 	for end := until.Add(wakeNews); ctx.Err() == nil && clock.Now().Before(end); {
-		if e.watcher.Current().LeaderSeen.After(until) {
+		if e.watcher.Current().LeaderSeenAt.After(until) {
 			return
 		}
 		select {
--- a/internal/edge/waiting.go
+++ b/internal/edge/waiting.go
@@ -134,7 +134,7 @@
 		"asked_ms_ago", w.claim.Arrived.Add(w.claim.Goal).Sub(w.claim.GoalDeadline).Milliseconds(), "left_ms", w.left.Milliseconds(), "longest_ms", w.longest.Milliseconds(),
 		"goal_ms", w.claim.Goal.Milliseconds(), "begin_ms", w.claim.FirstEventTime.Milliseconds(), "ahead", decision.Ahead, "predicted_ms", decision.Predicted.Milliseconds(),
 		"worker", choice.Worker, "full", choice.Full, "slow", choice.Slowness, "wait_ms", choice.Wait.Milliseconds(), "wait_most_ms", choice.MaxWait.Milliseconds(),
-		"spare", choice.Spare, "lot", choice.LeftToOthers, "news_age_ms", choice.PeerLoadAge.Milliseconds(),
+		"spare", choice.Spare, "lot", choice.LeftToPeers, "news_age_ms", choice.PeerLoadAge.Milliseconds(),
 		"per_second", found.supply.Throughput, "ends_ms", found.supply.OverloadTimeLeft.Milliseconds(), "bears_ms", w.claim.Deadline.Sub(w.claim.Arrived).Milliseconds(),
 		"stopping", found.closed, "comeback_ms", decision.RetryAfter.Milliseconds())
 }
--- a/internal/fairshare/meter.go
+++ b/internal/fairshare/meter.go
@@ -463,9 +463,9 @@
 	Granted  float64
 	// Usages are the largest parties by what they ask for, Rest the sum over the others and
 	// Others how many these are.
-	Usages []Usage
-	Rest   Usage
-	Others int
+	Usages     []Usage
+	Rest       Usage
+	OtherCount int
 	// Age is how old all that is.
 	Age time.Duration
 }
@@ -489,7 +489,7 @@
 	for _, use := range s.Usages[most:] {
 		s.Rest.Demand += use.Demand
 		s.Rest.Excess += use.Excess
-		s.Others++
+		s.OtherCount++
 	}
 	s.Usages = s.Usages[:most]
 	return s
--- a/internal/fairshare/meter_test.go
+++ b/internal/fairshare/meter_test.go
@@ -200,7 +200,7 @@
 	m.Configure(start, &Settings{})
 	_, now := crowd(m, start, map[Claimant]float64{{Tenant: 1}: 200, {Tenant: 2}: 30, {Tenant: 3}: 20, {Tenant: 4}: 10})
 	s := m.Summary(now, 2)
-	if len(s.Usages) != 2 || s.Usages[0].Claimant.Tenant != 1 || s.Usages[1].Claimant.Tenant != 2 || s.Others != 2 || !s.Scarce {
+	if len(s.Usages) != 2 || s.Usages[0].Claimant.Tenant != 1 || s.Usages[1].Claimant.Tenant != 2 || s.OtherCount != 2 || !s.Scarce {
 		t.Errorf("%+v", s)
 	}
 	if s.Rest.Demand < 25 || s.Rest.Demand > 35 || s.Capacity < 95 || s.Capacity > 105 || s.Usages[0].Excess < 130 {
--- a/internal/fleetsim/mutation.go
+++ b/internal/fleetsim/mutation.go
@@ -206,7 +206,7 @@
 	m.lead(func(v *fleetview.View) {
 		command.Counted = len(m.fleet.Retiring())
 		asked, _ := m.fleet.Retirement(name)
-		refused = asked || !v.HasStore(name) || v.RemainingStores(m.clock(), name, m.fleet.Retiring()) < 2*tolerate+1
+		refused = asked || !v.HasStore(name) || v.RemainingStoreCount(m.clock(), name, m.fleet.Retiring()) < 2*tolerate+1
 	})
 	if !refused {
 		m.propose(0, &wire.FleetCommand{Retire: command}, nil)
--- a/internal/fleetview/mirror.go
+++ b/internal/fleetview/mirror.go
@@ -81,8 +81,8 @@
 // RecordWatch takes in that an edge watches here.
 func (m *Mirror) RecordWatch(now time.Time, name string) { m.edges[name] = now }
 
-// Edges counts the edges that watch here.
-func (m *Mirror) Edges(now time.Time) int {
+// EdgeCount counts the edges that watch here.
+func (m *Mirror) EdgeCount(now time.Time) int {
 	for name, at := range m.edges {
 		if now.Sub(at) > edgeFresh {
 			delete(m.edges, name)
--- a/internal/fleetview/mirror_test.go
+++ b/internal/fleetview/mirror_test.go
@@ -220,7 +220,7 @@
 		}
 		mirrors[0].RecordWatch(start.Add(-2*ProcessTTL), "gone")
 		for i := range mirrors {
-			v.ApplyReport(start, &wire.ProcessReport{Kind: wire.ProcessRelay, Name: fmt.Sprint(i), Edges: mirrors[i].Edges(start)})
+			v.ApplyReport(start, &wire.ProcessReport{Kind: wire.ProcessRelay, Name: fmt.Sprint(i), Edges: mirrors[i].EdgeCount(start)})
 		}
 		v.Refresh(start, nil, nil, nil)
 		if v.Current.Edges != edges || len(v.Current.Relays) != relays {
--- a/internal/fleetview/view.go
+++ b/internal/fleetview/view.go
@@ -246,9 +246,9 @@
 	return groups
 }
 
-// RemainingStores counts the stores that are there now and are not to be emptied, without the
+// RemainingStoreCount counts the stores that are there now and are not to be emptied, without the
 // named one.
-func (v *View) RemainingStores(now time.Time, name string, retiring []string) int {
+func (v *View) RemainingStoreCount(now time.Time, name string, retiring []string) int {
 	count := 0
 	for _, known := range v.processes {
 		store := &known.report
--- a/internal/fleetview/view_test.go
+++ b/internal/fleetview/view_test.go
@@ -75,7 +75,7 @@
 	for i, name := range []string{"a", "b", "c", "d"} {
 		v.ApplyReport(start, store(name, "z1", uint64(i)))
 	}
-	if got := v.RemainingStores(start, "a", []string{"b"}); got != 2 {
+	if got := v.RemainingStoreCount(start, "a", []string{"b"}); got != 2 {
 		t.Errorf("%d stores remain, want 2", got)
 	}
 	if !v.HasStore("a") || v.HasStore("x") {
@@ -92,7 +92,7 @@
 	}
 	later := start.Add(remainFresh + time.Millisecond)
 	v.ApplyReport(later, store("b", "z1", 1))
-	if got := v.RemainingStores(later, "b", nil); got != 0 {
+	if got := v.RemainingStoreCount(later, "b", nil); got != 0 {
 		t.Errorf("%d stores remain, a and c were lost", got)
 	}
 	if v.Refresh(later, nil, nil, nil); len(v.Current.Stores) != 3 {
--- a/internal/fleetwatch/quarantine.go
+++ b/internal/fleetwatch/quarantine.go
@@ -44,7 +44,7 @@
 			w.book.RecordAnswer(&answer.News)
 			if failing {
 				failing = false
-				logging.Info(w.logger, "runs_reported", "runs", len(report.Runs), "lost", w.book.DroppedReports(), "turns", turn)
+				logging.Info(w.logger, "runs_reported", "runs", len(report.Runs), "lost", w.book.DroppedReportCount(), "turns", turn)
 			}
 			turn = 0
 			continue
--- a/internal/fleetwatch/quarantine_test.go
+++ b/internal/fleetwatch/quarantine_test.go
@@ -66,7 +66,7 @@
 		all, meters = append(all, w), append(meters, meter)
 	}
 	for _, w := range all {
-		await(tb, func() bool { return !w.Current().LeaderSeen.IsZero() })
+		await(tb, func() bool { return !w.Current().LeaderSeenAt.IsZero() })
 	}
 	return all, meters
 }
--- a/internal/fleetwatch/release_test.go
+++ b/internal/fleetwatch/release_test.go
@@ -43,7 +43,7 @@
 	report := func() wire.ProcessReport { return wire.ProcessReport{Kind: wire.ProcessStore, Name: "store-1"} }
 	w := fleetwatch.New(logging.Discard(), nil, []string{leader.Listener.Addr().String()}, report)
 	go w.Run(ctx)
-	await(t, func() bool { return !w.Current().LeaderSeen.IsZero() || ctx.Err() != nil })
+	await(t, func() bool { return !w.Current().LeaderSeenAt.IsZero() || ctx.Err() != nil })
 	known := w.Current()
 	if known.Version() != 7 || known.Workers.Len() != 2 || !known.Fleet.Listed || len(known.Fleet.Stores) != 2 {
 		t.Fatalf("version %d, %d workers, listed %v, %d stores; want 7, 2, true, 2", known.Version(), known.Workers.Len(), known.Fleet.Listed, len(known.Fleet.Stores))
--- a/internal/fleetwatch/watcher.go
+++ b/internal/fleetwatch/watcher.go
@@ -41,8 +41,8 @@
 	View  uint64
 	// Workers is the list of workers.
 	Workers *workerset.Set
-	// LeaderSeen is when the leader was last heard, by this process or by its relay.
-	LeaderSeen time.Time
+	// LeaderSeenAt is when the leader was last heard, by this process or by its relay.
+	LeaderSeenAt time.Time
 }
 
 // Version is the version of the configuration, zero before the first one.
@@ -160,7 +160,7 @@
 		Version:    known.Version(),
 		View:       known.View,
 		Term:       known.Term,
-		WaitMillis: patience(clock.Since(known.LeaderSeen)).Milliseconds(),
+		WaitMillis: patience(clock.Since(known.LeaderSeenAt)).Milliseconds(),
 		Quarantine: w.book.Revision(),
 		Lost:       w.lost > 0,
 	}
@@ -184,7 +184,7 @@
 func (w *Watcher) adopt(target string, response *wire.WatchResponse) error {
 	before := w.Current()
 	after := *before
-	after.LeaderSeen = clock.Now().Add(-time.Duration(response.AgeMillis) * time.Millisecond)
+	after.LeaderSeenAt = clock.Now().Add(-time.Duration(response.AgeMillis) * time.Millisecond)
 	changed := false
 	if response.Document != nil && response.Version > before.Version() {
 		configuration, err := routetable.Decode(response.Document)
@@ -264,6 +264,6 @@
 	for i := range after.Fleet.Relays {
 		zones[after.Fleet.Relays[i].Address] = after.Fleet.Relays[i].Zone
 	}
-	after.Workers.Changes(before.Workers, func(row *wire.PoolWorker) { zones[row.Address] = row.Zone }, func(*wire.PoolWorker) {})
+	after.Workers.Diff(before.Workers, func(row *wire.PoolWorker) { zones[row.Address] = row.Zone }, func(*wire.PoolWorker) {})
 	w.meter.AddZones(zones)
 }
--- a/internal/forecast/forecast.go
+++ b/internal/forecast/forecast.go
@@ -129,9 +129,9 @@
 	f.warm = settled || time.Duration(number)*binTime >= warmTime
 }
 
-// Warm reports whether enough was heard: all had time to report, and the crowd of requests
+// WarmedUp reports whether enough was heard: all had time to report, and the crowd of requests
 // that comes once processes are back has come.
-func (f *Forecast) Warm() bool { return f.warm }
+func (f *Forecast) WarmedUp() bool { return f.warm }
 
 // counted returns the bins that waves are learnt from.
 func (f *Forecast) counted() []float64 {
--- a/internal/forecast/forecast_test.go
+++ b/internal/forecast/forecast_test.go
@@ -357,7 +357,7 @@
 	} {
 		f := New()
 		at := time.Duration(0)
-		for ; !f.Warm() && at < 10*warmTime; at += tick {
+		for ; !f.WarmedUp() && at < 10*warmTime; at += tick {
 			f.Observe(start.Add(at), test.need(at))
 		}
 		if off := at - test.after; max(off, -off) > 3*binTime {
--- a/internal/loadshare/hub.go
+++ b/internal/loadshare/hub.go
@@ -152,8 +152,8 @@
 // told of them.
 func (h *Hub) RequestRate() float64 { return h.perSecond }
 
-// Omitted returns how many workers with any load the last Sums left out.
-func (h *Hub) Omitted() int { return h.left }
+// OmittedCount returns how many workers with any load the last Sums left out.
+func (h *Hub) OmittedCount() int { return h.left }
 
 // ParentPartial reports whether something is known of some workers of other zones only.
 func (h *Hub) ParentPartial() bool { return h.abovePart }
@@ -378,8 +378,8 @@
 
 func clamp32(count int) uint32 { return uint32(min(max(count, 0), math.MaxUint32)) }
 
-// Sources returns how many processes report, here or to hubs that report here.
-func (h *Hub) Sources(now time.Time) int {
+// SourceCount returns how many processes report, here or to hubs that report here.
+func (h *Hub) SourceCount(now time.Time) int {
 	count := 0
 	for _, known := range h.sources {
 		if now.Sub(known.at) <= ReportTTL {
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -214,7 +214,7 @@
 	hub := NewHub()
 	hub.ApplyReport(start, report(1, 7, 3))
 	late := start.Add(ReportTTL + 1)
-	if others := hub.PeerLoads(late, 2); len(others) != 0 || hub.Sources(late) != 0 {
+	if others := hub.PeerLoads(late, 2); len(others) != 0 || hub.SourceCount(late) != 0 {
 		t.Errorf("others %+v", others)
 	}
 	hub.ApplyReport(late, report(2, 7, 1))
--- a/internal/loadshare/sums.go
+++ b/internal/loadshare/sums.go
@@ -63,7 +63,7 @@
 	h.toldAbove = true
 	told := loadedOf(loads)
 	h.left = told.Omitted
-	return &wire.LoadReport{Source: name, Workers: told.Rows, Sources: clamp16(h.Sources(now)), Sums: true, Proofs: proofs}
+	return &wire.LoadReport{Source: name, Workers: told.Rows, Sources: clamp16(h.SourceCount(now)), Sums: true, Proofs: proofs}
 }
 
 // leave returns the report that takes back what was told above, or nil if nothing was.
--- a/internal/loadshare/sums_test.go
+++ b/internal/loadshare/sums_test.go
@@ -116,7 +116,7 @@
 				return errors.Newf("step %d: process %d is told of %v, want %v", step, process, got, want)
 			}
 		}
-		if got, want := z.top.Sources(now), z.single.Sources(now); got != want {
+		if got, want := z.top.SourceCount(now), z.single.SourceCount(now); got != want {
 			return errors.Newf("step %d: %d processes report, want %d", step, got, want)
 		}
 	}
@@ -167,8 +167,8 @@
 	hub.ApplyReport(start, report(1, 7, 3))
 	hub.ApplyReport(start, report(2, 7, 1))
 	hub.ApplyReport(start, &wire.LoadReport{Source: 1, Left: true})
-	if rows := hub.PeerLoads(start, 0); len(rows) != 1 || rows[0].Online != 1 || hub.Sources(start) != 1 {
-		t.Errorf("%+v of %d processes", rows, hub.Sources(start))
+	if rows := hub.PeerLoads(start, 0); len(rows) != 1 || rows[0].Online != 1 || hub.SourceCount(start) != 1 {
+		t.Errorf("%+v of %d processes", rows, hub.SourceCount(start))
 	}
 }
 
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -167,8 +167,8 @@
 // Pending wakes whoever sends reports.
 func (b *Cache) Pending() <-chan struct{} { return b.pending }
 
-// DroppedReports returns how many reports were dropped, because no coordinator took any for long.
-func (b *Cache) DroppedReports() uint64 {
+// DroppedReportCount returns how many reports were dropped, because no coordinator took any for long.
+func (b *Cache) DroppedReportCount() uint64 {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.lost
--- a/internal/quarantine/book_test.go
+++ b/internal/quarantine/book_test.go
@@ -71,8 +71,8 @@
 		book.RecordExit(now, request, "a", time.Time{})
 		book.DenyTrial(now, request, time.Minute)
 	}
-	if len(book.own) != maxOwn || book.DroppedReports() != 2*maxOwn || len(book.waits) > maxRows {
-		t.Errorf("%d runs, %d lost, %d waits", len(book.own), book.DroppedReports(), len(book.waits))
+	if len(book.own) != maxOwn || book.DroppedReportCount() != 2*maxOwn || len(book.waits) > maxRows {
+		t.Errorf("%d runs, %d lost, %d waits", len(book.own), book.DroppedReportCount(), len(book.waits))
 	}
 }
 
--- a/internal/quarantine/bound_test.go
+++ b/internal/quarantine/bound_test.go
@@ -20,8 +20,8 @@
 	for number := range Threshold {
 		b.RecordExit(now, Fingerprint(99_999), fmt.Sprint("w", number), time.Time{})
 	}
-	if b.Standing(now, Fingerprint(99_999)) != Refused || b.DroppedReports() != Threshold {
-		t.Errorf("a request under which three workers ended is not refused, %d reports lost", b.DroppedReports())
+	if b.Standing(now, Fingerprint(99_999)) != Refused || b.DroppedReportCount() != Threshold {
+		t.Errorf("a request under which three workers ended is not refused, %d reports lost", b.DroppedReportCount())
 	}
 	report := b.Report(now)
 	b.RecordExit(now, Fingerprint(77_777), "w", time.Time{})
--- a/internal/routetable/configuration.go
+++ b/internal/routetable/configuration.go
@@ -17,8 +17,8 @@
 const (
 	// KindRepeatable requests may run more than once.
 	KindRepeatable Kind = "repeatable"
-	// KindOnce requests run at most once.
-	KindOnce Kind = "once"
+	// KindAtMostOnce requests run at most once.
+	KindAtMostOnce Kind = "once"
 	// KindStream requests are answered by a series of events.
 	KindStream Kind = "stream"
 	// KindBatch routes take jobs.
@@ -141,7 +141,7 @@
 
 func (r *Route) check(path string, pools map[string]bool) error {
 	switch r.Kind {
-	case KindRepeatable, KindOnce, KindStream, KindBatch:
+	case KindRepeatable, KindAtMostOnce, KindStream, KindBatch:
 	default:
 		return fault(path+".kind", "use repeatable, once, stream or batch", "there is no kind %q", r.Kind)
 	}
--- a/internal/routetable/routetable_test.go
+++ b/internal/routetable/routetable_test.go
@@ -19,7 +19,7 @@
 		Pools:   []Pool{{Name: "a"}, {Name: "b"}},
 		Routes: []Route{
 			{Name: "r1", Host: "one.example", PathPrefix: "/x/", Kind: KindStream, TimeoutMillis: 100, Parts: []PoolWeight{{"a", 1}}},
-			{Name: "r2", Host: "one.example", PathPrefix: "/x/y/", Kind: KindOnce, TimeoutMillis: 100, Parts: []PoolWeight{{"a", 90}, {"b", 10}}},
+			{Name: "r2", Host: "one.example", PathPrefix: "/x/y/", Kind: KindAtMostOnce, TimeoutMillis: 100, Parts: []PoolWeight{{"a", 90}, {"b", 10}}},
 			{Name: "r3", Host: "two.example", PathPrefix: "/", Kind: KindBatch, TimeoutMillis: 100, Parts: []PoolWeight{{"b", 1}}},
 		},
 	}
@@ -150,8 +150,8 @@
 		want  bool
 	}{
 		{Route{Kind: KindRepeatable}, true},
-		{Route{Kind: KindOnce}, false},
-		{Route{Kind: KindOnce, Resumable: true}, false},
+		{Route{Kind: KindAtMostOnce}, false},
+		{Route{Kind: KindAtMostOnce, Resumable: true}, false},
 		{Route{Kind: KindStream}, false},
 		{Route{Kind: KindStream, Resumable: true}, true},
 	} {
--- a/internal/workerset/log.go
+++ b/internal/workerset/log.go
@@ -40,7 +40,7 @@
 
 // Put takes in the list as of a number. The number must not be below the last one.
 func (l *Log) Put(number uint64, set *Set) {
-	set.Changes(l.set, func(row *wire.PoolWorker) {
+	set.Diff(l.set, func(row *wire.PoolWorker) {
 		l.rowAt[row.ID] = number
 		l.bucketAt[bucketOf(row.ID)] = number
 	}, func(row *wire.PoolWorker) {
--- a/internal/workerset/set.go
+++ b/internal/workerset/set.go
@@ -94,10 +94,10 @@
 	return rows
 }
 
-// Changes calls joined with each worker that is not in the set before as it is in this
+// Diff calls joined with each worker that is not in the set before as it is in this
 // one, and left with each one whose id was there and is here no more. It looks only at
 // buckets that are not shared.
-func (s *Set) Changes(before *Set, joined, left func(row *wire.PoolWorker)) {
+func (s *Set) Diff(before *Set, joined, left func(row *wire.PoolWorker)) {
 	for number := range Buckets {
 		was, is := before.bucket(number), s.bucket(number)
 		if was == is {
