--- a/internal/batchstore/room.go
+++ b/internal/batchstore/room.go
@@ -64,7 +64,7 @@
 		if refused(report.Tokens, verdicts, claim.Ticket) {
 			continue
 		}
-		standing := z.meter.RecordDemand(now, claim.Ticket, fairshare.Claimant{Tenant: claim.Tenant, Rank: int(claim.Rank)})
+		standing := z.meter.RecordDemand(now, claim.Ticket, fairshare.Class{Tenant: claim.Tenant, Rank: int(claim.Rank)})
 		if !standing.OverShare {
 			continue
 		}
@@ -124,7 +124,7 @@
 	fields := []any{"room", summary.Capacity, "given", summary.Granted, "age_ms", summary.Age.Milliseconds()}
 	for i := range summary.Usages {
 		use, number := &summary.Usages[i], strconv.Itoa(i+1)
-		fields = append(fields, "tenant_"+number, z.nameOf(use.Claimant.Tenant), "rank_"+number, use.Claimant.Rank, "asked_"+number, use.Demand, "over_"+number, use.Excess, "share_"+number, use.Share)
+		fields = append(fields, "tenant_"+number, z.nameOf(use.Class.Tenant), "rank_"+number, use.Class.Rank, "asked_"+number, use.Demand, "over_"+number, use.Excess, "share_"+number, use.Share)
 	}
 	fields = append(fields, "others", summary.OtherCount, "others_asked", summary.Rest.Demand, "others_over", summary.Rest.Excess)
 	logging.Info(s.logger, "room_divided", fields...)
@@ -174,7 +174,7 @@
 	gauge(c.scarce, scarce)
 	seen := map[[2]string]bool{}
 	for _, use := range summary.Usages {
-		tenant, rank := z.nameOf(use.Claimant.Tenant), strconv.Itoa(use.Claimant.Rank)
+		tenant, rank := z.nameOf(use.Class.Tenant), strconv.Itoa(use.Class.Rank)
 		if seen[[2]string{tenant, rank}] {
 			// Two that are unknown have one name.
 			continue
--- a/internal/edge/claim.go
+++ b/internal/edge/claim.go
@@ -18,7 +18,7 @@
 type shareState struct {
 	divided bool
 	claim   wire.RoomClaim
-	party   fairshare.Claimant
+	party   fairshare.Class
 	// claimed is set once the hub was asked, told once it has answered.
 	claimed  bool
 	told     bool
@@ -32,7 +32,7 @@
 	if !table.RequiresKeys() {
 		return shareState{}
 	}
-	party := fairshare.Claimant{Tenant: fairshare.Public, Rank: tenant.RankOn(route)}
+	party := fairshare.Class{Tenant: fairshare.Public, Rank: tenant.RankOn(route)}
 	if tenant != nil {
 		party.Tenant = routetable.ShortName(tenant.Name)
 	}
--- a/internal/fairshare/fairshare.go
+++ b/internal/fairshare/fairshare.go
@@ -45,8 +45,8 @@
 
 // allotment is what a claimant gets.
 type allotment struct {
-	// Room is never more than the claimant's demand.
-	Room float64
+	// Granted is never more than the claimant's demand.
+	Granted float64
 	// Share is what it would get if it asked for more: at least Room.
 	Share float64
 }
@@ -210,13 +210,13 @@
 	level := d.level(members, budget)
 	given := 0.0
 	for _, i := range members {
-		d.allotments[i].Room = d.at(i, level)
-		given += d.allotments[i].Room
+		d.allotments[i].Granted = d.at(i, level)
+		given += d.allotments[i].Granted
 	}
 	if given > budget && given > 0 {
 		// Rounding, or reserves that exceed what is left by it.
 		for _, i := range members {
-			d.allotments[i].Room *= budget / given
+			d.allotments[i].Granted *= budget / given
 		}
 		given = budget
 	}
@@ -229,7 +229,7 @@
 // share returns what a claimant would get if it asked for more, at a level and with so
 // much room to spare in its rank.
 func (d *division) share(i int, level, spare float64) float64 {
-	room := d.allotments[i].Room
+	room := d.allotments[i].Granted
 	share := room + spare
 	if !math.IsInf(level, 1) {
 		share = max(share, level*d.weights[i])
--- a/internal/fairshare/fairshare_test.go
+++ b/internal/fairshare/fairshare_test.go
@@ -68,7 +68,7 @@
 	},
 	"nobody gets more than asked": func(capacity float64, floors rankFloors, claimants []claimant, divide divider) error {
 		for i, a := range divide(capacity, floors, claimants) {
-			if a.Room < 0 || a.Room > claimants[i].Demand || a.Share < a.Room {
+			if a.Granted < 0 || a.Granted > claimants[i].Demand || a.Share < a.Granted {
 				return errors.Newf("%+v gets %+v", claimants[i], a)
 			}
 		}
@@ -98,7 +98,7 @@
 			reserved += min(claimants[i].Reserve, claimants[i].most())
 		}
 		for i, a := range divide(capacity, floors, claimants) {
-			if reserved <= capacity && a.Room < min(claimants[i].Reserve, claimants[i].most())*(1-near)-near {
+			if reserved <= capacity && a.Granted < min(claimants[i].Reserve, claimants[i].most())*(1-near)-near {
 				return errors.Newf("%+v gets %+v of %g", claimants[i], a, capacity)
 			}
 		}
@@ -107,7 +107,7 @@
 	"who asks for less than its share gets all of it": func(capacity float64, floors rankFloors, claimants []claimant, divide divider) error {
 		for i, a := range divide(capacity, floors, claimants) {
 			c := &claimants[i]
-			if c.Demand < a.Share*(1-near) && a.Room < c.Demand*(1-near)-near {
+			if c.Demand < a.Share*(1-near) && a.Granted < c.Demand*(1-near)-near {
 				return errors.Newf("%+v gets %+v", *c, a)
 			}
 		}
@@ -124,7 +124,7 @@
 		for i := range claimants {
 			for j := range claimants {
 				one, other := &claimants[i], &claimants[j]
-				if got[i].Room < one.most()*(1-near)-near && got[i].Room/one.weight() < got[j].Room/other.weight()*(1-near)-near {
+				if got[i].Granted < one.most()*(1-near)-near && got[i].Granted/one.weight() < got[j].Granted/other.weight()*(1-near)-near {
 					return errors.Newf("%+v gets %+v, %+v gets %+v", *one, got[i], *other, got[j])
 				}
 			}
@@ -144,8 +144,8 @@
 		}
 		fair := divide(capacity, nil, together)
 		for i, a := range divide(capacity, nil, claimants) {
-			if a.Room < fair[i].Room*leastPart*(1-near)-near {
-				return errors.Newf("%+v gets %+v, %g if ranks were one", claimants[i], a, fair[i].Room)
+			if a.Granted < fair[i].Granted*leastPart*(1-near)-near {
+				return errors.Newf("%+v gets %+v, %g if ranks were one", claimants[i], a, fair[i].Granted)
 			}
 		}
 		return nil
@@ -166,7 +166,7 @@
 		asked, got := map[int]float64{}, map[int]float64{}
 		for i, a := range divide(capacity, floors, claimants) {
 			asked[claimants[i].Rank] += claimants[i].most()
-			got[claimants[i].Rank] += a.Room
+			got[claimants[i].Rank] += a.Granted
 		}
 		for rank, floor := range floors {
 			if got[rank] < min(floor, asked[rank])*(1-near)-near {
@@ -182,7 +182,7 @@
 		short := math.MaxInt
 		got := divide(capacity, floors, claimants)
 		for i := range claimants {
-			if got[i].Room < claimants[i].most()*(1-near)-near {
+			if got[i].Granted < claimants[i].most()*(1-near)-near {
 				short = min(short, claimants[i].Rank)
 			}
 		}
@@ -195,7 +195,7 @@
 		later := 0.0
 		for i := range claimants {
 			if claimants[i].Rank > short {
-				later += got[i].Room - max(leastPart*fair[i].Room, min(claimants[i].Reserve, claimants[i].most()))
+				later += got[i].Granted - max(leastPart*fair[i].Granted, min(claimants[i].Reserve, claimants[i].most()))
 			}
 		}
 		if later > capacity*near+near {
@@ -208,7 +208,7 @@
 func total(allotments []allotment) float64 {
 	sum := 0.0
 	for _, a := range allotments {
-		sum += a.Room
+		sum += a.Granted
 	}
 	return sum
 }
@@ -264,8 +264,8 @@
 			wanted += claimants[i].most()
 		}
 		for i := range claimants {
-			got[i].Room = claimants[i].most() * min(capacity/wanted, 1)
-			got[i].Share = max(got[i].Room, got[i].Share)
+			got[i].Granted = claimants[i].most() * min(capacity/wanted, 1)
+			got[i].Share = max(got[i].Granted, got[i].Share)
 		}
 	})
 	strict := func(capacity float64, floors rankFloors, claimants []claimant) []allotment {
@@ -283,9 +283,9 @@
 	}
 	for name, mutation := range map[string]divider{
 		"the sum is within the capacity":                  change(func(_ float64, claimants []claimant, got []allotment) { demandAll(claimants, got) }),
-		"nobody gets more than asked":                     change(func(_ float64, _ []claimant, got []allotment) { got[0].Room++; got[0].Share++ }),
+		"nobody gets more than asked":                     change(func(_ float64, _ []claimant, got []allotment) { got[0].Granted++; got[0].Share++ }),
 		"nobody gets more than the ceiling":               alter(func(c *claimant) { c.Ceiling = 0 }),
-		"no room is left while anybody wants it":          change(func(_ float64, _ []claimant, got []allotment) { got[len(got)-1].Room = 0 }),
+		"no room is left while anybody wants it":          change(func(_ float64, _ []claimant, got []allotment) { got[len(got)-1].Granted = 0 }),
 		"reserves come first":                             alter(func(c *claimant) { c.Reserve = 0 }),
 		"who asks for less than its share gets all of it": byDemand,
 		"within a rank nobody gets less for its weight than another unless it asks for less": byDemand,
@@ -315,7 +315,7 @@
 
 func demandAll(claimants []claimant, got []allotment) {
 	for i := range got {
-		got[i].Room = claimants[i].Demand
+		got[i].Granted = claimants[i].Demand
 	}
 }
 
--- a/internal/fairshare/fleet_test.go
+++ b/internal/fairshare/fleet_test.go
@@ -235,7 +235,7 @@
 	came := f.now
 	var standing Standing
 	answered := false
-	party := Claimant{Tenant: uint32(tenant) + 1}
+	party := Class{Tenant: uint32(tenant) + 1}
 	hub := f.hubOf(at)
 	question := func(now time.Time) { standing, answered = hub.RecordDemand(now, ticket, party), true }
 	wait := asking
@@ -545,7 +545,7 @@
 	for round := range 50 {
 		now = now.Add(20 * time.Millisecond)
 		for tenant := range tenants {
-			m.RecordDemand(now, uint64(round*tenants+tenant), Claimant{Tenant: uint32(tenant) + 1})
+			m.RecordDemand(now, uint64(round*tenants+tenant), Class{Tenant: uint32(tenant) + 1})
 		}
 		m.ApplyCounts(now, 1, uint32(round*tenants/2), uint32(round*tenants))
 	}
@@ -563,7 +563,7 @@
 		ticket++
 		now = now.Add(time.Millisecond)
 		m.ApplyCounts(now, 2, uint32(ticket/2), uint32(ticket))
-		m.RecordDemand(now, ticket, Claimant{Tenant: uint32(ticket%tenants) + 1})
+		m.RecordDemand(now, ticket, Class{Tenant: uint32(ticket%tenants) + 1})
 	}
 	if !m.scarce || len(m.parties) != tenants {
 		b.Fatalf("scarce %t, %d parties", m.scarce, len(m.parties))
--- a/internal/fairshare/meter.go
+++ b/internal/fairshare/meter.go
@@ -13,8 +13,8 @@
 // Public stands for all who ask without being a tenant: they are one claimant.
 const Public Tenant = 0
 
-// Claimant is who claims room of a zone: a tenant with its requests of one rank.
-type Claimant struct {
+// Class is who claims room of a zone: a tenant with its requests of one rank.
+type Class struct {
 	Tenant Tenant
 	Rank   int
 }
@@ -105,7 +105,7 @@
 	began    time.Time
 	// tickedAt is up to when the account is brought.
 	tickedAt time.Time
-	parties  map[Claimant]*account
+	parties  map[Class]*account
 	// list holds the parties' accounts, too: they are gone over often.
 	list []*account
 	// sources holds what edges have told, by the edges' short names.
@@ -135,7 +135,7 @@
 
 // account is that of a party.
 type account struct {
-	party Claimant
+	party Class
 	// asked is the rate of late, over the part of it beyond the share; fresh and freshOver
 	// count the requests since the last look.
 	asked     float64
@@ -182,14 +182,14 @@
 		return
 	}
 	if m.settings == nil {
-		*m = Meter{began: now, tickedAt: now, parties: map[Claimant]*account{}, sources: map[uint32]*source{}}
+		*m = Meter{began: now, tickedAt: now, parties: map[Class]*account{}, sources: map[uint32]*source{}}
 	}
 	m.settings = settings
 }
 
 // RecordDemand takes in that a request of the party is about to ask for room, and says how the
 // party stands. The ticket names the request: one that comes again has the same answer.
-func (m *Meter) RecordDemand(now time.Time, ticket uint64, party Claimant) Standing {
+func (m *Meter) RecordDemand(now time.Time, ticket uint64, party Class) Standing {
 	if m.settings == nil {
 		return Standing{}
 	}
@@ -244,7 +244,7 @@
 }
 
 // account returns the party's account, nil where there are too many.
-func (m *Meter) account(now time.Time, party Claimant) *account {
+func (m *Meter) account(now time.Time, party Class) *account {
 	known := m.parties[party]
 	if known == nil && len(m.parties) < maxParties {
 		known = &account{party: party, share: unknown, credit: math.Inf(1), at: now}
@@ -446,8 +446,8 @@
 
 // Usage is what a party asks for and gets, in requests a second.
 type Usage struct {
-	Claimant Claimant
-	Demand   float64
+	Class  Class
+	Demand float64
 	// Excess is what it asks for beyond its share, Share as of the last time when there was
 	// too little room, below zero where that was before it came.
 	Excess float64
@@ -478,10 +478,10 @@
 	m.tick(now)
 	s := Summary{Capacity: m.room, Scarce: m.scarce, Granted: m.given.count / max(m.span(now, givenTime), interval.Seconds()), Age: now.Sub(m.tickedAt)}
 	for _, known := range m.list {
-		s.Usages = append(s.Usages, Usage{Claimant: known.party, Demand: known.asked, Excess: known.over, Share: known.share})
+		s.Usages = append(s.Usages, Usage{Class: known.party, Demand: known.asked, Excess: known.over, Share: known.share})
 	}
 	slices.SortFunc(s.Usages, func(a, b Usage) int {
-		return cmp.Or(cmp.Compare(b.Demand, a.Demand), cmp.Compare(a.Claimant.Tenant, b.Claimant.Tenant), cmp.Compare(a.Claimant.Rank, b.Claimant.Rank))
+		return cmp.Or(cmp.Compare(b.Demand, a.Demand), cmp.Compare(a.Class.Tenant, b.Class.Tenant), cmp.Compare(a.Class.Rank, b.Class.Rank))
 	})
 	if len(s.Usages) <= most {
 		return s
--- a/internal/fairshare/meter_test.go
+++ b/internal/fairshare/meter_test.go
@@ -8,9 +8,9 @@
 // crowd lets tenants ask for some time while the room of a zone, 100 requests a second, is
 // scarce. It returns what part of each tenant's requests was within its share, in the
 // second half.
-func crowd(m *Meter, now time.Time, rates map[Claimant]float64) (map[Claimant]float64, time.Time) {
+func crowd(m *Meter, now time.Time, rates map[Class]float64) (map[Class]float64, time.Time) {
 	const room, length = 100.0, 6 * time.Second
-	asked, within, due := map[Claimant]float64{}, map[Claimant]float64{}, map[Claimant]float64{}
+	asked, within, due := map[Class]float64{}, map[Class]float64{}, map[Class]float64{}
 	var ticket uint64
 	var begun, short float64
 	for passed := time.Duration(0); passed < length; passed += 10 * time.Millisecond {
@@ -41,31 +41,31 @@
 // TestSettingsDecide sets weights, reserves, ceilings and floors: each tenant is within its
 // share with about as many requests as it is due.
 func TestSettingsDecide(t *testing.T) {
-	a, b, c := Claimant{Tenant: 1}, Claimant{Tenant: 2}, Claimant{Tenant: 3, Rank: 1}
+	a, b, c := Class{Tenant: 1}, Class{Tenant: 2}, Class{Tenant: 3, Rank: 1}
 	for name, test := range map[string]struct {
 		settings Settings
-		rates    map[Claimant]float64
+		rates    map[Class]float64
 		// want is in requests a second.
-		want map[Claimant]float64
+		want map[Class]float64
 	}{
-		"even": {Settings{}, map[Claimant]float64{a: 200, b: 100}, map[Claimant]float64{a: 45, b: 45}},
+		"even": {Settings{}, map[Class]float64{a: 200, b: 100}, map[Class]float64{a: 45, b: 45}},
 		"weights": {
 			Settings{Tenants: map[Tenant]TenantSettings{1: {Weight: 2}}},
-			map[Claimant]float64{a: 200, b: 200}, map[Claimant]float64{a: 60, b: 30},
+			map[Class]float64{a: 200, b: 200}, map[Class]float64{a: 60, b: 30},
 		},
-		"what is left goes to others": {Settings{}, map[Claimant]float64{a: 200, b: 20}, map[Claimant]float64{a: 70, b: 20}},
+		"what is left goes to others": {Settings{}, map[Class]float64{a: 200, b: 20}, map[Class]float64{a: 70, b: 20}},
 		"ceiling": {
 			Settings{Tenants: map[Tenant]TenantSettings{1: {Ceiling: 0.2}}},
-			map[Claimant]float64{a: 200, b: 200}, map[Claimant]float64{a: 18, b: 72},
+			map[Class]float64{a: 200, b: 200}, map[Class]float64{a: 18, b: 72},
 		},
 		"reserve": {
 			Settings{Tenants: map[Tenant]TenantSettings{2: {Reserve: 0.8, Weight: 0.01}}},
-			map[Claimant]float64{a: 200, b: 200}, map[Claimant]float64{a: 18, b: 72},
+			map[Class]float64{a: 200, b: 200}, map[Class]float64{a: 18, b: 72},
 		},
-		"ranks": {Settings{}, map[Claimant]float64{a: 200, c: 200}, map[Claimant]float64{a: 67.5, c: 22.5}},
+		"ranks": {Settings{}, map[Class]float64{a: 200, c: 200}, map[Class]float64{a: 67.5, c: 22.5}},
 		"floor": {
 			Settings{Floors: map[int]float64{1: 0.5}},
-			map[Claimant]float64{a: 200, c: 200}, map[Claimant]float64{a: 45, c: 45},
+			map[Class]float64{a: 200, c: 200}, map[Class]float64{a: 45, c: 45},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -85,8 +85,8 @@
 func TestOneTenantHasAll(t *testing.T) {
 	m := NewMeter()
 	m.Configure(start, &Settings{})
-	one := Claimant{Tenant: 1}
-	if within, _ := crowd(m, start, map[Claimant]float64{one: 500}); within[one] != 1 {
+	one := Class{Tenant: 1}
+	if within, _ := crowd(m, start, map[Class]float64{one: 500}); within[one] != 1 {
 		t.Errorf("%.2f within the share", within[one])
 	}
 }
@@ -100,7 +100,7 @@
 		for ticket := range uint64(1000) {
 			now = now.Add(time.Millisecond)
 			m.ApplyCounts(now, 1, uint32(ticket/4), uint32(ticket))
-			if standing := m.RecordDemand(now, ticket, Claimant{Tenant: uint32(ticket % 3)}); standing != (Standing{}) {
+			if standing := m.RecordDemand(now, ticket, Class{Tenant: uint32(ticket % 3)}); standing != (Standing{}) {
 				t.Fatalf("%+v", standing)
 			}
 		}
@@ -108,7 +108,7 @@
 			t.Error("something is kept")
 		}
 		m.Configure(now, &Settings{})
-		_, now = crowd(m, now, map[Claimant]float64{{Tenant: 1}: 300, {Tenant: 2}: 10})
+		_, now = crowd(m, now, map[Class]float64{{Tenant: 1}: 300, {Tenant: 2}: 10})
 		m.Configure(now, nil)
 	}
 }
@@ -121,7 +121,7 @@
 	for ticket := range uint64(5000) {
 		now = now.Add(time.Millisecond)
 		m.ApplyCounts(now, 1, uint32(ticket), uint32(ticket/100))
-		if m.RecordDemand(now, ticket, Claimant{Tenant: uint32(ticket%20) / 19}).OverShare {
+		if m.RecordDemand(now, ticket, Class{Tenant: uint32(ticket%20) / 19}).OverShare {
 			t.Fatal("over its share though there is room")
 		}
 	}
@@ -130,7 +130,7 @@
 // TestSameTicketSameAnswer sends questions again: they count once.
 func TestSameTicketSameAnswer(t *testing.T) {
 	m, now := scarceMeter(20)
-	party := Claimant{Tenant: 1}
+	party := Class{Tenant: 1}
 	answers := map[bool]int{}
 	for ticket := uint64(1 << 40); ticket < 1<<40+1000; ticket++ {
 		now = now.Add(time.Millisecond)
@@ -178,7 +178,7 @@
 	m := NewMeter()
 	m.Configure(start, &Settings{})
 	for i := range 3 * maxParties {
-		m.RecordDemand(start, uint64(i), Claimant{Tenant: uint32(i)})
+		m.RecordDemand(start, uint64(i), Class{Tenant: uint32(i)})
 		m.ApplyCounts(start, uint32(i), 1, 1)
 	}
 	if len(m.parties) != maxParties || len(m.list) != maxParties || len(m.sources) > maxSources {
@@ -198,9 +198,9 @@
 func TestSummary(t *testing.T) {
 	m := NewMeter()
 	m.Configure(start, &Settings{})
-	_, now := crowd(m, start, map[Claimant]float64{{Tenant: 1}: 200, {Tenant: 2}: 30, {Tenant: 3}: 20, {Tenant: 4}: 10})
+	_, now := crowd(m, start, map[Class]float64{{Tenant: 1}: 200, {Tenant: 2}: 30, {Tenant: 3}: 20, {Tenant: 4}: 10})
 	s := m.Summary(now, 2)
-	if len(s.Usages) != 2 || s.Usages[0].Claimant.Tenant != 1 || s.Usages[1].Claimant.Tenant != 2 || s.OtherCount != 2 || !s.Scarce {
+	if len(s.Usages) != 2 || s.Usages[0].Class.Tenant != 1 || s.Usages[1].Class.Tenant != 2 || s.OtherCount != 2 || !s.Scarce {
 		t.Errorf("%+v", s)
 	}
 	if s.Rest.Demand < 25 || s.Rest.Demand > 35 || s.Capacity < 95 || s.Capacity > 105 || s.Usages[0].Excess < 130 {
@@ -211,7 +211,7 @@
 // TestRecallFades goes by the last answers for a while.
 func TestRecallFades(t *testing.T) {
 	r := NewFallback()
-	party := Claimant{Tenant: 1}
+	party := Class{Tenant: 1}
 	if r.Standing(start, party, 0).OverShare {
 		t.Error("over before anything was heard")
 	}
--- a/internal/fairshare/recall.go
+++ b/internal/fairshare/recall.go
@@ -15,7 +15,7 @@
 // Fallback is what an edge goes by where the hub's answer is lost: how its requests of late
 // stood. It is not safe for concurrent use.
 type Fallback struct {
-	parties map[Claimant]*recalled
+	parties map[Class]*recalled
 }
 
 // recalled is what is known of a party: the part of its requests that was over its share,
@@ -27,10 +27,10 @@
 }
 
 // NewFallback returns one that recalls nothing.
-func NewFallback() *Fallback { return &Fallback{parties: map[Claimant]*recalled{}} }
+func NewFallback() *Fallback { return &Fallback{parties: map[Class]*recalled{}} }
 
 // Record takes in an answer of the hub.
-func (r *Fallback) Record(now time.Time, party Claimant, standing Standing) {
+func (r *Fallback) Record(now time.Time, party Class, standing Standing) {
 	known := r.parties[party]
 	if known == nil {
 		if !standing.OverShare {
@@ -52,7 +52,7 @@
 }
 
 // Standing returns how a request of the party probably stands. random is from 0 to 1.
-func (r *Fallback) Standing(now time.Time, party Claimant, random float64) Standing {
+func (r *Fallback) Standing(now time.Time, party Class, random float64) Standing {
 	known := r.parties[party]
 	if known == nil {
 		return Standing{}
