--- a/internal/admission/collapse_test.go
+++ b/internal/admission/collapse_test.go
@@ -179,7 +179,7 @@
 	if sums := p.hubs[zone].Sums(p.clock(), name); sums != nil {
 		p.top.ApplyReport(p.clock(), sums)
 	}
-	told := p.top.Update(p.clock(), name)
+	told := p.top.UpdateFor(p.clock(), name)
 	p.hubs[zone].SetParentLoads(p.clock(), told.Rows, told.UnlistedRate, told.Omitted > 0)
 	p.after(loadshare.Interval, func() { p.share(zone) })
 }
--- a/internal/balance/uneven_test.go
+++ b/internal/balance/uneven_test.go
@@ -207,7 +207,7 @@
 		if sums != nil {
 			f.top.ApplyReport(f.clock(), sums)
 		}
-		told := f.top.Update(f.clock(), name)
+		told := f.top.UpdateFor(f.clock(), name)
 		f.after(across, func() {
 			f.hubs[zone].SetParentLoads(f.clock(), told.Rows, told.UnlistedRate, told.Omitted > 0)
 		})
--- a/internal/balance/wave_test.go
+++ b/internal/balance/wave_test.go
@@ -143,7 +143,7 @@
 	if sums := f.hubs[zone].Sums(f.clock(), name); sums != nil {
 		f.top.ApplyReport(f.clock(), sums)
 	}
-	told := f.top.Update(f.clock(), name)
+	told := f.top.UpdateFor(f.clock(), name)
 	f.hubs[zone].SetParentLoads(f.clock(), told.Rows, told.UnlistedRate, told.Omitted > 0)
 	f.after(loadshare.Interval, func() { f.sum(zone) })
 }
--- a/internal/batchstore/loads.go
+++ b/internal/batchstore/loads.go
@@ -223,7 +223,7 @@
 	if report.Left || report.Quiet {
 		return nil
 	}
-	loaded := s.loads.top.Update
+	loaded := s.loads.top.UpdateFor
 	if report.Sums {
 		loaded = s.loads.top.UpdateForHub
 	}
@@ -283,7 +283,7 @@
 	above := top.UpdateForHub(now, s.zoneSource())
 	zone.SetParentLoads(now, above.Rows, above.UnlistedRate, above.Omitted > 0)
 	s.loads.reporting.Store(int64(top.SourceCount(now)) - 1)
-	own := top.Update(now, ownSource)
+	own := top.UpdateFor(now, ownSource)
 	s.workers.SetUnlistedRate(own.UnlistedRate)
 	s.workers.SetPeerLoads(now, own.Rows, balance.ScopeAll)
 	s.workers.SetOrders(s.order(now, ownSource, s.waiting(), s.workers.Items()))
--- a/internal/loadshare/hub.go
+++ b/internal/loadshare/hub.go
@@ -265,8 +265,8 @@
 	return listed(h.gather(now, except))
 }
 
-// Update returns what Others does, less what need not be told or does not fit.
-func (h *Hub) Update(now time.Time, except uint32) Update {
+// UpdateFor returns what Others does, less what need not be told or does not fit.
+func (h *Hub) UpdateFor(now time.Time, except uint32) Update {
 	return loadedOf(h.gather(now, except))
 }
 
--- a/internal/loadshare/probe.go
+++ b/internal/loadshare/probe.go
@@ -155,7 +155,7 @@
 // UpdateForHub returns what Loaded does, for a zone's hub: Start is set at an avoided worker
 // that items don't probe, so that one request may start there.
 func (h *Hub) UpdateForHub(now time.Time, except uint32) Update {
-	told := h.Update(now, except)
+	told := h.UpdateFor(now, except)
 	for i := range told.Rows {
 		if row := &told.Rows[i]; row.Failing && h.lacksItems(now, row.Worker) {
 			row.Start = 1
