--- a/internal/batchplan/batchplan.go
+++ b/internal/batchplan/batchplan.go
@@ -33,15 +33,15 @@
 type Item struct {
 	Job    string
 	Number int
-	// Order numbers jobs as they were accepted.
-	Order uint64
+	// Sequence numbers jobs as they were accepted.
+	Sequence uint64
 	// Overdue is set where it will be late.
 	Overdue bool
 	// Slack is how much later than now it could begin and still be in time.
 	Slack time.Duration
 	// Remaining is how long it takes until its end, and Holder whose item it is, for Share.
 	Remaining time.Duration
-	Holder    Holder
+	Owner     Owner
 }
 
 // neverDue is the slack of an item whose result is due at no time.
@@ -61,7 +61,7 @@
 		if a.Overdue != b.Overdue {
 			return boolOrder(a.Overdue)
 		}
-		return cmp.Or(cmp.Compare(a.Slack, b.Slack), cmp.Compare(a.Order, b.Order), cmp.Compare(a.Number, b.Number))
+		return cmp.Or(cmp.Compare(a.Slack, b.Slack), cmp.Compare(a.Sequence, b.Sequence), cmp.Compare(a.Number, b.Number))
 	})
 }
 
@@ -73,24 +73,24 @@
 	return -1
 }
 
-// YieldsBefore reports whether the first item gives way before the second:
+// PreemptedBefore reports whether the first item gives way before the second:
 // overdue ones first, then those with more slack, then those of later jobs.
-func YieldsBefore(first, second Item) bool {
+func PreemptedBefore(first, second Item) bool {
 	if first.Overdue != second.Overdue {
 		return first.Overdue
 	}
 	if first.Slack != second.Slack {
 		return first.Slack > second.Slack
 	}
-	return first.Order > second.Order
+	return first.Sequence > second.Sequence
 }
 
-// LeavesBefore reports whether the first item leaves before the second where requests are
+// PreemptedInAdvanceBefore reports whether the first item leaves before the second where requests are
 // still to come, so that it may be chosen who leaves, and each will wait so long about:
 // overdue ones first, then those that will be in time all the same, those nearest to their
 // end last, because they are the next to make room by themselves; then those with more
 // slack, and those of later jobs.
-func LeavesBefore(first, second Item, wait time.Duration) bool {
+func PreemptedInAdvanceBefore(first, second Item, wait time.Duration) bool {
 	if first.Overdue != second.Overdue {
 		return first.Overdue
 	}
@@ -101,7 +101,7 @@
 	if firstSafe && first.Remaining != second.Remaining {
 		return first.Remaining > second.Remaining
 	}
-	return YieldsBefore(first, second)
+	return PreemptedBefore(first, second)
 }
 
 // RunTime is a running mean of how long items run and how many events they have.
--- a/internal/batchplan/batchplan_test.go
+++ b/internal/batchplan/batchplan_test.go
@@ -46,7 +46,7 @@
 	proptest.Run(t, "order", func(random *rand.Rand) error {
 		items := make([]Item, 1+random.Intn(20))
 		for i := range items {
-			items[i] = Item{Order: uint64(i / 2), Number: i % 2, Overdue: random.Intn(3) == 0, Slack: time.Duration(random.Intn(3)) * time.Second}
+			items[i] = Item{Sequence: uint64(i / 2), Number: i % 2, Overdue: random.Intn(3) == 0, Slack: time.Duration(random.Intn(3)) * time.Second}
 		}
 		random.Shuffle(len(items), func(a, b int) { items[a], items[b] = items[b], items[a] })
 		Sort(items)
@@ -58,10 +58,10 @@
 			if before.Overdue == after.Overdue && before.Slack > after.Slack {
 				return errors.Newf("%+v stands before %+v", before, after)
 			}
-			if before.Overdue == after.Overdue && before.Slack == after.Slack && (before.Order > after.Order || before.Order == after.Order && before.Number > after.Number) {
+			if before.Overdue == after.Overdue && before.Slack == after.Slack && (before.Sequence > after.Sequence || before.Sequence == after.Sequence && before.Number > after.Number) {
 				return errors.Newf("%+v stands before %+v", before, after)
 			}
-			if YieldsBefore(before, after) {
+			if PreemptedBefore(before, after) {
 				return errors.Newf("%+v runs and yields before %+v", before, after)
 			}
 		}
@@ -147,7 +147,7 @@
 	tightest := Item{Number: 4, Slack: time.Second, Remaining: 5 * time.Second}
 	order := []Item{tightest, ending, tight, late, begun}
 	slices.SortFunc(order, func(a, b Item) int {
-		if LeavesBefore(a, b, wait) {
+		if PreemptedInAdvanceBefore(a, b, wait) {
 			return -1
 		}
 		return 1
@@ -163,16 +163,16 @@
 func TestLeavingIsAnOrder(t *testing.T) {
 	proptest.Run(t, "leaving", func(random *rand.Rand) error {
 		draw := func() Item {
-			return Item{Order: uint64(random.Intn(4)), Overdue: random.Intn(2) == 0, Slack: time.Duration(random.Intn(4)) * time.Second, Remaining: time.Duration(random.Intn(3)) * time.Second}
+			return Item{Sequence: uint64(random.Intn(4)), Overdue: random.Intn(2) == 0, Slack: time.Duration(random.Intn(4)) * time.Second, Remaining: time.Duration(random.Intn(3)) * time.Second}
 		}
 		a, b, c := draw(), draw(), draw()
 		const wait = 2 * time.Second
 		switch {
-		case LeavesBefore(a, a, wait):
+		case PreemptedInAdvanceBefore(a, a, wait):
 			return errors.Newf("%+v leaves before itself", a)
-		case LeavesBefore(a, b, wait) && LeavesBefore(b, a, wait):
+		case PreemptedInAdvanceBefore(a, b, wait) && PreemptedInAdvanceBefore(b, a, wait):
 			return errors.Newf("%+v and %+v leave before each other", a, b)
-		case LeavesBefore(a, b, wait) && LeavesBefore(b, c, wait) && !LeavesBefore(a, c, wait):
+		case PreemptedInAdvanceBefore(a, b, wait) && PreemptedInAdvanceBefore(b, c, wait) && !PreemptedInAdvanceBefore(a, c, wait):
 			return errors.Newf("%+v, %+v and %+v are in no order", a, b, c)
 		}
 		return nil
--- a/internal/batchroom/play_test.go
+++ b/internal/batchroom/play_test.go
@@ -226,7 +226,7 @@
 }
 
 func (d *day) step() {
-	if d.forecast.Peak(start.Add(d.now), 0).Sure && d.learnt == 0 {
+	if d.forecast.Peak(start.Add(d.now), 0).Confident && d.learnt == 0 {
 		d.learnt = d.now
 		d.from = max(d.from, d.now)
 	}
@@ -411,28 +411,28 @@
 }
 
 // places returns the workers as the planner sees them.
-func (d *day) places() Places {
-	places := Places{Busy: make([]Place, 0, d.workers), Draw: func(int) []Place { return nil }}
+func (d *day) places() Workers {
+	places := Workers{Busy: make([]Worker, 0, d.workers), Sample: func(int) []Worker { return nil }}
 	total := 0
 	for worker, online := range d.seen[0] {
 		total += online
-		places.Busy = append(places.Busy, Place{Worker: uint32(worker + 1), Pool: "p", Zone: d.zoneNames[worker], Slots: d.slots, Online: online, Hold: d.hold, Patience: playPatience})
+		places.Busy = append(places.Busy, Worker{ShortName: uint32(worker + 1), Pool: "p", Zone: d.zoneNames[worker], Slots: d.slots, Online: online, HoldTime: d.hold, MaxWait: playPatience})
 	}
 	if d.foresees {
 		now := start.Add(d.now)
-		d.forecast.Take(now, float64(total))
-		places.Outlooks = []Outlook{{
-			Pool: "p", Slots: d.workers * d.slots, Lag: playLag, Hold: !d.forecast.Warm(),
-			Peak: func(ahead time.Duration) forecast.Need {
+		d.forecast.Observe(now, float64(total))
+		places.Forecasts = []Forecast{{
+			Pool: "p", Slots: d.workers * d.slots, ReportAge: playLag, Paused: !d.forecast.WarmedUp(),
+			Peak: func(ahead time.Duration) forecast.Demand {
 				need := d.forecast.Peak(now, ahead)
 				if d.blind && need.Rising {
-					return forecast.Need{Slots: d.forecast.Peak(now, 0).Slots}
+					return forecast.Demand{Slots: d.forecast.Peak(now, 0).Slots}
 				}
 				return need
 			},
 		}}
 		if !d.mixed {
-			places.Outlooks[0].ZoneSlots = d.slotsOf
+			places.Forecasts[0].ZoneSlots = d.slotsOf
 		}
 	}
 	return places
--- a/internal/batchroom/runners_test.go
+++ b/internal/batchroom/runners_test.go
@@ -29,7 +29,7 @@
 			items[uint32(run.worker+1)]++
 		}
 	}
-	d.planner.Take(start.Add(d.now), r.name, waiting, items)
+	d.planner.ApplyReport(start.Add(d.now), r.name, waiting, items)
 	r.orders, r.ordered = d.planner.Plan(r.name, d.places()), d.now
 }
 
@@ -41,7 +41,7 @@
 	}
 	remaining := d.mean.Remaining(done, 0)
 	age := d.now - item.submitted
-	return batchplan.Item{Number: item.number, Order: uint64(item.number), Remaining: remaining, Overdue: batchplan.Overdue(age, playDue, remaining), Slack: batchplan.Slack(age, playDue, remaining)}
+	return batchplan.Item{Number: item.number, Sequence: uint64(item.number), Remaining: remaining, Overdue: batchplan.Overdue(age, playDue, remaining), Slack: batchplan.Slack(age, playDue, remaining)}
 }
 
 // lookOf lets a runner stop and start items.
@@ -69,9 +69,9 @@
 	}
 	slices.SortFunc(running, func(a, b *playItem) int {
 		first, second := d.planOf(a), d.planOf(b)
-		before, after := batchplan.YieldsBefore(first, second), batchplan.YieldsBefore(second, first)
+		before, after := batchplan.PreemptedBefore(first, second), batchplan.PreemptedBefore(second, first)
 		if worker := a.running.worker; d.foresees && d.online[worker]+d.items[worker] <= d.slots {
-			before, after = batchplan.LeavesBefore(first, second, d.mean.Mean()), batchplan.LeavesBefore(second, first, d.mean.Mean())
+			before, after = batchplan.PreemptedInAdvanceBefore(first, second, d.mean.Mean()), batchplan.PreemptedInAdvanceBefore(second, first, d.mean.Mean())
 		}
 		return cmp.Or(cmp.Compare(a.running.worker, b.running.worker), boolRank(after)-boolRank(before))
 	})
--- a/internal/batchstore/plan.go
+++ b/internal/batchstore/plan.go
@@ -9,7 +9,7 @@
 	"github.com/sedgemast/sedgemast/internal/batchplan"
 	"github.com/sedgemast/sedgemast/internal/batchstate"
 	"github.com/sedgemast/sedgemast/internal/clock"
-	"github.com/sedgemast/sedgemast/internal/dialect"
+	"github.com/sedgemast/sedgemast/internal/httpheader"
 	"github.com/sedgemast/sedgemast/internal/logging"
 	"github.com/sedgemast/sedgemast/internal/routetable"
 	"github.com/sedgemast/sedgemast/internal/storage"
@@ -73,7 +73,7 @@
 // order returns the items that wait to run, in the order in which they do.
 func (r *runner) order(now time.Time, table *routetable.Table) []batchplan.Item {
 	var items []batchplan.Item
-	r.group.machine.Jobs(func(job *batchstate.Job) {
+	r.group.machine.EachJob(func(job *batchstate.Job) {
 		if r.seen[job.ID] == nil {
 			r.seen[job.ID] = &sighting{first: now}
 		}
@@ -90,7 +90,7 @@
 	batchplan.Sort(items)
 	// While all come in time the order by slack does best for everybody.
 	if table.Shares() != nil && !batchplan.InTime(items, len(r.running)) {
-		batchplan.Share(items, r.runningOf())
+		batchplan.ApplyShares(items, r.runningOf())
 	}
 	return items
 }
@@ -106,7 +106,7 @@
 
 // planOf returns an item as the order sees it.
 func (r *runner) planOf(now time.Time, table *routetable.Table, job *batchstate.Job, number int) batchplan.Item {
-	planned := batchplan.Item{Job: job.ID, Number: number, Order: job.Order, Holder: batchplan.Holder{Tenant: string(job.Owner), Weight: table.WeightOf(job.Owner)}}
+	planned := batchplan.Item{Job: job.ID, Number: number, Sequence: job.Sequence, Owner: batchplan.Owner{Tenant: string(job.Owner), Weight: table.WeightOf(job.Owner)}}
 	if seen := r.seen[job.ID]; seen != nil {
 		age, due := now.Sub(seen.first), dueOf(table, job)
 		remaining := r.store.runTimes.remaining(r.eventsOf(job, number), job.Items[number].Expected)
@@ -127,7 +127,7 @@
 	if table == nil {
 		return 0
 	}
-	return time.Duration(table.Named(job.Route).RunGoalMillis) * time.Millisecond
+	return time.Duration(table.RouteByName(job.Route).RunGoalMillis) * time.Millisecond
 }
 
 // consider returns a task for the item if it can run now. full names the
@@ -157,16 +157,16 @@
 	if r.quarantined(ctx, now, key, job, content) {
 		return nil
 	}
-	demand := &balance.Demand{
+	demand := &balance.Request{
 		Pool:       r.splitter.Next(route, r.store.workers.Usable),
-		Parts:      dialect.Parts(dialect.Value(content.Headers, r.store.dialect.PromptParts)),
+		Parts:      httpheader.ParseParts(httpheader.Value(content.Headers, r.store.dialect.PromptParts)),
 		Batch:      true,
 		BatchShare: r.store.batchShare(),
 		NoProbe:    r.unproven[key],
 	}
-	demand.PromptTokens, _ = dialect.TokenCounts(dialect.Value(content.Headers, r.store.dialect.Tokens))
+	demand.PromptTokens, _ = httpheader.ParseTokenCounts(httpheader.Value(content.Headers, r.store.dialect.Tokens))
 	if r.store.foresees(table, demand.Pool) {
-		demand.Last = r.carried[key].worker
+		demand.LastWorker = r.carried[key].worker
 	}
 	lease := r.store.workers.Acquire(now, demand)
 	if lease == nil {
--- a/internal/edge/call.go
+++ b/internal/edge/call.go
@@ -9,10 +9,10 @@
 	"github.com/sedgemast/sedgemast/internal/balance"
 	"github.com/sedgemast/sedgemast/internal/clock"
 	"github.com/sedgemast/sedgemast/internal/daemon"
-	"github.com/sedgemast/sedgemast/internal/dialect"
 	"github.com/sedgemast/sedgemast/internal/failure"
 	"github.com/sedgemast/sedgemast/internal/httpapi"
-	"github.com/sedgemast/sedgemast/internal/life"
+	"github.com/sedgemast/sedgemast/internal/httpheader"
+	"github.com/sedgemast/sedgemast/internal/incarnation"
 	"github.com/sedgemast/sedgemast/internal/logging"
 	"github.com/sedgemast/sedgemast/internal/quarantine"
 	"github.com/sedgemast/sedgemast/internal/routetable"
@@ -46,7 +46,7 @@
 	controller *http.ResponseController
 	id         string
 	request    upstream.Request
-	demand     balance.Demand
+	demand     balance.Request
 	// arrived and deadline go by the clock of connections and contexts, which stands still
 	// while the machine is suspended. bootDeadline is the same moment as deadline by package
 	// clock, which goes on.
@@ -94,7 +94,7 @@
 
 func newCall(e *Edge, ctx context.Context, table *routetable.Table, route *routetable.Route, tenant *routetable.Tenant, writer http.ResponseWriter, controller *http.ResponseController, request *http.Request, body []byte, arrived, deadline time.Time) *call {
 	header := request.Header
-	prompt, _ := dialect.TokenCounts(header.Get(e.dialect.Tokens))
+	prompt, _ := httpheader.ParseTokenCounts(header.Get(e.dialect.Tokens))
 	c := &call{
 		edge:         e,
 		context:      ctx,
@@ -108,10 +108,10 @@
 		deadline:     deadline,
 		bootDeadline: clock.Now().Add(time.Until(deadline)),
 		share:        newShareState(table, tenant, route),
-		demand: balance.Demand{
+		demand: balance.Request{
 			Pool:         e.pool(route),
 			Exclude:      map[string]bool{},
-			Parts:        dialect.Parts(header.Get(e.dialect.PromptParts)),
+			Parts:        httpheader.ParseParts(header.Get(e.dialect.PromptParts)),
 			PromptTokens: prompt,
 		},
 	}
@@ -119,7 +119,7 @@
 		Method:  request.Method,
 		Target:  request.RequestURI,
 		Host:    request.Host,
-		Headers: e.dialect.Owned(dialect.Forwardable(header), tenant.Owner()),
+		Headers: e.dialect.ForTenant(httpheader.Forwardable(header), tenant.Owner()),
 		Body:    body,
 		ID:      c.id,
 	}
@@ -205,7 +205,7 @@
 	lease := c.edge.workers.Acquire(clock.Now(), &c.demand)
 	c.countAsked(lease == nil || lease.Wait > 0)
 	if lease != nil {
-		c.edge.loads.Tell()
+		c.edge.loads.Report()
 		c.edge.noteChoice(c.demand.Pool, lease)
 	}
 	return lease
@@ -299,7 +299,7 @@
 	left := max(min(time.Until(c.deadline), c.bootDeadline.Sub(clock.Now())).Milliseconds(), 1)
 	fields = append(fields,
 		wire.HeaderField{Name: names.Deadline, Value: strconv.FormatInt(left, 10)},
-		wire.HeaderField{Name: names.ExpectWorker, Value: life.Worker(lease.Endpoint.ID)},
+		wire.HeaderField{Name: names.ExpectWorker, Value: incarnation.WorkerID(lease.Endpoint.ID)},
 	)
 	if c.hasEvent {
 		fields = append(fields, wire.HeaderField{Name: names.LastEvent, Value: strconv.FormatInt(c.lastEvent, 10)})
@@ -314,7 +314,7 @@
 	request.Headers = c.headers(lease)
 	c.attempts++
 	c.sentAt = clock.Now()
-	if lease.Probe() {
+	if lease.IsProbe() {
 		c.edge.metrics.probes.Inc()
 	}
 	response, err := c.edge.upstream.Send(c.context, lease.Endpoint, &request, c.headBy())
@@ -323,17 +323,17 @@
 	}
 	defer response.Close()
 	c.status = response.Status
-	if told, found := dialect.Load(response.Header.Get(c.edge.dialect.Load)); found {
-		lease.Told(told)
+	if told, found := httpheader.ParseLoad(response.Header.Get(c.edge.dialect.Load)); found {
+		lease.ApplyReport(told)
 		c.edge.noteDoubts()
 	}
 	notRunHere := response.Status == http.StatusMisdirectedRequest || response.Header.Get(c.edge.dialect.NotRun) != ""
 	if !notRunHere {
-		lease.Answered(clock.Now(), response.Status < http.StatusInternalServerError)
+		lease.RecordAnswer(clock.Now(), response.Status < http.StatusInternalServerError)
 	}
 	switch {
 	case response.Status == http.StatusMisdirectedRequest:
-		lease.Refuse(clock.Now())
+		lease.RecordWrongWorker(clock.Now())
 		c.lastErr = failure.New(failure.NotRun, "", "another worker has the address")
 		return c.passOver(response, notRun)
 	case notRunHere:
@@ -354,7 +354,7 @@
 func (c *call) sendFailed(lease *balance.Lease, err error, took time.Duration) outcome {
 	c.lastErr = err
 	if c.context.Err() == nil {
-		lease.Suspect(clock.Now())
+		lease.RecordNoAnswer(clock.Now())
 	}
 	if failure.Is(err, failure.NotRun) {
 		// Nothing was sent: this worker does not count as an attempt.
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -17,15 +17,15 @@
 	"github.com/sedgemast/sedgemast/internal/balance"
 	"github.com/sedgemast/sedgemast/internal/clock"
 	"github.com/sedgemast/sedgemast/internal/daemon"
-	"github.com/sedgemast/sedgemast/internal/dialect"
 	"github.com/sedgemast/sedgemast/internal/fairshare"
 	"github.com/sedgemast/sedgemast/internal/fleetwatch"
+	"github.com/sedgemast/sedgemast/internal/httpheader"
 	"github.com/sedgemast/sedgemast/internal/loadshare"
 	"github.com/sedgemast/sedgemast/internal/logging"
 	"github.com/sedgemast/sedgemast/internal/ratelimit"
 	"github.com/sedgemast/sedgemast/internal/routetable"
 	"github.com/sedgemast/sedgemast/internal/settings"
-	"github.com/sedgemast/sedgemast/internal/standstill"
+	"github.com/sedgemast/sedgemast/internal/stall"
 	"github.com/sedgemast/sedgemast/internal/storeclient"
 	"github.com/sedgemast/sedgemast/internal/tenancy"
 	"github.com/sedgemast/sedgemast/internal/upstream"
@@ -37,7 +37,7 @@
 	daemon   *daemon.Daemon
 	settings *settings.Edge
 	logger   logging.Logger
-	dialect  *dialect.Dialect
+	dialect  *httpheader.Names
 	watcher  *fleetwatch.Watcher
 	workers  *balance.Table
 	upstream *upstream.Client
@@ -49,7 +49,7 @@
 	// gate holds requests that came before the configuration and the workers were known.
 	gate *startGate
 	// standstill notices that this process stood still.
-	standstill *standstill.Watch
+	standstill *stall.Detector
 	// begun and short count the requests that began to run, and those that found no worker
 	// with room, where scarce room is divided.
 	begun atomic.Uint32
@@ -69,7 +69,7 @@
 	// reserve is what tenants may send while no hub answers.
 	reserve *ratelimit.Reserve
 	// recall holds how tenants stood in the division of scarce room.
-	recall *fairshare.Recall
+	recall *fairshare.Fallback
 	// poolQueues holds those that wait for workers, by pool; queuesClosed is set once nobody
 	// may wait any more.
 	poolQueues   map[string]*poolQueue
@@ -81,7 +81,7 @@
 }
 
 // New prepares the process; d.Run serves it.
-func New(d *daemon.Daemon, config *settings.Edge, names *dialect.Dialect) *Edge {
+func New(d *daemon.Daemon, config *settings.Edge, names *httpheader.Names) *Edge {
 	seed := uint64(time.Now().UnixNano())
 	e := &Edge{
 		daemon:     d,
@@ -97,18 +97,18 @@
 		byTimes:    map[string]bool{},
 		poolQueues: map[string]*poolQueue{},
 		reserve:    ratelimit.NewReserve(config.Name),
-		recall:     fairshare.NewRecall(),
+		recall:     fairshare.NewFallback(),
 		started:    clock.Now(),
 		gate:       newStartGate(),
 
-		standstill: standstill.New(clock.Now()),
+		standstill: stall.New(clock.Now()),
 	}
 	e.setHubs(nil)
 	e.watcher = fleetwatch.New(d.Logger, d.Traffic, config.Seeds, e.report)
 	e.watcher.UseRelays(config.Name, config.Zone)
 	e.watcher.OnChange(e.adopt)
 	e.Stores = storeclient.New(d.Traffic, config.Zone, func() *wire.FleetView { return &e.watcher.Current().Fleet })
-	e.upstream.Measure(d.Traffic)
+	e.upstream.SetMeter(d.Traffic)
 	d.Go(e.watcher.Run)
 	e.loads = e.newLoads()
 	d.Go(e.shareLoads)
@@ -131,22 +131,22 @@
 	source := loadshare.Hash(e.settings.Name)
 	var rate loadshare.Rate
 	return loadshare.NewExchange(&loadshare.Reporter{
-		Meter: e.daemon.Traffic,
-		Hubs:  func() []string { return *e.hubs.Load() },
-		Home:  true,
-		Own: func() *wire.LoadReport {
-			report := &wire.LoadReport{Source: source, Zone: e.settings.Zone, Proofs: e.workers.Proofs(), Begun: e.begun.Load(), Short: e.short.Load()}
+		Meter:       e.daemon.Traffic,
+		Hubs:        func() []string { return *e.hubs.Load() },
+		PreferFirst: true,
+		Report: func() *wire.LoadReport {
+			report := &wire.LoadReport{Source: source, Zone: e.settings.Zone, Proofs: e.workers.ProbeResults(), Begun: e.begun.Load(), Short: e.short.Load()}
 			report.Workers = e.workers.Loads()
 			return report
 		},
-		Learn: func(now time.Time, answer *wire.LoadReport) {
-			e.workers.SetOthers(now, answer.Workers, scopeOf(answer))
+		OnAnswer: func(now time.Time, answer *wire.LoadReport) {
+			e.workers.SetPeerLoads(now, answer.Workers, scopeOf(answer))
 			e.workers.SetProbes(now, answer.Probes)
 			e.heard()
 		},
-		Pause: func() time.Duration {
+		Interval: func() time.Duration {
 			snapshot := e.watcher.Current()
-			return loadshare.Pause(rate.Add(clock.Now(), e.workers.Acquired()), snapshot.Fleet.Edges, snapshot.Workers.Len())
+			return loadshare.ReportInterval(rate.Observe(clock.Now(), e.workers.AcquiredCount()), snapshot.Fleet.Edges, snapshot.Workers.Len())
 		},
 	})
 }
@@ -155,11 +155,11 @@
 func scopeOf(answer *wire.LoadReport) balance.Scope {
 	switch {
 	case answer.Drawn:
-		return balance.OfNamed
+		return balance.ScopeNamed
 	case answer.Part:
-		return balance.OfZone
+		return balance.ScopeZone
 	}
-	return balance.OfAll
+	return balance.ScopeAll
 }
 
 func (e *Edge) report() wire.ProcessReport {
@@ -174,12 +174,12 @@
 // coordinators can't be reached.
 func (e *Edge) adopt(snapshot *fleetwatch.Snapshot) {
 	e.setHubs(snapshot.Fleet.Stores)
-	e.workers.Update(snapshot.Workers, snapshot.Table.Memory())
-	e.upstream.Forget(e.workers.Knows)
+	e.workers.Update(snapshot.Workers, snapshot.Table.MemoryTokens())
+	e.upstream.CloseIdle(e.workers.Contains)
 	e.keepTenants(snapshot.Table)
 	listed := snapshot.Fleet.Listed || snapshot.Fleet.Partial
 	if !e.gate.knows(needWorkers) {
-		e.workers.Begin(clock.Now())
+		e.workers.Start(clock.Now())
 	}
 	e.openGate(snapshot.Table, listed)
 	e.daemon.MarkFleet(snapshot.Table != nil, listed)
@@ -200,7 +200,7 @@
 	limits := table.Limits()
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.reserve.Keep(limits)
+	e.reserve.Retain(limits)
 	counted := map[tenancy.Name]bool{}
 	if table != nil {
 		for i := range table.Configuration.Tenants {
@@ -244,25 +244,25 @@
 	if lease.Zone == e.settings.Zone {
 		zone = "own"
 	}
-	if lease.ByTimes {
+	if lease.ByPredictedTime {
 		by = "times"
 	}
 	e.metrics.choices.WithLabelValues(zone, by).Inc()
 	e.mutex.Lock()
-	changed := e.byTimes[pool] != lease.ByTimes
-	e.byTimes[pool] = lease.ByTimes
+	changed := e.byTimes[pool] != lease.ByPredictedTime
+	e.byTimes[pool] = lease.ByPredictedTime
 	e.mutex.Unlock()
 	if changed {
 		near, far := e.workers.Capacity(pool)
-		logging.Info(e.logger, "workers_compared", "pool", pool, "by", by, "tells_pace", e.workers.TellsPace(pool), "own_slots", near.Slots, "own_worth", near.Worth, "other_slots", far.Slots, "other_worth", far.Worth)
+		logging.Info(e.logger, "workers_compared", "pool", pool, "by", by, "tells_pace", e.workers.ReportsPace(pool), "own_slots", near.Slots, "own_worth", near.NormalizedSlots, "other_slots", far.Slots, "other_worth", far.NormalizedSlots)
 	}
 }
 
 // noteDoubts writes down which workers tell other slots than the list says. The smaller count
 // is believed.
 func (e *Edge) noteDoubts() {
-	for _, doubt := range e.workers.Doubts() {
-		logging.Warn(e.logger, "worker_tells_other_slots", "worker", doubt.Worker, "listed", doubt.Listed, "told", doubt.Told)
+	for _, doubt := range e.workers.SlotMismatches() {
+		logging.Warn(e.logger, "worker_tells_other_slots", "worker", doubt.Worker, "listed", doubt.Listed, "told", doubt.Reported)
 	}
 }
 
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -8,8 +8,8 @@
 
 	"github.com/sedgemast/sedgemast/internal/balance"
 	"github.com/sedgemast/sedgemast/internal/clock"
-	"github.com/sedgemast/sedgemast/internal/dialect"
 	"github.com/sedgemast/sedgemast/internal/failure"
+	"github.com/sedgemast/sedgemast/internal/httpheader"
 	"github.com/sedgemast/sedgemast/internal/upstream"
 )
 
@@ -35,7 +35,7 @@
 	c.firstAt = time.Now()
 	c.countGiven()
 	header := c.writer.Header()
-	for _, field := range dialect.Forwardable(response.Header) {
+	for _, field := range httpheader.Forwardable(response.Header) {
 		header.Add(field.Name, field.Value)
 	}
 	if response.Header.Get("Content-Type") == "" {
@@ -72,8 +72,8 @@
 
 // readBroke takes in that no more can be read from the worker.
 func (c *call) readBroke(lease *balance.Lease, err error) outcome {
-	if upstream.BrokeOff(err) && c.context.Err() == nil {
-		lease.BrokeOff()
+	if upstream.Disconnected(err) && c.context.Err() == nil {
+		lease.RecordDisconnect()
 	}
 	return c.streamBroke(lease, err)
 }
@@ -81,7 +81,7 @@
 func (c *call) streamBroke(lease *balance.Lease, err error) outcome {
 	c.lastErr = err
 	if upstream.TimedOut(err) && c.context.Err() == nil {
-		lease.Suspect(clock.Now())
+		lease.RecordNoAnswer(clock.Now())
 	}
 	return failed
 }
@@ -91,8 +91,8 @@
 	if len(events) == 0 {
 		return nil
 	}
-	lease.Begun()
-	lease.Proved()
+	lease.RecordPrefill()
+	lease.RecordContent()
 	c.pace(lease, len(events))
 	written := false
 	for i := range events {
@@ -128,7 +128,7 @@
 func (c *call) pace(lease *balance.Lease, events int) {
 	now := time.Now()
 	if c.pacedLease == lease {
-		lease.Paced(events, now.Sub(c.pacedAt))
+		lease.RecordPace(events, now.Sub(c.pacedAt))
 	}
 	c.pacedLease, c.pacedAt = lease, now
 }
@@ -136,7 +136,7 @@
 // endStream ends the answer. What is left over is no whole event; it belongs to
 // the worker's body all the same.
 func (c *call) endStream(response *upstream.Response, parser *upstream.EventParser) outcome {
-	if parser.Rest() > 0 {
+	if parser.Buffered() > 0 {
 		c.lastErr = failure.Wrap(io.ErrUnexpectedEOF, failure.OutcomeUnknown, "", "the stream ended within an event")
 		return failed
 	}
@@ -163,7 +163,7 @@
 			return c.readBroke(lease, err)
 		}
 	}
-	lease.Begun()
+	lease.RecordPrefill()
 	c.begin(response, response.Length)
 	if _, err := c.writer.Write(buffer); err != nil {
 		return c.brokeOff(err)
@@ -174,7 +174,7 @@
 // cameWhole takes in that the whole body of the answer has come.
 func (c *call) cameWhole(lease *balance.Lease, response *upstream.Response) {
 	if response.Status < http.StatusInternalServerError {
-		lease.Proved()
+		lease.RecordContent()
 	}
 }
 
--- a/internal/edge/standstill.go
+++ b/internal/edge/standstill.go
@@ -8,7 +8,7 @@
 	"github.com/sedgemast/sedgemast/internal/daemon"
 	"github.com/sedgemast/sedgemast/internal/failure"
 	"github.com/sedgemast/sedgemast/internal/logging"
-	"github.com/sedgemast/sedgemast/internal/standstill"
+	"github.com/sedgemast/sedgemast/internal/stall"
 )
 
 const (
@@ -24,12 +24,12 @@
 
 // watchStandstills notices standstills of this process, also while no request comes.
 func (e *Edge) watchStandstills(ctx context.Context) {
-	daemon.Every(ctx, standstill.Interval, func() { e.checkStandstill(clock.Now()) })
+	daemon.Every(ctx, stall.Interval, func() { e.checkStandstill(clock.Now()) })
 }
 
 // checkStandstill returns from when until when this process stood still last.
 func (e *Edge) checkStandstill(now time.Time) (from, until time.Time) {
-	from, until, noticed := e.standstill.Look(now)
+	from, until, noticed := e.standstill.Check(now)
 	if noticed {
 		e.metrics.standstills.Inc()
 		logging.Warn(e.logger, "stood_still", "ms", until.Sub(from).Milliseconds())
@@ -54,7 +54,7 @@
 // awaitNews waits, after a standstill, until the coordinators have been heard again.
 func (e *Edge) awaitNews(ctx context.Context, until time.Time) {
 	for end := until.Add(wakeNews); ctx.Err() == nil && clock.Now().Before(end); {
-		if e.watcher.Current().Heard.After(until) {
+		if e.watcher.Current().LeaderSeenAt.After(until) {
 			return
 		}
 		select {
--- a/internal/routetable/routetable_test.go
+++ b/internal/routetable/routetable_test.go
@@ -19,7 +19,7 @@
 		Pools:   []Pool{{Name: "a"}, {Name: "b"}},
 		Routes: []Route{
 			{Name: "r1", Host: "one.example", PathPrefix: "/x/", Kind: KindStream, TimeoutMillis: 100, Parts: []PoolWeight{{"a", 1}}},
-			{Name: "r2", Host: "one.example", PathPrefix: "/x/y/", Kind: KindOnce, TimeoutMillis: 100, Parts: []PoolWeight{{"a", 90}, {"b", 10}}},
+			{Name: "r2", Host: "one.example", PathPrefix: "/x/y/", Kind: KindAtMostOnce, TimeoutMillis: 100, Parts: []PoolWeight{{"a", 90}, {"b", 10}}},
 			{Name: "r3", Host: "two.example", PathPrefix: "/", Kind: KindBatch, TimeoutMillis: 100, Parts: []PoolWeight{{"b", 1}}},
 		},
 	}
@@ -104,7 +104,7 @@
 	}
 	table := NewTable(decoded)
 	for key, want := range map[string]tenancy.Name{"secret-1": "a", "secret-2": "a", "secret-3": "b", "secret-4": "", "": ""} {
-		if got := table.Holder(key).Owner(); got != want {
+		if got := table.TenantByKey(key).Owner(); got != want {
 			t.Errorf("%q belongs to %q, want %q", key, got, want)
 		}
 	}
@@ -115,7 +115,7 @@
 		t.Error("ranks are not kept")
 	}
 	var none *Table
-	if table.AsksForKeys() == none.AsksForKeys() || len(none.Limits()) != 0 || none.Tenant("a") != nil {
+	if table.RequiresKeys() == none.RequiresKeys() || len(none.Limits()) != 0 || none.Tenant("a") != nil {
 		t.Error("a configuration without tenants asks for keys, or one with tenants does not")
 	}
 }
@@ -150,8 +150,8 @@
 		want  bool
 	}{
 		{Route{Kind: KindRepeatable}, true},
-		{Route{Kind: KindOnce}, false},
-		{Route{Kind: KindOnce, Resumable: true}, false},
+		{Route{Kind: KindAtMostOnce}, false},
+		{Route{Kind: KindAtMostOnce, Resumable: true}, false},
 		{Route{Kind: KindStream}, false},
 		{Route{Kind: KindStream, Resumable: true}, true},
 	} {
