--- a/internal/batchstore/handlers.go
+++ b/internal/batchstore/handlers.go
@@ -24,7 +24,7 @@
 func (s *Store) register() {
 	server := s.daemon.Server
 	rpc.Handle(server, replication.MethodHello, func(ctx context.Context, hello *wire.Hello) (msgp.Marshaler, error) {
-		return s.host.Hello(ctx, hello)
+		return s.host.HandleHello(ctx, hello)
 	})
 	rpc.Handle(server, replication.MethodMessages, func(ctx context.Context, batch *wire.PeerBatch) (msgp.Marshaler, error) {
 		return &wire.Empty{}, s.host.Receive(ctx, batch)
--- a/internal/batchstore/loads.go
+++ b/internal/batchstore/loads.go
@@ -67,7 +67,7 @@
 
 	// mutex guards the quotas.
 	mutex  sync.Mutex
-	quotas *quota.Ledger
+	quotas *quota.Tracker
 }
 
 func newLoads(tolerance ratelimit.Tolerance) *loads {
@@ -154,7 +154,7 @@
 // referral names the top hub to who asks this process instead, by what the refusal of
 // the hub group's replica here or else the view of the fleet says.
 func (s *Store) referral(refusal error) *wire.LoadReport {
-	hub := consensus.LeaderOf(refusal)
+	hub := consensus.LeaderFromError(refusal)
 	if hub == "" {
 		hub = s.watcher.Current().Fleet.Group(hubGroup).Leader
 	}
--- a/internal/batchstore/loads_test.go
+++ b/internal/batchstore/loads_test.go
@@ -77,10 +77,10 @@
 	if named := s.referral(ignorant); named == nil || named.Hub != "c:1" {
 		t.Errorf("referred to %+v", named)
 	}
-	if named := s.referral(ignorant.WithField(consensus.LeaderField + "d:1")); named == nil || named.Hub != "d:1" {
+	if named := s.referral(ignorant.WithField(consensus.LeaderFieldPrefix + "d:1")); named == nil || named.Hub != "d:1" {
 		t.Errorf("referred to %+v, though the replica knows better", named)
 	}
-	if named := s.referral(ignorant.WithField(consensus.LeaderField + s.daemon.Address())); named != nil {
+	if named := s.referral(ignorant.WithField(consensus.LeaderFieldPrefix + s.daemon.Address())); named != nil {
 		t.Errorf("referred to itself: %+v", named)
 	}
 }
--- a/internal/batchstore/reads.go
+++ b/internal/batchstore/reads.go
@@ -112,7 +112,7 @@
 	if err == nil {
 		return nil
 	}
-	leader := consensus.LeaderOf(err)
+	leader := consensus.LeaderFromError(err)
 	if leader == "" || leader == g.store.daemon.Address() {
 		return err
 	}
--- a/internal/batchstore/runner.go
+++ b/internal/batchstore/runner.go
@@ -261,7 +261,7 @@
 		return nil
 	})
 	if err != nil {
-		if !replication.Lapsed(err) || now.Sub(r.ledAt) > lapseTime {
+		if !replication.IsLeaseExpired(err) || now.Sub(r.ledAt) > lapseTime {
 			r.unlead()
 		}
 		return
--- a/internal/batchstore/spread.go
+++ b/internal/batchstore/spread.go
@@ -49,10 +49,10 @@
 }
 
 // nextMove returns the hand-over that would spread the leaders, if there is one.
-func (s *Store) nextMove(ctx context.Context) (placement.Move, bool) {
+func (s *Store) nextMove(ctx context.Context) (placement.Transfer, bool) {
 	statuses, err := s.host.Statuses(ctx)
 	if err != nil {
-		return placement.Move{}, false
+		return placement.Transfer{}, false
 	}
 	leaders := map[int]uint64{}
 	for number := range statuses {
@@ -61,18 +61,18 @@
 		}
 	}
 	retiring := s.watcher.Current().Fleet.Retiring
-	return placement.Spread(s.identity.Replica.ID, leaders, func(number int) []uint64 { return readyToLead(&statuses[number], retiring) })
+	return placement.RebalanceLeaders(s.identity.Replica.ID, leaders, func(number int) []uint64 { return readyToLead(&statuses[number], retiring) })
 }
 
 // readyToLead returns the voters that could take a group over.
 func readyToLead(status *consensus.Status, retiring []string) []uint64 {
-	if !status.Settled {
+	if !status.MembershipStable {
 		return nil
 	}
 	var ready []uint64
 	for i := range status.Peers {
 		peer := &status.Peers[i]
-		if peer.Streaming && peer.Silence <= readySilence && peer.Behind <= readyBehind &&
+		if peer.Replicating && peer.SinceResponse <= readySilence && peer.Lag <= readyBehind &&
 			consensus.Contains(status.Membership.Voters, peer.Replica.ID) && !slices.Contains(retiring, peer.Replica.Name) {
 			ready = append(ready, peer.Replica.ID)
 		}
@@ -82,12 +82,12 @@
 
 // move hands a group over: its items stop where they are, and go on under the next
 // leader.
-func (s *Store) move(ctx context.Context, move placement.Move) {
+func (s *Store) move(ctx context.Context, move placement.Transfer) {
 	g := s.groups[move.Group]
 	drainContext, cancel := context.WithTimeout(ctx, drainTimeout)
 	g.runner.drain(drainContext)
 	cancel()
-	begun, err := s.host.Transfer(ctx, move.Group, move.To)
+	begun, err := s.host.TransferLeadership(ctx, move.Group, move.To)
 	logging.Info(s.logger, "group_handed_over", "group", move.Group, "to", move.To, "begun", begun, "error", err)
 	select {
 	case <-ctx.Done():
--- a/internal/batchstore/status.go
+++ b/internal/batchstore/status.go
@@ -48,7 +48,7 @@
 			members = append(members, member.Name)
 		}
 		formed = formed || len(members) > 0
-		if status.Role == consensus.Leader && status.Settled {
+		if status.Role == consensus.Leader && status.MembershipStable {
 			led = append(led, wire.GroupReport{Group: number, Term: status.Term, Members: members})
 		}
 	}
--- a/internal/batchstore/store.go
+++ b/internal/batchstore/store.go
@@ -91,7 +91,7 @@
 		return nil, errors.CombineErrors(err, store.Close())
 	}
 	d.MarkStep(daemon.StepStorage)
-	if s.identity, err = s.host.Identity(d.Context()); err != nil {
+	if s.identity, err = s.host.Hello(d.Context()); err != nil {
 		return nil, errors.CombineErrors(err, store.Close())
 	}
 	s.status = wire.ProcessReport{Kind: wire.ProcessStore, Name: config.Name, Zone: config.Zone, Replica: s.identity.Replica}
@@ -120,7 +120,7 @@
 	voters := 2*s.settings.Tolerate + 1
 	var machines []replication.StateMachine
 	for _, g := range s.groups {
-		machines = append(machines, &replication.Notifying{StateMachine: g.machine, Notify: s.notify})
+		machines = append(machines, &replication.NotifyingStateMachine{StateMachine: g.machine, Notify: s.notify})
 	}
 	return replication.Options{
 		Store:             s.store,
@@ -129,8 +129,8 @@
 		Address:           s.daemon.Address(),
 		Voters:            voters,
 		MinVoters:         voters,
-		Formation:         replication.FormByOrder,
-		NewID:             replication.NewIdentity,
+		BootstrapMode:     replication.BootstrapManual,
+		NewID:             replication.NewID,
 		ElectionTimeout:   s.settings.ElectionTimeout.Std(),
 		HeartbeatInterval: s.settings.ElectionTimeout.Std() / heartbeatsPerTimeout,
 		ReplaceAfter:      s.settings.ReplaceAfter.Std(),
@@ -172,9 +172,9 @@
 	s.upstream.Forget(s.workers.Knows)
 	s.daemon.MarkFleet(snapshot.Table != nil, snapshot.Fleet.Listed || snapshot.Fleet.Partial)
 	ctx := s.daemon.Context()
-	err := s.host.ListPeers(ctx, snapshot.Fleet.StoreAddresses())
+	err := s.host.SetPeers(ctx, snapshot.Fleet.StoreAddresses())
 	err = errors.CombineErrors(err, s.host.SetRetiring(ctx, snapshot.Fleet.Retiring))
-	err = errors.CombineErrors(err, s.host.Form(ctx, snapshot.Fleet.Initial))
+	err = errors.CombineErrors(err, s.host.Bootstrap(ctx, snapshot.Fleet.Initial))
 	if err != nil && ctx.Err() == nil {
 		logging.Warn(s.logger, "fleet_view_unused", "error", err)
 	}
@@ -195,7 +195,7 @@
 	cancelDrain()
 	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
-	s.host.HandOver(ctx)
+	s.host.TransferAllLeadership(ctx)
 }
 
 // Close stops the log and closes the store. It is called after the server has
--- a/internal/batchstore/tokens.go
+++ b/internal/batchstore/tokens.go
@@ -36,7 +36,7 @@
 			waiting[row.Route] = row.Tokens
 		}
 		at := now.Add(-time.Duration(groups[i].AgeMillis) * time.Millisecond)
-		l.quotas.Take(at, int(groups[i].Group), waiting)
+		l.quotas.Update(at, int(groups[i].Group), waiting)
 	}
 }
 
--- a/internal/consensus/compaction.go
+++ b/internal/consensus/compaction.go
@@ -47,16 +47,16 @@
 	return min(r.log.base.Index+uint64(position), r.log.applied)
 }
 
-// AcceptsFrom reports whether the sender leads this replica in the current term.
-func (r *Replica) AcceptsFrom(message *wire.PeerMessage) bool {
+// IsFromLeader reports whether the sender leads this replica in the current term.
+func (r *Replica) IsFromLeader(message *wire.PeerMessage) bool {
 	return r.role == Follower && message.Term == r.term && message.From == r.leader
 }
 
-// WantsSnapshot reports whether a snapshot with the base is needed. Where the
+// ShouldInstallSnapshot reports whether a snapshot with the base is needed. Where the
 // log holds the base's entry it is not: the entries after it may have been
 // counted for a majority and must be kept (thesis 5.3). The leader is told how
 // far the log reaches instead.
-func (r *Replica) WantsSnapshot(from uint64, base *wire.LogBase) bool {
+func (r *Replica) ShouldInstallSnapshot(from uint64, base *wire.LogBase) bool {
 	if base.Index > r.log.commit && !r.log.matches(base.Index, base.Term) {
 		return true
 	}
@@ -77,17 +77,17 @@
 	r.sendDurable(wire.PeerMessage{Kind: wire.MessageAppendResponse, To: from, Index: base.Index})
 }
 
-// NeedsSnapshot reports whether a leader waits for the follower to take in a
+// AwaitsSnapshot reports whether a leader waits for the follower to take in a
 // snapshot.
-func (r *Replica) NeedsSnapshot(to uint64) bool {
+func (r *Replica) AwaitsSnapshot(to uint64) bool {
 	progress := r.progress[to]
 	return r.role == Leader && progress != nil && progress.State == Snapshot
 }
 
-// SnapshotEnded takes in that the transfer to the follower is over. Whether it
+// SnapshotTransferEnded takes in that the transfer to the follower is over. Whether it
 // helped shows by the next append.
-func (r *Replica) SnapshotEnded(to uint64) {
-	if r.NeedsSnapshot(to) {
+func (r *Replica) SnapshotTransferEnded(to uint64) {
+	if r.AwaitsSnapshot(to) {
 		r.progress[to].becomeProbe()
 	}
 }
--- a/internal/consensus/lease.go
+++ b/internal/consensus/lease.go
@@ -25,11 +25,11 @@
 	return r.started.Add(time.Duration(nanos - 1))
 }
 
-// LeaseUntil returns the moment until which the replica may answer reads from
+// LeaseExpiry returns the moment until which the replica may answer reads from
 // its own state; the zero time if it may not. It may not before it has applied
 // an entry of its term (thesis 6.4), nor once it has begun to hand leadership
 // over.
-func (r *Replica) LeaseUntil(now time.Time) time.Time {
+func (r *Replica) LeaseExpiry(now time.Time) time.Time {
 	if r.role != Leader || r.yielded || r.log.applied < r.termStart {
 		return time.Time{}
 	}
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -51,8 +51,8 @@
 	Random           Random
 }
 
-// Restored is what storage holds of a replica.
-type Restored struct {
+// PersistedState is what storage holds of a replica.
+type PersistedState struct {
 	HardState wire.HardState
 	Base      wire.LogBase
 	Entries   []wire.LogEntry
@@ -109,7 +109,7 @@
 // New returns a replica in the state that storage holds. Its start counts as
 // contact with a leader, so that it can't break a lease that it has forgotten. Only the
 // holder of that lease may be elected before; see mayPrecede.
-func New(config Config, restored Restored, now time.Time) *Replica {
+func New(config Config, restored PersistedState, now time.Time) *Replica {
 	r := &Replica{
 		config:      config,
 		log:         newLog(restored.Base, restored.Entries, restored.Applied),
@@ -127,8 +127,8 @@
 	return r
 }
 
-// Form gives a replica with an empty log its first membership.
-func (r *Replica) Form(now time.Time, membership wire.Membership) {
+// Bootstrap gives a replica with an empty log its first membership.
+func (r *Replica) Bootstrap(now time.Time, membership wire.Membership) {
 	r.now = now
 	r.log = newLog(wire.LogBase{Membership: membership}, nil, 0)
 	r.adoptMembership()
@@ -317,12 +317,12 @@
 
 func (r *Replica) mayPropose() bool { return r.role == Leader && r.transferee == 0 && !r.yielded }
 
-// LeaderField is the prefix of the failure field that names the leader.
-const LeaderField = "leader="
+// LeaderFieldPrefix is the prefix of the failure field that names the leader.
+const LeaderFieldPrefix = "leader="
 
-// LeaderOf returns the address of the leader that a refusal names, or nothing.
-func LeaderOf(err error) string {
-	address, named := strings.CutPrefix(failure.From(err).Field, LeaderField)
+// LeaderFromError returns the address of the leader that a refusal names, or nothing.
+func LeaderFromError(err error) string {
+	address, named := strings.CutPrefix(failure.From(err).Field, LeaderFieldPrefix)
 	if !named {
 		return ""
 	}
@@ -333,7 +333,7 @@
 	refusal := failure.New(failure.NotRun, "ask the leader", "this replica of group %d does not lead", r.config.Group)
 	for _, member := range Members(&r.membership) {
 		if member.ID == r.leader && r.leader != r.config.ID {
-			return refusal.WithField(LeaderField + member.Address)
+			return refusal.WithField(LeaderFieldPrefix + member.Address)
 		}
 	}
 	return refusal
--- a/internal/consensus/replica_test.go
+++ b/internal/consensus/replica_test.go
@@ -9,7 +9,7 @@
 
 var testStart = time.Unix(0, 0)
 
-func testReplica(id uint64, restored Restored) *Replica {
+func testReplica(id uint64, restored PersistedState) *Replica {
 	return New(Config{
 		ID:                id,
 		ElectionTimeout:   testElection,
@@ -36,18 +36,18 @@
 // from voting twice: without it the second vote is given.
 func TestOneVotePerTerm(t *testing.T) {
 	later := testStart.Add(time.Second)
-	r := testReplica(1, Restored{Base: three()})
+	r := testReplica(1, PersistedState{Base: three()})
 	if !vote(r, later, 2, 5, false) {
 		t.Fatal("the first vote of a term was refused")
 	}
 	if vote(r, later, 3, 5, false) {
 		t.Error("a second vote was given in the same term")
 	}
-	restarted := testReplica(1, Restored{Base: three(), HardState: wire.HardState{Term: 5, Vote: 2}})
+	restarted := testReplica(1, PersistedState{Base: three(), HardState: wire.HardState{Term: 5, Vote: 2}})
 	if vote(restarted, later, 3, 5, false) {
 		t.Error("a second vote was given after a restart")
 	}
-	forgetful := testReplica(1, Restored{Base: three()})
+	forgetful := testReplica(1, PersistedState{Base: three()})
 	if !vote(forgetful, later, 3, 5, false) {
 		t.Error("the mutation without a stored vote is not seen")
 	}
@@ -73,7 +73,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			r := testReplica(1, Restored{Base: three(), Entries: entries, HardState: wire.HardState{Term: 3}})
+			r := testReplica(1, PersistedState{Base: three(), Entries: entries, HardState: wire.HardState{Term: 3}})
 			message := test.message
 			message.Kind, message.From = wire.MessageVote, 2
 			if message.To == 0 {
@@ -93,16 +93,16 @@
 // been counted for a majority and must stay.
 func TestSnapshotKeepsMatchingEntries(t *testing.T) {
 	entries := []wire.LogEntry{{Index: 1, Term: 1}, {Index: 2, Term: 1}, {Index: 3, Term: 1}}
-	r := testReplica(1, Restored{Base: three(), Entries: entries})
+	r := testReplica(1, PersistedState{Base: three(), Entries: entries})
 	base := wire.LogBase{Index: 2, Term: 1}
-	if r.WantsSnapshot(2, &base) {
+	if r.ShouldInstallSnapshot(2, &base) {
 		t.Error("a snapshot is wanted that the log holds already")
 	}
-	if r.log.lastIndex() != 3 || r.Commit() != 2 {
-		t.Errorf("last %d, commit %d; want 3 and 2", r.log.lastIndex(), r.Commit())
+	if r.log.lastIndex() != 3 || r.CommitIndex() != 2 {
+		t.Errorf("last %d, commit %d; want 3 and 2", r.log.lastIndex(), r.CommitIndex())
 	}
 	other := wire.LogBase{Index: 3, Term: 2}
-	if !r.WantsSnapshot(2, &other) {
+	if !r.ShouldInstallSnapshot(2, &other) {
 		t.Error("a snapshot of another term's entry is not wanted")
 	}
 }
@@ -160,9 +160,9 @@
 	c := newTestCluster(0)
 	base, hard := wire.LogBase{Membership: voters}, wire.HardState{Term: 2}
 	first := wire.LogEntry{Index: 1, Term: 1}
-	c.stored[1] = &Restored{Base: base, HardState: hard, Entries: []wire.LogEntry{first, {Index: 2, Term: 1, Kind: wire.EntryMembership, Data: encoded}}}
-	c.stored[2] = &Restored{Base: base, HardState: hard, Entries: []wire.LogEntry{first}}
-	c.stored[3] = &Restored{Base: base, HardState: hard, Entries: []wire.LogEntry{first, {Index: 2, Term: 2, Kind: wire.EntryNoop}}}
+	c.stored[1] = &PersistedState{Base: base, HardState: hard, Entries: []wire.LogEntry{first, {Index: 2, Term: 1, Kind: wire.EntryMembership, Data: encoded}}}
+	c.stored[2] = &PersistedState{Base: base, HardState: hard, Entries: []wire.LogEntry{first}}
+	c.stored[3] = &PersistedState{Base: base, HardState: hard, Entries: []wire.LogEntry{first, {Index: 2, Term: 2, Kind: wire.EntryNoop}}}
 	for id := range c.stored {
 		c.start(id)
 	}
@@ -249,7 +249,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			for _, kind := range []wire.MessageKind{wire.MessagePreVote, wire.MessageVote} {
-				r := testReplica(1, Restored{Base: three(), Entries: entries, HardState: test.hard})
+				r := testReplica(1, PersistedState{Base: three(), Entries: entries, HardState: test.hard})
 				if test.before != nil {
 					test.before(r)
 				}
@@ -267,7 +267,7 @@
 // the first answer to it, or before, and a new term names nobody.
 func TestLeaderIsStoredBeforeItIsAnswered(t *testing.T) {
 	for _, kind := range []wire.MessageKind{wire.MessageHeartbeat, wire.MessageAppend} {
-		r := testReplica(1, Restored{Base: three(), HardState: wire.HardState{Term: 3}})
+		r := testReplica(1, PersistedState{Base: three(), HardState: wire.HardState{Term: 3}})
 		r.Step(testStart, &wire.PeerMessage{Kind: kind, From: 2, To: 1, Term: 3})
 		ready := r.Ready()
 		if len(ready.Durable) != 1 || ready.HardState == nil || *ready.HardState != (wire.HardState{Term: 3, Leader: 2}) {
@@ -281,7 +281,7 @@
 			t.Errorf("%d: stored %+v with the vote", kind, r.storedHard)
 		}
 	}
-	alone := testReplica(1, Restored{Base: wire.LogBase{Membership: wire.Membership{Voters: replicas(1)}}})
+	alone := testReplica(1, PersistedState{Base: wire.LogBase{Membership: wire.Membership{Voters: replicas(1)}}})
 	alone.Tick(testStart)
 	ready := alone.Ready()
 	if ready.HardState == nil || *ready.HardState != (wire.HardState{Term: 1, Vote: 1, Leader: 1}) {
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -15,8 +15,8 @@
 	Applied    uint64
 	Last       uint64
 	Membership wire.Membership
-	// Settled is set while no change of membership is under way.
-	Settled bool
+	// MembershipStable is set while no change of membership is under way.
+	MembershipStable bool
 	// Peers holds a leader's followers.
 	Peers []PeerStatus
 }
@@ -24,12 +24,12 @@
 // PeerStatus is a leader's view of one follower.
 type PeerStatus struct {
 	Replica wire.Replica
-	// Silence is the time since the follower's last answer.
-	Silence time.Duration
-	// Behind is the number of entries that it has not stored yet.
-	Behind uint64
-	// Streaming is set while it takes entries from the log.
-	Streaming bool
+	// SinceResponse is the time since the follower's last answer.
+	SinceResponse time.Duration
+	// Lag is the number of entries that it has not stored yet.
+	Lag uint64
+	// Replicating is set while it takes entries from the log.
+	Replicating bool
 }
 
 // ID returns the replica's identity.
@@ -41,29 +41,29 @@
 // Term returns the current term.
 func (r *Replica) Term() uint64 { return r.term }
 
-// Commit returns the index of the last committed entry.
-func (r *Replica) Commit() uint64 { return r.log.commit }
+// CommitIndex returns the index of the last committed entry.
+func (r *Replica) CommitIndex() uint64 { return r.log.commit }
 
-// Applied returns the index of the last applied entry.
-func (r *Replica) Applied() uint64 { return r.log.applied }
+// AppliedIndex returns the index of the last applied entry.
+func (r *Replica) AppliedIndex() uint64 { return r.log.applied }
 
 // Membership returns the newest membership in the log.
 func (r *Replica) Membership() wire.Membership { return r.membership }
 
-// NotLeader returns the refusal that names the leader.
-func (r *Replica) NotLeader() error { return r.notLeader() }
+// NotLeaderError returns the refusal that names the leader.
+func (r *Replica) NotLeaderError() error { return r.notLeader() }
 
 // Status returns the replica's state.
 func (r *Replica) Status(now time.Time) Status {
 	status := Status{
-		Role:       r.role,
-		Term:       r.term,
-		Leader:     r.leader,
-		Commit:     r.log.commit,
-		Applied:    r.log.applied,
-		Last:       r.log.lastIndex(),
-		Membership: r.membership,
-		Settled:    r.membershipIndex <= r.log.commit && len(r.membership.Outgoing) == 0,
+		Role:             r.role,
+		Term:             r.term,
+		Leader:           r.leader,
+		Commit:           r.log.commit,
+		Applied:          r.log.applied,
+		Last:             r.log.lastIndex(),
+		Membership:       r.membership,
+		MembershipStable: r.membershipIndex <= r.log.commit && len(r.membership.Outgoing) == 0,
 	}
 	if r.role != Leader {
 		return status
@@ -74,10 +74,10 @@
 			continue
 		}
 		status.Peers = append(status.Peers, PeerStatus{
-			Replica:   member,
-			Silence:   now.Sub(progress.heardAt),
-			Behind:    r.log.lastIndex() - min(progress.Match, r.log.lastIndex()),
-			Streaming: progress.State == Replicate,
+			Replica:       member,
+			SinceResponse: now.Sub(progress.heardAt),
+			Lag:           r.log.lastIndex() - min(progress.Match, r.log.lastIndex()),
+			Replicating:   progress.State == Replicate,
 		})
 	}
 	return status
--- a/internal/consensus/trace_test.go
+++ b/internal/consensus/trace_test.go
@@ -30,7 +30,7 @@
 type testCluster struct {
 	now      time.Time
 	replicas map[uint64]*Replica
-	stored   map[uint64]*Restored
+	stored   map[uint64]*PersistedState
 	queue    []wire.PeerMessage
 	cut      map[[2]uint64]bool
 	applied  map[uint64][]string
@@ -40,12 +40,12 @@
 	c := &testCluster{
 		now:      time.Unix(0, 0),
 		replicas: map[uint64]*Replica{},
-		stored:   map[uint64]*Restored{},
+		stored:   map[uint64]*PersistedState{},
 		cut:      map[[2]uint64]bool{},
 		applied:  map[uint64][]string{},
 	}
 	for id := uint64(1); id <= uint64(voters); id++ {
-		c.stored[id] = &Restored{Base: wire.LogBase{Membership: wire.Membership{Voters: replicas(voters)}}}
+		c.stored[id] = &PersistedState{Base: wire.LogBase{Membership: wire.Membership{Voters: replicas(voters)}}}
 		c.start(id)
 	}
 	return c
@@ -144,7 +144,7 @@
 	for _, id := range c.ids() {
 		r := c.replicas[id]
 		fmt.Fprintf(&text, "n%d %s term=%d commit=%d last=%d applied=%s", id, r.role, r.term, r.log.commit, r.log.lastIndex(), strings.Join(c.applied[id], ","))
-		if !r.LeaseUntil(c.now).Before(c.now) && !r.LeaseUntil(c.now).IsZero() {
+		if !r.LeaseExpiry(c.now).Before(c.now) && !r.LeaseExpiry(c.now).IsZero() {
 			text.WriteString(" lease")
 		}
 		text.WriteString("\n")
@@ -227,7 +227,7 @@
 		}
 		added := wire.Replica{ID: fresh, Name: fmt.Sprintf("n%d", fresh)}
 		if c.stored[fresh] == nil {
-			c.stored[fresh] = &Restored{}
+			c.stored[fresh] = &PersistedState{}
 			c.start(fresh)
 		}
 		if err := r.ProposeMembership(append(voters, added), nil); err != nil {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -115,7 +115,7 @@
 		Address:           c.daemon.Address(),
 		Peers:             peers,
 		Voters:            c.settings.Voters,
-		NewID:             replication.NewIdentity,
+		NewID:             replication.NewID,
 		ElectionTimeout:   c.settings.ElectionTimeout.Std(),
 		HeartbeatInterval: c.settings.ElectionTimeout.Std() / heartbeatsPerTimeout,
 		ReplaceAfter:      c.settings.ReplaceAfter.Std(),
@@ -174,7 +174,7 @@
 func (c *Control) handOver(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
-	c.host.HandOver(ctx)
+	c.host.TransferAllLeadership(ctx)
 }
 
 // Close stops the log and closes the store. It is called after the server has
--- a/internal/control/handlers.go
+++ b/internal/control/handlers.go
@@ -21,7 +21,7 @@
 func (c *Control) register() {
 	server := c.daemon.Server
 	rpc.Handle(server, replication.MethodHello, func(ctx context.Context, hello *wire.Hello) (msgp.Marshaler, error) {
-		return c.host.Hello(ctx, hello)
+		return c.host.HandleHello(ctx, hello)
 	})
 	rpc.Handle(server, replication.MethodMessages, func(ctx context.Context, batch *wire.PeerBatch) (msgp.Marshaler, error) {
 		return &wire.Empty{}, c.host.Receive(ctx, batch)
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -105,8 +105,8 @@
 			Name:         peer.Replica.Name,
 			Address:      peer.Replica.Address,
 			State:        "spare",
-			Behind:       peer.Behind,
-			SilentMillis: peer.Silence.Milliseconds(),
+			Behind:       peer.Lag,
+			SilentMillis: peer.SinceResponse.Milliseconds(),
 		}
 		if consensus.IsVoter(&status.Membership, peer.Replica.ID) {
 			row.State = "voter"
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -42,7 +42,7 @@
 const MetaGroup = 0
 
 // LeaderHint is the prefix of the failure field that names a group's leader.
-const LeaderHint = consensus.LeaderField
+const LeaderHint = consensus.LeaderFieldPrefix
 
 const (
 	attemptTimeout = time.Second
--- a/internal/coordination/meta.go
+++ b/internal/coordination/meta.go
@@ -30,7 +30,7 @@
 type Meta struct {
 	policy  Policy
 	machine *metastate.Machine
-	table   *membership.Table
+	table   *membership.LeaseTable
 	workers *membership.Workers
 }
 
@@ -39,7 +39,7 @@
 	m := &Meta{
 		policy:  policy,
 		machine: machine,
-		table:   membership.NewTable(term, policy.DaemonLease, now),
+		table:   membership.NewLeaseTable(term, policy.DaemonLease, now),
 		workers: membership.NewWorkers(policy.ForgetWorkers),
 	}
 	m.workers.Restore(now, machine.Assignments())
@@ -52,7 +52,7 @@
 		return nil, err
 	}
 	for i := range request.Workers {
-		m.workers.Reported(&request.Workers[i])
+		m.workers.ApplyReport(&request.Workers[i])
 	}
 	response := &wire.HeartbeatResponse{
 		LeaseMillis:       m.policy.DaemonLease.Milliseconds(),
@@ -89,7 +89,7 @@
 }
 
 // Listed takes in one reading of the platform's list.
-func (m *Meta) Listed(now time.Time, rows []membership.ListedWorker) { m.workers.Listed(now, rows) }
+func (m *Meta) Listed(now time.Time, rows []membership.ListedWorker) { m.workers.ApplyList(now, rows) }
 
 // Plan ends the daemon leases that have run out, whose holders it returns, and
 // works out the assignments that follow; an empty command changes nothing.
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -110,7 +110,7 @@
 	d.BeforeStop(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 		defer cancel()
-		c.host.HandOver(ctx)
+		c.host.TransferAllLeadership(ctx)
 	})
 	d.Go(c.refreshLoop)
 	d.Go(c.pollLoop)
@@ -122,15 +122,15 @@
 	now := uint64(time.Now().UnixNano())
 	return replication.Options{
 		Store:             c.store,
-		Machines:          []replication.StateMachine{&replication.Notifying{StateMachine: c.machine, Notify: c.applied}},
+		Machines:          []replication.StateMachine{&replication.NotifyingStateMachine{StateMachine: c.machine, Notify: c.applied}},
 		Name:              c.settings.Name,
 		Address:           c.daemon.Address(),
 		Peers:             c.settings.Seeds,
 		Voters:            maxVoters,
 		MinVoters:         2*c.settings.Tolerate + 1,
-		Formation:         replication.FormBySeeds,
+		BootstrapMode:     replication.BootstrapFromSeeds,
 		Bootstrap:         c.settings.Bootstrap,
-		NewID:             replication.NewIdentity,
+		NewID:             replication.NewID,
 		ElectionTimeout:   c.settings.ElectionTimeout.Std(),
 		HeartbeatInterval: c.settings.ElectionTimeout.Std() / heartbeatsPerTimeout,
 		ReplaceAfter:      c.settings.ReplaceAfter.Std(),
@@ -330,7 +330,7 @@
 		if err == nil {
 			return response, nil
 		}
-		if leader := consensus.LeaderOf(err); leader != "" && leader != c.daemon.Address() {
+		if leader := consensus.LeaderFromError(err); leader != "" && leader != c.daemon.Address() {
 			callContext, cancel := context.WithDeadline(ctx, deadline.Add(leadPatience))
 			response, err = rpc.Call[Response, Pointer](callContext, c.client, leader, method, request)
 			cancel()
--- a/internal/coordinator/operate.go
+++ b/internal/coordinator/operate.go
@@ -29,7 +29,7 @@
 func (c *Coordinator) register() {
 	server := c.daemon.Server
 	rpc.Handle(server, replication.MethodHello, func(ctx context.Context, hello *wire.Hello) (msgp.Marshaler, error) {
-		return c.host.Hello(ctx, hello)
+		return c.host.HandleHello(ctx, hello)
 	})
 	rpc.Handle(server, replication.MethodMessages, func(ctx context.Context, batch *wire.PeerBatch) (msgp.Marshaler, error) {
 		return &wire.Empty{}, c.host.Receive(ctx, batch)
@@ -137,7 +137,7 @@
 // another, or until the patience is over. It returns the refusal.
 func (c *Coordinator) awaitLeader(ctx context.Context, refusal error) error {
 	deadline := time.Now().Add(leaderPatience)
-	for consensus.LeaderOf(refusal) == "" && time.Now().Before(deadline) {
+	for consensus.LeaderFromError(refusal) == "" && time.Now().Before(deadline) {
 		select {
 		case <-ctx.Done():
 			return refusal
@@ -147,7 +147,7 @@
 			refusal = err
 		} else {
 			// The caller asks this process again at once.
-			return failure.New(failure.NotRun, "ask again", "this process leads now").WithField(consensus.LeaderField + c.daemon.Address())
+			return failure.New(failure.NotRun, "ask again", "this process leads now").WithField(consensus.LeaderFieldPrefix + c.daemon.Address())
 		}
 	}
 	return refusal
--- a/internal/fleetsim/faults.go
+++ b/internal/fleetsim/faults.go
@@ -189,7 +189,7 @@
 	}
 	for _, m := range w.of(kind) {
 		status := m.node.Statuses(m.clock())[group]
-		if m.alive && status.Role == consensus.Leader && status.Settled && allThere(status.Membership.Voters, identities) {
+		if m.alive && status.Role == consensus.Leader && status.MembershipStable && allThere(status.Membership.Voters, identities) {
 			return true
 		}
 	}
--- a/internal/fleetsim/machine.go
+++ b/internal/fleetsim/machine.go
@@ -136,7 +136,7 @@
 	if m.kind == kindCoordinator {
 		m.fleet = fleetstate.New()
 		options.Machines = []replication.StateMachine{m.builtAs(w.mutation.machine(m.fleet))}
-		options.Formation, options.Bootstrap = replication.FormBySeeds, bootstrap
+		options.BootstrapMode, options.Bootstrap = replication.BootstrapFromSeeds, bootstrap
 		options.Peers, options.Voters = w.seeds(), 9
 		if len(options.Peers) < 3 {
 			options.Peers = []string{"core-1", "core-2", "core-3"}
@@ -147,8 +147,8 @@
 			m.batch = append(m.batch, batchstate.New())
 			options.Machines = append(options.Machines, w.mutation.machine(m.batch[len(m.batch)-1]))
 		}
-		options.Formation, options.Voters = replication.FormByOrder, 2*tolerate+1
-		options.GreetAll = w.greetAll
+		options.BootstrapMode, options.Voters = replication.BootstrapManual, 2*tolerate+1
+		options.FullMeshLimit = w.greetAll
 	}
 	node, err := replication.Open(options, m.clock())
 	if err != nil {
@@ -186,17 +186,17 @@
 			leaders[number] = statuses[number].Leader
 		}
 	}
-	move, found := placement.Spread(m.node.ID(), leaders, func(number int) (ready []uint64) {
+	move, found := placement.RebalanceLeaders(m.node.ID(), leaders, func(number int) (ready []uint64) {
 		for _, peer := range statuses[number].Peers {
 			leaves := slices.Contains(m.fleetView.Retiring, peer.Replica.Name)
-			if peer.Streaming && !leaves && consensus.Contains(statuses[number].Membership.Voters, peer.Replica.ID) {
+			if peer.Replicating && !leaves && consensus.Contains(statuses[number].Membership.Voters, peer.Replica.ID) {
 				ready = append(ready, peer.Replica.ID)
 			}
 		}
 		return ready
 	})
 	if found {
-		m.drive(func() { m.node.Transfer(m.clock(), move.Group, move.To) })
+		m.drive(func() { m.node.TransferLeadership(m.clock(), move.Group, move.To) })
 	}
 }
 
@@ -266,9 +266,9 @@
 		}
 		hello := m.hello()
 		m.transmit(to, func() {
-			to.drive(func() { to.node.Hear(to.clock(), &hello) })
+			to.drive(func() { to.node.HandleHello(to.clock(), &hello) })
 			answer := to.hello()
-			to.transmit(m, func() { m.drive(func() { m.node.Hear(m.clock(), &answer) }) })
+			to.transmit(m, func() { m.drive(func() { m.node.HandleHello(m.clock(), &answer) }) })
 		})
 	}
 }
@@ -298,7 +298,7 @@
 	statuses := m.node.Statuses(m.clock())
 	for number := range statuses {
 		status := &statuses[number]
-		if status.Leader != m.node.ID() || !status.Settled {
+		if status.Leader != m.node.ID() || !status.MembershipStable {
 			continue
 		}
 		report := wire.GroupReport{Group: number, Term: status.Term}
@@ -348,9 +348,9 @@
 		store.fleetView = answer.Upon(&store.fleetView)
 		fleet := store.fleetView
 		store.drive(func() {
-			store.node.ListPeers(store.clock(), fleet.StoreAddresses())
+			store.node.SetPeers(store.clock(), fleet.StoreAddresses())
 			store.node.SetRetiring(fleet.Retiring)
-			store.node.Form(store.clock(), fleet.Initial)
+			store.node.Bootstrap(store.clock(), fleet.Initial)
 		})
 	})
 }
--- a/internal/fleetview/view.go
+++ b/internal/fleetview/view.go
@@ -236,7 +236,7 @@
 		candidates = append(candidates, placement.Candidate{ID: store.Replica.ID, Zone: store.Zone})
 	}
 	var groups [][]wire.Replica
-	for _, chosen := range placement.Voters(candidates, placement.GroupsFor(len(stores), wanted), wanted) {
+	for _, chosen := range placement.InitialVoters(candidates, placement.GroupCount(len(stores), wanted), wanted) {
 		var voters []wire.Replica
 		for _, id := range chosen {
 			voters = append(voters, replicas[id])
--- a/internal/fleetwatch/watcher.go
+++ b/internal/fleetwatch/watcher.go
@@ -118,7 +118,7 @@
 			w.reachedAt(target)
 			continue
 		}
-		w.targets.failed(clock.Now(), target, consensus.LeaderOf(err))
+		w.targets.failed(clock.Now(), target, consensus.LeaderFromError(err))
 		w.missed(target, err)
 		select {
 		case <-ctx.Done():
--- a/internal/gateway/chooser.go
+++ b/internal/gateway/chooser.go
@@ -45,10 +45,10 @@
 	c := &chooser{session: session, zone: zone, random: random, ring: routing.NewRing(nil), suspects: map[string]time.Time{}}
 	c.pipeline = routing.NewPipeline(
 		[]routing.Filter{routing.AvailableFilter{}, routing.ModelFilter{}, routing.ExcludeFilter{}},
-		[]routing.Weighted{
+		[]routing.WeightedScorer{
 			{Scorer: routing.LoadScorer{}, Weight: weightLoad},
 			{Scorer: routing.ZoneScorer{}, Weight: weightZone},
-			{Scorer: routing.AffinityScorer{}, Weight: weightAffinity},
+			{Scorer: routing.RendezvousScorer{}, Weight: weightAffinity},
 		},
 		routing.BestPicker{},
 	)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -137,7 +137,7 @@
 func (g *Gateway) countRequest() {
 	g.budgetMutex.Lock()
 	defer g.budgetMutex.Unlock()
-	g.budget.Request()
+	g.budget.Deposit()
 }
 
 // handler is an HTTP handler that answers its failures itself.
--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -18,5 +18,5 @@
 // Valid reports whether the lease still runs.
 func (l *Lease) Valid(now time.Time) bool { return now.Before(l.until) }
 
-// Left returns the time the lease still runs; below zero it has lapsed.
-func (l *Lease) Left(now time.Time) time.Duration { return l.until.Sub(now) }
+// Remaining returns the time the lease still runs; below zero it has lapsed.
+func (l *Lease) Remaining(now time.Time) time.Duration { return l.until.Sub(now) }
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -17,8 +17,8 @@
 // versionTermShift leaves the low bits of a version to changes within a term.
 const versionTermShift = 32
 
-// Table holds the daemons' leases.
-type Table struct {
+// LeaseTable holds the daemons' leases.
+type LeaseTable struct {
 	lease   time.Duration
 	ready   time.Time
 	version uint64
@@ -34,11 +34,11 @@
 	changed uint64
 }
 
-// NewTable returns the table of a leader whose term began at now. For one whole
+// NewLeaseTable returns the table of a leader whose term began at now. For one whole
 // lease it reports no daemon as gone, because leases that the former leader
 // granted may still run.
-func NewTable(term uint64, lease time.Duration, now time.Time) *Table {
-	return &Table{
+func NewLeaseTable(term uint64, lease time.Duration, now time.Time) *LeaseTable {
+	return &LeaseTable{
 		lease:   lease,
 		ready:   now.Add(lease),
 		version: term<<versionTermShift + 1,
@@ -48,14 +48,14 @@
 }
 
 // Ready reports whether every lease of a former leader has run out.
-func (t *Table) Ready(now time.Time) bool { return !now.Before(t.ready) }
+func (t *LeaseTable) Ready(now time.Time) bool { return !now.Before(t.ready) }
 
-// Lease returns the length of a lease.
-func (t *Table) Lease() time.Duration { return t.lease }
+// LeaseDuration returns the length of a lease.
+func (t *LeaseTable) LeaseDuration() time.Duration { return t.lease }
 
 // Heartbeat renews a daemon's lease. A heartbeat of an older incarnation than
 // the one known is refused: two processes must not share a name.
-func (t *Table) Heartbeat(now time.Time, report *wire.HeartbeatRequest) error {
+func (t *LeaseTable) Heartbeat(now time.Time, report *wire.HeartbeatRequest) error {
 	known := t.daemons[report.Daemon]
 	if known != nil && report.Incarnation < known.report.Incarnation {
 		return failure.New(failure.Conflict, "give each process a name of its own", "a newer process uses the name %q", report.Daemon)
@@ -93,7 +93,7 @@
 	return false
 }
 
-func (t *Table) remove(name string) {
+func (t *LeaseTable) remove(name string) {
 	if t.daemons[name] == nil {
 		return
 	}
@@ -103,7 +103,7 @@
 }
 
 // Expire removes the daemons whose lease has run out and returns their names.
-func (t *Table) Expire(now time.Time) []string {
+func (t *LeaseTable) Expire(now time.Time) []string {
 	if !t.Ready(now) {
 		return nil
 	}
@@ -122,7 +122,7 @@
 
 // View returns what has changed among the dispatchers since the version known,
 // or nil if nothing has.
-func (t *Table) View(now time.Time, known uint64) *wire.ViewDelta {
+func (t *LeaseTable) View(now time.Time, known uint64) *wire.ViewDelta {
 	if known == t.version {
 		return nil
 	}
@@ -160,7 +160,7 @@
 }
 
 // Dispatchers returns the dispatchers that may own workers.
-func (t *Table) Dispatchers() []Owner {
+func (t *LeaseTable) Dispatchers() []Owner {
 	var owners []Owner
 	for _, name := range sortedNames(t.daemons) {
 		if report := &t.daemons[name].report; report.Role == wire.RoleDispatcher && !report.Draining {
@@ -171,7 +171,7 @@
 }
 
 // Status returns the operators' rows, by name.
-func (t *Table) Status(now time.Time) []wire.DaemonStatus {
+func (t *LeaseTable) Status(now time.Time) []wire.DaemonStatus {
 	var rows []wire.DaemonStatus
 	for _, name := range sortedNames(t.daemons) {
 		known := t.daemons[name]
@@ -201,7 +201,7 @@
 
 // Count returns the number of living daemons of the role; zero while a new
 // leader has not heard of all of them.
-func (t *Table) Count(now time.Time, role wire.Role) int {
+func (t *LeaseTable) Count(now time.Time, role wire.Role) int {
 	if !t.Ready(now) {
 		return 0
 	}
--- a/internal/membership/workers.go
+++ b/internal/membership/workers.go
@@ -35,8 +35,8 @@
 	return &Workers{forgetAfter: forgetAfter, known: map[string]*worker{}}
 }
 
-// Listed takes in one reading of the platform's list.
-func (w *Workers) Listed(now time.Time, list []ListedWorker) {
+// ApplyList takes in one reading of the platform's list.
+func (w *Workers) ApplyList(now time.Time, list []ListedWorker) {
 	for _, listed := range list {
 		current := w.known[listed.ID]
 		if current == nil || listed.Incarnation > current.listed.Incarnation {
@@ -57,8 +57,8 @@
 	}
 }
 
-// Reported takes in what the owner of a worker has heard from its engine.
-func (w *Workers) Reported(report *wire.WorkerReport) {
+// ApplyReport takes in what the owner of a worker has heard from its engine.
+func (w *Workers) ApplyReport(report *wire.WorkerReport) {
 	if current := w.known[report.Worker]; current != nil && report.Leaving {
 		current.leaving = true
 	}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -24,8 +24,8 @@
 	return int(xxhash.Sum64String(job) % uint64(groups))
 }
 
-// Move is a hand-over of a group's leadership to another replica.
-type Move struct {
+// Transfer is a hand-over of a group's leadership to another replica.
+type Transfer struct {
 	Group int
 	To    uint64
 }
@@ -34,15 +34,15 @@
 // it hands one over: fewer would move leaderships to and fro.
 const leastLead = 2
 
-// Spread returns a hand-over after which the groups are led by more replicas, or
+// RebalanceLeaders returns a hand-over after which the groups are led by more replicas, or
 // false. leaders holds the leaders of the groups that this store is a member of, zero
 // where one is not known, and ready returns the replicas that could take over a group
 // that self leads.
-func Spread(self uint64, leaders map[int]uint64, ready func(group int) []uint64) (Move, bool) {
+func RebalanceLeaders(self uint64, leaders map[int]uint64, ready func(group int) []uint64) (Transfer, bool) {
 	led := map[uint64]int{}
 	for _, leader := range leaders {
 		if leader == 0 {
-			return Move{}, false
+			return Transfer{}, false
 		}
 		led[leader]++
 	}
@@ -56,8 +56,8 @@
 		}
 		to := slices.MinFunc(candidates, func(a, b uint64) int { return cmp.Or(cmp.Compare(led[a], led[b]), cmp.Compare(a, b)) })
 		if led[self]-led[to] >= leastLead {
-			return Move{Group: group, To: to}, true
+			return Transfer{Group: group, To: to}, true
 		}
 	}
-	return Move{}, false
+	return Transfer{}, false
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -42,11 +42,11 @@
 			c := Candidate{ID: uint64(i + 1), Zone: fmt.Sprint(i % test.zones)}
 			candidates, zoneOf[c.ID] = append(candidates, c), c.Zone
 		}
-		if got := GroupsFor(test.stores, test.voters); got != test.groups {
+		if got := GroupCount(test.stores, test.voters); got != test.groups {
 			t.Errorf("%+v: %d groups", test, got)
 		}
 		carried := map[uint64]int{}
-		for group, voters := range Voters(candidates, test.groups, test.voters) {
+		for group, voters := range InitialVoters(candidates, test.groups, test.voters) {
 			inZone, seen := map[string]int{}, map[uint64]bool{}
 			for _, id := range voters {
 				carried[id]++
@@ -96,7 +96,7 @@
 					}
 					return others
 				}
-				move, found := Spread(self, leaders, ready)
+				move, found := RebalanceLeaders(self, leaders, ready)
 				if !found {
 					continue
 				}
@@ -127,10 +127,10 @@
 
 func TestNothingMovesBlindly(t *testing.T) {
 	everybody := func(int) []uint64 { return []uint64{2, 3} }
-	if _, found := Spread(1, map[int]uint64{0: 1, 2: 1, 3: 1, 7: 0}, everybody); found {
+	if _, found := RebalanceLeaders(1, map[int]uint64{0: 1, 2: 1, 3: 1, 7: 0}, everybody); found {
 		t.Error("a group moves while another has no known leader")
 	}
-	if _, found := Spread(1, map[int]uint64{0: 1, 2: 1, 3: 1, 7: 1}, func(int) []uint64 { return nil }); found {
+	if _, found := RebalanceLeaders(1, map[int]uint64{0: 1, 2: 1, 3: 1, 7: 1}, func(int) []uint64 { return nil }); found {
 		t.Error("a group moves to nobody")
 	}
 }
--- a/internal/placement/voters.go
+++ b/internal/placement/voters.go
@@ -16,9 +16,9 @@
 	MaxGroups = 9
 )
 
-// GroupsFor returns how many store groups a fleet forms with: as many as there are sets
+// GroupCount returns how many store groups a fleet forms with: as many as there are sets
 // of so many voters among its stores.
-func GroupsFor(stores, voters int) int {
+func GroupCount(stores, voters int) int {
 	return min(max(stores/max(voters, 1), leastGroups), MaxGroups)
 }
 
@@ -28,10 +28,10 @@
 	Zone string
 }
 
-// Voters returns the identities of the first voters of each group. Within a group they
+// InitialVoters returns the identities of the first voters of each group. Within a group they
 // are spread over the zones; over all groups, every store carries about as many. Among
 // equals a hash of group and store decides, so that no order of names does.
-func Voters(candidates []Candidate, groups, voters int) [][]uint64 {
+func InitialVoters(candidates []Candidate, groups, voters int) [][]uint64 {
 	carried := map[uint64]int{}
 	chosen := make([][]uint64, groups)
 	for group := range chosen {
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -10,12 +10,12 @@
 
 import "time"
 
-// Fresh is how long news of a group count.
-const Fresh = 500 * time.Millisecond
+// ReportTTL is how long news of a group count.
+const ReportTTL = 500 * time.Millisecond
 
-// Ledger is what one process knows of the tokens that wait in each group. It is not
+// Tracker is what one process knows of the tokens that wait in each group. It is not
 // safe for concurrent use.
-type Ledger struct {
+type Tracker struct {
 	groups []group
 }
 
@@ -26,21 +26,21 @@
 }
 
 // New returns a ledger of so many groups of which nothing is known.
-func New(groups int) *Ledger { return &Ledger{groups: make([]group, groups)} }
+func New(groups int) *Tracker { return &Tracker{groups: make([]group, groups)} }
 
 // Groups returns how many groups the ledger is for.
-func (l *Ledger) Groups() int { return len(l.groups) }
+func (l *Tracker) Groups() int { return len(l.groups) }
 
-// Take takes in the tokens that wait in a group by route, as they were at a moment.
+// Update takes in the tokens that wait in a group by route, as they were at a moment.
 // A route that is not named has none.
-func (l *Ledger) Take(at time.Time, number int, waiting map[uint32]int64) {
+func (l *Tracker) Update(at time.Time, number int, waiting map[uint32]int64) {
 	if number >= 0 && number < len(l.groups) && at.After(l.groups[number].at) {
 		l.groups[number] = group{at: at, waiting: waiting}
 	}
 }
 
 // Each calls visit with each group of which anything is known.
-func (l *Ledger) Each(visit func(number int, at time.Time, waiting map[uint32]int64)) {
+func (l *Tracker) Each(visit func(number int, at time.Time, waiting map[uint32]int64)) {
 	for number := range l.groups {
 		if known := &l.groups[number]; !known.at.IsZero() {
 			visit(number, known.at, known.waiting)
@@ -50,7 +50,7 @@
 
 // Limit returns how many tokens may wait on the route in one group, of the limit for
 // all together; at least 1, because 0 means that there is no limit.
-func (l *Ledger) Limit(now time.Time, number int, route uint32, limit int64) int64 {
+func (l *Tracker) Limit(now time.Time, number int, route uint32, limit int64) int64 {
 	if limit <= 0 || len(l.groups) == 1 {
 		return limit
 	}
@@ -62,7 +62,7 @@
 		}
 		known := &l.groups[other]
 		waiting := known.waiting[route]
-		if known.at.IsZero() || now.Sub(known.at) > Fresh {
+		if known.at.IsZero() || now.Sub(known.at) > ReportTTL {
 			informed = false
 			waiting = max(waiting, share)
 		}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -23,19 +23,19 @@
 		t.Errorf("%d before anything is known, want the share", got)
 	}
 	for number := 1; number < 4; number++ {
-		ledger.Take(start, number, map[uint32]int64{route: 20})
+		ledger.Update(start, number, map[uint32]int64{route: 20})
 	}
 	if got := ledger.Limit(start, 0, route, 400); got != 340 {
 		t.Errorf("%d beside three groups of 20, want 340", got)
 	}
-	if got := ledger.Limit(start.Add(Fresh+1), 0, route, 400); got != 100 {
+	if got := ledger.Limit(start.Add(ReportTTL+1), 0, route, 400); got != 100 {
 		t.Errorf("%d by old news, want the share", got)
 	}
-	ledger.Take(start.Add(1), 1, map[uint32]int64{route: 390})
-	if got := ledger.Limit(start.Add(Fresh+2), 0, route, 400); got != 1 {
+	ledger.Update(start.Add(1), 1, map[uint32]int64{route: 390})
+	if got := ledger.Limit(start.Add(ReportTTL+2), 0, route, 400); got != 1 {
 		t.Errorf("%d beside a silent group that had nearly all", got)
 	}
-	ledger.Take(start, 1, nil)
+	ledger.Update(start, 1, nil)
 	if got := ledger.Limit(start.Add(2), 0, route, 400); got != 1 {
 		t.Error("older news took the place of newer ones")
 	}
@@ -47,7 +47,7 @@
 func TestSumStaysWithinTheLimit(t *testing.T) {
 	proptest.Run(t, "sum", func(random *rand.Rand) error {
 		const groups, limit = 4, 1000
-		var ledgers [groups]*Ledger
+		var ledgers [groups]*Tracker
 		var waiting [groups]int64
 		var cut [groups]bool
 		for i := range ledgers {
@@ -56,11 +56,11 @@
 		}
 		now := start
 		for range 200 {
-			now = now.Add(Fresh + 1)
+			now = now.Add(ReportTTL + 1)
 			for from := range ledgers {
 				for to := range ledgers {
 					if from == to || !cut[from] && !cut[to] {
-						ledgers[to].Take(now, from, map[uint32]int64{route: waiting[from]})
+						ledgers[to].Update(now, from, map[uint32]int64{route: waiting[from]})
 					}
 				}
 			}
--- a/internal/replication/discovery.go
+++ b/internal/replication/discovery.go
@@ -13,18 +13,18 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// Formation says how the first membership of a cluster comes about.
-type Formation uint8
+// BootstrapMode says how the first membership of a cluster comes about.
+type BootstrapMode uint8
 
 const (
-	// FormFixed takes it from the list of all processes, which is the same
+	// BootstrapStatic takes it from the list of all processes, which is the same
 	// everywhere.
-	FormFixed Formation = iota
-	// FormBySeeds makes the processes at the first addresses the first voters.
+	BootstrapStatic BootstrapMode = iota
+	// BootstrapFromSeeds makes the processes at the first addresses the first voters.
 	// All others join; processes find one another by asking.
-	FormBySeeds
-	// FormByOrder waits for Form to be called.
-	FormByOrder
+	BootstrapFromSeeds
+	// BootstrapManual waits for Form to be called.
+	BootstrapManual
 )
 
 // forgetAfter is how long an address may be silent before it is asked no more.
@@ -41,9 +41,9 @@
 	}
 }
 
-// ListPeers takes in the whole list of the processes that live, as it is known
+// SetPeers takes in the whole list of the processes that live, as it is known
 // elsewhere. With FormByOrder, processes are found by it alone.
-func (n *Node) ListPeers(now time.Time, addresses []string) {
+func (n *Node) SetPeers(now time.Time, addresses []string) {
 	n.listed = make(map[string]bool, len(addresses))
 	for _, address := range addresses {
 		n.listed[address] = true
@@ -66,7 +66,7 @@
 // some spares: it is members that repair groups, and hellos of all to all grow with
 // the square of their number.
 func (n *Node) Peers(now time.Time) []string {
-	if n.options.Formation != FormByOrder || len(n.peers) <= n.greetAll() {
+	if n.options.BootstrapMode != BootstrapManual || len(n.peers) <= n.greetAll() {
 		return append([]string(nil), n.peers...)
 	}
 	members := n.memberAddresses()
@@ -89,8 +89,8 @@
 }
 
 func (n *Node) greetAll() int {
-	if n.options.GreetAll > 0 {
-		return n.options.GreetAll
+	if n.options.FullMeshLimit > 0 {
+		return n.options.FullMeshLimit
 	}
 	return greetAll
 }
@@ -128,7 +128,7 @@
 // forgetPeers drops the addresses that have been silent for long. Seeds and
 // members stay.
 func (n *Node) forgetPeers(now time.Time) {
-	if n.options.Formation == FormFixed {
+	if n.options.BootstrapMode == BootstrapStatic {
 		return
 	}
 	n.peers = slices.DeleteFunc(n.peers, func(address string) bool {
@@ -157,10 +157,10 @@
 	return false
 }
 
-// Form ends the state of a process that belongs to no cluster yet, with
+// Bootstrap ends the state of a process that belongs to no cluster yet, with
 // FormByOrder. The first voters are listed by group; a process waits to be taken in by
 // the groups whose list does not name it by identity.
-func (n *Node) Form(now time.Time, groups [][]wire.Replica) {
+func (n *Node) Bootstrap(now time.Time, groups [][]wire.Replica) {
 	if n.identity.Formed || len(groups) == 0 {
 		return
 	}
@@ -215,9 +215,9 @@
 	}
 }
 
-// ListPeers is Node.ListPeers.
-func (h *Host) ListPeers(ctx context.Context, addresses []string) error {
-	return h.enter(ctx, func(now time.Time) { h.node.ListPeers(now, addresses) })
+// SetPeers is Node.SetPeers.
+func (h *Host) SetPeers(ctx context.Context, addresses []string) error {
+	return h.enter(ctx, func(now time.Time) { h.node.SetPeers(now, addresses) })
 }
 
 // AddPeers takes in addresses of further processes.
@@ -225,9 +225,9 @@
 	return h.enter(ctx, func(now time.Time) { h.node.AddPeers(now, addresses) })
 }
 
-// Form is Node.Form.
-func (h *Host) Form(ctx context.Context, groups [][]wire.Replica) error {
-	return h.enter(ctx, func(now time.Time) { h.node.Form(now, groups) })
+// Bootstrap is Node.Bootstrap.
+func (h *Host) Bootstrap(ctx context.Context, groups [][]wire.Replica) error {
+	return h.enter(ctx, func(now time.Time) { h.node.Bootstrap(now, groups) })
 }
 
 // SetRetiring is Node.SetRetiring.
@@ -235,7 +235,7 @@
 	return h.enter(ctx, func(time.Time) { h.node.SetRetiring(names) })
 }
 
-// Identity returns who this process is to others.
-func (h *Host) Identity(ctx context.Context) (wire.Hello, error) {
+// Hello returns who this process is to others.
+func (h *Host) Hello(ctx context.Context) (wire.Hello, error) {
 	return ask(ctx, h, func(time.Time) wire.Hello { return h.node.Hello() })
 }
--- a/internal/replication/discovery_test.go
+++ b/internal/replication/discovery_test.go
@@ -24,7 +24,7 @@
 		Peers:             seeds,
 		Voters:            9,
 		MinVoters:         3,
-		Formation:         FormBySeeds,
+		BootstrapMode:     BootstrapFromSeeds,
 		Bootstrap:         bootstrap,
 		NewID:             func() uint64 { return id },
 		ElectionTimeout:   100 * time.Millisecond,
@@ -52,7 +52,7 @@
 	for ctx.Err() == nil {
 		for _, host := range hosts {
 			statuses, err := host.Statuses(ctx)
-			if err != nil || statuses[0].Role != consensus.Leader || !statuses[0].Settled {
+			if err != nil || statuses[0].Role != consensus.Leader || !statuses[0].MembershipStable {
 				continue
 			}
 			voters := statuses[0].Membership.Voters
@@ -93,16 +93,16 @@
 // a second group.
 func TestNobodyFormsWithoutBootstrap(t *testing.T) {
 	node, err := Open(Options{
-		Store:     storage.NewMemory(),
-		Machines:  []StateMachine{&register{}},
-		Name:      "h1",
-		Address:   "h1",
-		Peers:     []string{"h1"},
-		Voters:    9,
-		Formation: FormBySeeds,
-		NewID:     func() uint64 { return 1 },
-		Random:    rand.New(rand.NewPCG(1, 1)),
-		Send:      func(string, wire.PeerMessage) {},
+		Store:         storage.NewMemory(),
+		Machines:      []StateMachine{&register{}},
+		Name:          "h1",
+		Address:       "h1",
+		Peers:         []string{"h1"},
+		Voters:        9,
+		BootstrapMode: BootstrapFromSeeds,
+		NewID:         func() uint64 { return 1 },
+		Random:        rand.New(rand.NewPCG(1, 1)),
+		Send:          func(string, wire.PeerMessage) {},
 
 		ElectionTimeout: time.Second,
 	}, time.Unix(0, 0))
@@ -123,12 +123,12 @@
 	groups := [][]wire.Replica{{replica(1, "a"), replica(2, "b")}, {replica(7, "a"), replica(2, "b")}}
 	for id, want := range map[uint64][2]int{1: {2, 0}, 7: {0, 2}, 9: {0, 0}} {
 		node := ordered(t, id, "a", 3)
-		node.Form(time.Unix(1, 0), nil)
+		node.Bootstrap(time.Unix(1, 0), nil)
 		if node.Hello().Formed {
 			t.Error("an empty order formed a group")
 		}
-		node.Form(time.Unix(1, 0), groups)
-		node.Form(time.Unix(2, 0), [][]wire.Replica{{replica(id, "z")}})
+		node.Bootstrap(time.Unix(1, 0), groups)
+		node.Bootstrap(time.Unix(2, 0), [][]wire.Replica{{replica(id, "z")}})
 		if !node.Hello().Formed {
 			t.Errorf("identity %d has not formed", id)
 		}
@@ -149,7 +149,7 @@
 func TestPlanDrops(t *testing.T) {
 	voters := []wire.Replica{replica(1, "a"), replica(2, "b"), replica(3, "c"), replica(4, "d")}
 	silent := func(r wire.Replica, silence time.Duration) consensus.PeerStatus {
-		return consensus.PeerStatus{Replica: r, Streaming: true, Silence: silence}
+		return consensus.PeerStatus{Replica: r, Replicating: true, SinceResponse: silence}
 	}
 	policy := func(retiring ...string) repairPolicy {
 		names := map[string]bool{}
@@ -173,11 +173,11 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			status := &consensus.Status{Settled: true, Membership: wire.Membership{Voters: test.voters}}
+			status := &consensus.Status{MembershipStable: true, Membership: wire.Membership{Voters: test.voters}}
 			for _, voter := range test.voters {
 				status.Peers = append(status.Peers, silent(voter, 0))
 			}
-			status.Peers[len(status.Peers)-1].Silence = test.silence
+			status.Peers[len(status.Peers)-1].SinceResponse = test.silence
 			got, _, change := planRepair(status, nil, test.policy)
 			if change != (test.want != nil) {
 				t.Fatalf("change %t: %v", change, got)
@@ -197,7 +197,7 @@
 		Machines:        []StateMachine{&register{}},
 		Name:            "b",
 		Address:         "b",
-		Formation:       FormByOrder,
+		BootstrapMode:   BootstrapManual,
 		NewID:           func() uint64 { return 2 },
 		ElectionTimeout: time.Second,
 		Random:          rand.New(rand.NewPCG(1, 1)),
@@ -208,13 +208,13 @@
 	}
 	now := time.Unix(1, 0)
 	entries := []wire.LogEntry{{Index: 1, Term: 1, Kind: wire.EntryNoop}}
-	node.Hear(now, &wire.Hello{Replica: replica(1, "a")})
+	node.HandleHello(now, &wire.Hello{Replica: replica(1, "a")})
 	node.Receive(now, &wire.PeerMessage{Kind: wire.MessageAppend, From: 1, To: 2, Term: 1, Entries: entries})
 	node.Flush(now)
 	if sent > 0 {
 		t.Error("a message was answered")
 	}
-	node.Form(now, [][]wire.Replica{{replica(1, "a"), replica(2, "b")}})
+	node.Bootstrap(now, [][]wire.Replica{{replica(1, "a"), replica(2, "b")}})
 	node.Receive(now, &wire.PeerMessage{Kind: wire.MessageAppend, From: 1, To: 2, Term: 1, Entries: entries})
 	node.Flush(now)
 	if sent != 1 || node.Statuses(now)[0].Last != 1 {
@@ -234,7 +234,7 @@
 		Machines:        machines,
 		Name:            name,
 		Address:         name,
-		Formation:       FormByOrder,
+		BootstrapMode:   BootstrapManual,
 		NewID:           func() uint64 { return id },
 		ElectionTimeout: time.Second,
 		Random:          rand.New(rand.NewPCG(1, 1)),
@@ -259,8 +259,8 @@
 	now := time.Unix(1, 0)
 	member, spare := ordered(t, 1, "p1", 1), ordered(t, 300, "p300", 1)
 	for _, node := range []*Node{member, spare} {
-		node.ListPeers(now, listed)
-		node.Form(now, [][]wire.Replica{voters})
+		node.SetPeers(now, listed)
+		node.Bootstrap(now, [][]wire.Replica{voters})
 	}
 	if peers := spare.Peers(now); len(peers) != 0 {
 		t.Errorf("who is no member says hello to %v", peers)
@@ -270,7 +270,7 @@
 		peers := member.Peers(now)
 		for _, address := range peers {
 			if !silent[address] {
-				member.Hear(now, &wire.Hello{Replica: replica(uint64(len(address)), address), Formed: true})
+				member.HandleHello(now, &wire.Hello{Replica: replica(uint64(len(address)), address), Formed: true})
 			}
 		}
 		return peers
--- a/internal/replication/formation.go
+++ b/internal/replication/formation.go
@@ -28,21 +28,21 @@
 // Hello introduces this process to others.
 func (n *Node) Hello() wire.Hello {
 	hello := n.identity
-	switch n.options.Formation {
-	case FormBySeeds:
+	switch n.options.BootstrapMode {
+	case BootstrapFromSeeds:
 		hello.Known = append([]string(nil), n.peers...)
-	case FormByOrder:
+	case BootstrapManual:
 		// Who forms a cluster, and who lives, is known from elsewhere.
 		hello.Initial = nil
 	}
 	return hello
 }
 
-// Hear takes in the introduction of another control process.
-func (n *Node) Hear(now time.Time, hello *wire.Hello) {
+// HandleHello takes in the introduction of another control process.
+func (n *Node) HandleHello(now time.Time, hello *wire.Hello) {
 	n.known[hello.Replica.Address] = &heard{hello: *hello, at: now}
 	n.addresses[hello.Replica.ID] = hello.Replica.Address
-	if n.options.Formation != FormFixed {
+	if n.options.BootstrapMode != BootstrapStatic {
 		n.AddPeers(now, []string{hello.Replica.Address})
 		n.AddPeers(now, hello.Known)
 	}
@@ -67,7 +67,7 @@
 // identity; so a process whose folder was emptied meanwhile does not count as
 // one of them. Every other process waits to be taken in as a learner.
 func (n *Node) tryForm(now time.Time) {
-	if n.identity.Formed || n.options.Formation == FormByOrder {
+	if n.identity.Formed || n.options.BootstrapMode == BootstrapManual {
 		return
 	}
 	for _, address := range n.peers {
@@ -104,7 +104,7 @@
 // firstVoters returns the list of first voters if this process is the one to
 // make it and all of them are there.
 func (n *Node) firstVoters(now time.Time) []wire.Replica {
-	if n.options.Formation == FormBySeeds && !n.options.Bootstrap {
+	if n.options.BootstrapMode == BootstrapFromSeeds && !n.options.Bootstrap {
 		return nil
 	}
 	if len(n.options.Peers) == 0 || n.options.Peers[0] != n.options.Address {
@@ -142,6 +142,6 @@
 	}
 	n.commit(batch, true)
 	for _, g := range n.groups {
-		g.replica.Form(now, wire.Membership{Voters: groups[g.number]})
+		g.replica.Bootstrap(now, wire.Membership{Voters: groups[g.number]})
 	}
 }
--- a/internal/replication/group.go
+++ b/internal/replication/group.go
@@ -93,8 +93,8 @@
 }
 
 // restored reads a group's part of the log.
-func (n *Node) restored(number int) (consensus.Restored, error) {
-	var restored consensus.Restored
+func (n *Node) restored(number int) (consensus.PersistedState, error) {
+	var restored consensus.PersistedState
 	store := n.options.Store
 	applied, err := store.Get(groupKey(number, sectionApplied))
 	if err != nil {
@@ -202,9 +202,9 @@
 
 // publish lets readers know whether this replica leads.
 func (g *group) publish(now time.Time) {
-	next := &leadership{term: g.replica.Term(), leaseUntil: g.replica.LeaseUntil(now)}
+	next := &leadership{term: g.replica.Term(), leaseUntil: g.replica.LeaseExpiry(now)}
 	if next.leaseUntil.IsZero() {
-		next.refusal = g.replica.NotLeader()
+		next.refusal = g.replica.NotLeaderError()
 	}
 	g.leadership.Store(next)
 }
--- a/internal/replication/host.go
+++ b/internal/replication/host.go
@@ -73,7 +73,7 @@
 	h.node.Flush(now)
 	go h.run()
 	h.loops.Add(1)
-	if options.Formation == FormFixed {
+	if options.BootstrapMode == BootstrapStatic {
 		go func() {
 			defer h.loops.Done()
 			h.introduceAll(ctx, h.peers)
@@ -185,14 +185,14 @@
 		return false
 	}
 	// An error means that the host is closing.
-	_ = h.enter(ctx, func(now time.Time) { h.node.Hear(now, answer) })
+	_ = h.enter(ctx, func(now time.Time) { h.node.HandleHello(now, answer) })
 	return own.Formed && answer.Formed
 }
 
-// Hello answers the introduction of another process.
-func (h *Host) Hello(ctx context.Context, hello *wire.Hello) (*wire.Hello, error) {
+// HandleHello answers the introduction of another process.
+func (h *Host) HandleHello(ctx context.Context, hello *wire.Hello) (*wire.Hello, error) {
 	own, err := ask(ctx, h, func(now time.Time) wire.Hello {
-		h.node.Hear(now, hello)
+		h.node.HandleHello(now, hello)
 		return h.node.Hello()
 	})
 	return &own, err
@@ -263,11 +263,11 @@
 // Groups returns the number of groups.
 func (h *Host) Groups() int { return len(h.node.groups) }
 
-// HandOver gives the leadership of all groups to other processes, until ctx
+// TransferAllLeadership gives the leadership of all groups to other processes, until ctx
 // ends.
-func (h *Host) HandOver(ctx context.Context) {
+func (h *Host) TransferAllLeadership(ctx context.Context) {
 	for ctx.Err() == nil {
-		done, err := ask(ctx, h, h.node.TransferAll)
+		done, err := ask(ctx, h, h.node.TransferAllLeadership)
 		if err != nil || done {
 			return
 		}
@@ -278,10 +278,10 @@
 	}
 }
 
-// Transfer hands leadership of a group to another process, and reports whether that
+// TransferLeadership hands leadership of a group to another process, and reports whether that
 // has begun.
-func (h *Host) Transfer(ctx context.Context, number int, to uint64) (bool, error) {
-	return ask(ctx, h, func(now time.Time) bool { return h.node.Transfer(now, number, to) })
+func (h *Host) TransferLeadership(ctx context.Context, number int, to uint64) (bool, error) {
+	return ask(ctx, h, func(now time.Time) bool { return h.node.TransferLeadership(now, number, to) })
 }
 
 // Close stops taking events and waits for those on their way.
--- a/internal/replication/host_test.go
+++ b/internal/replication/host_test.go
@@ -81,7 +81,7 @@
 	if host == nil {
 		return nil, errNobody
 	}
-	return host.Hello(ctx, hello)
+	return host.HandleHello(ctx, hello)
 }
 
 // Close implements Transport.
--- a/internal/replication/node.go
+++ b/internal/replication/node.go
@@ -29,8 +29,8 @@
 	// largest number of voters.
 	Peers  []string
 	Voters int
-	// Formation says how the first membership comes about.
-	Formation Formation
+	// BootstrapMode says how the first membership comes about.
+	BootstrapMode BootstrapMode
 	// Bootstrap is set while the whole system starts for the first time; only
 	// then may FormBySeeds form a cluster.
 	Bootstrap bool
@@ -43,17 +43,17 @@
 	// ReplaceAfter is how long a voter may be silent before a spare takes its
 	// place.
 	ReplaceAfter time.Duration
-	// GreetAll is up to how many peers a process says hello to all of them, with
+	// FullMeshLimit is up to how many peers a process says hello to all of them, with
 	// FormByOrder; zero means greetAll.
-	GreetAll int
+	FullMeshLimit int
 	// LogBytes is how much of each group's log is kept for slow followers.
 	LogBytes int
 	Random   consensus.Random
 	// Send sends a message to the process at the address; it may be lost.
 	Send func(address string, message wire.PeerMessage)
-	// Applied, if it is set, is told of every entry that is applied, for
+	// OnApplied, if it is set, is told of every entry that is applied, for
 	// checkers.
-	Applied func(group int, entry *wire.LogEntry)
+	OnApplied func(group int, entry *wire.LogEntry)
 }
 
 // Node holds the replicas of one control process.
@@ -104,7 +104,7 @@
 }
 
 func (n *Node) soleProcess() bool {
-	return !n.identity.Formed && n.options.Formation == FormFixed && len(n.options.Peers) == 1 && n.options.Peers[0] == n.options.Address
+	return !n.identity.Formed && n.options.BootstrapMode == BootstrapStatic && len(n.options.Peers) == 1 && n.options.Peers[0] == n.options.Address
 }
 
 // Tick lets time pass.
@@ -156,9 +156,9 @@
 	g.waiting[index] = waiter{term: term, done: done}
 }
 
-// TransferAll hands leadership of every group to another process, and reports
+// TransferAllLeadership hands leadership of every group to another process, and reports
 // whether this one leads none any more.
-func (n *Node) TransferAll(now time.Time) bool {
+func (n *Node) TransferAllLeadership(now time.Time) bool {
 	done := true
 	for _, g := range n.groups {
 		if g.replica.TransferLeadership(now) {
@@ -168,9 +168,9 @@
 	return done
 }
 
-// Transfer hands leadership of a group to another replica, and reports whether
+// TransferLeadership hands leadership of a group to another replica, and reports whether
 // that has begun.
-func (n *Node) Transfer(now time.Time, number int, to uint64) bool {
+func (n *Node) TransferLeadership(now time.Time, number int, to uint64) bool {
 	g, err := n.group(number)
 	return err == nil && g.replica.TransferLeadershipTo(now, to)
 }
@@ -267,11 +267,11 @@
 }
 
 func (n *Node) tellApplied(g *group, entries []wire.LogEntry) {
-	if n.options.Applied == nil {
+	if n.options.OnApplied == nil {
 		return
 	}
 	for i := range entries {
-		n.options.Applied(g.number, &entries[i])
+		n.options.OnApplied(g.number, &entries[i])
 	}
 }
 
--- a/internal/replication/notify.go
+++ b/internal/replication/notify.go
@@ -7,22 +7,22 @@
 	"github.com/sedgemast/sedgemast/internal/storage"
 )
 
-// Notifying is a state machine that tells of every applied command, before the
+// NotifyingStateMachine is a state machine that tells of every applied command, before the
 // command's effects are stored.
-type Notifying struct {
+type NotifyingStateMachine struct {
 	StateMachine
 	Notify func()
 }
 
 // Apply implements StateMachine.
-func (n *Notifying) Apply(command []byte) ([]byte, []storage.Mutation) {
+func (n *NotifyingStateMachine) Apply(command []byte) ([]byte, []storage.Mutation) {
 	defer n.Notify()
 	return n.StateMachine.Apply(command)
 }
 
-// NewIdentity returns the identity of an empty data folder. It must never be
+// NewID returns the identity of an empty data folder. It must never be
 // given twice, hence the system's source of randomness.
-func NewIdentity() uint64 {
+func NewID() uint64 {
 	var identity [8]byte
 	// Read never fails, by its documentation.
 	_, _ = rand.Read(identity[:])
--- a/internal/replication/reads.go
+++ b/internal/replication/reads.go
@@ -18,9 +18,9 @@
 // errLapsed marks the refusals of a leader whose lease is over.
 var errLapsed = errors.New("the lease is over")
 
-// Lapsed reports whether a refusal says that a leader's lease is over. It may still
+// IsLeaseExpired reports whether a refusal says that a leader's lease is over. It may still
 // lead, and hear a majority again in a moment.
-func Lapsed(err error) bool { return errors.Is(err, errLapsed) }
+func IsLeaseExpired(err error) bool { return errors.Is(err, errLapsed) }
 
 // Read calls read while the group's state does not change. It fails with NotRun
 // unless this replica leads the group and holds its lease; the term that it
--- a/internal/replication/repair.go
+++ b/internal/replication/repair.go
@@ -67,12 +67,12 @@
 
 func (n *Node) repairPolicy() repairPolicy {
 	policy := repairPolicy{voters: n.options.Voters, replaceAfter: n.options.ReplaceAfter, spares: maxLearners, retiring: n.retiring}
-	if n.options.Formation == FormFixed {
+	if n.options.BootstrapMode == BootstrapStatic {
 		policy.voters = min(n.options.Voters, len(n.options.Peers))
 		return policy
 	}
 	policy.minVoters = n.options.MinVoters
-	if n.options.Formation == FormByOrder {
+	if n.options.BootstrapMode == BootstrapManual {
 		// Elsewhere learners are taken in to become voters soon.
 		policy.spares = min(max((n.options.MinVoters-1)/2, 1), maxLearners)
 	}
@@ -86,7 +86,7 @@
 // become learners.
 func planRepair(status *consensus.Status, processes []wire.Process, policy repairPolicy) (voters, learners []wire.Replica, change bool) {
 	membership := &status.Membership
-	if !status.Settled {
+	if !status.MembershipStable {
 		return nil, nil, false
 	}
 	plan := repairPlan{status: status, processes: processes, policy: policy}
@@ -125,7 +125,7 @@
 			return replica.ID
 		}
 		peer, isPeer := p.peer(replica.ID)
-		if isPeer && (p.storageGone(replica) || peer.Silence > p.policy.replaceAfter) {
+		if isPeer && (p.storageGone(replica) || peer.SinceResponse > p.policy.replaceAfter) {
 			return replica.ID
 		}
 	}
@@ -141,7 +141,7 @@
 	}
 	for _, replica := range voters {
 		peer, isPeer := p.peer(replica.ID)
-		if p.policy.retiring[replica.Name] || isPeer && peer.Silence > dropAfter*p.policy.replaceAfter {
+		if p.policy.retiring[replica.Name] || isPeer && peer.SinceResponse > dropAfter*p.policy.replaceAfter {
 			return replica.ID
 		}
 	}
@@ -174,7 +174,7 @@
 func (p *repairPlan) readyLearner() (wire.Replica, bool) {
 	for _, learner := range p.status.Membership.Learners {
 		peer, found := p.peer(learner.ID)
-		if found && peer.Streaming && peer.Behind <= maxBehind && peer.Silence <= maxLearnerSilence {
+		if found && peer.Replicating && peer.Lag <= maxBehind && peer.SinceResponse <= maxLearnerSilence {
 			return learner, true
 		}
 	}
--- a/internal/replication/repair_test.go
+++ b/internal/replication/repair_test.go
@@ -22,10 +22,10 @@
 	voters := []wire.Replica{replica(1, "a"), replica(2, "b"), replica(3, "c")}
 	spare := replica(4, "d")
 	healthy := func(r wire.Replica) consensus.PeerStatus {
-		return consensus.PeerStatus{Replica: r, Streaming: true}
+		return consensus.PeerStatus{Replica: r, Replicating: true}
 	}
 	silent := func(r wire.Replica) consensus.PeerStatus {
-		return consensus.PeerStatus{Replica: r, Silence: time.Minute}
+		return consensus.PeerStatus{Replica: r, SinceResponse: time.Minute}
 	}
 	cases := []struct {
 		name      string
@@ -40,13 +40,13 @@
 		{name: "a new process becomes a learner", peers: []consensus.PeerStatus{healthy(voters[1]), healthy(voters[2])}, processes: []wire.Process{living(4, "d")}, voters: []uint64{1, 2, 3}, spares: []uint64{4}},
 		{name: "a silent voter gives way to a spare", learners: []wire.Replica{spare}, peers: []consensus.PeerStatus{healthy(voters[1]), silent(voters[2]), healthy(spare)}, voters: []uint64{1, 2, 4}},
 		{name: "an emptied voter gives way at once", learners: []wire.Replica{spare}, peers: []consensus.PeerStatus{healthy(voters[1]), healthy(voters[2]), healthy(spare)}, processes: []wire.Process{living(9, "c")}, voters: []uint64{1, 2, 4}},
-		{name: "a spare that lags is not taken", learners: []wire.Replica{spare}, peers: []consensus.PeerStatus{healthy(voters[1]), silent(voters[2]), {Replica: spare, Streaming: true, Behind: 10_000}}},
+		{name: "a spare that lags is not taken", learners: []wire.Replica{spare}, peers: []consensus.PeerStatus{healthy(voters[1]), silent(voters[2]), {Replica: spare, Replicating: true, Lag: 10_000}}},
 		{name: "a silent spare is dropped", learners: []wire.Replica{spare}, peers: []consensus.PeerStatus{healthy(voters[1]), healthy(voters[2]), silent(spare)}, voters: []uint64{1, 2, 3}},
 		{name: "one change at a time", unsettled: true, learners: []wire.Replica{spare}, peers: []consensus.PeerStatus{healthy(voters[1]), silent(voters[2]), healthy(spare)}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			status := &consensus.Status{Settled: !test.unsettled, Peers: test.peers, Membership: wire.Membership{Voters: voters, Learners: test.learners}}
+			status := &consensus.Status{MembershipStable: !test.unsettled, Peers: test.peers, Membership: wire.Membership{Voters: voters, Learners: test.learners}}
 			got, learners, change := planRepair(status, test.processes, repairPolicy{voters: 3, replaceAfter: 10 * time.Second, spares: 1})
 			if change != (test.voters != nil) {
 				t.Fatalf("change %t: %v %v", change, got, learners)
@@ -68,8 +68,8 @@
 		}
 	}
 	voters := []wire.Replica{replica(1, "a"), replica(2, "b"), replica(3, "c")}
-	status := &consensus.Status{Settled: true, Membership: wire.Membership{Voters: voters, Learners: []wire.Replica{replica(4, "d")}}}
-	status.Peers = []consensus.PeerStatus{{Replica: replica(4, "d"), Silence: 0}}
+	status := &consensus.Status{MembershipStable: true, Membership: wire.Membership{Voters: voters, Learners: []wire.Replica{replica(4, "d")}}}
+	status.Peers = []consensus.PeerStatus{{Replica: replica(4, "d"), SinceResponse: 0}}
 	if _, learners, change := planRepair(status, []wire.Process{living(5, "e")}, repairPolicy{voters: 3, spares: 1}); change {
 		t.Errorf("taken in beyond the spares wanted: %v", learners)
 	}
--- a/internal/replication/snapshot.go
+++ b/internal/replication/snapshot.go
@@ -99,7 +99,7 @@
 	for _, to := range sortedKeys(g.sending) {
 		s := g.sending[to]
 		switch {
-		case !g.replica.NeedsSnapshot(s.to) || now.Sub(s.heardAt) > transferTimeout:
+		case !g.replica.AwaitsSnapshot(s.to) || now.Sub(s.heardAt) > transferTimeout:
 			n.endSnapshot(g, s)
 		case now.Sub(s.sentAt) > chunkTimeout:
 			n.sendChunk(g, s, now)
@@ -112,7 +112,7 @@
 	if err := s.view.Close(); err != nil {
 		panic(errors.Wrap(err, "the store can't be read"))
 	}
-	g.replica.SnapshotEnded(s.to)
+	g.replica.SnapshotTransferEnded(s.to)
 }
 
 func (n *Node) takeChunkResponse(g *group, now time.Time, message *wire.PeerMessage) {
@@ -133,7 +133,7 @@
 // place once it is whole.
 func (n *Node) takeChunk(g *group, now time.Time, message *wire.PeerMessage) {
 	chunk := message.Snapshot
-	if chunk == nil || !g.replica.AcceptsFrom(message) {
+	if chunk == nil || !g.replica.IsFromLeader(message) {
 		return
 	}
 	if chunk.Sequence == 0 && !n.beginReceiving(g, message) {
@@ -149,7 +149,7 @@
 	}
 	if chunk.Last {
 		g.receiving = nil
-		if !g.replica.WantsSnapshot(message.From, &chunk.Base) {
+		if !g.replica.ShouldInstallSnapshot(message.From, &chunk.Base) {
 			return
 		}
 		n.install(g, now, message)
@@ -168,7 +168,7 @@
 	if r := g.receiving; r != nil && r.transfer == message.Snapshot.Transfer {
 		return true
 	}
-	if !g.replica.WantsSnapshot(message.From, &message.Snapshot.Base) {
+	if !g.replica.ShouldInstallSnapshot(message.From, &message.Snapshot.Base) {
 		return false
 	}
 	g.receiving = &receiver{from: message.From, transfer: message.Snapshot.Transfer}
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -30,8 +30,8 @@
 const (
 	// GiveUp answers the failure at once.
 	GiveUp Decision = iota
-	// Again makes another attempt.
-	Again
+	// Retry makes another attempt.
+	Retry
 )
 
 // Next decides what follows the given number of attempts, of which the last
@@ -49,10 +49,10 @@
 	default:
 		return GiveUp
 	}
-	if !budget.Take() {
+	if !budget.TryWithdraw() {
 		return GiveUp
 	}
-	return Again
+	return Retry
 }
 
 // Budget limits retries to a share of the requests.
@@ -73,13 +73,13 @@
 	return &Budget{percent: percent, tokens: startTokens}
 }
 
-// Request adds what one request contributes.
-func (b *Budget) Request() {
+// Deposit adds what one request contributes.
+func (b *Budget) Deposit() {
 	b.tokens = min(maxTokens, b.tokens+float64(b.percent)/100)
 }
 
-// Take draws one retry and reports whether the budget allowed it.
-func (b *Budget) Take() bool {
+// TryWithdraw draws one retry and reports whether the budget allowed it.
+func (b *Budget) TryWithdraw() bool {
 	if b.tokens < 1 {
 		return false
 	}
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -17,9 +17,9 @@
 		kind     failure.Kind
 		want     Decision
 	}{
-		{"not run", Policy{MaxAttempts: 3, Deadline: later}, 1, failure.NotRun, Again},
-		{"not run, not repeatable", Policy{MaxAttempts: 3, NotRepeatable: true, Deadline: later}, 1, failure.NotRun, Again},
-		{"unknown", Policy{MaxAttempts: 3, Deadline: later}, 1, failure.OutcomeUnknown, Again},
+		{"not run", Policy{MaxAttempts: 3, Deadline: later}, 1, failure.NotRun, Retry},
+		{"not run, not repeatable", Policy{MaxAttempts: 3, NotRepeatable: true, Deadline: later}, 1, failure.NotRun, Retry},
+		{"unknown", Policy{MaxAttempts: 3, Deadline: later}, 1, failure.OutcomeUnknown, Retry},
 		{"unknown, not repeatable", Policy{MaxAttempts: 3, NotRepeatable: true, Deadline: later}, 1, failure.OutcomeUnknown, GiveUp},
 		{"bad request", Policy{MaxAttempts: 3, Deadline: later}, 1, failure.BadRequest, GiveUp},
 		{"last attempt", Policy{MaxAttempts: 3, Deadline: later}, 3, failure.NotRun, GiveUp},
@@ -37,8 +37,8 @@
 	budget := NewBudget(10)
 	retries := 0
 	for range 10_000 {
-		budget.Request()
-		for budget.Take() {
+		budget.Deposit()
+		for budget.TryWithdraw() {
 			retries++
 		}
 	}
--- a/internal/routing/pipeline.go
+++ b/internal/routing/pipeline.go
@@ -58,8 +58,8 @@
 	Score(request *Request, candidate *Candidate) float64
 }
 
-// Weighted is a scorer with its weight.
-type Weighted struct {
+// WeightedScorer is a scorer with its weight.
+type WeightedScorer struct {
 	Scorer Scorer
 	Weight float64
 }
@@ -67,11 +67,11 @@
 // Picker takes one of the scored candidates, which are not empty.
 type Picker interface {
 	Name() string
-	Pick(scored []Scored, random Random) *Candidate
+	Pick(scored []ScoredCandidate, random Random) *Candidate
 }
 
-// Scored is a candidate with its weighted score.
-type Scored struct {
+// ScoredCandidate is a candidate with its weighted score.
+type ScoredCandidate struct {
 	Candidate *Candidate
 	Score     float64
 }
@@ -79,7 +79,7 @@
 // Pipeline runs the steps in order.
 type Pipeline struct {
 	filters []Filter
-	scorers []Weighted
+	scorers []WeightedScorer
 	picker  Picker
 	dropped []atomic.Uint64
 	picked  atomic.Uint64
@@ -87,16 +87,16 @@
 }
 
 // NewPipeline returns a pipeline of the steps given.
-func NewPipeline(filters []Filter, scorers []Weighted, picker Picker) *Pipeline {
+func NewPipeline(filters []Filter, scorers []WeightedScorer, picker Picker) *Pipeline {
 	return &Pipeline{filters: filters, scorers: scorers, picker: picker, dropped: make([]atomic.Uint64, len(filters))}
 }
 
 // Choose returns the endpoint for the request, or nil if no candidate is left.
 func (p *Pipeline) Choose(request *Request, candidates []*Candidate, random Random) *Candidate {
-	scored := make([]Scored, 0, len(candidates))
+	scored := make([]ScoredCandidate, 0, len(candidates))
 	for _, candidate := range candidates {
 		if p.keep(request, candidate) {
-			scored = append(scored, Scored{Candidate: candidate, Score: p.score(request, candidate)})
+			scored = append(scored, ScoredCandidate{Candidate: candidate, Score: p.score(request, candidate)})
 		}
 	}
 	if len(scored) == 0 {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -17,7 +17,7 @@
 func testPipeline() *Pipeline {
 	return NewPipeline(
 		[]Filter{AvailableFilter{}, ModelFilter{}, ExcludeFilter{}},
-		[]Weighted{{Scorer: AffinityScorer{}, Weight: 1}, {Scorer: LoadScorer{}, Weight: 2}},
+		[]WeightedScorer{{Scorer: RendezvousScorer{}, Weight: 1}, {Scorer: LoadScorer{}, Weight: 2}},
 		BestPicker{},
 	)
 }
--- a/internal/routing/scorers.go
+++ b/internal/routing/scorers.go
@@ -39,31 +39,31 @@
 	return float64(candidate.Prefixes.Match(request.Blocks)) / float64(len(request.Blocks))
 }
 
-// AffinityScorer rates the endpoints for a key in an order that every process
+// RendezvousScorer rates the endpoints for a key in an order that every process
 // agrees on, so that requests with one prefix meet at one endpoint.
-type AffinityScorer struct{}
+type RendezvousScorer struct{}
 
 // Name implements Scorer.
-func (AffinityScorer) Name() string { return "affinity" }
+func (RendezvousScorer) Name() string { return "affinity" }
 
 // Score implements Scorer.
-func (AffinityScorer) Score(request *Request, candidate *Candidate) float64 {
+func (RendezvousScorer) Score(request *Request, candidate *Candidate) float64 {
 	const mantissaBits = 53
 	mixed := (xxhash.Sum64String(candidate.Name) ^ request.Key) * 0x9e3779b97f4a7c15
 	return float64(mixed>>(64-mantissaBits)) / (1 << mantissaBits)
 }
 
-// GatherScorer keeps the two kinds of work apart: online requests prefer endpoints
+// ClassScorer keeps the two kinds of work apart: online requests prefer endpoints
 // that serve online requests already, batch work the others. A step of an engine
 // takes longer the more sequences it has, so that fewer endpoints pay for a reserve
 // if online requests gather.
-type GatherScorer struct{}
+type ClassScorer struct{}
 
 // Name implements Scorer.
-func (GatherScorer) Name() string { return "gather" }
+func (ClassScorer) Name() string { return "gather" }
 
 // Score implements Scorer.
-func (GatherScorer) Score(request *Request, candidate *Candidate) float64 {
+func (ClassScorer) Score(request *Request, candidate *Candidate) float64 {
 	if candidate.Online != request.Batch {
 		return 1
 	}
@@ -81,7 +81,7 @@
 func (BestPicker) Name() string { return "best" }
 
 // Pick implements Picker.
-func (BestPicker) Pick(scored []Scored, random Random) *Candidate {
+func (BestPicker) Pick(scored []ScoredCandidate, random Random) *Candidate {
 	best := scored[0]
 	equals := 1
 	for _, candidate := range scored[1:] {
--- a/internal/scheduling/scheduler.go
+++ b/internal/scheduling/scheduler.go
@@ -87,10 +87,10 @@
 		running: map[string]*running{},
 		pipeline: routing.NewPipeline(
 			[]routing.Filter{routing.AvailableFilter{}, routing.ModelFilter{}, routing.ExcludeFilter{}},
-			[]routing.Weighted{
+			[]routing.WeightedScorer{
 				{Scorer: routing.PrefixScorer{}, Weight: weightPrefix},
 				{Scorer: routing.LoadScorer{}, Weight: weightLoad},
-				{Scorer: routing.GatherScorer{}, Weight: weightGather},
+				{Scorer: routing.ClassScorer{}, Weight: weightGather},
 			},
 			routing.BestPicker{},
 		),
--- a/internal/simulation/control.go
+++ b/internal/simulation/control.go
@@ -108,7 +108,7 @@
 		LogBytes:          w.logBytes(),
 		Random:            w.random,
 		Send:              c.send,
-		Applied: func(group int, entry *wire.LogEntry) {
+		OnApplied: func(group int, entry *wire.LogEntry) {
 			w.ledger.applied(c.node, group, entry)
 		},
 	}, w.clock.now)
@@ -188,11 +188,11 @@
 		}
 		hello := c.node.Hello()
 		call(c.world, &c.process, &other.process, time.Second, func(answer reply[wire.Hello]) {
-			other.drive(func() { other.node.Hear(c.world.clock.now, &hello) })
+			other.drive(func() { other.node.HandleHello(c.world.clock.now, &hello) })
 			answer(other.node.Hello(), nil)
 		}, func(answer wire.Hello, err error) {
 			if err == nil {
-				c.node.Hear(c.world.clock.now, &answer)
+				c.node.HandleHello(c.world.clock.now, &answer)
 			}
 		})
 	}
--- a/internal/simulation/faults_control.go
+++ b/internal/simulation/faults_control.go
@@ -164,8 +164,8 @@
 			return
 		}
 		status := leader.node.Statuses(w.clock.now)[0]
-		repaired := status.Settled && !consensus.IsVoter(&status.Membership, lost)
-		if repaired || (during && !status.Settled) {
+		repaired := status.MembershipStable && !consensus.IsVoter(&status.Membership, lost)
+		if repaired || (during && !status.MembershipStable) {
 			second := w.controlByName(status.Membership.Voters[fault.Target%len(status.Membership.Voters)].Address)
 			if second.alive {
 				w.killControl(second, true)
@@ -219,7 +219,7 @@
 				continue
 			}
 			status := c.node.Statuses(w.clock.now)[group]
-			if status.Role == consensus.Leader && status.Settled && !consensus.IsVoter(&status.Membership, id) {
+			if status.Role == consensus.Leader && status.MembershipStable && !consensus.IsVoter(&status.Membership, id) {
 				found = true
 			}
 		}
@@ -239,7 +239,7 @@
 	var wait func()
 	wait = func() {
 		done := true
-		c.drive(func() { done = c.node.TransferAll(w.clock.now) })
+		c.drive(func() { done = c.node.TransferAllLeadership(w.clock.now) })
 		if !done && w.clock.now.Before(deadline) {
 			w.timer(&c.process, tickInterval, wait)
 			return
--- a/internal/simulation/gateway.go
+++ b/internal/simulation/gateway.go
@@ -48,7 +48,7 @@
 	g.budget = retry.NewBudget(retryPercent)
 	g.pipeline = routing.NewPipeline(
 		[]routing.Filter{routing.AvailableFilter{}, routing.ModelFilter{}, routing.ExcludeFilter{}},
-		[]routing.Weighted{{Scorer: routing.AffinityScorer{}, Weight: 1}, {Scorer: routing.LoadScorer{}, Weight: 2}, {Scorer: routing.ZoneScorer{}, Weight: 1}},
+		[]routing.WeightedScorer{{Scorer: routing.RendezvousScorer{}, Weight: 1}, {Scorer: routing.LoadScorer{}, Weight: 2}, {Scorer: routing.ZoneScorer{}, Weight: 1}},
 		routing.BestPicker{},
 	)
 	previous := g.session
@@ -97,7 +97,7 @@
 		return
 	}
 	g.world.ledger.acted(g.name, g.session.config.Current().Revision)
-	g.budget.Request()
+	g.budget.Deposit()
 	g.open++
 	r := &relay{
 		gateway: g,
@@ -271,7 +271,7 @@
 
 func (r *relay) next(err error) {
 	g := r.gateway
-	if r.policy.Next(g.world.clock.now, r.attempts, err, g.budget) == retry.Again {
+	if r.policy.Next(g.world.clock.now, r.attempts, err, g.budget) == retry.Retry {
 		r.attempt()
 		return
 	}
--- a/internal/simulation/task.go
+++ b/internal/simulation/task.go
@@ -230,7 +230,7 @@
 	if t.worker != "" {
 		t.exclude[t.worker] = true
 	}
-	if t.policy.Next(d.world.clock.now, t.attempts, err, t.budget) == retry.Again {
+	if t.policy.Next(d.world.clock.now, t.attempts, err, t.budget) == retry.Retry {
 		d.world.timer(&d.process, 0, t.begin)
 		return
 	}
--- a/internal/storeclient/client.go
+++ b/internal/storeclient/client.go
@@ -106,7 +106,7 @@
 		return
 	}
 	known.failed = address
-	leader := consensus.LeaderOf(err)
+	leader := consensus.LeaderFromError(err)
 	switch {
 	case leader != "":
 		known.leader = leader
--- a/internal/storeclient/client_test.go
+++ b/internal/storeclient/client_test.go
@@ -59,7 +59,7 @@
 }
 
 func notLeader(leader string) error {
-	return failure.New(failure.NotRun, "ask the leader", "it does not lead").WithField(consensus.LeaderField + leader)
+	return failure.New(failure.NotRun, "ask the leader", "it does not lead").WithField(consensus.LeaderFieldPrefix + leader)
 }
 
 func TestClientFollowsToTheLeaderAndStays(t *testing.T) {
--- a/test/hosted_test.go
+++ b/test/hosted_test.go
@@ -357,7 +357,7 @@
 
 // storeLeader returns the store that runs the items of a job.
 func (f *hostedFleet) storeLeader(t *testing.T, job string) *hostedMachine {
-	role := []byte(fmt.Sprintf("event=running_items group=%d leading=", placement.GroupOf(job, placement.GroupsFor(3, 3))))
+	role := []byte(fmt.Sprintf("event=running_items group=%d leading=", placement.GroupOf(job, placement.GroupCount(3, 3))))
 	var leader *hostedMachine
 	eventually(t, "a leading store", func() bool {
 		for name, machine := range f.machines {
