--- a/cmd/sedgemast/fleet.go
+++ b/cmd/sedgemast/fleet.go
@@ -54,7 +54,7 @@
 	config := settings.DefaultEdge()
 	err := settings.Load(flags.Settings, config, func() {
 		flags.override(&config.Process, &config.Seeds)
-		command.Set(&config.Callers, flags.Callers)
+		command.OverrideString(&config.Callers, flags.Callers)
 	})
 	if err != nil {
 		return err
@@ -76,9 +76,9 @@
 	config := settings.DefaultCoordinator()
 	err := settings.Load(flags.Settings, config, func() {
 		flags.override(&config.Process, &config.Seeds)
-		command.Set(&config.Operators, flags.Operators)
-		command.Set(&config.Platform, flags.Platform)
-		command.Set(&config.DataFolder, flags.DataFolder)
+		command.OverrideString(&config.Operators, flags.Operators)
+		command.OverrideString(&config.Platform, flags.Platform)
+		command.OverrideString(&config.DataFolder, flags.DataFolder)
 		config.Bootstrap = config.Bootstrap || flags.Bootstrap
 	})
 	if err != nil {
@@ -110,7 +110,7 @@
 	config := settings.DefaultStore()
 	err := settings.Load(flags.Settings, config, func() {
 		flags.override(&config.Process, &config.Seeds)
-		command.Set(&config.DataFolder, flags.DataFolder)
+		command.OverrideString(&config.DataFolder, flags.DataFolder)
 	})
 	if err != nil {
 		return err
--- a/cmd/sedgemast/main.go
+++ b/cmd/sedgemast/main.go
@@ -82,7 +82,7 @@
 		if len(flags.Control) > 0 {
 			config.Control = flags.Control
 		}
-		command.Set(&config.OperatorKeySHA256, flags.OperatorKeySHA256)
+		command.OverrideString(&config.OperatorKeySHA256, flags.OperatorKeySHA256)
 	})
 	if err != nil {
 		return err
@@ -118,8 +118,8 @@
 	config := settings.DefaultControl()
 	err := settings.Load(flags.Settings, config, func() {
 		flags.Override(&config.Process)
-		command.Set(&config.DataFolder, flags.DataFolder)
-		command.Set(&config.Platform, flags.Platform)
+		command.OverrideString(&config.DataFolder, flags.DataFolder)
+		command.OverrideString(&config.Platform, flags.Platform)
 		if len(flags.Peers) > 0 {
 			config.Peers = flags.Peers
 		}
--- a/internal/batchstate/machine.go
+++ b/internal/batchstate/machine.go
@@ -76,7 +76,7 @@
 func (j *Job) Account() string { return AccountOf(j.Owner, j.Route) }
 
 // AccountOf names the account of an owner on a route.
-func AccountOf(owner tenancy.Name, route string) string { return tenancy.Scoped(owner, route) }
+func AccountOf(owner tenancy.Name, route string) string { return tenancy.ScopedName(owner, route) }
 
 // Find returns the number of the item with the id.
 func (j *Job) Find(id string) (int, bool) {
--- a/internal/batchstore/room_test.go
+++ b/internal/batchstore/room_test.go
@@ -151,7 +151,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := testRunner(t, 0)
 			submit := func(owner string, items int) {
-				job := &wire.SubmitBatch{ID: tenancy.Scoped(tenancy.Name(owner), "j"), Route: "r", Host: "h", Owner: owner}
+				job := &wire.SubmitBatch{ID: tenancy.ScopedName(tenancy.Name(owner), "j"), Route: "r", Host: "h", Owner: owner}
 				for range items {
 					job.Items = append(job.Items, wire.BatchItem{Path: "/"})
 				}
--- a/internal/batchstore/store.go
+++ b/internal/batchstore/store.go
@@ -90,7 +90,7 @@
 	if err != nil {
 		return nil, errors.CombineErrors(err, store.Close())
 	}
-	d.MarkStep(daemon.StepStorage)
+	d.CompleteStep(daemon.StepStorage)
 	if s.identity, err = s.host.Hello(d.Context()); err != nil {
 		return nil, errors.CombineErrors(err, store.Close())
 	}
@@ -99,7 +99,7 @@
 	s.watcher.OnChange(s.adopt)
 	s.upstream.Measure(d.Traffic)
 	d.Registry.MustRegister(newRoomCollector(s.loads))
-	s.client.Measure(d.Traffic)
+	s.client.SetMeter(d.Traffic)
 	s.register()
 	d.BeforeStop(s.handOver)
 	d.Go(s.watcher.Run)
@@ -134,7 +134,7 @@
 		ElectionTimeout:   s.settings.ElectionTimeout.Std(),
 		HeartbeatInterval: s.settings.ElectionTimeout.Std() / heartbeatsPerTimeout,
 		ReplaceAfter:      s.settings.ReplaceAfter.Std(),
-		LogBytes:          s.settings.KeptLogBytes() / carriedGroups,
+		LogBytes:          s.settings.RetainedLogBytes() / carriedGroups,
 		Random:            random,
 	}
 }
@@ -170,7 +170,7 @@
 	s.loads.setLimits(snapshot)
 	s.loads.setGroups(s.groupCount())
 	s.upstream.Forget(s.workers.Knows)
-	s.daemon.MarkFleet(snapshot.Table != nil, snapshot.Fleet.Listed || snapshot.Fleet.Partial)
+	s.daemon.SetFleetKnown(snapshot.Table != nil, snapshot.Fleet.Listed || snapshot.Fleet.Partial)
 	ctx := s.daemon.Context()
 	err := s.host.SetPeers(ctx, snapshot.Fleet.StoreAddresses())
 	err = errors.CombineErrors(err, s.host.SetRetiring(ctx, snapshot.Fleet.Retiring))
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -85,15 +85,15 @@
 
 // Override applies the flags that were given.
 func (f *ProcessFlags) Override(process *settings.Process) {
-	Set(&process.Name, f.Name)
-	Set(&process.Zone, f.Zone)
-	Set(&process.Listen, f.Listen)
-	Set(&process.Advertise, f.Advertise)
-	Set(&process.LogLevel, f.LogLevel)
+	OverrideString(&process.Name, f.Name)
+	OverrideString(&process.Zone, f.Zone)
+	OverrideString(&process.Listen, f.Listen)
+	OverrideString(&process.Advertise, f.Advertise)
+	OverrideString(&process.LogLevel, f.LogLevel)
 }
 
-// Set replaces a setting by a flag that was given.
-func Set(target *string, flag string) {
+// OverrideString replaces a setting by a flag that was given.
+func OverrideString(target *string, flag string) {
 	if flag != "" {
 		*target = flag
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -55,7 +55,7 @@
 	machine *metastate.Machine
 	mutex   sync.Mutex
 	term    uint64
-	leader  *coordination.Meta
+	leader  *coordination.MetaLeader
 }
 
 // jobGroup is a job group with its leader's soft state.
@@ -64,7 +64,7 @@
 	machine *jobstate.Machine
 	mutex   sync.Mutex
 	term    uint64
-	leader  *coordination.Jobs
+	leader  *coordination.JobLeader
 }
 
 // New opens the data folder and prepares the process; d.Run serves it.
@@ -130,24 +130,24 @@
 
 func (c *Control) policy() coordination.Policy {
 	return coordination.Policy{
-		DaemonLease:   c.settings.DaemonLease.Std(),
-		ConfigLease:   c.settings.ConfigLease.Std(),
-		ItemLease:     c.settings.ItemLease.Std(),
-		ForgetWorkers: c.settings.ForgetWorkers.Std(),
-		JobGroups:     len(c.groups),
+		DaemonLease:     c.settings.DaemonLease.Std(),
+		ConfigLease:     c.settings.ConfigLease.Std(),
+		ItemLease:       c.settings.ItemLease.Std(),
+		WorkerRetention: c.settings.ForgetWorkers.Std(),
+		JobGroups:       len(c.groups),
 	}
 }
 
 // readMeta calls read with the leader's soft state and the replicated state of
 // the meta group, if this process leads it.
-func (c *Control) readMeta(read func(now time.Time, leader *coordination.Meta, machine *metastate.Machine) error) error {
+func (c *Control) readMeta(read func(now time.Time, leader *coordination.MetaLeader, machine *metastate.Machine) error) error {
 	return c.host.Read(controlclient.MetaGroup, func(term uint64, _ storage.Reader) error {
 		c.meta.mutex.Lock()
 		defer c.meta.mutex.Unlock()
 		now := clock.Exact()
 		if c.meta.leader == nil || c.meta.term != term {
 			c.meta.term = term
-			c.meta.leader = coordination.NewMeta(c.meta.machine, c.policy(), term, now)
+			c.meta.leader = coordination.NewMetaLeader(c.meta.machine, c.policy(), term, now)
 			logging.Info(c.logger, "leading", "group", controlclient.MetaGroup, "term", term)
 		}
 		return read(now, c.meta.leader, c.meta.machine)
@@ -155,14 +155,14 @@
 }
 
 // readJobs calls read with the leader's soft state and the state of a job group.
-func (c *Control) readJobs(group *jobGroup, read func(now time.Time, leader *coordination.Jobs, reader storage.Reader) error) error {
+func (c *Control) readJobs(group *jobGroup, read func(now time.Time, leader *coordination.JobLeader, reader storage.Reader) error) error {
 	return c.host.Read(group.number, func(term uint64, reader storage.Reader) error {
 		group.mutex.Lock()
 		defer group.mutex.Unlock()
 		now := clock.Exact()
 		if group.leader == nil || group.term != term {
 			group.term = term
-			group.leader = coordination.NewJobs(group.machine, c.policy(), now)
+			group.leader = coordination.NewJobLeader(group.machine, c.policy(), now)
 			logging.Info(c.logger, "leading", "group", group.number, "term", term)
 		}
 		return read(now, group.leader, reader)
--- a/internal/control/handlers.go
+++ b/internal/control/handlers.go
@@ -61,7 +61,7 @@
 
 func (c *Control) documents(_ context.Context, request *wire.GetDocumentsRequest) (msgp.Marshaler, error) {
 	response := &wire.GetDocumentsResponse{}
-	err := c.readMeta(func(_ time.Time, _ *coordination.Meta, machine *metastate.Machine) error {
+	err := c.readMeta(func(_ time.Time, _ *coordination.MetaLeader, machine *metastate.Machine) error {
 		response.Revision = machine.Revision()
 		response.Documents = machine.Documents(request.Kind, request.Name)
 		return nil
@@ -71,7 +71,7 @@
 
 func (c *Control) history(_ context.Context, request *wire.HistoryRequest) (msgp.Marshaler, error) {
 	response := &wire.HistoryResponse{}
-	err := c.readMeta(func(_ time.Time, _ *coordination.Meta, machine *metastate.Machine) error {
+	err := c.readMeta(func(_ time.Time, _ *coordination.MetaLeader, machine *metastate.Machine) error {
 		response.Changes = machine.History(request.Limit)
 		return nil
 	})
--- a/internal/control/items.go
+++ b/internal/control/items.go
@@ -19,7 +19,7 @@
 		return nil, failure.New(failure.BadRequest, "ask for a group from 1 to the number of job groups", "there is no job group %d", request.Group)
 	}
 	var response *wire.LeaseItemsResponse
-	err := c.readJobs(c.groups[request.Group-1], func(now time.Time, leader *coordination.Jobs, reader storage.Reader) (err error) {
+	err := c.readJobs(c.groups[request.Group-1], func(now time.Time, leader *coordination.JobLeader, reader storage.Reader) (err error) {
 		response, err = leader.LeaseItems(now, request, reader)
 		return err
 	})
@@ -44,8 +44,8 @@
 		return nil, err
 	}
 	// An error means that another process leads now; the leases went with it.
-	_ = c.readJobs(c.groups[number-1], func(_ time.Time, leader *coordination.Jobs, _ storage.Reader) error {
-		leader.Settle(request.Results)
+	_ = c.readJobs(c.groups[number-1], func(_ time.Time, leader *coordination.JobLeader, _ storage.Reader) error {
+		leader.Release(request.Results)
 		return nil
 	})
 	c.metrics.items.WithLabelValues("completed").Add(float64(result.Complete.Accepted))
@@ -58,7 +58,7 @@
 func (c *Control) expireJobs(ctx context.Context) {
 	for _, group := range c.groups {
 		due := false
-		err := c.readJobs(group, func(now time.Time, _ *coordination.Jobs, _ storage.Reader) error {
+		err := c.readJobs(group, func(now time.Time, _ *coordination.JobLeader, _ storage.Reader) error {
 			due = group.machine.ExpiryDue(now.UnixMilli())
 			return nil
 		})
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -18,7 +18,7 @@
 
 func (c *Control) heartbeat(_ context.Context, request *wire.HeartbeatRequest) (msgp.Marshaler, error) {
 	var response *wire.HeartbeatResponse
-	err := c.readMeta(func(now time.Time, leader *coordination.Meta, _ *metastate.Machine) (err error) {
+	err := c.readMeta(func(now time.Time, leader *coordination.MetaLeader, _ *metastate.Machine) (err error) {
 		response, err = leader.Heartbeat(now, request)
 		return err
 	})
@@ -30,7 +30,7 @@
 }
 
 func (c *Control) leadsMeta() bool {
-	return c.readMeta(func(time.Time, *coordination.Meta, *metastate.Machine) error { return nil }) == nil
+	return c.readMeta(func(time.Time, *coordination.MetaLeader, *metastate.Machine) error { return nil }) == nil
 }
 
 func (c *Control) listWorkers(listed []workerlist.Worker) {
@@ -43,8 +43,8 @@
 		rows = append(rows, membership.ListedWorker{ID: row.ID, Address: row.Address, Zone: row.Zone, Incarnation: row.Incarnation, Leaving: row.Leaving})
 	}
 	// An error means that another process leads now; it reads the list itself.
-	_ = c.readMeta(func(now time.Time, leader *coordination.Meta, _ *metastate.Machine) error {
-		leader.Listed(now, rows)
+	_ = c.readMeta(func(now time.Time, leader *coordination.MetaLeader, _ *metastate.Machine) error {
+		leader.ApplyList(now, rows)
 		return nil
 	})
 }
@@ -55,7 +55,7 @@
 func (c *Control) plan(ctx context.Context) {
 	var expired []string
 	var command wire.AssignCommand
-	err := c.readMeta(func(now time.Time, leader *coordination.Meta, _ *metastate.Machine) error {
+	err := c.readMeta(func(now time.Time, leader *coordination.MetaLeader, _ *metastate.Machine) error {
 		expired, command = leader.Plan(now)
 		return nil
 	})
@@ -81,7 +81,7 @@
 
 func (c *Control) status(ctx context.Context, _ *wire.StatusRequest) (msgp.Marshaler, error) {
 	var response *wire.StatusResponse
-	err := c.readMeta(func(now time.Time, leader *coordination.Meta, _ *metastate.Machine) error {
+	err := c.readMeta(func(now time.Time, leader *coordination.MetaLeader, _ *metastate.Machine) error {
 		response = leader.Status(now)
 		return nil
 	})
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -41,8 +41,8 @@
 // MetaGroup is the number of the group that keeps the configuration.
 const MetaGroup = 0
 
-// LeaderHint is the prefix of the failure field that names a group's leader.
-const LeaderHint = consensus.LeaderFieldPrefix
+// LeaderFieldPrefix is the prefix of the failure field that names a group's leader.
+const LeaderFieldPrefix = consensus.LeaderFieldPrefix
 
 const (
 	attemptTimeout = time.Second
@@ -86,7 +86,7 @@
 		return
 	}
 	delete(c.leaders, group)
-	if hint, found := strings.CutPrefix(failure.From(err).Field, LeaderHint); found && hint != address {
+	if hint, found := strings.CutPrefix(failure.From(err).Field, LeaderFieldPrefix); found && hint != address {
 		c.leaders[group] = hint
 	}
 }
--- a/internal/controlclient/session.go
+++ b/internal/controlclient/session.go
@@ -21,8 +21,8 @@
 	Timeout  time.Duration
 	// Report fills in the daemon's part of a heartbeat.
 	Report func(*wire.HeartbeatRequest)
-	// Changed is called after a heartbeat that brought news; may be nil.
-	Changed func(*wire.HeartbeatResponse)
+	// OnChange is called after a heartbeat that brought news; may be nil.
+	OnChange func(*wire.HeartbeatResponse)
 }
 
 // Session keeps a daemon's lease, its view of the dispatchers and its copy of
@@ -73,8 +73,8 @@
 	return s.configLease.Valid(now)
 }
 
-// Gateways returns the number of living gateways, at least one.
-func (s *Session) Gateways() int {
+// GatewayCount returns the number of living gateways, at least one.
+func (s *Session) GatewayCount() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return max(1, s.gateways)
@@ -98,8 +98,8 @@
 	return dispatchers, s.viewChanges
 }
 
-// ViewChanges returns the number that changes whenever the view does.
-func (s *Session) ViewChanges() uint64 {
+// ViewVersion returns the number that changes whenever the view does.
+func (s *Session) ViewVersion() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.viewChanges
@@ -110,7 +110,7 @@
 	ticker := time.NewTicker(s.options.Interval)
 	defer ticker.Stop()
 	for {
-		s.Beat(ctx)
+		s.SendHeartbeat(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -120,16 +120,16 @@
 	}
 }
 
-// Hurry makes the next heartbeat go out at once.
-func (s *Session) Hurry() {
+// HeartbeatNow makes the next heartbeat go out at once.
+func (s *Session) HeartbeatNow() {
 	select {
 	case s.kick <- struct{}{}:
 	default:
 	}
 }
 
-// Beat sends one heartbeat, trying every control process until the timeout.
-func (s *Session) Beat(ctx context.Context) {
+// SendHeartbeat sends one heartbeat, trying every control process until the timeout.
+func (s *Session) SendHeartbeat(ctx context.Context) {
 	request := s.request()
 	for attempt := 0; attempt <= len(s.options.Client.addresses); attempt++ {
 		sent := clock.Exact()
@@ -179,7 +179,7 @@
 	if changed {
 		logging.Info(s.options.Logger, "configuration_in_force", "revision", s.config.Current().Revision)
 		// Control learns at once that the change is in force here.
-		s.Hurry()
+		s.HeartbeatNow()
 	}
 	s.mutex.Lock()
 	if s.failures > 0 {
@@ -197,8 +197,8 @@
 	s.applyView(response.View)
 	s.assignmentVersion = response.AssignmentVersion
 	s.mutex.Unlock()
-	if s.options.Changed != nil {
-		s.options.Changed(response)
+	if s.options.OnChange != nil {
+		s.options.OnChange(response)
 	}
 }
 
--- a/internal/coordination/jobs.go
+++ b/internal/coordination/jobs.go
@@ -22,8 +22,8 @@
 	askerMemory  = 10 * time.Second
 )
 
-// Jobs is the soft state of a job group's leader in one term.
-type Jobs struct {
+// JobLeader is the soft state of a job group's leader in one term.
+type JobLeader struct {
 	policy  Policy
 	machine *jobstate.Machine
 	leases  *jobstate.Leases
@@ -32,9 +32,9 @@
 	pruned time.Time
 }
 
-// NewJobs begins a term.
-func NewJobs(machine *jobstate.Machine, policy Policy, now time.Time) *Jobs {
-	return &Jobs{
+// NewJobLeader begins a term.
+func NewJobLeader(machine *jobstate.Machine, policy Policy, now time.Time) *JobLeader {
+	return &JobLeader{
 		policy:  policy,
 		machine: machine,
 		leases:  jobstate.NewLeases(machine, policy.ItemLease, adoptionTime, now),
@@ -44,7 +44,7 @@
 
 // LeaseItems renews what a dispatcher holds and grants it waiting items. The
 // reader is the group's state.
-func (j *Jobs) LeaseItems(now time.Time, request *wire.LeaseItemsRequest, reader storage.Reader) (*wire.LeaseItemsResponse, error) {
+func (j *JobLeader) LeaseItems(now time.Time, request *wire.LeaseItemsRequest, reader storage.Reader) (*wire.LeaseItemsResponse, error) {
 	response := &wire.LeaseItemsResponse{
 		LeaseMillis: j.policy.ItemLease.Milliseconds(),
 		IdleMillis:  j.idle(now, request.Dispatcher).Milliseconds(),
@@ -65,7 +65,7 @@
 // idle returns when a dispatcher that got no items may ask again: the more
 // dispatchers there are, the later, so that their number does not multiply the
 // asking.
-func (j *Jobs) idle(now time.Time, asker string) time.Duration {
+func (j *JobLeader) idle(now time.Time, asker string) time.Duration {
 	j.askers[asker] = now
 	if now.Sub(j.pruned) > askerMemory {
 		j.pruned = now
@@ -78,7 +78,7 @@
 	return min(max(time.Duration(len(j.askers))*idlePerAsker, minIdle), maxIdle)
 }
 
-func (j *Jobs) read(reader storage.Reader, ref wire.ItemRef) (wire.LeasedItem, error) {
+func (j *JobLeader) read(reader storage.Reader, ref wire.ItemRef) (wire.LeasedItem, error) {
 	record, err := j.machine.Job("", ref.JobID)
 	if err != nil {
 		return wire.LeasedItem{}, err
@@ -95,5 +95,5 @@
 	}, err
 }
 
-// Settle forgets the leases of items whose results are committed.
-func (j *Jobs) Settle(results []wire.ItemResult) { j.leases.Settle(results) }
+// Release forgets the leases of items whose results are committed.
+func (j *JobLeader) Release(results []wire.ItemResult) { j.leases.Release(results) }
--- a/internal/coordination/meta.go
+++ b/internal/coordination/meta.go
@@ -20,34 +20,34 @@
 	DaemonLease time.Duration
 	ConfigLease time.Duration
 	ItemLease   time.Duration
-	// ForgetWorkers is how long a worker may be missing from the platform's
+	// WorkerRetention is how long a worker may be missing from the platform's
 	// list.
-	ForgetWorkers time.Duration
-	JobGroups     int
+	WorkerRetention time.Duration
+	JobGroups       int
 }
 
-// Meta is the soft state of the meta group's leader in one term.
-type Meta struct {
+// MetaLeader is the soft state of the meta group's leader in one term.
+type MetaLeader struct {
 	policy  Policy
 	machine *metastate.Machine
 	table   *membership.LeaseTable
 	workers *membership.Workers
 }
 
-// NewMeta begins a term.
-func NewMeta(machine *metastate.Machine, policy Policy, term uint64, now time.Time) *Meta {
-	m := &Meta{
+// NewMetaLeader begins a term.
+func NewMetaLeader(machine *metastate.Machine, policy Policy, term uint64, now time.Time) *MetaLeader {
+	m := &MetaLeader{
 		policy:  policy,
 		machine: machine,
 		table:   membership.NewLeaseTable(term, policy.DaemonLease, now),
-		workers: membership.NewWorkers(policy.ForgetWorkers),
+		workers: membership.NewWorkers(policy.WorkerRetention),
 	}
 	m.workers.Restore(now, machine.Assignments())
 	return m
 }
 
 // Heartbeat renews a daemon's leases and answers with what it does not know yet.
-func (m *Meta) Heartbeat(now time.Time, request *wire.HeartbeatRequest) (*wire.HeartbeatResponse, error) {
+func (m *MetaLeader) Heartbeat(now time.Time, request *wire.HeartbeatRequest) (*wire.HeartbeatResponse, error) {
 	if err := m.table.Heartbeat(now, request); err != nil {
 		return nil, err
 	}
@@ -60,7 +60,7 @@
 		JobGroups:         m.policy.JobGroups,
 		Gateways:          m.table.Count(now, wire.RoleGateway),
 		ConfigRevision:    m.machine.Revision(),
-		Config:            m.machine.Changed(request.ConfigRevision),
+		Config:            m.machine.ChangedSince(request.ConfigRevision),
 	}
 	switch request.Role {
 	case wire.RoleGateway:
@@ -73,7 +73,7 @@
 
 // fillAssignments lists a dispatcher's workers unless it knows them already.
 // The version is a digest of the list, which no change of leader invalidates.
-func (m *Meta) fillAssignments(request *wire.HeartbeatRequest, response *wire.HeartbeatResponse) {
+func (m *MetaLeader) fillAssignments(request *wire.HeartbeatRequest, response *wire.HeartbeatResponse) {
 	owned := m.machine.AssignmentsOf(request.Daemon)
 	var encoded []byte
 	for i := range owned {
@@ -88,12 +88,14 @@
 	}
 }
 
-// Listed takes in one reading of the platform's list.
-func (m *Meta) Listed(now time.Time, rows []membership.ListedWorker) { m.workers.ApplyList(now, rows) }
+// ApplyList takes in one reading of the platform's list.
+func (m *MetaLeader) ApplyList(now time.Time, rows []membership.ListedWorker) {
+	m.workers.ApplyList(now, rows)
+}
 
 // Plan ends the daemon leases that have run out, whose holders it returns, and
 // works out the assignments that follow; an empty command changes nothing.
-func (m *Meta) Plan(now time.Time) (expired []string, command wire.AssignCommand) {
+func (m *MetaLeader) Plan(now time.Time) (expired []string, command wire.AssignCommand) {
 	expired = m.table.Expire(now)
 	if m.table.Ready(now) {
 		command = membership.Plan(m.workers, m.table.Dispatchers(), m.machine.Assignments(), m.drained)
@@ -102,12 +104,12 @@
 }
 
 // drained reports whether an operator drains the worker.
-func (m *Meta) drained(name string) bool {
+func (m *MetaLeader) drained(name string) bool {
 	return len(m.machine.Documents(metastate.KindDrain, name)) > 0
 }
 
 // Status returns the operators' view of the fleet.
-func (m *Meta) Status(now time.Time) *wire.StatusResponse {
+func (m *MetaLeader) Status(now time.Time) *wire.StatusResponse {
 	response := &wire.StatusResponse{
 		ConfigRevision: m.machine.Revision(),
 		Daemons:        m.table.Status(now),
--- a/internal/coordinator/api.go
+++ b/internal/coordinator/api.go
@@ -49,7 +49,7 @@
 	}
 	typed := failure.From(err)
 	logging.Info(a.Logger, "operator_refused", "method", request.Method, "path", request.URL.Path, "error", err)
-	httpapi.WriteFailure(writer, httpapi.Status(typed), typed)
+	httpapi.WriteFailure(writer, httpapi.StatusCode(typed), typed)
 }
 
 func (a *API) serve(writer http.ResponseWriter, request *http.Request) error {
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		return nil, errors.CombineErrors(err, store.Close())
 	}
-	d.MarkStep(daemon.StepStorage)
+	d.CompleteStep(daemon.StepStorage)
 	d.Registry.MustRegister(c.changes, c.watches, c.oddEntries)
 	c.relay = newRelay(c)
 	c.list.Came = c.addWorkers
@@ -134,7 +134,7 @@
 		ElectionTimeout:   c.settings.ElectionTimeout.Std(),
 		HeartbeatInterval: c.settings.ElectionTimeout.Std() / heartbeatsPerTimeout,
 		ReplaceAfter:      c.settings.ReplaceAfter.Std(),
-		LogBytes:          c.settings.KeptLogBytes(),
+		LogBytes:          c.settings.RetainedLogBytes(),
 		Random:            mathrand.New(mathrand.NewPCG(now, now)),
 	}
 }
@@ -176,7 +176,7 @@
 		var coordinators []string
 		if len(processes) > 1 {
 			// This process comes first, then those that were heard.
-			c.daemon.MarkStep(daemon.StepPeer)
+			c.daemon.CompleteStep(daemon.StepPeer)
 		}
 		for i := range processes {
 			if processes[i].SilentMillis <= fleetview.ProcessFresh.Milliseconds() {
--- a/internal/coordinator/relay.go
+++ b/internal/coordinator/relay.go
@@ -55,7 +55,7 @@
 
 // adopt takes in what is new, and wakes the edges that wait for news.
 func (r *relay) adopt(snapshot *fleetwatch.Snapshot) {
-	r.daemon.MarkFleet(snapshot.Table != nil, snapshot.Fleet.Listed || snapshot.Fleet.Partial)
+	r.daemon.SetFleetKnown(snapshot.Table != nil, snapshot.Fleet.Listed || snapshot.Fleet.Partial)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.mirror.Put(snapshot.Term, snapshot.View, &snapshot.Fleet, snapshot.Workers)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -34,9 +34,9 @@
 // Version is the version of the programs; releases set it when linking.
 var Version = "0.1.0-dev"
 
-// Build returns the revision that the program was built from, as the build's own
+// BuildRevision returns the revision that the program was built from, as the build's own
 // information tells it: twelve signs, and "+" where the tree had changes beside it.
-func Build() string {
+func BuildRevision() string {
 	info, told := debug.ReadBuildInfo()
 	if !told {
 		return unknownBuild
@@ -130,7 +130,7 @@
 		kratoshttp.MethodNotAllowedHandler(http.HandlerFunc(notFound)),
 	)
 	d.registerCommon()
-	d.MarkStep(StepSettings)
+	d.CompleteStep(StepSettings)
 	return d, nil
 }
 
@@ -217,7 +217,7 @@
 func (d *Daemon) SetReady(ready bool) {
 	d.ready.Store(ready)
 	if ready {
-		d.MarkStep(StepReady)
+		d.CompleteStep(StepReady)
 	}
 }
 
@@ -266,7 +266,7 @@
 		kratoslog.SetLogger(logging.Kratos(d.Logger))
 	}
 	d.Go(d.logTraffic)
-	logging.Info(d.Logger, "started", "address", d.listener.Addr().String(), "version", Version, "build", Build(), "generation", int(wire.GenerationCurrent))
+	logging.Info(d.Logger, "started", "address", d.listener.Addr().String(), "version", Version, "build", BuildRevision(), "generation", int(wire.GenerationCurrent))
 	err := d.application().Run()
 	d.cancel()
 	d.background.Wait()
--- a/internal/daemon/steps.go
+++ b/internal/daemon/steps.go
@@ -10,27 +10,27 @@
 	"github.com/sedgemast/sedgemast/internal/logging"
 )
 
-// Step is a step of a process's start, as used in logs and metrics.
-type Step string
+// StartupStep is a step of a process's start, as used in logs and metrics.
+type StartupStep string
 
 // The steps of a start. Which there are, and their order, differs by role.
 const (
 	// StepSettings: the settings are read, and the process listens.
-	StepSettings Step = "settings_read"
+	StepSettings StartupStep = "settings_read"
 	// StepStorage: the data folder is open, and what it holds is restored.
-	StepStorage Step = "storage_open"
+	StepStorage StartupStep = "storage_open"
 	// StepPeer: another process of the same role was heard.
-	StepPeer Step = "peer_heard"
+	StepPeer StartupStep = "peer_heard"
 	// StepLeader: the fleet group has a leader, and this process heard it.
-	StepLeader Step = "leader_heard"
+	StepLeader StartupStep = "leader_heard"
 	// StepConfiguration: a configuration is in force here.
-	StepConfiguration Step = "configuration_known"
+	StepConfiguration StartupStep = "configuration_known"
 	// StepWorkers: the list of workers is known, or a part of it.
-	StepWorkers Step = "workers_known"
+	StepWorkers StartupStep = "workers_known"
 	// StepReady: the process said that it is ready.
-	StepReady Step = "ready"
+	StepReady StartupStep = "ready"
 	// StepServed: the first request, or item of a job, was answered as it should be.
-	StepServed Step = "first_served"
+	StepServed StartupStep = "first_served"
 )
 
 // processBegan is when this operating-system process began, to within some milliseconds.
@@ -42,7 +42,7 @@
 	seconds *prometheus.GaugeVec
 
 	mutex sync.Mutex
-	taken map[Step]bool
+	taken map[StartupStep]bool
 }
 
 // newSteps returns the steps of a process. Those that share an operating-system process begin
@@ -51,7 +51,7 @@
 	s := &steps{
 		began:   processBegan,
 		seconds: prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "process_start_seconds", Help: "Time from the start of the process to each step of it."}, []string{"step"}),
-		taken:   map[Step]bool{},
+		taken:   map[StartupStep]bool{},
 	}
 	if embedded {
 		s.began = clock.Now()
@@ -60,7 +60,7 @@
 }
 
 // take reports whether the step is taken for the first time, and after how long.
-func (s *steps) take(now time.Time, step Step) (after time.Duration, first bool) {
+func (s *steps) take(now time.Time, step StartupStep) (after time.Duration, first bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.taken[step] {
@@ -72,20 +72,20 @@
 	return after, true
 }
 
-// MarkStep takes in that a step of the start is done; repeated, it does nothing.
-func (d *Daemon) MarkStep(step Step) {
+// CompleteStep takes in that a step of the start is done; repeated, it does nothing.
+func (d *Daemon) CompleteStep(step StartupStep) {
 	if after, first := d.steps.take(clock.Now(), step); first {
 		logging.Info(d.Logger, "start_step", "step", string(step), "ms", after.Milliseconds())
 	}
 }
 
-// MarkFleet takes in what is known of the fleet: a leader has told it.
-func (d *Daemon) MarkFleet(configuration, workers bool) {
-	d.MarkStep(StepLeader)
+// SetFleetKnown takes in what is known of the fleet: a leader has told it.
+func (d *Daemon) SetFleetKnown(configuration, workers bool) {
+	d.CompleteStep(StepLeader)
 	if configuration {
-		d.MarkStep(StepConfiguration)
+		d.CompleteStep(StepConfiguration)
 	}
 	if workers {
-		d.MarkStep(StepWorkers)
+		d.CompleteStep(StepWorkers)
 	}
 }
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -80,7 +80,7 @@
 		Interval: config.Heartbeat.Interval.Std(),
 		Timeout:  config.Heartbeat.Timeout.Std(),
 		Report:   dispatcher.report,
-		Changed:  dispatcher.heard,
+		OnChange: dispatcher.heard,
 	})
 	dispatcher.metrics = newMetrics(d.Registry, dispatcher)
 	dispatcher.workers = newWorkerSet(dispatcher)
@@ -111,7 +111,7 @@
 	request.Workers = d.workers.reports()
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	_, request.Models = d.scheduler.BatchRoom()
+	_, request.Models = d.scheduler.BatchCapacity()
 	request.Utilization = coarse(d.scheduler.Utilization())
 }
 
@@ -156,7 +156,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.tasks[arriving.attempt.ID] = arriving
-	d.stepLocked(scheduling.Arrive{Attempt: arriving.attempt})
+	d.stepLocked(scheduling.Arrival{Attempt: arriving.attempt})
 }
 
 // finish ends a task's current attempt.
@@ -164,7 +164,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	delete(d.tasks, ended.attempt.ID)
-	d.stepLocked(scheduling.Finish{AttemptID: ended.attempt.ID, CachedBlocks: cachedBlocks})
+	d.stepLocked(scheduling.Completion{AttemptID: ended.attempt.ID, CachedBlocks: cachedBlocks})
 }
 
 func (d *Dispatcher) tickLoop(ctx context.Context) {
@@ -184,7 +184,7 @@
 // online requests run to their end, and the workers go to other dispatchers.
 func (d *Dispatcher) drain(ctx context.Context) {
 	d.draining.Store(true)
-	d.session.Beat(ctx)
+	d.session.SendHeartbeat(ctx)
 	d.items.giveBack(ctx)
 	for ctx.Err() == nil && d.busy() {
 		time.Sleep(drainPoll)
--- a/internal/dispatcher/failures.go
+++ b/internal/dispatcher/failures.go
@@ -46,7 +46,7 @@
 
 // startFailure returns the failure for an attempt that an engine did not take.
 func startFailure(err error) error {
-	var refused *engine.RefusedError
+	var refused *engine.RejectedError
 	if !errors.As(err, &refused) {
 		return err
 	}
--- a/internal/dispatcher/items.go
+++ b/internal/dispatcher/items.go
@@ -114,7 +114,7 @@
 	d := s.dispatcher
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	room, models := d.scheduler.BatchRoom()
+	room, models := d.scheduler.BatchCapacity()
 	_, queued := d.scheduler.Queued()
 	return max(0, room+d.settings.ItemBacklog-queued), models
 }
--- a/internal/dispatcher/online.go
+++ b/internal/dispatcher/online.go
@@ -58,7 +58,7 @@
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(request.TimeLeftMillis)*time.Millisecond)
 	defer cancel()
 	events, err := d.online.Resume(ctx, request.WorkerAddress, request.AttemptID, request.Offset)
-	var refused *engine.RefusedError
+	var refused *engine.RejectedError
 	if errors.As(err, &refused) {
 		return failure.Wrap(err, failure.OutcomeUnknown, "send it again if it may be repeated", "the engine does not know the attempt")
 	}
--- a/internal/dispatcher/task.go
+++ b/internal/dispatcher/task.go
@@ -141,7 +141,7 @@
 	case <-ctx.Done():
 		return t.ended(ctx)
 	case action := <-t.actions:
-		if action.Kind == scheduling.Refuse {
+		if action.Kind == scheduling.Reject {
 			return refusalFailure(action)
 		}
 		if action.Kind != scheduling.Start {
@@ -285,8 +285,8 @@
 // read takes the events of one stream until the end of the answer.
 func (t *task) read(stream *engine.Stream) (*engine.Event, error) {
 	defer func() {
-		t.dispatcher.metrics.dropped.WithLabelValues("foreign").Add(float64(stream.Foreign))
-		t.dispatcher.metrics.dropped.WithLabelValues("repeated").Add(float64(stream.Repeated))
+		t.dispatcher.metrics.dropped.WithLabelValues("foreign").Add(float64(stream.Misrouted))
+		t.dispatcher.metrics.dropped.WithLabelValues("repeated").Add(float64(stream.Duplicates))
 		stream.Close()
 	}()
 	for {
--- a/internal/dispatcher/workers.go
+++ b/internal/dispatcher/workers.go
@@ -157,16 +157,16 @@
 		owned.settled = foreign <= 0
 	}
 	return scheduling.WorkerSpec{
-		ID:       owned.assignment.Worker,
-		Address:  owned.assignment.Address,
-		Zone:     owned.assignment.Zone,
-		Epoch:    owned.assignment.Epoch,
-		Slots:    load.Slots,
-		KVTokens: load.KVTokens,
-		Models:   setOf(load.Models),
-		Adapters: setOf(load.Adapters),
-		Leaving:  owned.assignment.Leaving || load.Leaving,
-		Foreign:  max(0, foreign),
+		ID:                 owned.assignment.Worker,
+		Address:            owned.assignment.Address,
+		Zone:               owned.assignment.Zone,
+		Epoch:              owned.assignment.Epoch,
+		Slots:              load.Slots,
+		KVTokens:           load.KVTokens,
+		Models:             setOf(load.Models),
+		Adapters:           setOf(load.Adapters),
+		Leaving:            owned.assignment.Leaving || load.Leaving,
+		PreviousOwnerSlots: max(0, foreign),
 	}
 }
 
@@ -205,7 +205,7 @@
 	// An engine that comes back may have been restarted: claim it again.
 	owned.claimed = false
 	logging.Warn(w.dispatcher.logger, "worker_silent", "worker", owned.assignment.Worker)
-	w.dispatcher.step(scheduling.WorkerSilent{Worker: owned.assignment.Worker})
+	w.dispatcher.step(scheduling.WorkerUnresponsive{Worker: owned.assignment.Worker})
 }
 
 // reports lists the workers for a heartbeat.
--- a/internal/edge/api.go
+++ b/internal/edge/api.go
@@ -114,11 +114,11 @@
 }
 
 func (a *API) results(writer http.ResponseWriter, request *http.Request, id string) error {
-	since, err := httpapi.Count(request.URL.Query().Get("since"), "since")
+	since, err := httpapi.ParseCount(request.URL.Query().Get("since"), "since")
 	if err != nil {
 		return err
 	}
-	wait, err := httpapi.Count(request.URL.Query().Get("wait_ms"), "wait_ms")
+	wait, err := httpapi.ParseCount(request.URL.Query().Get("wait_ms"), "wait_ms")
 	if err != nil {
 		return err
 	}
--- a/internal/edge/call.go
+++ b/internal/edge/call.go
@@ -176,7 +176,7 @@
 		c.edge.metrics.attempts.WithLabelValues(result.String()).Inc()
 		if result == delivered {
 			c.ranWell()
-			c.edge.served.Do(func() { c.edge.daemon.MarkStep(daemon.StepServed) })
+			c.edge.served.Do(func() { c.edge.daemon.CompleteStep(daemon.StepServed) })
 			c.finish("delivered", nil)
 			return
 		}
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -182,7 +182,7 @@
 		e.workers.Begin(clock.Now())
 	}
 	e.openGate(snapshot.Table, listed)
-	e.daemon.MarkFleet(snapshot.Table != nil, listed)
+	e.daemon.SetFleetKnown(snapshot.Table != nil, listed)
 	if snapshot.Table != nil && listed && !e.daemon.Stopping() && !e.daemon.Ready() {
 		logging.Info(e.logger, "ready", "version", snapshot.Table.Configuration.Version)
 		e.daemon.SetReady(true)
--- a/internal/edge/hold.go
+++ b/internal/edge/hold.go
@@ -187,7 +187,7 @@
 	if writer != nil {
 		bound = bodyBound(request)
 	}
-	size := int64(httpapi.HeadSize(request)) + bound
+	size := int64(httpapi.HeaderSize(request)) + bound
 	if !time.Now().Before(until) || bound > maxHeldBody || !e.gate.admit(size) {
 		return false, nil
 	}
--- a/internal/edge/identity_test.go
+++ b/internal/edge/identity_test.go
@@ -315,10 +315,10 @@
 		}
 	}
 	f.mutex.Lock()
-	if len(f.jobs) != 2 || f.jobs[tenancy.Scoped("a", "j")].Owner != "a" || f.jobs[tenancy.Scoped("b", "j")].Owner != "b" {
+	if len(f.jobs) != 2 || f.jobs[tenancy.ScopedName("a", "j")].Owner != "a" || f.jobs[tenancy.ScopedName("b", "j")].Owner != "b" {
 		t.Errorf("kept: %v", f.jobs)
 	}
-	delete(f.jobs, tenancy.Scoped("b", "j"))
+	delete(f.jobs, tenancy.ScopedName("b", "j"))
 	f.jobs["old"] = &wire.SubmitBatch{}
 	f.mutex.Unlock()
 	for _, call := range []struct{ method, path string }{
--- a/internal/edge/jobs.go
+++ b/internal/edge/jobs.go
@@ -40,7 +40,7 @@
 		return err
 	}
 	e.expect(job)
-	job.ID = tenancy.Scoped(tenant.Owner(), job.ID)
+	job.ID = tenancy.ScopedName(tenant.Owner(), job.ID)
 	ctx, cancel := context.WithTimeout(request.Context(), storeTime)
 	defer cancel()
 	_, err = e.Stores.Submit(ctx, job)
@@ -58,7 +58,7 @@
 
 // checkJob returns the first fault of a job.
 func checkJob(job *wire.SubmitBatch) error {
-	if job.ID == "" || !tenancy.Plain(job.ID) {
+	if job.ID == "" || !tenancy.IsPlainText(job.ID) {
 		return failure.New(failure.BadRequest, "send its id, without control characters, in the header for request ids", "the job has no id").WithField("id")
 	}
 	if len(job.Items) == 0 || len(job.Items) > maxItems {
@@ -139,10 +139,10 @@
 	if err != nil {
 		return none, err
 	}
-	if !tenancy.Plain(id) {
+	if !tenancy.IsPlainText(id) {
 		return none, failure.New(failure.NotFound, "check the id", "no job has such an id")
 	}
-	answer, err := call(request.Context(), tenancy.Scoped(owner, id))
+	answer, err := call(request.Context(), tenancy.ScopedName(owner, id))
 	if owner != "" && failure.Is(err, failure.NotFound) {
 		return call(request.Context(), id)
 	}
--- a/internal/edge/serve.go
+++ b/internal/edge/serve.go
@@ -67,7 +67,7 @@
 		err = e.frozen(now)
 	}
 	if err == nil {
-		err = httpapi.CheckHead(request, table.Configuration.Limits.MaxHeaderBytes)
+		err = httpapi.CheckHeaderSize(request, table.Configuration.Limits.MaxHeaderBytes)
 	}
 	if err != nil {
 		e.Refuse(writer, request, err)
@@ -140,7 +140,7 @@
 	// The stop may have begun while the request was held.
 	e.closeWhenStopping(writer)
 	typed := failure.From(err)
-	status := httpapi.Status(typed)
+	status := httpapi.StatusCode(typed)
 	logging.Info(e.logger, "request_refused", "id", request.Header.Get(e.dialect.RequestID), "host", request.Host, "path", request.URL.Path, "status", status, "error", err)
 	httpapi.WriteFailure(writer, status, typed)
 }
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -25,15 +25,15 @@
 	maxReplyBytes      = 4 << 20
 )
 
-// RefusedError is an engine's refusal of a call, before anything was started.
-type RefusedError struct {
+// RejectedError is an engine's refusal of a call, before anything was started.
+type RejectedError struct {
 	Code    string
 	Message string
 	Epoch   uint64
 }
 
 // Error implements error.
-func (e *RefusedError) Error() string {
+func (e *RejectedError) Error() string {
 	return fmt.Sprintf("the engine refused: %s (%s)", e.Message, e.Code)
 }
 
@@ -167,5 +167,5 @@
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxReplyBytes)).Decode(&told); err != nil || told.Code == "" {
 		return failure.New(failure.OutcomeUnknown, "check that the address is an engine's", "the engine answered with status %d", response.StatusCode)
 	}
-	return &RefusedError{Code: told.Code, Message: told.Message, Epoch: told.Epoch}
+	return &RejectedError{Code: told.Code, Message: told.Message, Epoch: told.Epoch}
 }
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -24,10 +24,10 @@
 	// AttemptID is the attempt, Offset the number of tokens seen.
 	AttemptID string
 	Offset    int
-	// Foreign counts dropped events of other attempts, Repeated dropped events
+	// Misrouted counts dropped events of other attempts, Repeated dropped events
 	// whose tokens had been seen.
-	Foreign  int
-	Repeated int
+	Misrouted  int
+	Duplicates int
 }
 
 func newStream(body io.ReadCloser, attemptID string, offset int) *Stream {
@@ -69,14 +69,14 @@
 // OutcomeUnknown failure.
 func (s *Sequencer) Accept(event *Event) (bool, error) {
 	if event.AttemptID != s.AttemptID {
-		s.Foreign++
+		s.Misrouted++
 		return false, nil
 	}
 	if event.Type == EventError {
 		return true, nil
 	}
 	if event.Offset < s.Offset {
-		s.Repeated++
+		s.Duplicates++
 		return false, nil
 	}
 	if event.Offset > s.Offset {
--- a/internal/fleetsim/ledger.go
+++ b/internal/fleetsim/ledger.go
@@ -130,7 +130,7 @@
 		return
 	}
 	owner := tenants[len(l.names)%len(tenants)]
-	id := tenancy.Scoped(owner, fmt.Sprintf("job-%d", len(l.names)))
+	id := tenancy.ScopedName(owner, fmt.Sprintf("job-%d", len(l.names)))
 	if len(l.names) > 0 && l.world.random.IntN(4) == 0 {
 		id = l.names[l.world.random.IntN(len(l.names))]
 	}
--- a/internal/fleetwatch/watcher.go
+++ b/internal/fleetwatch/watcher.go
@@ -79,8 +79,8 @@
 // New returns a watcher; Run runs it. report tells what this process is. The meter,
 // which may be nil, counts the calls and is told the zones of what the fleet has.
 func New(logger logging.Logger, meter *traffic.Meter, seeds []string, report func() wire.ProcessReport) *Watcher {
-	client := rpc.NewClientDialing(rpc.ShortDial)
-	client.Measure(meter)
+	client := rpc.NewClientWithDialTimeout(rpc.ShortDial)
+	client.SetMeter(meter)
 	w := &Watcher{logger: logger, meter: meter, client: client, report: report, seeds: seeds, book: quarantine.NewBook()}
 	w.current.Store(&Snapshot{})
 	return w
--- a/internal/gateway/batches.go
+++ b/internal/gateway/batches.go
@@ -216,10 +216,10 @@
 		body.ExpiredAt = ended
 	}
 	if job.Succeeded > 0 {
-		body.OutputFileID = jobstate.OutputFile(job.ID)
+		body.OutputFileID = jobstate.OutputFileID(job.ID)
 	}
 	if job.Failed > 0 {
-		body.ErrorFileID = jobstate.ErrorFile(job.ID)
+		body.ErrorFileID = jobstate.ErrorFileID(job.ID)
 	}
 	// Metadata was encoded by a gateway; damage would only hide it.
 	_ = json.Unmarshal(job.Metadata, &body.Metadata)
--- a/internal/gateway/chat.go
+++ b/internal/gateway/chat.go
@@ -160,7 +160,7 @@
 	if g.inFlight.Load() > int64(g.settings.MaxRequests) {
 		return failure.New(failure.NotRun, "send it again after the time given", "the gateway has %d requests in flight", g.inFlight.Load()).WithRetryAfter(shortRetryAfter)
 	}
-	release, err := g.limits.admit(now, tenant, g.session.Gateways())
+	release, err := g.limits.admit(now, tenant, g.session.GatewayCount())
 	if err != nil {
 		return err
 	}
--- a/internal/gateway/chooser.go
+++ b/internal/gateway/chooser.go
@@ -94,7 +94,7 @@
 
 // refresh rebuilds the ring after the view has changed.
 func (c *chooser) refresh() {
-	if c.session.ViewChanges() == c.changes {
+	if c.session.ViewVersion() == c.changes {
 		return
 	}
 	view, changes := c.session.View()
--- a/internal/gateway/files.go
+++ b/internal/gateway/files.go
@@ -90,7 +90,7 @@
 		writeJSON(writer, deletedBody{ID: id, Object: "file", Deleted: true})
 		return nil
 	}
-	if jobID, failed, found := jobstate.JobOfResult(id); found {
+	if jobID, failed, found := jobstate.ParseResultFileID(id); found {
 		return g.describeResults(writer, request, tenant, id, jobID, failed)
 	}
 	response, err := callByID[wire.FileResponse](request.Context(), g, id, controlclient.MethodGetFile, &wire.GetFileRequest{FileID: id, Tenant: tenant.Name})
@@ -139,7 +139,7 @@
 		return err
 	}
 	output := &lineWriter{writer: writer}
-	if jobID, failed, found := jobstate.JobOfResult(id); found {
+	if jobID, failed, found := jobstate.ParseResultFileID(id); found {
 		err = g.writeResults(request.Context(), output, tenant, jobID, failed)
 	} else {
 		err = g.writeInput(request.Context(), output, tenant, id)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -71,7 +71,7 @@
 		Interval: config.Heartbeat.Interval.Std(),
 		Timeout:  config.Heartbeat.Timeout.Std(),
 		Report:   g.report,
-		Changed:  func(*wire.HeartbeatResponse) { d.SetReady(!g.draining.Load()) },
+		OnChange: func(*wire.HeartbeatResponse) { d.SetReady(!g.draining.Load()) },
 	})
 	g.chooser = newChooser(g.session, config.Zone, rand.New(rand.NewPCG(g.incarnation, 1)))
 	g.metrics = newMetrics(d.Registry, g)
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -54,7 +54,7 @@
 	writer.Header().Set("ETag", entityTag(response.Revision))
 	writeJSON(writer, response)
 	// Have the change in force here as soon as the operator has the answer.
-	g.session.Hurry()
+	g.session.HeartbeatNow()
 	return nil
 }
 
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -110,7 +110,7 @@
 	stream, err := rpc.OpenStream(ctx, r.gateway.rpc, address, dispatcher.MethodGenerate, &request, request.NotRepeatable)
 	if err != nil {
 		r.started = r.started || !failure.Is(err, failure.NotRun)
-		if rpc.Unreachable(err) && ctx.Err() == nil {
+		if rpc.IsUnreachable(err) && ctx.Err() == nil {
 			r.gateway.chooser.failed(name)
 		}
 		return err
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -55,8 +55,8 @@
 	return failure.New(failure.BadRequest, "send a shorter body", "the body is longer than %d bytes", limit).WithField(tooLongField)
 }
 
-// Count reads a whole number of 0 or more from a query; nothing counts as 0.
-func Count(value, field string) (int, error) {
+// ParseCount reads a whole number of 0 or more from a query; nothing counts as 0.
+func ParseCount(value, field string) (int, error) {
 	if value == "" {
 		return 0, nil
 	}
@@ -78,20 +78,20 @@
 // longHeadField marks the refusal of a head over the bound.
 const longHeadField = "head"
 
-// CheckHead refuses a request whose head is longer than limit bytes, where zero
+// CheckHeaderSize refuses a request whose head is longer than limit bytes, where zero
 // means no bound of its own.
-func CheckHead(request *http.Request, limit int) error {
+func CheckHeaderSize(request *http.Request, limit int) error {
 	if limit <= 0 {
 		return nil
 	}
-	if HeadSize(request) <= limit {
+	if HeaderSize(request) <= limit {
 		return nil
 	}
 	return failure.New(failure.BadRequest, "send shorter headers", "the head is longer than %d bytes", limit).WithField(longHeadField)
 }
 
-// HeadSize returns the length of a request's head in bytes.
-func HeadSize(request *http.Request) int {
+// HeaderSize returns the length of a request's head in bytes.
+func HeaderSize(request *http.Request) int {
 	size := len(request.Method) + len(request.RequestURI) + len(request.Host)
 	for name, values := range request.Header {
 		for _, value := range values {
@@ -101,8 +101,8 @@
 	return size
 }
 
-// Status returns the status that goes with a failure.
-func Status(typed *failure.Error) int {
+// StatusCode returns the status that goes with a failure.
+func StatusCode(typed *failure.Error) int {
 	switch typed.Field {
 	case tooLongField:
 		return http.StatusRequestEntityTooLarge
--- a/internal/httpapi/httpapi_test.go
+++ b/internal/httpapi/httpapi_test.go
@@ -14,8 +14,8 @@
 	request.Header.Set("A", strings.Repeat("x", 1000))
 	for limit, want := range map[int]int{0: http.StatusOK, 2000: http.StatusOK, 900: http.StatusRequestHeaderFieldsTooLarge} {
 		got := http.StatusOK
-		if err := CheckHead(request, limit); err != nil {
-			got = Status(failure.From(err))
+		if err := CheckHeaderSize(request, limit); err != nil {
+			got = StatusCode(failure.From(err))
 		}
 		if got != want {
 			t.Errorf("limit %d: %d, want %d", limit, got, want)
@@ -43,7 +43,7 @@
 		body, err := ReadBody(request, test.limit)
 		got := http.StatusOK
 		if err != nil {
-			got = Status(failure.From(err))
+			got = StatusCode(failure.From(err))
 		}
 		if got != test.want || err == nil && string(body) != test.body {
 			t.Errorf("%s: %d %q, %v", name, got, body, err)
@@ -53,12 +53,12 @@
 
 func TestCounts(t *testing.T) {
 	for value, want := range map[string]int{"": 0, "0": 0, "17": 17} {
-		if got, err := Count(value, "f"); err != nil || got != want {
+		if got, err := ParseCount(value, "f"); err != nil || got != want {
 			t.Errorf("%q: %d, %v", value, got, err)
 		}
 	}
 	for _, value := range []string{"-1", "x", "1.5", "99999999999999999999"} {
-		if _, err := Count(value, "f"); !failure.Is(err, failure.BadRequest) || failure.From(err).Field != "f" {
+		if _, err := ParseCount(value, "f"); !failure.Is(err, failure.BadRequest) || failure.From(err).Field != "f" {
 			t.Errorf("%q: %v", value, err)
 		}
 	}
--- a/internal/jobstate/id.go
+++ b/internal/jobstate/id.go
@@ -35,15 +35,15 @@
 	return 0, failure.New(failure.NotFound, "use an id as it was answered", "there is no object %q", id)
 }
 
-// OutputFile and ErrorFile return the ids under which a job's results are read.
-func OutputFile(jobID string) string { return strings.Replace(jobID, jobPart, outputPart, 1) }
+// OutputFileID and ErrorFile return the ids under which a job's results are read.
+func OutputFileID(jobID string) string { return strings.Replace(jobID, jobPart, outputPart, 1) }
 
-// ErrorFile returns the id of the file of a job's failed items.
-func ErrorFile(jobID string) string { return strings.Replace(jobID, jobPart, errorsPart, 1) }
+// ErrorFileID returns the id of the file of a job's failed items.
+func ErrorFileID(jobID string) string { return strings.Replace(jobID, jobPart, errorsPart, 1) }
 
-// JobOfResult returns the job whose results a file id names, and whether it is
+// ParseResultFileID returns the job whose results a file id names, and whether it is
 // the file of failed items.
-func JobOfResult(fileID string) (jobID string, failed, found bool) {
+func ParseResultFileID(fileID string) (jobID string, failed, found bool) {
 	if rest, isOutput := strings.CutPrefix(fileID, outputPart+"-"); isOutput {
 		return jobPart + "-" + rest, false, true
 	}
--- a/internal/jobstate/leases.go
+++ b/internal/jobstate/leases.go
@@ -63,8 +63,8 @@
 // Duration returns the length of an item's lease.
 func (l *Leases) Duration() time.Duration { return l.duration }
 
-// Held returns the number of items out on lease.
-func (l *Leases) Held() int { return len(l.held) }
+// Count returns the number of items out on lease.
+func (l *Leases) Count() int { return len(l.held) }
 
 // Renew extends the holder's leases on held, ends its leases on all other
 // items, and returns those of held whose work must stop.
@@ -161,8 +161,8 @@
 	}
 }
 
-// Settle forgets the leases of items that have been reported.
-func (l *Leases) Settle(results []wire.ItemResult) {
+// Release forgets the leases of items that have been reported.
+func (l *Leases) Release(results []wire.ItemResult) {
 	for i := range results {
 		l.drop(wire.ItemRef{JobID: results[i].JobID, Item: results[i].Item})
 	}
--- a/internal/metastate/documents.go
+++ b/internal/metastate/documents.go
@@ -180,8 +180,8 @@
 	return nil
 }
 
-// DurationValue parses a duration of a document or settings file.
-func DurationValue(raw json.RawMessage) (settings.Duration, error) {
+// ParseDuration parses a duration of a document or settings file.
+func ParseDuration(raw json.RawMessage) (settings.Duration, error) {
 	var duration settings.Duration
 	err := json.Unmarshal(raw, &duration)
 	return duration, err
--- a/internal/metastate/read.go
+++ b/internal/metastate/read.go
@@ -9,9 +9,9 @@
 // Revision returns the number of the latest accepted change.
 func (m *Machine) Revision() uint64 { return m.revision }
 
-// Changed returns the documents changed after the revision known, deleted ones
+// ChangedSince returns the documents changed after the revision known, deleted ones
 // included, or nil if there are none.
-func (m *Machine) Changed(known uint64) *wire.ConfigDelta {
+func (m *Machine) ChangedSince(known uint64) *wire.ConfigDelta {
 	if known >= m.revision {
 		return nil
 	}
--- a/internal/metastate/tenant.go
+++ b/internal/metastate/tenant.go
@@ -152,7 +152,7 @@
 		return p.checkList(path, value)
 	case typeDuration:
 		return checkBounds(path, value, p.Minimum, p.Maximum, "a duration such as 30s", func(raw json.RawMessage) (float64, error) {
-			duration, err := DurationValue(raw)
+			duration, err := ParseDuration(raw)
 			return float64(duration), err
 		})
 	}
--- a/internal/record/check.go
+++ b/internal/record/check.go
@@ -98,23 +98,23 @@
 	case "attempt_started":
 		c.takeStart(event)
 	case "request_accepted":
-		c.atMostOnce[event.Text("request")] = event.Text("at_most_once") == "true"
+		c.atMostOnce[event.Field("request")] = event.Field("at_most_once") == "true"
 	case "request_refused":
-		if event.Text("kind") == "not_run" {
-			c.notRun[event.Text("request")] = true
+		if event.Field("kind") == "not_run" {
+			c.notRun[event.Field("request")] = true
 		}
 	case "job_accepted":
 		c.takeJob(event)
 	case "job_cancelled":
-		if event.Text("state") == "cancelled" {
-			c.cancelled[event.Text("job")] = event.At
+		if event.Field("state") == "cancelled" {
+			c.cancelled[event.Field("job")] = event.At
 		}
 	}
 }
 
 func (c *checker) takeAccepted(event *Event) {
 	c.saw(promiseRevisions)
-	revision, change := event.Number("revision"), event.Text("change")
+	revision, change := event.Uint("revision"), event.Field("change")
 	if other, taken := c.revisions[revision]; taken && other != change {
 		c.violate(event, promiseRevisions, "revision %d is change %s and change %s", revision, other, change)
 	}
@@ -127,7 +127,7 @@
 
 func (c *checker) takeInForce(event *Event) {
 	c.saw(promiseForward)
-	revision := event.Number("revision")
+	revision := event.Uint("revision")
 	if before := c.inForce[event.Process]; revision < before {
 		c.violate(event, promiseForward, "%s went from revision %d to %d", event.Process, before, revision)
 	}
@@ -136,7 +136,7 @@
 
 func (c *checker) takeLeading(event *Event) {
 	c.saw(promiseLeader)
-	key := event.Text("group") + " in term " + event.Text("term")
+	key := event.Field("group") + " in term " + event.Field("term")
 	if other, led := c.leaders[key]; led && other != event.Process {
 		c.violate(event, promiseLeader, "%s and %s led group %s", other, event.Process, key)
 	}
@@ -145,7 +145,7 @@
 
 func (c *checker) takeAssigned(event *Event) {
 	c.saw(promiseOwner)
-	worker, owner, epoch := event.Text("worker"), event.Text("dispatcher"), event.Number("epoch")
+	worker, owner, epoch := event.Field("worker"), event.Field("dispatcher"), event.Uint("epoch")
 	key := fmt.Sprintf("%s in epoch %d", worker, epoch)
 	if other, owned := c.owners[key]; owned && other != owner {
 		c.violate(event, promiseOwner, "%s and %s own %s", other, owner, key)
@@ -158,7 +158,7 @@
 }
 
 func (c *checker) takeStart(event *Event) {
-	attempt := event.Text("attempt")
+	attempt := event.Field("attempt")
 	request := attempt[:max(0, strings.LastIndexByte(attempt, '-'))]
 	c.starts[request]++
 	job := request[:max(0, strings.LastIndexByte(request, '-'))]
@@ -174,8 +174,8 @@
 
 func (c *checker) takeJob(event *Event) {
 	c.saw(promiseResend)
-	job := event.Text("job")
-	if event.Text("repeated") == "false" && c.jobs[job] {
+	job := event.Field("job")
+	if event.Field("repeated") == "false" && c.jobs[job] {
 		c.violate(event, promiseResend, "job %s was accepted twice as a new one", job)
 	}
 	c.jobs[job] = true
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -26,8 +26,8 @@
 	fields  map[string]string
 }
 
-// Text returns a field; empty if the event lacks it.
-func (e *Event) Text(field string) string { return e.fields[field] }
+// Field returns a field; empty if the event lacks it.
+func (e *Event) Field(field string) string { return e.fields[field] }
 
 // Each calls visit with every field, in no order.
 func (e *Event) Each(visit func(field, value string)) {
@@ -36,8 +36,8 @@
 	}
 }
 
-// Number returns a field as a number; zero if the event lacks it.
-func (e *Event) Number(field string) uint64 {
+// Uint returns a field as a number; zero if the event lacks it.
+func (e *Event) Uint(field string) uint64 {
 	value, err := strconv.ParseUint(e.fields[field], 10, 64)
 	if err != nil {
 		return 0
--- a/internal/replication/group.go
+++ b/internal/replication/group.go
@@ -123,7 +123,7 @@
 }
 
 func (n *Node) reader(of *group) storage.Reader {
-	return storage.Scoped(n.options.Store, statePrefix(of.number, of.generation))
+	return storage.WithPrefix(n.options.Store, statePrefix(of.number, of.generation))
 }
 
 // stage adds to the batch what the Ready wants stored.
--- a/internal/replication/snapshot.go
+++ b/internal/replication/snapshot.go
@@ -23,7 +23,7 @@
 	to       uint64
 	transfer uint64
 	base     wire.LogBase
-	view     storage.View
+	view     storage.Snapshot
 	prefix   []byte
 	cursor   []byte
 	chunk    wire.SnapshotChunk
@@ -49,7 +49,7 @@
 		to:       to,
 		transfer: uint64(now.UnixNano()) + n.transferID,
 		base:     g.replica.AppliedBase(),
-		view:     n.options.Store.View(),
+		view:     n.options.Store.Snapshot(),
 		prefix:   prefix,
 		cursor:   prefix,
 		heardAt:  now,
--- a/internal/replication/transport.go
+++ b/internal/replication/transport.go
@@ -42,8 +42,8 @@
 // nil, counts what it sends.
 func NewPeerTransport(meter *traffic.Meter) *PeerTransport {
 	ctx, cancel := context.WithCancel(context.Background())
-	client := rpc.NewClientDialing(rpc.ShortDial)
-	client.Measure(meter)
+	client := rpc.NewClientWithDialTimeout(rpc.ShortDial)
+	client.SetMeter(meter)
 	return &PeerTransport{client: client, context: ctx, cancel: cancel, queues: map[string]chan wire.PeerMessage{}}
 }
 
--- a/internal/routetable/tenant.go
+++ b/internal/routetable/tenant.go
@@ -67,7 +67,7 @@
 var noKey = tenancy.HashKey("")
 
 func (t *Tenant) check(path string) error {
-	if t.Name == "" || len(t.Name) > maxTenantName || !tenancy.Plain(string(t.Name)) {
+	if t.Name == "" || len(t.Name) > maxTenantName || !tenancy.IsPlainText(string(t.Name)) {
 		return fault(path+".name", "use 1 to 256 bytes without control characters", "%q can't be a tenant's name", t.Name)
 	}
 	for number, hash := range t.KeyHashes {
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -37,15 +37,15 @@
 	meter   *traffic.Meter
 }
 
-// Measure makes the client count its calls by method in the meter. It must be called
+// SetMeter makes the client count its calls by method in the meter. It must be called
 // before the first call.
-func (c *Client) Measure(meter *traffic.Meter) { c.meter = meter }
+func (c *Client) SetMeter(meter *traffic.Meter) { c.meter = meter }
 
 // NewClient returns a client with its own connections.
-func NewClient() *Client { return NewClientDialing(dialTimeout) }
+func NewClient() *Client { return NewClientWithDialTimeout(dialTimeout) }
 
-// NewClientDialing returns a client that gives a dial up after the given time.
-func NewClientDialing(dial time.Duration) *Client {
+// NewClientWithDialTimeout returns a client that gives a dial up after the given time.
+func NewClientWithDialTimeout(dial time.Duration) *Client {
 	counted := &connectionBytes{}
 	return &Client{
 		pooled:  &http.Client{Transport: newTransport(false, dial, counted)},
@@ -225,9 +225,9 @@
 // Unwrap returns the cause.
 func (e *transportError) Unwrap() error { return e.cause }
 
-// Unreachable reports whether the failure is one of the connection: the peer may
+// IsUnreachable reports whether the failure is one of the connection: the peer may
 // be dead or cut off.
-func Unreachable(err error) bool {
+func IsUnreachable(err error) bool {
 	var transport *transportError
 	return errors.As(err, &transport)
 }
--- a/internal/rpc/dial_test.go
+++ b/internal/rpc/dial_test.go
@@ -44,7 +44,7 @@
 // TestDialIsGivenUp calls a dark machine: the client gives up long before the call's time is
 // over, and says that nothing was run.
 func TestDialIsGivenUp(t *testing.T) {
-	client := NewClientDialing(20 * time.Millisecond)
+	client := NewClientWithDialTimeout(20 * time.Millisecond)
 	defer client.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
--- a/internal/runlog/runlog.go
+++ b/internal/runlog/runlog.go
@@ -26,13 +26,13 @@
 	At int
 	// Arrived counts requests that came, Refused and SentBack those that were not run:
 	// the latter for want of room, as they came or while they waited.
-	Arrived  int
-	Refused  int
-	SentBack int
+	Arrived    int
+	Rejected   int
+	Overloaded int
 	// InFlight is the mean number of requests under way.
 	InFlight float64
-	// FirstMillis are the times to the first byte of those that came.
-	FirstMillis []int
+	// FirstByteMillis are the times to the first byte of those that came.
+	FirstByteMillis []int
 	// Submitted counts items of jobs that were accepted, Finished those that ended,
 	// Stopped runs of items that were stopped. Running is the mean number of runs.
 	Submitted int
@@ -45,19 +45,19 @@
 type Flow struct {
 	Role      string
 	Kind      traffic.Kind
-	Place     Place
+	Locality  Locality
 	Exchanges uint64
 	Bytes     uint64
 }
 
-// Place says where the other process of an exchange stood.
-type Place string
+// Locality says where the other process of an exchange stood.
+type Locality string
 
 // Places of the other process.
 const (
-	SameZone  Place = "same zone"
-	OtherZone Place = "other zone"
-	NotKnown  Place = "not known"
+	SameZone    Locality = "same zone"
+	OtherZone   Locality = "other zone"
+	UnknownZone Locality = "not known"
 )
 
 // Run is a run's summary.
@@ -81,7 +81,7 @@
 	run := &Run{Flows: r.flows(zoneOf)}
 	for _, at := range slices.Sorted(maps.Keys(r.seconds)) {
 		second := r.seconds[at]
-		slices.Sort(second.FirstMillis)
+		slices.Sort(second.FirstByteMillis)
 		run.Seconds = append(run.Seconds, second)
 	}
 	return run
@@ -105,30 +105,30 @@
 }
 
 func (r *reader) take(event *record.Event) {
-	took := time.Duration(event.Number("ms")) * time.Millisecond
+	took := time.Duration(event.Uint("ms")) * time.Millisecond
 	switch event.Name {
 	case "request_done":
 		began := event.At.Add(-took)
 		r.second(began).Arrived++
-		if first, err := strconv.Atoi(event.Text("first_ms")); err == nil && first >= 0 {
-			r.second(began).FirstMillis = append(r.second(began).FirstMillis, first)
+		if first, err := strconv.Atoi(event.Field("first_ms")); err == nil && first >= 0 {
+			r.second(began).FirstByteMillis = append(r.second(began).FirstByteMillis, first)
 		}
 		r.spread(began, event.At, func(second *Second, part float64) { second.InFlight += part })
 	case "request_refused":
-		r.second(event.At).Refused++
+		r.second(event.At).Rejected++
 	case "request_sent_back", "queue_refused":
-		r.second(event.At).SentBack++
+		r.second(event.At).Overloaded++
 	case "queue_decided":
-		if result := event.Text("result"); result == hopeless || result == crowded {
-			r.second(event.At).SentBack++
+		if result := event.Field("result"); result == hopeless || result == crowded {
+			r.second(event.At).Overloaded++
 		}
 	case "job_submitted":
-		if event.Text("error") == "null" && event.Text("repeated") == "false" {
-			r.second(event.At).Submitted += int(event.Number("items"))
+		if event.Field("error") == "null" && event.Field("repeated") == "false" {
+			r.second(event.At).Submitted += int(event.Uint("items"))
 		}
 	case "item_attempt":
 		r.spread(event.At.Add(-took), event.At, func(second *Second, part float64) { second.Running += part })
-		if event.Text("state") == "waiting" {
+		if event.Field("state") == "waiting" {
 			r.second(event.At).Stopped++
 		} else {
 			r.second(event.At).Finished++
@@ -157,7 +157,7 @@
 type flowKey struct {
 	role  string
 	kind  traffic.Kind
-	place Place
+	place Locality
 }
 
 func (r *reader) flows(zoneOf func(process string) string) []Flow {
@@ -171,7 +171,7 @@
 			}
 			key := flowKey{event.Role, traffic.Kind(kind), placeOf(zone, zoneOf(process))}
 			if sums[key] == nil {
-				sums[key] = &Flow{Role: key.role, Kind: key.kind, Place: key.place}
+				sums[key] = &Flow{Role: key.role, Kind: key.kind, Locality: key.place}
 			}
 			sums[key].Exchanges += exchanges
 			sums[key].Bytes += sent + received
@@ -182,15 +182,15 @@
 		flows = append(flows, *flow)
 	}
 	slices.SortFunc(flows, func(a, b Flow) int {
-		return cmp.Or(cmp.Compare(b.Bytes, a.Bytes), cmp.Compare(a.Role, b.Role), cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Place, b.Place))
+		return cmp.Or(cmp.Compare(b.Bytes, a.Bytes), cmp.Compare(a.Role, b.Role), cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Locality, b.Locality))
 	})
 	return flows
 }
 
-func placeOf(zone, own string) Place {
+func placeOf(zone, own string) Locality {
 	switch {
 	case zone == traffic.Unknown || own == "":
-		return NotKnown
+		return UnknownZone
 	case zone == own:
 		return SameZone
 	}
@@ -224,8 +224,8 @@
 	table := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "second\tarrived\trefused\tsent back\tin flight\tfirst p50 ms\tp90\tp99\titems accepted\trunning\tfinished\tstopped\t")
 	for _, s := range r.Seconds {
-		fmt.Fprintf(table, "%d\t%d\t%d\t%d\t%.1f\t%d\t%d\t%d\t%d\t%.1f\t%d\t%d\t\n", s.At, s.Arrived, s.Refused, s.SentBack, s.InFlight,
-			quantile(s.FirstMillis, 50), quantile(s.FirstMillis, 90), quantile(s.FirstMillis, 99), s.Submitted, s.Running, s.Finished, s.Stopped)
+		fmt.Fprintf(table, "%d\t%d\t%d\t%d\t%.1f\t%d\t%d\t%d\t%d\t%.1f\t%d\t%d\t\n", s.At, s.Arrived, s.Rejected, s.Overloaded, s.InFlight,
+			quantile(s.FirstByteMillis, 50), quantile(s.FirstByteMillis, 90), quantile(s.FirstByteMillis, 99), s.Submitted, s.Running, s.Finished, s.Stopped)
 	}
 	if err := table.Flush(); err != nil {
 		return err
@@ -234,7 +234,7 @@
 	table = tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "role\tmessage\tother process\texchanges\tkB")
 	for _, flow := range r.Flows {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%d\n", flow.Role, flow.Kind, flow.Place, flow.Exchanges, flow.Bytes/1000)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%d\n", flow.Role, flow.Kind, flow.Locality, flow.Exchanges, flow.Bytes/1000)
 	}
 	return table.Flush()
 }
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -78,7 +78,7 @@
 		Interval: heartbeatInterval,
 		Timeout:  heartbeatTimeout,
 		Report:   func(request *wire.HeartbeatRequest) { h.report(request, number, d.model) },
-		Changed:  h.heard,
+		OnChange: h.heard,
 	})
 	d.all = append(d.all, h)
 	d.run(ctx, h.session.Run)
--- a/internal/scheduling/actions.go
+++ b/internal/scheduling/actions.go
@@ -12,8 +12,8 @@
 	Preempt
 	// Abandon gives up an attempt on a worker that does not answer.
 	Abandon
-	// Refuse ends an attempt that did not run.
-	Refuse
+	// Reject ends an attempt that did not run.
+	Reject
 )
 
 // Reason says why an attempt was refused.
--- a/internal/scheduling/events.go
+++ b/internal/scheduling/events.go
@@ -11,10 +11,10 @@
 	apply(scheduler *Scheduler, now time.Time)
 }
 
-// Arrive brings a new attempt.
-type Arrive struct{ Attempt *Attempt }
+// Arrival brings a new attempt.
+type Arrival struct{ Attempt *Attempt }
 
-func (e Arrive) apply(s *Scheduler, now time.Time) {
+func (e Arrival) apply(s *Scheduler, now time.Time) {
 	if e.Attempt.Class == wire.Online {
 		s.arriveOnline(now, e.Attempt)
 		return
@@ -34,15 +34,15 @@
 	}
 }
 
-// Finish ends an attempt, whatever its outcome, or takes it out of its queue.
-type Finish struct {
+// Completion ends an attempt, whatever its outcome, or takes it out of its queue.
+type Completion struct {
 	AttemptID string
 	// CachedBlocks is how many leading blocks the engine had cached; below
 	// zero it is not known.
 	CachedBlocks int
 }
 
-func (e Finish) apply(s *Scheduler, now time.Time) {
+func (e Completion) apply(s *Scheduler, now time.Time) {
 	found := s.running[e.AttemptID]
 	if found == nil {
 		if !s.online.remove(e.AttemptID) {
@@ -76,11 +76,11 @@
 	s.order = sortedNames(s.workers)
 }
 
-// WorkerSilent marks a worker that does not answer. Its attempts are abandoned,
+// WorkerUnresponsive marks a worker that does not answer. Its attempts are abandoned,
 // so that the input and output side can move them elsewhere.
-type WorkerSilent struct{ Worker string }
+type WorkerUnresponsive struct{ Worker string }
 
-func (e WorkerSilent) apply(s *Scheduler, _ time.Time) {
+func (e WorkerUnresponsive) apply(s *Scheduler, _ time.Time) {
 	known := s.workers[e.Worker]
 	if known == nil || known.silent {
 		return
--- a/internal/scheduling/scheduler.go
+++ b/internal/scheduling/scheduler.go
@@ -122,7 +122,7 @@
 	update, _ := event.(WorkerUpdate)
 	for _, id := range s.order {
 		if known := s.workers[id]; id != update.Spec.ID && !known.silent && s.now.Sub(known.heard) > s.config.WorkerTimeout {
-			WorkerSilent{Worker: id}.apply(s, s.now)
+			WorkerUnresponsive{Worker: id}.apply(s, s.now)
 		}
 	}
 }
@@ -148,7 +148,7 @@
 }
 
 func (s *Scheduler) refuse(attempt *Attempt, reason Reason, retryAfter time.Duration) {
-	s.emit(Action{Kind: Refuse, AttemptID: attempt.ID, Reason: reason, RetryAfter: retryAfter})
+	s.emit(Action{Kind: Reject, AttemptID: attempt.ID, Reason: reason, RetryAfter: retryAfter})
 }
 
 // servable reports whether any worker could ever run the attempt.
@@ -299,9 +299,9 @@
 	})
 }
 
-// BatchRoom returns how many more batch items could start now, and the models
+// BatchCapacity returns how many more batch items could start now, and the models
 // that the workers serve.
-func (s *Scheduler) BatchRoom() (int, []string) {
+func (s *Scheduler) BatchCapacity() (int, []string) {
 	room := 0
 	models := map[string]bool{}
 	for _, id := range s.order {
--- a/internal/scheduling/scheduler_test.go
+++ b/internal/scheduling/scheduler_test.go
@@ -21,7 +21,7 @@
 }
 
 func kinds(actions []Action) string {
-	names := map[ActionKind]string{Start: "start", Preempt: "preempt", Abandon: "abandon", Refuse: "refuse"}
+	names := map[ActionKind]string{Start: "start", Preempt: "preempt", Abandon: "abandon", Reject: "refuse"}
 	text := ""
 	for _, action := range actions {
 		text += names[action.Kind] + " " + action.AttemptID + ";"
@@ -39,17 +39,17 @@
 func TestOnlinePreemptsBatchInTheSameStep(t *testing.T) {
 	s := New(Config{MaxQueue: 4}, testRandom())
 	s.Step(start, WorkerUpdate{spec("w", 2)})
-	s.Step(start, Arrive{attempt("b1", wire.Batch)})
-	s.Step(start, Arrive{attempt("b2", wire.Batch)})
+	s.Step(start, Arrival{attempt("b1", wire.Batch)})
+	s.Step(start, Arrival{attempt("b2", wire.Batch)})
 	s.Step(start, Progress{AttemptID: "b1", Tokens: 30})
-	if got := kinds(s.Step(start, Arrive{attempt("o1", wire.Online)})); got != "preempt b2;start o1;" {
+	if got := kinds(s.Step(start, Arrival{attempt("o1", wire.Online)})); got != "preempt b2;start o1;" {
 		t.Errorf("the step gave %q; the attempt that loses least must yield", got)
 	}
-	s.Step(start, Arrive{attempt("o2", wire.Online)})
-	if got := kinds(s.Step(start, Arrive{attempt("o3", wire.Online)})); got != "" {
+	s.Step(start, Arrival{attempt("o2", wire.Online)})
+	if got := kinds(s.Step(start, Arrival{attempt("o3", wire.Online)})); got != "" {
 		t.Errorf("a full worker gave %q, want the attempt to wait", got)
 	}
-	if got := kinds(s.Step(start, Finish{AttemptID: "o1", CachedBlocks: -1})); got != "start o3;" {
+	if got := kinds(s.Step(start, Completion{AttemptID: "o1", CachedBlocks: -1})); got != "start o3;" {
 		t.Errorf("after a finish: %q", got)
 	}
 }
@@ -57,9 +57,9 @@
 func TestReserveIsLeftFree(t *testing.T) {
 	s := New(Config{MaxQueue: 4, ReservePercent: 25}, testRandom())
 	s.Step(start, WorkerUpdate{spec("w", 8)})
-	s.Step(start, Arrive{attempt("o1", wire.Online)})
+	s.Step(start, Arrival{attempt("o1", wire.Online)})
 	for i := range 10 {
-		s.Step(start, Arrive{attempt(fmt.Sprint("b", i), wire.Batch)})
+		s.Step(start, Arrival{attempt(fmt.Sprint("b", i), wire.Batch)})
 	}
 	if _, batch := s.InFlight(); batch != 5 {
 		t.Errorf("%d batch attempts run beside 1 online on 8 slots with a reserve of 2", batch)
@@ -72,12 +72,12 @@
 	s := New(Config{MaxQueue: 4, ReservePercent: 25}, testRandom())
 	s.Step(start, WorkerUpdate{spec("w1", 2)})
 	for i := 0; i < 3; i++ {
-		s.Step(start, Arrive{attempt(fmt.Sprint("b", i), wire.Batch)})
+		s.Step(start, Arrival{attempt(fmt.Sprint("b", i), wire.Batch)})
 	}
 	if _, batch := s.InFlight(); batch != 2 {
 		t.Errorf("%d batch attempts run on 2 slots without online work", batch)
 	}
-	if got := kinds(s.Step(start, Arrive{attempt("o1", wire.Online)})); got != "preempt b0;start o1;" {
+	if got := kinds(s.Step(start, Arrival{attempt("o1", wire.Online)})); got != "preempt b0;start o1;" {
 		t.Errorf("an online arrival: %q", got)
 	}
 }
@@ -85,20 +85,20 @@
 func TestLeavingAndSilentWorkersGetNothing(t *testing.T) {
 	s := New(Config{MaxQueue: 4}, testRandom())
 	s.Step(start, WorkerUpdate{spec("w", 2)})
-	s.Step(start, Arrive{attempt("o1", wire.Online)})
+	s.Step(start, Arrival{attempt("o1", wire.Online)})
 	leaving := spec("w", 2)
 	leaving.Leaving = true
 	if got := kinds(s.Step(start, WorkerUpdate{leaving})); got != "" {
 		t.Errorf("leaving cut a request: %q", got)
 	}
-	if got := kinds(s.Step(start, Arrive{attempt("o2", wire.Online)})); got != "refuse o2;" {
+	if got := kinds(s.Step(start, Arrival{attempt("o2", wire.Online)})); got != "refuse o2;" {
 		t.Errorf("a leaving worker: %q", got)
 	}
-	if got := kinds(s.Step(start, WorkerSilent{"w"})); got != "abandon o1;" {
+	if got := kinds(s.Step(start, WorkerUnresponsive{"w"})); got != "abandon o1;" {
 		t.Errorf("a silent worker: %q", got)
 	}
 	s.Step(start, WorkerUpdate{spec("w", 2)})
-	if got := kinds(s.Step(start, Arrive{attempt("o3", wire.Online)})); got != "start o3;" {
+	if got := kinds(s.Step(start, Arrival{attempt("o3", wire.Online)})); got != "start o3;" {
 		t.Errorf("a worker that came back: %q", got)
 	}
 }
@@ -106,9 +106,9 @@
 func TestOverloadIsAnsweredAtOnce(t *testing.T) {
 	s := New(Config{MaxQueue: 1}, testRandom())
 	s.Step(start, WorkerUpdate{spec("w", 1)})
-	s.Step(start, Arrive{attempt("o1", wire.Online)})
-	s.Step(start, Arrive{attempt("o2", wire.Online)})
-	if got := kinds(s.Step(start, Arrive{attempt("o3", wire.Online)})); got != "refuse o3;" {
+	s.Step(start, Arrival{attempt("o1", wire.Online)})
+	s.Step(start, Arrival{attempt("o2", wire.Online)})
+	if got := kinds(s.Step(start, Arrival{attempt("o3", wire.Online)})); got != "refuse o3;" {
 		t.Errorf("a full queue: %q", got)
 	}
 	if got := kinds(s.Step(start.Add(2*time.Hour), Tick{})); got != "refuse o2;" {
@@ -122,10 +122,10 @@
 func TestExcludedWorkerBeforeWaiting(t *testing.T) {
 	s := New(Config{MaxQueue: 4}, testRandom())
 	s.Step(start, WorkerUpdate{spec("w1", 1)})
-	s.Step(start, Arrive{attempt("b1", wire.Batch)})
+	s.Step(start, Arrival{attempt("b1", wire.Batch)})
 	again := attempt("o1", wire.Online)
 	again.Exclude = map[string]bool{"w1": true}
-	if got := kinds(s.Step(start, Arrive{again})); got != "preempt b1;start o1;" {
+	if got := kinds(s.Step(start, Arrival{again})); got != "preempt b1;start o1;" {
 		t.Errorf("an attempt excluded from the only worker: %q", got)
 	}
 }
@@ -136,7 +136,7 @@
 	s := New(Config{MaxQueue: 4, WorkerTimeout: time.Second}, testRandom())
 	s.Step(start, WorkerUpdate{spec("w1", 2)})
 	late := start.Add(6 * time.Second)
-	if got := kinds(s.Step(late, Arrive{attempt("o1", wire.Online)})); got != "refuse o1;" {
+	if got := kinds(s.Step(late, Arrival{attempt("o1", wire.Online)})); got != "refuse o1;" {
 		t.Errorf("an arrival long after the last report: %q", got)
 	}
 }
@@ -155,7 +155,7 @@
 				update.Leaving = random.Intn(5) == 0
 				event = WorkerUpdate{update}
 			case draw < 2 && random.Intn(3) == 0:
-				event = WorkerSilent{fmt.Sprint("w", random.Intn(3))}
+				event = WorkerUnresponsive{fmt.Sprint("w", random.Intn(3))}
 			case draw < 6 || len(running) == 0:
 				next++
 				class := wire.Online
@@ -164,10 +164,10 @@
 				}
 				arriving := attempt(fmt.Sprint(next), class)
 				arriving.PromptTokens = random.Intn(150)
-				event = Arrive{arriving}
+				event = Arrival{arriving}
 			default:
 				for id := range running {
-					event = Finish{AttemptID: id, CachedBlocks: -1}
+					event = Completion{AttemptID: id, CachedBlocks: -1}
 					delete(running, id)
 					break
 				}
@@ -195,5 +195,5 @@
 	if len(s.running) != len(running) {
 		return fmt.Errorf("%d attempts in the table, %d running", len(s.running), len(running))
 	}
-	return s.Verify()
+	return s.CheckInvariants()
 }
--- a/internal/scheduling/verify.go
+++ b/internal/scheduling/verify.go
@@ -6,10 +6,10 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// Verify checks the scheduler's invariants, for tests and simulations: the table
+// CheckInvariants checks the scheduler's invariants, for tests and simulations: the table
 // of each worker adds up, and no online attempt waits while batch work holds a
 // place that it could have.
-func (s *Scheduler) Verify() error {
+func (s *Scheduler) CheckInvariants() error {
 	for _, id := range s.order {
 		if err := s.workers[id].verify(); err != nil {
 			return err
--- a/internal/scheduling/worker.go
+++ b/internal/scheduling/worker.go
@@ -23,8 +23,8 @@
 	Models   map[string]bool
 	Adapters map[string]bool
 	Leaving  bool
-	// Foreign is the number of slots in use by attempts of a former owner.
-	Foreign int
+	// PreviousOwnerSlots is the number of slots in use by attempts of a former owner.
+	PreviousOwnerSlots int
 }
 
 // worker is a worker with the exact table of the attempts in flight on it.
@@ -60,7 +60,7 @@
 
 func (w *worker) onlineCount() int { return w.online }
 
-func (w *worker) freeSlots() int { return w.spec.Slots - w.spec.Foreign - len(w.inFlight) }
+func (w *worker) freeSlots() int { return w.spec.Slots - w.spec.PreviousOwnerSlots - len(w.inFlight) }
 
 func (w *worker) freeKV() int { return w.spec.KVTokens - w.kvUsed }
 
@@ -147,7 +147,7 @@
 func (w *worker) candidate() *routing.Candidate {
 	load := 1.0
 	if w.spec.Slots > 0 {
-		load = float64(len(w.inFlight)+w.spec.Foreign) / float64(w.spec.Slots)
+		load = float64(len(w.inFlight)+w.spec.PreviousOwnerSlots) / float64(w.spec.Slots)
 	}
 	return &routing.Candidate{
 		Name:        w.spec.ID,
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -14,8 +14,8 @@
 	faults []string
 }
 
-// Fault records that the field at path has a bad value.
-func (c *Checker) Fault(path string, value any, remedy string) {
+// AddError records that the field at path has a bad value.
+func (c *Checker) AddError(path string, value any, remedy string) {
 	c.faults = append(c.faults, fmt.Sprintf("%s: %v is not valid: %s", path, quote(value), remedy))
 }
 
@@ -38,13 +38,13 @@
 func (c *Checker) Name(path, value string) {
 	const remedy = "use 1 to 63 lower-case letters, digits, dots and hyphens"
 	if value == "" || len(value) > 63 {
-		c.Fault(path, value, remedy)
+		c.AddError(path, value, remedy)
 		return
 	}
 	for _, letter := range value {
 		allowed := letter >= 'a' && letter <= 'z' || letter >= '0' && letter <= '9' || letter == '-' || letter == '.'
 		if !allowed {
-			c.Fault(path, value, remedy)
+			c.AddError(path, value, remedy)
 			return
 		}
 	}
@@ -54,11 +54,11 @@
 func (c *Checker) Address(path, value string) {
 	address, err := netip.ParseAddrPort(value)
 	if err != nil {
-		c.Fault(path, value, "write IP:port, such as 192.0.2.10:7400; names are not looked up")
+		c.AddError(path, value, "write IP:port, such as 192.0.2.10:7400; names are not looked up")
 		return
 	}
 	if address.Port() == 0 || address.Addr().IsUnspecified() {
-		c.Fault(path, value, "write the IP and port at which peers reach the process")
+		c.AddError(path, value, "write the IP and port at which peers reach the process")
 	}
 }
 
@@ -66,14 +66,14 @@
 func (c *Checker) Listen(path, value string) {
 	address, err := netip.ParseAddrPort(value)
 	if err != nil || address.Addr().IsUnspecified() {
-		c.Fault(path, value, "write the IP:port at which peers reach the process; names are not looked up")
+		c.AddError(path, value, "write the IP:port at which peers reach the process; names are not looked up")
 	}
 }
 
 // Addresses checks a list of addresses that must not be empty.
 func (c *Checker) Addresses(path string, values []string) {
 	if len(values) == 0 {
-		c.Fault(path, "[]", "name at least one address")
+		c.AddError(path, "[]", "name at least one address")
 	}
 	for index, value := range values {
 		c.Address(fmt.Sprintf("%s.%d", path, index), value)
@@ -83,14 +83,14 @@
 // Range checks a number.
 func (c *Checker) Range(path string, value, minimum, maximum int) {
 	if value < minimum || value > maximum {
-		c.Fault(path, value, fmt.Sprintf("choose from %d to %d", minimum, maximum))
+		c.AddError(path, value, fmt.Sprintf("choose from %d to %d", minimum, maximum))
 	}
 }
 
 // Between checks a duration.
 func (c *Checker) Between(path string, value Duration, minimum, maximum time.Duration) {
 	if value.Std() < minimum || value.Std() > maximum {
-		c.Fault(path, value, fmt.Sprintf("choose from %s to %s", minimum, maximum))
+		c.AddError(path, value, fmt.Sprintf("choose from %s to %s", minimum, maximum))
 	}
 }
 
@@ -101,5 +101,5 @@
 			return
 		}
 	}
-	c.Fault(path, value, "use one of: "+strings.Join(allowed, ", "))
+	c.AddError(path, value, "use one of: "+strings.Join(allowed, ", "))
 }
--- a/internal/settings/fleet.go
+++ b/internal/settings/fleet.go
@@ -56,8 +56,8 @@
 	logParts = 32
 )
 
-// KeptLogBytes returns how much of the log is kept on this disk.
-func (r *Replication) KeptLogBytes() int {
+// RetainedLogBytes returns how much of the log is kept on this disk.
+func (r *Replication) RetainedLogBytes() int {
 	if r.DiskMB == 0 {
 		return r.LogBytes
 	}
@@ -76,7 +76,7 @@
 
 func (r *Replication) check(checker *Checker) {
 	if r.DataFolder == "" {
-		checker.Fault("data_folder", r.DataFolder, "name a folder")
+		checker.AddError("data_folder", r.DataFolder, "name a folder")
 	}
 	checker.Range("tolerate", r.Tolerate, 0, 3)
 	checker.Between("election_timeout", r.ElectionTimeout, 50*time.Millisecond, 10*time.Second)
@@ -108,7 +108,7 @@
 	}
 	checker.Between("poll_interval", c.PollInterval, 10*time.Millisecond, time.Minute)
 	if c.PlatformRate < 0 {
-		checker.Fault("platform_rate", fmt.Sprint(c.PlatformRate), "use 0 or more calls a second")
+		checker.AddError("platform_rate", fmt.Sprint(c.PlatformRate), "use 0 or more calls a second")
 	}
 }
 
--- a/internal/settings/roles.go
+++ b/internal/settings/roles.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// Reachable returns the address at which others reach the process.
-func (p *Process) Reachable() string {
+// AdvertisedAddress returns the address at which others reach the process.
+func (p *Process) AdvertisedAddress() string {
 	if p.Advertise != "" {
 		return p.Advertise
 	}
@@ -127,7 +127,7 @@
 	if g.OperatorKeySHA256 != "" {
 		digest, err := hex.DecodeString(g.OperatorKeySHA256)
 		if err != nil || len(digest) != digestBytes {
-			checker.Fault("operator_key_sha256", g.OperatorKeySHA256, "use the digest that `sedgemastctl new-key` prints")
+			checker.AddError("operator_key_sha256", g.OperatorKeySHA256, "use the digest that `sedgemastctl new-key` prints")
 		}
 	}
 }
@@ -241,7 +241,7 @@
 func (c *Control) Check(checker *Checker) {
 	c.Process.check(checker)
 	if c.DataFolder == "" {
-		checker.Fault("data_folder", c.DataFolder, "name the folder for the log and the state")
+		checker.AddError("data_folder", c.DataFolder, "name the folder for the log and the state")
 	}
 	if c.Platform != "" {
 		checker.Address("platform", c.Platform)
@@ -250,8 +250,8 @@
 	checker.Range("job_groups", c.JobGroups, 1, 256)
 	if len(c.Peers) > 0 {
 		checker.Addresses("peers", c.Peers)
-		if !slices.Contains(c.Peers, c.Reachable()) {
-			checker.Fault("peers", strings.Join(c.Peers, ", "), "name this process's own address among the peers")
+		if !slices.Contains(c.Peers, c.AdvertisedAddress()) {
+			checker.AddError("peers", strings.Join(c.Peers, ", "), "name this process's own address among the peers")
 		}
 	}
 	checker.Range("voters", c.Voters, 1, 9)
@@ -304,7 +304,7 @@
 func (e *Engine) Check(checker *Checker) {
 	e.Process.check(checker)
 	if len(e.Models) == 0 {
-		checker.Fault("models", "[]", "name at least one model")
+		checker.AddError("models", "[]", "name at least one model")
 	}
 	for index, model := range e.Models {
 		checker.Name(fmt.Sprintf("models.%d", index), model)
--- a/internal/simulation/control.go
+++ b/internal/simulation/control.go
@@ -37,11 +37,11 @@
 
 func (w *World) policy() coordination.Policy {
 	return coordination.Policy{
-		DaemonLease:   2500 * time.Millisecond,
-		ConfigLease:   4 * time.Second,
-		ItemLease:     5 * time.Second,
-		ForgetWorkers: 30 * time.Second,
-		JobGroups:     jobGroups,
+		DaemonLease:     2500 * time.Millisecond,
+		ConfigLease:     4 * time.Second,
+		ItemLease:       5 * time.Second,
+		WorkerRetention: 30 * time.Second,
+		JobGroups:       jobGroups,
 	}
 }
 
@@ -56,11 +56,11 @@
 	gone       bool
 	meta       *metastate.Machine
 	metaTerm   uint64
-	metaLeader *coordination.Meta
+	metaLeader *coordination.MetaLeader
 	planning   bool
 	jobs       []*jobstate.Machine
 	jobTerms   []uint64
-	jobLeaders []*coordination.Jobs
+	jobLeaders []*coordination.JobLeader
 }
 
 func controlName(number int) string { return [...]string{"c1", "c2", "c3", "c4", "c5", "c6"}[number] }
@@ -86,7 +86,7 @@
 	c.life++
 	c.meta = metastate.New()
 	c.metaLeader, c.planning = nil, false
-	c.jobs, c.jobTerms, c.jobLeaders = nil, make([]uint64, jobGroups), make([]*coordination.Jobs, jobGroups)
+	c.jobs, c.jobTerms, c.jobLeaders = nil, make([]uint64, jobGroups), make([]*coordination.JobLeader, jobGroups)
 	machines := []replication.StateMachine{w.mutation.machine(0, c.meta)}
 	for number := 1; number <= jobGroups; number++ {
 		machine := jobstate.New(number)
@@ -199,25 +199,25 @@
 }
 
 // readMeta calls read if this process leads the meta group.
-func (c *controlProcess) readMeta(read func(leader *coordination.Meta) error) error {
+func (c *controlProcess) readMeta(read func(leader *coordination.MetaLeader) error) error {
 	now := c.world.clock.now
 	return c.node.Read(now, controlclient.MetaGroup, func(term uint64, _ storage.Reader) error {
 		if c.metaLeader == nil || c.metaTerm != term {
 			c.metaTerm = term
-			c.metaLeader = coordination.NewMeta(c.meta, c.world.policy(), term, now)
+			c.metaLeader = coordination.NewMetaLeader(c.meta, c.world.policy(), term, now)
 		}
 		return read(c.metaLeader)
 	})
 }
 
 // readJobs calls read if this process leads the job group.
-func (c *controlProcess) readJobs(group int, read func(leader *coordination.Jobs, reader storage.Reader) error) error {
+func (c *controlProcess) readJobs(group int, read func(leader *coordination.JobLeader, reader storage.Reader) error) error {
 	now := c.world.clock.now
 	return c.node.Read(now, group, func(term uint64, reader storage.Reader) error {
 		index := group - 1
 		if c.jobLeaders[index] == nil || c.jobTerms[index] != term {
 			c.jobTerms[index] = term
-			c.jobLeaders[index] = coordination.NewJobs(c.jobs[index], c.world.policy(), now)
+			c.jobLeaders[index] = coordination.NewJobLeader(c.jobs[index], c.world.policy(), now)
 		}
 		return read(c.jobLeaders[index], reader)
 	})
@@ -228,7 +228,7 @@
 		return
 	}
 	var command wire.AssignCommand
-	err := c.readMeta(func(leader *coordination.Meta) error {
+	err := c.readMeta(func(leader *coordination.MetaLeader) error {
 		_, command = leader.Plan(c.world.clock.now)
 		return nil
 	})
@@ -288,7 +288,7 @@
 
 func (c *controlProcess) heartbeat(request *wire.HeartbeatRequest, answer reply[*wire.HeartbeatResponse]) {
 	var response *wire.HeartbeatResponse
-	err := c.readMeta(func(leader *coordination.Meta) (err error) {
+	err := c.readMeta(func(leader *coordination.MetaLeader) (err error) {
 		response, err = leader.Heartbeat(c.world.clock.now, request)
 		return err
 	})
@@ -297,7 +297,7 @@
 
 func (c *controlProcess) leaseItems(request *wire.LeaseItemsRequest, answer reply[*wire.LeaseItemsResponse]) {
 	var response *wire.LeaseItemsResponse
-	err := c.readJobs(request.Group, func(leader *coordination.Jobs, reader storage.Reader) (err error) {
+	err := c.readJobs(request.Group, func(leader *coordination.JobLeader, reader storage.Reader) (err error) {
 		response, err = leader.LeaseItems(c.world.clock.now, request, reader)
 		return err
 	})
@@ -308,8 +308,8 @@
 	c.proposeJob(group, &wire.JobCommand{Complete: request}, func(result *wire.JobResult, err error) {
 		if err == nil {
 			// An error means that another process leads now.
-			_ = c.readJobs(group, func(leader *coordination.Jobs, _ storage.Reader) error {
-				leader.Settle(request.Results)
+			_ = c.readJobs(group, func(leader *coordination.JobLeader, _ storage.Reader) error {
+				leader.Release(request.Results)
 				return nil
 			})
 		}
@@ -325,7 +325,7 @@
 
 func (c *controlProcess) readJob(group int, tenant, id string, answer reply[jobView]) {
 	var view jobView
-	err := c.readJobs(group, func(_ *coordination.Jobs, reader storage.Reader) (err error) {
+	err := c.readJobs(group, func(_ *coordination.JobLeader, reader storage.Reader) (err error) {
 		if view.record, err = c.jobs[group-1].Job(tenant, id); err != nil {
 			return err
 		}
@@ -337,7 +337,7 @@
 
 // readPlatform takes in the platform's lagging list.
 func (c *controlProcess) readPlatform() {
-	if c.readMeta(func(*coordination.Meta) error { return nil }) != nil {
+	if c.readMeta(func(*coordination.MetaLeader) error { return nil }) != nil {
 		return
 	}
 	w := c.world
@@ -347,8 +347,8 @@
 		if err != nil {
 			return
 		}
-		_ = c.readMeta(func(leader *coordination.Meta) error {
-			leader.Listed(w.clock.now, rows)
+		_ = c.readMeta(func(leader *coordination.MetaLeader) error {
+			leader.ApplyList(w.clock.now, rows)
 			return nil
 		})
 	})
@@ -393,8 +393,8 @@
 
 func leaderHint(err error, target string) string {
 	field := failure.From(err).Field
-	if len(field) <= len(controlclient.LeaderHint) || field[len(controlclient.LeaderHint):] == target {
+	if len(field) <= len(controlclient.LeaderFieldPrefix) || field[len(controlclient.LeaderFieldPrefix):] == target {
 		return ""
 	}
-	return field[len(controlclient.LeaderHint):]
+	return field[len(controlclient.LeaderFieldPrefix):]
 }
--- a/internal/simulation/dispatcher.go
+++ b/internal/simulation/dispatcher.go
@@ -72,7 +72,7 @@
 }
 
 func (d *dispatcherProcess) report(request *wire.HeartbeatRequest) {
-	_, request.Models = d.scheduler.BatchRoom()
+	_, request.Models = d.scheduler.BatchCapacity()
 	request.Utilization = d.scheduler.Utilization() &^ 31
 	for _, name := range sortedKeys(d.workers) {
 		e := d.world.engineByName(name)
@@ -148,15 +148,15 @@
 		owned.settled = foreign <= 0
 	}
 	d.step(scheduling.WorkerUpdate{Spec: scheduling.WorkerSpec{
-		ID:       owned.assignment.Worker,
-		Address:  owned.assignment.Worker,
-		Zone:     owned.assignment.Zone,
-		Epoch:    owned.assignment.Epoch,
-		Slots:    d.world.profile.capacity().Slots,
-		KVTokens: d.world.profile.capacity().KVTokens,
-		Models:   map[string]bool{simulatedModel: true},
-		Leaving:  owned.assignment.Leaving || (load.Leaving && d.world.mutation != MutationForgetLeaving),
-		Foreign:  max(0, foreign),
+		ID:                 owned.assignment.Worker,
+		Address:            owned.assignment.Worker,
+		Zone:               owned.assignment.Zone,
+		Epoch:              owned.assignment.Epoch,
+		Slots:              d.world.profile.capacity().Slots,
+		KVTokens:           d.world.profile.capacity().KVTokens,
+		Models:             map[string]bool{simulatedModel: true},
+		Leaving:            owned.assignment.Leaving || (load.Leaving && d.world.mutation != MutationForgetLeaving),
+		PreviousOwnerSlots: max(0, foreign),
 	}})
 }
 
@@ -184,7 +184,7 @@
 	actions := d.scheduler.Step(d.world.clock.now, happened)
 	if w := d.world; w.experiment != nil {
 		// Every step is checked in failure runs; here it would take the time.
-	} else if err := d.scheduler.Verify(); err != nil {
+	} else if err := d.scheduler.CheckInvariants(); err != nil {
 		d.world.ledger.violate("priority", "%s: %v", d.name, err)
 	}
 	for _, action := range actions {
@@ -204,7 +204,7 @@
 			found.started = true
 			found.leaveWorker(true)
 			found.failed(failure.New(failure.OutcomeUnknown, "send it again if it may be repeated", "the worker stopped answering"))
-		case scheduling.Refuse:
+		case scheduling.Reject:
 			delete(d.tasks, action.AttemptID)
 			found.failed(failure.New(failure.NotRun, "send it again", "refused for reason %d", action.Reason))
 		}
--- a/internal/simulation/items.go
+++ b/internal/simulation/items.go
@@ -60,9 +60,9 @@
 	for group := 1; group <= jobGroups; group++ {
 		s.stopLapsed(group)
 		want := 0
-		_, models := d.scheduler.BatchRoom()
+		_, models := d.scheduler.BatchCapacity()
 		if d.session.serves() && !s.stopped {
-			room, _ := d.scheduler.BatchRoom()
+			room, _ := d.scheduler.BatchCapacity()
 			_, queued := d.scheduler.Queued()
 			want = max(0, room+s.backlog()-queued)
 		}
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -44,7 +44,7 @@
 func (w *World) changeThen(p *process, id string, rank int, then func()) {
 	viaControl(w, p, func(c *controlProcess, answer reply[uint64]) {
 		var revision uint64
-		err := c.readMeta(func(*coordination.Meta) error {
+		err := c.readMeta(func(*coordination.MetaLeader) error {
 			revision = c.meta.Revision()
 			return nil
 		})
--- a/internal/simulation/task.go
+++ b/internal/simulation/task.go
@@ -74,7 +74,7 @@
 		}
 	}
 	t.dispatcher.tasks[t.attemptID] = t
-	t.dispatcher.step(scheduling.Arrive{Attempt: &scheduling.Attempt{
+	t.dispatcher.step(scheduling.Arrival{Attempt: &scheduling.Attempt{
 		ID:           t.attemptID,
 		Class:        t.request.Class,
 		Rank:         t.request.Rank,
@@ -224,7 +224,7 @@
 		id := t.attemptID
 		delete(d.tasks, id)
 		t.attemptID = ""
-		d.step(scheduling.Finish{AttemptID: id, CachedBlocks: -1})
+		d.step(scheduling.Completion{AttemptID: id, CachedBlocks: -1})
 	}
 	t.attempts++
 	if t.worker != "" {
@@ -245,7 +245,7 @@
 	id := t.attemptID
 	delete(t.dispatcher.tasks, id)
 	t.attemptID = ""
-	t.dispatcher.step(scheduling.Finish{AttemptID: id, CachedBlocks: 0})
+	t.dispatcher.step(scheduling.Completion{AttemptID: id, CachedBlocks: 0})
 	t.end(err)
 }
 
@@ -265,5 +265,5 @@
 		return
 	}
 	t.leaveWorker(true)
-	t.dispatcher.step(scheduling.Finish{AttemptID: id, CachedBlocks: -1})
+	t.dispatcher.step(scheduling.Completion{AttemptID: id, CachedBlocks: -1})
 }
--- a/internal/simulation/world_run.go
+++ b/internal/simulation/world_run.go
@@ -348,7 +348,7 @@
 		if !c.alive {
 			continue
 		}
-		read := c.readJobs(group, func(*coordination.Jobs, storage.Reader) (err error) {
+		read := c.readJobs(group, func(*coordination.JobLeader, storage.Reader) (err error) {
 			record, err = c.jobs[group-1].Job("", id)
 			return err
 		})
--- a/internal/storage/memory.go
+++ b/internal/storage/memory.go
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// View implements Store.
-func (m *Memory) View() View {
+// Snapshot implements Store.
+func (m *Memory) Snapshot() Snapshot {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return &Memory{live: m.live.clone(), durable: newKeySpace()}
--- a/internal/storage/pebble.go
+++ b/internal/storage/pebble.go
@@ -74,8 +74,8 @@
 	return scan(p.database, lower, upper, visit)
 }
 
-// View implements Store.
-func (p *Pebble) View() View { return pebbleView{snapshot: p.database.NewSnapshot()} }
+// Snapshot implements Store.
+func (p *Pebble) Snapshot() Snapshot { return pebbleView{snapshot: p.database.NewSnapshot()} }
 
 // pebbleView is a View of a Pebble store.
 type pebbleView struct{ snapshot *pebble.Snapshot }
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -32,13 +32,13 @@
 	// Commit applies the mutations, all or none. With sync set it returns once
 	// they, and all committed before them, are durable.
 	Commit(mutations []Mutation, sync bool) error
-	// View returns the key space as it is now, unmoved by later commits.
-	View() View
+	// Snapshot returns the key space as it is now, unmoved by later commits.
+	Snapshot() Snapshot
 	Close() error
 }
 
-// View is a consistent copy of the key space; it must be closed.
-type View interface {
+// Snapshot is a consistent copy of the key space; it must be closed.
+type Snapshot interface {
 	Reader
 	Close() error
 }
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// Scoped returns a reader of the keys that begin with prefix, named without it.
-func Scoped(reader Reader, prefix []byte) Reader {
+// WithPrefix returns a reader of the keys that begin with prefix, named without it.
+func WithPrefix(reader Reader, prefix []byte) Reader {
 	return scopedReader{reader: reader, prefix: prefix}
 }
 
--- a/internal/storeclient/client.go
+++ b/internal/storeclient/client.go
@@ -55,7 +55,7 @@
 // The meter, which may be nil, counts the calls.
 func New(meter *traffic.Meter, zone string, fleet func() *wire.FleetView) *Client {
 	client := rpc.NewClient()
-	client.Measure(meter)
+	client.SetMeter(meter)
 	c := &Client{client: client, fleet: fleet}
 	for number := range c.near {
 		c.near[number] = near{zone: zone, shunned: map[string]time.Time{}}
--- a/internal/tenancy/tenancy.go
+++ b/internal/tenancy/tenancy.go
@@ -46,17 +46,17 @@
 // which neither names of tenants nor ids hold.
 const separator = "\x1f"
 
-// Scoped returns the name by which something of an owner is known among those of all
+// ScopedName returns the name by which something of an owner is known among those of all
 // others. What belongs to nobody keeps its own name.
-func Scoped(owner Name, id string) string {
+func ScopedName(owner Name, id string) string {
 	if owner == "" {
 		return id
 	}
 	return string(owner) + separator + id
 }
 
-// Plain reports whether a text holds no control character, and so can't be mistaken for
+// IsPlainText reports whether a text holds no control character, and so can't be mistaken for
 // a scoped name.
-func Plain(text string) bool {
+func IsPlainText(text string) bool {
 	return strings.IndexFunc(text, func(r rune) bool { return r < ' ' || r == '\x7f' }) < 0
 }
--- a/internal/tenancy/tenancy_test.go
+++ b/internal/tenancy/tenancy_test.go
@@ -34,17 +34,17 @@
 	names := map[string]string{}
 	for _, owner := range []Name{"", "a", "b", "ab", "a/b"} {
 		for _, id := range []string{"c", "b/c", "bc", "/c"} {
-			scoped, place := Scoped(owner, id), string(owner)+" owns "+id
+			scoped, place := ScopedName(owner, id), string(owner)+" owns "+id
 			if other := names[scoped]; other != "" {
 				t.Errorf("%s, and so does %s", place, other)
 			}
 			names[scoped] = place
-			if owner != "" && Plain(scoped) {
+			if owner != "" && IsPlainText(scoped) {
 				t.Errorf("%q is an id that callers may send", scoped)
 			}
 		}
 	}
-	if !Plain("5c1e07a2") || Plain("a\x00b") || Plain("a\nb") {
+	if !IsPlainText("5c1e07a2") || IsPlainText("a\x00b") || IsPlainText("a\nb") {
 		t.Error("control characters are not told from others")
 	}
 }
