--- a/cmd/sedgemast-lab/load.go
+++ b/cmd/sedgemast-lab/load.go
@@ -57,7 +57,7 @@
 	if flags.Requests == 0 {
 		return nil
 	}
-	online := &loadgen.Online{
+	online := &loadgen.OnlineLoad{
 		Model:       flags.Model,
 		Requests:    flags.Requests,
 		Rate:        flags.Rate,
@@ -68,7 +68,7 @@
 	}
 	summary := online.Run(ctx, clients)
 	fmt.Printf("online: %s\n", summary)
-	if summary.Wrong > 0 || (summary.Failed() > 0 && !flags.AllowErrors) {
+	if summary.Incorrect > 0 || (summary.Failed() > 0 && !flags.AllowErrors) {
 		return errors.Wrapf(summary.FirstError, "%d requests have no whole answer; the first", summary.Failed())
 	}
 	return nil
@@ -79,14 +79,14 @@
 		return nil
 	}
 	name := fmt.Sprintf("load-%d", flags.Seed)
-	job := &loadgen.Job{Model: flags.Model, Items: flags.Items, MaxTokens: flags.MaxTokens, Words: flags.Words, Name: name, Key: name}
+	job := &loadgen.BatchJob{Model: flags.Model, Items: flags.Items, MaxTokens: flags.MaxTokens, Words: flags.Words, Name: name, Key: name}
 	started := time.Now()
 	batch, err := job.Submit(ctx, clients[0])
 	if err != nil {
 		return err
 	}
 	fmt.Printf("batch: %s accepted with %d items after %s\n", batch.ID, batch.RequestCounts.Total, time.Since(started).Round(time.Millisecond))
-	batch, err = loadgen.Wait(ctx, clients[len(clients)-1], batch.ID)
+	batch, err = loadgen.WaitBatch(ctx, clients[len(clients)-1], batch.ID)
 	if err != nil {
 		return err
 	}
@@ -111,6 +111,6 @@
 	if err != nil {
 		return failure.Wrap(err, failure.BadRequest, "name a file that can be written", "the file can't be made")
 	}
-	job := &loadgen.Job{Model: flags.Model, Items: flags.Items, MaxTokens: flags.MaxTokens, Words: flags.Words, Name: "file"}
+	job := &loadgen.BatchJob{Model: flags.Model, Items: flags.Items, MaxTokens: flags.MaxTokens, Words: flags.Words, Name: "file"}
 	return errors.CombineErrors(job.Write(file), file.Close())
 }
--- a/cmd/sedgemast-lab/scale.go
+++ b/cmd/sedgemast-lab/scale.go
@@ -39,7 +39,7 @@
 		return err
 	}
 	listed := emulator.NewPlatform(time.Second, 1, 1)
-	listed.Set(rows)
+	listed.SetWorkers(rows)
 	listed.Register(d.Server)
 	d.SetReady(true)
 	fmt.Printf("platform: %d hollow workers listed at http://%s%s\n", len(rows), d.Address(), workerlist.PathWorkers)
--- a/cmd/sedgemast-lab/simulate.go
+++ b/cmd/sedgemast-lab/simulate.go
@@ -94,10 +94,10 @@
 }
 
 func parseKinds(text string) ([]string, error) {
-	known := simulation.KnownFaults()
+	known := simulation.AllFaultKinds()
 	switch text {
 	case "all":
-		return simulation.FaultKinds(), nil
+		return simulation.DefaultFaultKinds(), nil
 	case "none":
 		return nil, nil
 	}
@@ -120,7 +120,7 @@
 	if err != nil {
 		return err
 	}
-	if !simulation.Prove(os.Stdout, first, last) {
+	if !simulation.VerifyMutations(os.Stdout, first, last) {
 		return failure.New(failure.Internal, "look at the rows in capital letters", "a promise was red or a mutation was not")
 	}
 	return nil
--- a/cmd/sedgemast-lab/standins.go
+++ b/cmd/sedgemast-lab/standins.go
@@ -74,7 +74,7 @@
 		Adapters:    config.Adapters,
 		Capacity:    capacity,
 		Seed:        uint64(config.Seed),
-		Faults:      emulator.Faults{Late: flags.Late, Crossed: flags.Crossed, Twice: flags.Twice, Cut: flags.Cut},
+		Faults:      emulator.Faults{Delayed: flags.Late, Misrouted: flags.Crossed, Duplicated: flags.Twice, Disconnected: flags.Cut},
 		LoadLag:     config.LoadLag.Std(),
 		EventLag:    config.EventLag.Std(),
 		ResumeGrace: resumeGrace,
@@ -113,7 +113,7 @@
 		return err
 	}
 	emulated := emulator.NewPlatform(flags.Lag.Std(), flags.WeightRate, flags.WeightSize)
-	emulated.Set(workers)
+	emulated.SetWorkers(workers)
 	emulated.Register(d.Server)
 	d.SetReady(true)
 	fmt.Printf("platform: %d workers listed at http://%s%s\n", len(workers), d.Address(), workerlist.PathWorkers)
--- a/cmd/sedgemast/dev.go
+++ b/cmd/sedgemast/dev.go
@@ -111,20 +111,20 @@
 		}
 		clients = append(clients, client)
 	}
-	job := &loadgen.Job{Model: devModel, Items: flags.Items, MaxTokens: 64, Words: 64, Name: "demo"}
+	job := &loadgen.BatchJob{Model: devModel, Items: flags.Items, MaxTokens: 64, Words: 64, Name: "demo"}
 	begun := time.Now()
 	batch, err := job.Submit(ctx, clients[0])
 	if err != nil {
 		return err
 	}
 	fmt.Printf("batch job: %s accepted with %d items\n", batch.ID, batch.RequestCounts.Total)
-	online := &loadgen.Online{Model: devModel, Requests: flags.Requests, Rate: devRate, MaxTokens: 64, Words: 64, Seed: 1, StreamShare: 0.5}
+	online := &loadgen.OnlineLoad{Model: devModel, Requests: flags.Requests, Rate: devRate, MaxTokens: 64, Words: 64, Seed: 1, StreamShare: 0.5}
 	summary := online.Run(ctx, clients)
 	fmt.Printf("online: %s\n", summary)
 	if summary.Failed() > 0 {
 		return errors.Wrapf(summary.FirstError, "%d online requests have no whole answer; the first", summary.Failed())
 	}
-	batch, err = loadgen.Wait(ctx, clients[len(clients)-1], batch.ID)
+	batch, err = loadgen.WaitBatch(ctx, clients[len(clients)-1], batch.ID)
 	if err != nil {
 		return errors.Wrap(err, "the batch job did not end")
 	}
--- a/internal/configuration/store.go
+++ b/internal/configuration/store.go
@@ -32,10 +32,10 @@
 type Snapshot struct {
 	Revision uint64
 	Tenants  map[string]*Tenant
-	Drained  map[string]bool
+	Draining map[string]bool
 	keys     map[string]Identity
-	// Reserve is the highest reserve that a tenant asks for, in percent.
-	Reserve int
+	// ReservePercent is the highest reserve that a tenant asks for, in percent.
+	ReservePercent int
 }
 
 // Identify returns whom a key belongs to.
@@ -74,7 +74,7 @@
 	return &Snapshot{
 		Revision: revision,
 		Tenants:  map[string]*Tenant{},
-		Drained:  map[string]bool{},
+		Draining: map[string]bool{},
 		keys:     map[string]Identity{},
 	}
 }
@@ -146,7 +146,7 @@
 			s.keys[candidate.SHA256] = Identity{Operator: key.name, KeyID: candidate.ID}
 		}
 	case metastate.KindDrain:
-		s.Drained[key.name] = true
+		s.Draining[key.name] = true
 	}
 	return nil
 }
@@ -165,7 +165,7 @@
 		return err
 	}
 	s.Tenants[name] = &Tenant{Name: name, Spec: spec, Disabled: tenant.Disabled}
-	s.Reserve = max(s.Reserve, spec.ReservePercent)
+	s.ReservePercent = max(s.ReservePercent, spec.ReservePercent)
 	for _, candidate := range tenant.Keys {
 		s.keys[candidate.SHA256] = Identity{Tenant: name, KeyID: candidate.ID}
 	}
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -124,14 +124,14 @@
 }
 
 func (d *Dispatcher) isDraining() bool {
-	return d.draining.Load() || d.session.Config().Drained[d.settings.Name]
+	return d.draining.Load() || d.session.Config().Draining[d.settings.Name]
 }
 
 // heard takes in the answer to a heartbeat.
 func (d *Dispatcher) heard(response *wire.HeartbeatResponse) {
 	d.workers.assign(response.AssignmentVersion, response.Assignments)
 	d.mutex.Lock()
-	d.scheduler.SetReserve(d.session.Config().Reserve)
+	d.scheduler.SetReserve(d.session.Config().ReservePercent)
 	d.mutex.Unlock()
 	d.daemon.SetReady(!d.draining.Load())
 }
@@ -156,7 +156,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.tasks[arriving.attempt.ID] = arriving
-	d.stepLocked(scheduling.Arrival{Attempt: arriving.attempt})
+	d.stepLocked(scheduling.AttemptArrived{Attempt: arriving.attempt})
 }
 
 // finish ends a task's current attempt.
@@ -164,7 +164,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	delete(d.tasks, ended.attempt.ID)
-	d.stepLocked(scheduling.Completion{AttemptID: ended.attempt.ID, CachedBlocks: cachedBlocks})
+	d.stepLocked(scheduling.AttemptEnded{AttemptID: ended.attempt.ID, CachedBlocks: cachedBlocks})
 }
 
 func (d *Dispatcher) tickLoop(ctx context.Context) {
--- a/internal/dispatcher/task.go
+++ b/internal/dispatcher/task.go
@@ -314,7 +314,7 @@
 	t.answer.tokens += event.Tokens
 	t.answer.text.WriteString(event.Text)
 	if t.answer.tokens%progressEvery == 0 {
-		t.dispatcher.step(scheduling.Progress{AttemptID: t.attempt.ID, Tokens: t.answer.tokens})
+		t.dispatcher.step(scheduling.AttemptProgress{AttemptID: t.attempt.ID, Tokens: t.answer.tokens})
 	}
 	if t.emit == nil {
 		return nil
--- a/internal/dispatcher/workers.go
+++ b/internal/dispatcher/workers.go
@@ -140,7 +140,7 @@
 		// have begun after it. Nothing is placed on such a guess.
 		return
 	}
-	w.dispatcher.step(scheduling.WorkerUpdate{Spec: w.spec(owned)})
+	w.dispatcher.step(scheduling.WorkerUpdated{Spec: w.spec(owned)})
 }
 
 // reportLag is how old a load report may be: attempts that were started later
@@ -175,7 +175,7 @@
 func (d *Dispatcher) runningOn(worker string, startedBy time.Time) int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.scheduler.RunningOn(worker, startedBy)
+	return d.scheduler.RunningSince(worker, startedBy)
 }
 
 func (w *workerSet) readCacheEvents(ctx context.Context, owned *ownedWorker) {
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -142,13 +142,13 @@
 
 func behaveAll(workers []*emulator.HostedWorker, fault emulator.HostedFault) {
 	for _, worker := range workers {
-		worker.Behave(func(*emulator.HostedRequest) emulator.HostedFault { return fault })
+		worker.InjectFaults(func(*emulator.HostedRequest) emulator.HostedFault { return fault })
 	}
 }
 
 func runs(workers []*emulator.HostedWorker) (count int) {
 	for _, worker := range workers {
-		count += len(worker.Seen())
+		count += len(worker.Requests())
 	}
 	return count
 }
@@ -191,7 +191,7 @@
 	first := make(chan struct{}, 1)
 	first <- struct{}{}
 	for _, worker := range workers {
-		worker.Behave(func(*emulator.HostedRequest) emulator.HostedFault {
+		worker.InjectFaults(func(*emulator.HostedRequest) emulator.HostedFault {
 			select {
 			case <-first:
 				return emulator.HostedFault{Hang: true}
@@ -204,7 +204,7 @@
 	if err != nil || status != http.StatusOK || strings.Count(body, "data:") != 3 {
 		t.Fatalf("status %d, %v: %q", status, err, body)
 	}
-	await(t, "the silent worker's caller leaving", func() bool { return workers[0].Left()+workers[1].Left() == 1 })
+	await(t, "the silent worker's caller leaving", func() bool { return workers[0].Disconnects()+workers[1].Disconnects() == 1 })
 }
 
 // TestDeadlineIsAnswered hangs the only worker: the caller gets its final answer
@@ -217,7 +217,7 @@
 	if err != nil || status != http.StatusGatewayTimeout {
 		t.Errorf("status %d, %v", status, err)
 	}
-	await(t, "the end of the run", func() bool { return workers[0].Left() == 1 })
+	await(t, "the end of the run", func() bool { return workers[0].Disconnects() == 1 })
 }
 
 // TestCallerGone ends the caller's request: the worker's run ends too.
@@ -233,7 +233,7 @@
 	if status, _, _, err := send(ctx, t, server, "a", 3, patience); err == nil {
 		t.Errorf("status %d for a caller that has gone", status)
 	}
-	await(t, "the end of the run", func() bool { return workers[0].Left() == 1 })
+	await(t, "the end of the run", func() bool { return workers[0].Disconnects() == 1 })
 }
 
 // TestPartsGetTheirWeight splits requests 90 to 10.
@@ -247,7 +247,7 @@
 			t.Fatalf("status %d, %v", status, err)
 		}
 	}
-	if first, second := len(workers[0].Seen()), len(workers[1].Seen()); first != 90 || second != 10 {
+	if first, second := len(workers[0].Requests()), len(workers[1].Requests()); first != 90 || second != 10 {
 		t.Errorf("%d and %d of 100", first, second)
 	}
 }
@@ -272,7 +272,7 @@
 		worker.Close()
 	}
 	status, _, _, err := send(context.Background(), t, server, "a", 1, patience)
-	if err != nil || status != http.StatusOK || len(workers[0].Seen()) != 1 {
+	if err != nil || status != http.StatusOK || len(workers[0].Requests()) != 1 {
 		t.Errorf("status %d, %v", status, err)
 	}
 }
--- a/internal/edge/hold_test.go
+++ b/internal/edge/hold_test.go
@@ -308,7 +308,7 @@
 	coordinator.elected.Store(true)
 	coordinator.listed.Store(true)
 	held.Wait()
-	seen := workers[0].Seen()
+	seen := workers[0].Requests()
 	if len(seen) != 1 {
 		t.Errorf("%d runs", len(seen))
 	}
--- a/internal/edge/identity_test.go
+++ b/internal/edge/identity_test.go
@@ -202,7 +202,7 @@
 func (f *tenantFleet) seen() []emulator.HostedRequest {
 	var seen []emulator.HostedRequest
 	for _, worker := range f.workers {
-		seen = append(seen, worker.Seen()...)
+		seen = append(seen, worker.Requests()...)
 	}
 	return seen
 }
@@ -258,7 +258,7 @@
 	first := make(chan struct{}, 1)
 	first <- struct{}{}
 	for _, worker := range f.workers {
-		worker.Behave(func(*emulator.HostedRequest) emulator.HostedFault {
+		worker.InjectFaults(func(*emulator.HostedRequest) emulator.HostedFault {
 			select {
 			case <-first:
 				return emulator.HostedFault{Status: http.StatusInternalServerError}
--- a/internal/edge/standstill_test.go
+++ b/internal/edge/standstill_test.go
@@ -104,7 +104,7 @@
 		if answer.Code != http.StatusOK || runs(workers) != before+1 {
 			t.Fatalf("status %d, %d runs", answer.Code, runs(workers)-before)
 		}
-		told, _ := strconv.Atoi(workers[0].Seen()[before].Header.Get("Deadline-Ms"))
+		told, _ := strconv.Atoi(workers[0].Requests()[before].Header.Get("Deadline-Ms"))
 		// The header tells whole milliseconds.
 		if got := time.Duration(told) * time.Millisecond; got > left-stood+time.Millisecond || got < left-stood-took-time.Millisecond {
 			t.Errorf("the worker was told of %s after %s, of %s", got, took, left-stood)
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -24,9 +24,9 @@
 	// ResumeGrace is how long an attempt goes on without a reader, and how
 	// long an ended one can still be read.
 	ResumeGrace time.Duration
-	// EndsOn, where it is set, ends the engine by Ended when a prompt that holds it begins.
-	EndsOn string
-	Ended  func()
+	// CrashOnPrompt, where it is set, ends the engine by Ended when a prompt that holds it begins.
+	CrashOnPrompt string
+	OnCrash       func()
 	// WeightStore is the address of the weight store; empty loads at once.
 	WeightStore string
 	Logger      logging.Logger
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -9,15 +9,15 @@
 // Faults says how often and how an engine misbehaves. Probabilities are per
 // event of a stream, from 0 to 1.
 type Faults struct {
-	// Late delays an event by LateBy.
-	Late   float64 `json:"late"`
-	LateBy string  `json:"late_by"`
-	// Crossed puts an event of another attempt into the stream.
-	Crossed float64 `json:"crossed"`
-	// Twice repeats an event.
-	Twice float64 `json:"twice"`
-	// Cut breaks the connection in mid-stream; the attempt goes on.
-	Cut float64 `json:"cut"`
+	// Delayed delays an event by LateBy.
+	Delayed float64 `json:"late"`
+	DelayBy string  `json:"late_by"`
+	// Misrouted puts an event of another attempt into the stream.
+	Misrouted float64 `json:"crossed"`
+	// Duplicated repeats an event.
+	Duplicated float64 `json:"twice"`
+	// Disconnected breaks the connection in mid-stream; the attempt goes on.
+	Disconnected float64 `json:"cut"`
 	// CacheGap loses a cache event.
 	CacheGap float64 `json:"cache_gap"`
 	// Frozen makes the engine answer nothing and generate nothing.
@@ -30,7 +30,7 @@
 
 // lateBy returns the delay of late events.
 func (f *Faults) lateBy() time.Duration {
-	if parsed, err := time.ParseDuration(f.LateBy); err == nil {
+	if parsed, err := time.ParseDuration(f.DelayBy); err == nil {
 		return parsed
 	}
 	return defaultLateBy
--- a/internal/emulator/hosted.go
+++ b/internal/emulator/hosted.go
@@ -20,14 +20,14 @@
 type HostedWorker struct {
 	ID    string
 	Slots int
-	// Pause is the time between two events.
-	Pause time.Duration
-	// Names are the headers that it knows; those of the users' platform unless
+	// EventInterval is the time between two events.
+	EventInterval time.Duration
+	// Dialect are the headers that it knows; those of the users' platform unless
 	// they are set before the first request.
-	Names *dialect.Dialect
-	// KeepsID is set where the worker comes back under its ID after an end; it must be set
+	Dialect *dialect.Dialect
+	// KeepID is set where the worker comes back under its ID after an end; it must be set
 	// before the first request. Otherwise each life has another one.
-	KeepsID bool
+	KeepID bool
 
 	server *httptest.Server
 	mutex  sync.Mutex
@@ -48,13 +48,13 @@
 
 // HostedRequest is a request as the worker got it.
 type HostedRequest struct {
-	ID        string
-	Method    string
-	Target    string
-	Host      string
-	Body      string
-	LastEvent int
-	Header    http.Header
+	ID          string
+	Method      string
+	Target      string
+	Host        string
+	Body        string
+	LastEventID int
+	Header      http.Header
 }
 
 // HostedFault says how the worker misbehaves at a request.
@@ -67,15 +67,15 @@
 	BreakAfter int
 	// Hang sends nothing until the caller has left.
 	Hang bool
-	// End, where it is set, ends the worker under the request after so long; Back is
+	// CrashAfter, where it is set, ends the worker under the request after so long; Back is
 	// after which time it is back at the same address.
-	End  time.Duration
-	Back time.Duration
+	CrashAfter   time.Duration
+	RestartAfter time.Duration
 }
 
 // NewHostedWorker starts a worker; Close ends it.
 func NewHostedWorker(id string, slots int, pause time.Duration) *HostedWorker {
-	w := &HostedWorker{ID: id, Slots: slots, Pause: pause, Names: platformNames(), born: time.Now()}
+	w := &HostedWorker{ID: id, Slots: slots, EventInterval: pause, Dialect: platformNames(), born: time.Now()}
 	w.server = httptest.NewServer(http.HandlerFunc(w.serve))
 	return w
 }
@@ -109,29 +109,29 @@
 	return w.server.Listener.Addr().String()
 }
 
-// Behave sets how the worker misbehaves; nil means that it does not.
-func (w *HostedWorker) Behave(behave func(request *HostedRequest) HostedFault) {
+// InjectFaults sets how the worker misbehaves; nil means that it does not.
+func (w *HostedWorker) InjectFaults(behave func(request *HostedRequest) HostedFault) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.behave = behave
 }
 
-// Leave lists the worker as draining.
-func (w *HostedWorker) Leave() {
+// Drain lists the worker as draining.
+func (w *HostedWorker) Drain() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.leaving = true
 }
 
-// Seen returns the requests that the worker ran.
-func (w *HostedWorker) Seen() []HostedRequest {
+// Requests returns the requests that the worker ran.
+func (w *HostedWorker) Requests() []HostedRequest {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return append([]HostedRequest(nil), w.seen...)
 }
 
-// Left returns how many callers left before their answer was whole.
-func (w *HostedWorker) Left() int {
+// Disconnects returns how many callers left before their answer was whole.
+func (w *HostedWorker) Disconnects() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.left
@@ -167,8 +167,8 @@
 		return
 	}
 	header := httpRequest.Header
-	writer.Header().Set(w.Names.RequestID, header.Get(w.Names.RequestID))
-	if expected := header.Get(w.Names.ExpectWorker); expected != "" && expected != w.Incarnation() {
+	writer.Header().Set(w.Dialect.RequestID, header.Get(w.Dialect.RequestID))
+	if expected := header.Get(w.Dialect.ExpectWorker); expected != "" && expected != w.Incarnation() {
 		writer.Header().Set("Instance", w.Incarnation())
 		writer.WriteHeader(http.StatusMisdirectedRequest)
 		return
@@ -177,32 +177,32 @@
 	if err != nil {
 		return
 	}
-	last, _ := strconv.Atoi(header.Get(w.Names.LastEvent))
+	last, _ := strconv.Atoi(header.Get(w.Dialect.LastEvent))
 	request := &HostedRequest{
-		ID:        header.Get(w.Names.RequestID),
-		Method:    httpRequest.Method,
-		Target:    httpRequest.RequestURI,
-		Host:      httpRequest.Host,
-		Body:      string(body),
-		LastEvent: last,
-		Header:    header.Clone(),
+		ID:          header.Get(w.Dialect.RequestID),
+		Method:      httpRequest.Method,
+		Target:      httpRequest.RequestURI,
+		Host:        httpRequest.Host,
+		Body:        string(body),
+		LastEventID: last,
+		Header:      header.Clone(),
 	}
 	fault := w.admit(request)
 	if fault.NotRun {
-		writer.Header().Set(w.Names.NotRun, "1")
+		writer.Header().Set(w.Dialect.NotRun, "1")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	defer w.release()
-	writer.Header().Set(w.Names.Load, w.load())
+	writer.Header().Set(w.Dialect.Load, w.load())
 	writer.Header().Set("Server-Seal", w.ID+"."+request.ID)
 	if fault.Status != 0 {
 		writer.WriteHeader(fault.Status)
 		return
 	}
-	if fault.End > 0 {
-		time.Sleep(fault.End)
-		w.end(fault.Back)
+	if fault.CrashAfter > 0 {
+		time.Sleep(fault.CrashAfter)
+		w.end(fault.RestartAfter)
 		panic(http.ErrAbortHandler)
 	}
 	if fault.Hang {
@@ -246,15 +246,15 @@
 // stream sends the events after the last one that the caller has.
 func (w *HostedWorker) stream(writer http.ResponseWriter, httpRequest *http.Request, request *HostedRequest, fault HostedFault) {
 	writer.Header().Set("Content-Type", "text/event-stream")
-	_, out, _ := strings.Cut(request.Header.Get(w.Names.Tokens), ",")
+	_, out, _ := strings.Cut(request.Header.Get(w.Dialect.Tokens), ",")
 	count, _ := strconv.Atoi(out)
 	flusher, _ := writer.(http.Flusher)
-	for sent, number := 0, request.LastEvent+1; number <= count; number++ {
+	for sent, number := 0, request.LastEventID+1; number <= count; number++ {
 		select {
 		case <-httpRequest.Context().Done():
 			w.callerLeft()
 			return
-		case <-time.After(w.Pause):
+		case <-time.After(w.EventInterval):
 		}
 		if fault.BreakAfter > 0 && sent >= fault.BreakAfter {
 			panic(http.ErrAbortHandler)
--- a/internal/emulator/hosted_end.go
+++ b/internal/emulator/hosted_end.go
@@ -13,14 +13,14 @@
 func (w *HostedWorker) Incarnation() string {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.incarnation == 0 || w.KeepsID {
+	if w.incarnation == 0 || w.KeepID {
 		return w.ID
 	}
 	return fmt.Sprintf("%s.%d", w.ID, w.incarnation)
 }
 
-// Ends returns how often the worker has ended.
-func (w *HostedWorker) Ends() int {
+// Crashes returns how often the worker has ended.
+func (w *HostedWorker) Crashes() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.ends
--- a/internal/emulator/platform.go
+++ b/internal/emulator/platform.go
@@ -40,8 +40,8 @@
 
 const maxHistory = 1024
 
-// Set changes the list. It becomes visible after the lag.
-func (p *Platform) Set(workers []workerlist.Worker) {
+// SetWorkers changes the list. It becomes visible after the lag.
+func (p *Platform) SetWorkers(workers []workerlist.Worker) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.history = append(p.history, platformVersion{at: time.Now(), workers: append([]workerlist.Worker(nil), workers...)})
@@ -50,8 +50,8 @@
 	}
 }
 
-// Listed returns the list as it is seen at now. The first version shows at once.
-func (p *Platform) Listed(now time.Time) []workerlist.Worker {
+// WorkersAt returns the list as it is seen at now. The first version shows at once.
+func (p *Platform) WorkersAt(now time.Time) []workerlist.Worker {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for i := len(p.history) - 1; i > 0; i-- {
@@ -76,12 +76,12 @@
 	if request.Method == http.MethodPut {
 		var list workerlist.List
 		if readJSON(writer, request, &list) {
-			p.Set(list.Workers)
+			p.SetWorkers(list.Workers)
 			writeJSON(writer, struct{}{})
 		}
 		return
 	}
-	writeJSON(writer, workerlist.List{Workers: p.Listed(time.Now())})
+	writeJSON(writer, workerlist.List{Workers: p.WorkersAt(time.Now())})
 }
 
 // handleWeights streams weights; all readers share one rate.
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -56,8 +56,8 @@
 		writeRefusal(writer, refusal)
 		return
 	}
-	if e.options.EndsOn != "" && strings.Contains(body.Prompt, e.options.EndsOn) {
-		e.options.Ended()
+	if e.options.CrashOnPrompt != "" && strings.Contains(body.Prompt, e.options.CrashOnPrompt) {
+		e.options.OnCrash()
 		panic(http.ErrAbortHandler)
 	}
 	e.stream(writer, request, started, body.ContinueTokens)
@@ -217,20 +217,20 @@
 
 // send writes an event and reports whether the stream goes on.
 func (s *eventSender) send(event *engine.Event) bool {
-	if s.faults.strikes(func(f *Faults) float64 { return f.Cut }) {
+	if s.faults.strikes(func(f *Faults) float64 { return f.Disconnected }) {
 		panic(http.ErrAbortHandler)
 	}
-	if s.faults.strikes(func(f *Faults) float64 { return f.Late }) {
+	if s.faults.strikes(func(f *Faults) float64 { return f.Delayed }) {
 		faults := s.faults.get()
 		time.Sleep(faults.lateBy())
 	}
-	if s.faults.strikes(func(f *Faults) float64 { return f.Crossed }) {
+	if s.faults.strikes(func(f *Faults) float64 { return f.Misrouted }) {
 		crossed := *event
 		crossed.AttemptID = "another-attempt"
 		crossed.Text = "crossed "
 		s.write(&crossed)
 	}
-	repeat := s.faults.strikes(func(f *Faults) float64 { return f.Twice })
+	repeat := s.faults.strikes(func(f *Faults) float64 { return f.Duplicated })
 	if repeat {
 		s.write(event)
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -33,8 +33,8 @@
 	// Capacity is that of each engine.
 	Capacity emulator.Capacity
 	Faults   emulator.Faults
-	// EndsOn, where it is set, ends an engine when a prompt that holds it begins there.
-	EndsOn string
+	// CrashOnPrompt, where it is set, ends an engine when a prompt that holds it begins there.
+	CrashOnPrompt string
 	// OperatorKeySHA256 is the digest of the first operator's key.
 	OperatorKeySHA256 string
 }
@@ -161,18 +161,18 @@
 	var emulated *emulator.Engine
 	member, err := f.start("engine", name, func(d *daemon.Daemon) (func() error, error) {
 		emulated = emulator.NewEngine(emulator.EngineOptions{
-			Worker:      name,
-			Incarnation: 1,
-			Models:      f.options.Models,
-			Capacity:    f.options.Capacity,
-			Seed:        uint64(number),
-			Faults:      f.options.Faults,
-			LoadLag:     500 * time.Millisecond,
-			EventLag:    200 * time.Millisecond,
-			ResumeGrace: resumeGrace,
-			WeightStore: platformAddress,
-			EndsOn:      f.options.EndsOn,
-			Ended:       func() { _ = d.Kill() },
+			Worker:        name,
+			Incarnation:   1,
+			Models:        f.options.Models,
+			Capacity:      f.options.Capacity,
+			Seed:          uint64(number),
+			Faults:        f.options.Faults,
+			LoadLag:       500 * time.Millisecond,
+			EventLag:      200 * time.Millisecond,
+			ResumeGrace:   resumeGrace,
+			WeightStore:   platformAddress,
+			CrashOnPrompt: f.options.CrashOnPrompt,
+			OnCrash:       func() { _ = d.Kill() },
 		})
 		emulated.Register(d.Server)
 		d.Go(emulated.Run)
@@ -193,7 +193,7 @@
 	for index, member := range f.Engines {
 		workers = append(workers, workerlist.Worker{ID: member.Name, Address: member.Address(), Zone: zoneOf(index), Incarnation: 1})
 	}
-	f.Platform.Set(workers)
+	f.Platform.SetWorkers(workers)
 }
 
 func (f *Fleet) startControl(platformAddress string) error {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -92,7 +92,7 @@
 }
 
 func (g *Gateway) isDraining() bool {
-	return g.draining.Load() || g.session.Config().Drained[g.settings.Name]
+	return g.draining.Load() || g.session.Config().Draining[g.settings.Name]
 }
 
 // accepts returns a NotRun failure while the gateway must take no new work.
--- a/internal/loadgen/client.go
+++ b/internal/loadgen/client.go
@@ -249,8 +249,8 @@
 	return batch, c.call(ctx, http.MethodPost, "/v1/batches/"+id+"/cancel", nil, nil, batch)
 }
 
-// Content reads a file and passes each line to accept.
-func (c *Client) Content(ctx context.Context, fileID string, accept func(line []byte) error) error {
+// ReadFile reads a file and passes each line to accept.
+func (c *Client) ReadFile(ctx context.Context, fileID string, accept func(line []byte) error) error {
 	response, err := c.do(ctx, http.MethodGet, "/v1/files/"+fileID+"/content", nil, nil)
 	if err != nil {
 		return err
--- a/internal/loadgen/job.go
+++ b/internal/loadgen/job.go
@@ -12,8 +12,8 @@
 	"github.com/sedgemast/sedgemast/internal/failure"
 )
 
-// Job describes a batch job whose items can be checked.
-type Job struct {
+// BatchJob describes a batch job whose items can be checked.
+type BatchJob struct {
 	Model     string
 	Items     int
 	MaxTokens int
@@ -27,14 +27,14 @@
 
 const jobPoll = 100 * time.Millisecond
 
-func (j *Job) customID(item int) string { return fmt.Sprintf("%s-item-%d", j.Name, item) }
+func (j *BatchJob) customID(item int) string { return fmt.Sprintf("%s-item-%d", j.Name, item) }
 
-func (j *Job) text(item int) string {
+func (j *BatchJob) text(item int) string {
 	return SharedPrompt("tally", j.Words) + fmt.Sprintf(" sheet %d of %s", item, j.Name)
 }
 
 // Write writes the job's file.
-func (j *Job) Write(writer io.Writer) error {
+func (j *BatchJob) Write(writer io.Writer) error {
 	encoder := json.NewEncoder(writer)
 	for item := 0; item < j.Items; item++ {
 		line := struct {
@@ -56,7 +56,7 @@
 }
 
 // Submit uploads the job's file and creates the job.
-func (j *Job) Submit(ctx context.Context, client *Client) (*Batch, error) {
+func (j *BatchJob) Submit(ctx context.Context, client *Client) (*Batch, error) {
 	var fileID string
 	err := Retry(ctx, func() (err error) {
 		fileID, err = client.Upload(ctx, j.Write)
@@ -94,8 +94,8 @@
 	}
 }
 
-// Wait polls a job until it has ended.
-func Wait(ctx context.Context, client *Client, id string) (*Batch, error) {
+// WaitBatch polls a job until it has ended.
+func WaitBatch(ctx context.Context, client *Client, id string) (*Batch, error) {
 	for {
 		var batch *Batch
 		err := Retry(ctx, func() (err error) {
@@ -124,7 +124,7 @@
 
 // Check reads a completed job's results and compares each with what the engines
 // must have generated: every item once, whole, none left over.
-func (j *Job) Check(ctx context.Context, client *Client, batch *Batch) error {
+func (j *BatchJob) Check(ctx context.Context, client *Client, batch *Batch) error {
 	if batch.Status != "completed" || batch.RequestCounts.Completed != j.Items || batch.RequestCounts.Failed != 0 {
 		return errors.Newf("job %s: status %s, %d completed, %d failed of %d", batch.ID, batch.Status, batch.RequestCounts.Completed, batch.RequestCounts.Failed, j.Items)
 	}
@@ -132,7 +132,7 @@
 	for item := 0; item < j.Items; item++ {
 		expected[j.customID(item)] = ExpectedText(j.Model, j.text(item), j.MaxTokens)
 	}
-	err := client.Content(ctx, batch.OutputFileID, func(data []byte) error {
+	err := client.ReadFile(ctx, batch.OutputFileID, func(data []byte) error {
 		var line resultLine
 		if err := json.Unmarshal(data, &line); err != nil {
 			return err
--- a/internal/loadgen/online.go
+++ b/internal/loadgen/online.go
@@ -14,10 +14,10 @@
 	"github.com/sedgemast/sedgemast/internal/failure"
 )
 
-// Online describes an open-loop load of online requests: they are sent at the
+// OnlineLoad describes an open-loop load of online requests: they are sent at the
 // times drawn, whether or not earlier ones have been answered, and each delay
 // counts from the time at which the request was due.
-type Online struct {
+type OnlineLoad struct {
 	Model    string
 	Requests int
 	// Rate is in requests a second; arrivals are a Poisson process.
@@ -34,9 +34,9 @@
 
 // Summary is what became of an online load.
 type Summary struct {
-	Whole    int
-	Wrong    int
-	Failures map[failure.Kind]int
+	Correct   int
+	Incorrect int
+	Failures  map[failure.Kind]int
 	// FirstToken and Gap are those of streamed answers, in microseconds.
 	FirstToken *hdrhistogram.Histogram
 	Gap        *hdrhistogram.Histogram
@@ -70,7 +70,7 @@
 }
 
 // Run sends the load over the clients in turn and waits for all answers.
-func (o *Online) Run(ctx context.Context, clients []*Client) *Summary {
+func (o *OnlineLoad) Run(ctx context.Context, clients []*Client) *Summary {
 	random := rand.New(rand.NewPCG(o.Seed, o.Seed))
 	summary := newSummary()
 	var mutex sync.Mutex
@@ -109,10 +109,10 @@
 		s.Failures[failure.KindOf(err)]++
 		s.note(err)
 	case reply.Text != request.Expected():
-		s.Wrong++
+		s.Incorrect++
 		s.note(errors.Newf("wrong answer to %q: %q", request.Text, reply.Text))
 	default:
-		s.Whole++
+		s.Correct++
 		if !request.Stream {
 			return
 		}
@@ -132,7 +132,7 @@
 
 // Failed returns the number of requests without a whole answer.
 func (s *Summary) Failed() int {
-	failed := s.Wrong
+	failed := s.Incorrect
 	for _, count := range s.Failures {
 		failed += count
 	}
@@ -142,7 +142,7 @@
 // String returns the summary in one line.
 func (s *Summary) String() string {
 	line := fmt.Sprintf("whole=%d wrong=%d elapsed=%s first_token_ms p50=%.1f p95=%.1f p99=%.1f between_tokens_ms p50=%.1f p95=%.1f p99=%.1f",
-		s.Whole, s.Wrong, s.Elapsed.Round(time.Millisecond),
+		s.Correct, s.Incorrect, s.Elapsed.Round(time.Millisecond),
 		millis(s.FirstToken, 50), millis(s.FirstToken, 95), millis(s.FirstToken, 99),
 		millis(s.Gap, 50), millis(s.Gap, 95), millis(s.Gap, 99))
 	for kind, count := range s.Failures {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -184,7 +184,7 @@
 		go func() {
 			owner := r.tenants[(uploader*7+step.Daemons)%len(r.tenants)]
 			client := loadgen.NewClient(r.Gateway, owner.key)
-			job := &loadgen.Job{Model: r.Model, Items: total / uploaders, MaxTokens: 64, Words: 16, Name: fmt.Sprintf("scale-%d-%d", step.Daemons, uploader)}
+			job := &loadgen.BatchJob{Model: r.Model, Items: total / uploaders, MaxTokens: 64, Words: 16, Name: fmt.Sprintf("scale-%d-%d", step.Daemons, uploader)}
 			errs <- submit(ctx, client, job)
 		}()
 	}
@@ -196,7 +196,7 @@
 }
 
 // submit submits a job; the gateway may not know a new tenant at once.
-func submit(ctx context.Context, client *loadgen.Client, job *loadgen.Job) error {
+func submit(ctx context.Context, client *loadgen.Client, job *loadgen.BatchJob) error {
 	for {
 		_, err := job.Submit(ctx, client)
 		if err == nil || ctx.Err() != nil {
--- a/internal/scheduling/events.go
+++ b/internal/scheduling/events.go
@@ -11,10 +11,10 @@
 	apply(scheduler *Scheduler, now time.Time)
 }
 
-// Arrival brings a new attempt.
-type Arrival struct{ Attempt *Attempt }
+// AttemptArrived brings a new attempt.
+type AttemptArrived struct{ Attempt *Attempt }
 
-func (e Arrival) apply(s *Scheduler, now time.Time) {
+func (e AttemptArrived) apply(s *Scheduler, now time.Time) {
 	if e.Attempt.Class == wire.Online {
 		s.arriveOnline(now, e.Attempt)
 		return
@@ -22,27 +22,27 @@
 	s.batch.push(e.Attempt)
 }
 
-// Progress tells how many tokens an attempt has generated.
-type Progress struct {
+// AttemptProgress tells how many tokens an attempt has generated.
+type AttemptProgress struct {
 	AttemptID string
 	Tokens    int
 }
 
-func (e Progress) apply(s *Scheduler, _ time.Time) {
+func (e AttemptProgress) apply(s *Scheduler, _ time.Time) {
 	if found := s.running[e.AttemptID]; found != nil {
 		found.tokens = e.Tokens
 	}
 }
 
-// Completion ends an attempt, whatever its outcome, or takes it out of its queue.
-type Completion struct {
+// AttemptEnded ends an attempt, whatever its outcome, or takes it out of its queue.
+type AttemptEnded struct {
 	AttemptID string
 	// CachedBlocks is how many leading blocks the engine had cached; below
 	// zero it is not known.
 	CachedBlocks int
 }
 
-func (e Completion) apply(s *Scheduler, now time.Time) {
+func (e AttemptEnded) apply(s *Scheduler, now time.Time) {
 	found := s.running[e.AttemptID]
 	if found == nil {
 		if !s.online.remove(e.AttemptID) {
@@ -60,11 +60,11 @@
 	}
 }
 
-// WorkerUpdate adds a worker or changes what is known of it. A worker that was
+// WorkerUpdated adds a worker or changes what is known of it. A worker that was
 // silent counts as answering again.
-type WorkerUpdate struct{ Spec WorkerSpec }
+type WorkerUpdated struct{ Spec WorkerSpec }
 
-func (e WorkerUpdate) apply(s *Scheduler, now time.Time) {
+func (e WorkerUpdated) apply(s *Scheduler, now time.Time) {
 	if known := s.workers[e.Spec.ID]; known != nil {
 		known.spec = e.Spec
 		known.silent = false
--- a/internal/scheduling/scheduler.go
+++ b/internal/scheduling/scheduler.go
@@ -119,7 +119,7 @@
 	if s.config.WorkerTimeout == 0 {
 		return
 	}
-	update, _ := event.(WorkerUpdate)
+	update, _ := event.(WorkerUpdated)
 	for _, id := range s.order {
 		if known := s.workers[id]; id != update.Spec.ID && !known.silent && s.now.Sub(known.heard) > s.config.WorkerTimeout {
 			WorkerUnresponsive{Worker: id}.apply(s, s.now)
@@ -352,9 +352,9 @@
 // SetReserve changes the reserve in percent of a worker's slots.
 func (s *Scheduler) SetReserve(percent int) { s.config.ReservePercent = percent }
 
-// RunningOn returns the attempts in flight on a worker that were started at the
+// RunningSince returns the attempts in flight on a worker that were started at the
 // moment given or before.
-func (s *Scheduler) RunningOn(worker string, startedBy time.Time) int {
+func (s *Scheduler) RunningSince(worker string, startedBy time.Time) int {
 	known := s.workers[worker]
 	if known == nil {
 		return 0
--- a/internal/scheduling/scheduler_test.go
+++ b/internal/scheduling/scheduler_test.go
@@ -38,28 +38,28 @@
 
 func TestOnlinePreemptsBatchInTheSameStep(t *testing.T) {
 	s := New(Config{MaxQueue: 4}, testRandom())
-	s.Step(start, WorkerUpdate{spec("w", 2)})
-	s.Step(start, Arrival{attempt("b1", wire.Batch)})
-	s.Step(start, Arrival{attempt("b2", wire.Batch)})
-	s.Step(start, Progress{AttemptID: "b1", Tokens: 30})
-	if got := kinds(s.Step(start, Arrival{attempt("o1", wire.Online)})); got != "preempt b2;start o1;" {
+	s.Step(start, WorkerUpdated{spec("w", 2)})
+	s.Step(start, AttemptArrived{attempt("b1", wire.Batch)})
+	s.Step(start, AttemptArrived{attempt("b2", wire.Batch)})
+	s.Step(start, AttemptProgress{AttemptID: "b1", Tokens: 30})
+	if got := kinds(s.Step(start, AttemptArrived{attempt("o1", wire.Online)})); got != "preempt b2;start o1;" {
 		t.Errorf("the step gave %q; the attempt that loses least must yield", got)
 	}
-	s.Step(start, Arrival{attempt("o2", wire.Online)})
-	if got := kinds(s.Step(start, Arrival{attempt("o3", wire.Online)})); got != "" {
+	s.Step(start, AttemptArrived{attempt("o2", wire.Online)})
+	if got := kinds(s.Step(start, AttemptArrived{attempt("o3", wire.Online)})); got != "" {
 		t.Errorf("a full worker gave %q, want the attempt to wait", got)
 	}
-	if got := kinds(s.Step(start, Completion{AttemptID: "o1", CachedBlocks: -1})); got != "start o3;" {
+	if got := kinds(s.Step(start, AttemptEnded{AttemptID: "o1", CachedBlocks: -1})); got != "start o3;" {
 		t.Errorf("after a finish: %q", got)
 	}
 }
 
 func TestReserveIsLeftFree(t *testing.T) {
 	s := New(Config{MaxQueue: 4, ReservePercent: 25}, testRandom())
-	s.Step(start, WorkerUpdate{spec("w", 8)})
-	s.Step(start, Arrival{attempt("o1", wire.Online)})
+	s.Step(start, WorkerUpdated{spec("w", 8)})
+	s.Step(start, AttemptArrived{attempt("o1", wire.Online)})
 	for i := range 10 {
-		s.Step(start, Arrival{attempt(fmt.Sprint("b", i), wire.Batch)})
+		s.Step(start, AttemptArrived{attempt(fmt.Sprint("b", i), wire.Batch)})
 	}
 	if _, batch := s.InFlight(); batch != 5 {
 		t.Errorf("%d batch attempts run beside 1 online on 8 slots with a reserve of 2", batch)
@@ -70,45 +70,45 @@
 // in the step in which online work arrives.
 func TestReserveOnlyBesideOnline(t *testing.T) {
 	s := New(Config{MaxQueue: 4, ReservePercent: 25}, testRandom())
-	s.Step(start, WorkerUpdate{spec("w1", 2)})
+	s.Step(start, WorkerUpdated{spec("w1", 2)})
 	for i := 0; i < 3; i++ {
-		s.Step(start, Arrival{attempt(fmt.Sprint("b", i), wire.Batch)})
+		s.Step(start, AttemptArrived{attempt(fmt.Sprint("b", i), wire.Batch)})
 	}
 	if _, batch := s.InFlight(); batch != 2 {
 		t.Errorf("%d batch attempts run on 2 slots without online work", batch)
 	}
-	if got := kinds(s.Step(start, Arrival{attempt("o1", wire.Online)})); got != "preempt b0;start o1;" {
+	if got := kinds(s.Step(start, AttemptArrived{attempt("o1", wire.Online)})); got != "preempt b0;start o1;" {
 		t.Errorf("an online arrival: %q", got)
 	}
 }
 
 func TestLeavingAndSilentWorkersGetNothing(t *testing.T) {
 	s := New(Config{MaxQueue: 4}, testRandom())
-	s.Step(start, WorkerUpdate{spec("w", 2)})
-	s.Step(start, Arrival{attempt("o1", wire.Online)})
+	s.Step(start, WorkerUpdated{spec("w", 2)})
+	s.Step(start, AttemptArrived{attempt("o1", wire.Online)})
 	leaving := spec("w", 2)
 	leaving.Leaving = true
-	if got := kinds(s.Step(start, WorkerUpdate{leaving})); got != "" {
+	if got := kinds(s.Step(start, WorkerUpdated{leaving})); got != "" {
 		t.Errorf("leaving cut a request: %q", got)
 	}
-	if got := kinds(s.Step(start, Arrival{attempt("o2", wire.Online)})); got != "refuse o2;" {
+	if got := kinds(s.Step(start, AttemptArrived{attempt("o2", wire.Online)})); got != "refuse o2;" {
 		t.Errorf("a leaving worker: %q", got)
 	}
 	if got := kinds(s.Step(start, WorkerUnresponsive{"w"})); got != "abandon o1;" {
 		t.Errorf("a silent worker: %q", got)
 	}
-	s.Step(start, WorkerUpdate{spec("w", 2)})
-	if got := kinds(s.Step(start, Arrival{attempt("o3", wire.Online)})); got != "start o3;" {
+	s.Step(start, WorkerUpdated{spec("w", 2)})
+	if got := kinds(s.Step(start, AttemptArrived{attempt("o3", wire.Online)})); got != "start o3;" {
 		t.Errorf("a worker that came back: %q", got)
 	}
 }
 
 func TestOverloadIsAnsweredAtOnce(t *testing.T) {
 	s := New(Config{MaxQueue: 1}, testRandom())
-	s.Step(start, WorkerUpdate{spec("w", 1)})
-	s.Step(start, Arrival{attempt("o1", wire.Online)})
-	s.Step(start, Arrival{attempt("o2", wire.Online)})
-	if got := kinds(s.Step(start, Arrival{attempt("o3", wire.Online)})); got != "refuse o3;" {
+	s.Step(start, WorkerUpdated{spec("w", 1)})
+	s.Step(start, AttemptArrived{attempt("o1", wire.Online)})
+	s.Step(start, AttemptArrived{attempt("o2", wire.Online)})
+	if got := kinds(s.Step(start, AttemptArrived{attempt("o3", wire.Online)})); got != "refuse o3;" {
 		t.Errorf("a full queue: %q", got)
 	}
 	if got := kinds(s.Step(start.Add(2*time.Hour), Tick{})); got != "refuse o2;" {
@@ -121,11 +121,11 @@
 // left, because an earlier attempt had failed there.
 func TestExcludedWorkerBeforeWaiting(t *testing.T) {
 	s := New(Config{MaxQueue: 4}, testRandom())
-	s.Step(start, WorkerUpdate{spec("w1", 1)})
-	s.Step(start, Arrival{attempt("b1", wire.Batch)})
+	s.Step(start, WorkerUpdated{spec("w1", 1)})
+	s.Step(start, AttemptArrived{attempt("b1", wire.Batch)})
 	again := attempt("o1", wire.Online)
 	again.Exclude = map[string]bool{"w1": true}
-	if got := kinds(s.Step(start, Arrival{again})); got != "preempt b1;start o1;" {
+	if got := kinds(s.Step(start, AttemptArrived{again})); got != "preempt b1;start o1;" {
 		t.Errorf("an attempt excluded from the only worker: %q", got)
 	}
 }
@@ -134,9 +134,9 @@
 // been frozen send work to a worker that had begun to leave meanwhile.
 func TestThawedProcess(t *testing.T) {
 	s := New(Config{MaxQueue: 4, WorkerTimeout: time.Second}, testRandom())
-	s.Step(start, WorkerUpdate{spec("w1", 2)})
+	s.Step(start, WorkerUpdated{spec("w1", 2)})
 	late := start.Add(6 * time.Second)
-	if got := kinds(s.Step(late, Arrival{attempt("o1", wire.Online)})); got != "refuse o1;" {
+	if got := kinds(s.Step(late, AttemptArrived{attempt("o1", wire.Online)})); got != "refuse o1;" {
 		t.Errorf("an arrival long after the last report: %q", got)
 	}
 }
@@ -153,7 +153,7 @@
 			case draw < 1:
 				update := spec(fmt.Sprint("w", random.Intn(3)), 2+random.Intn(4))
 				update.Leaving = random.Intn(5) == 0
-				event = WorkerUpdate{update}
+				event = WorkerUpdated{update}
 			case draw < 2 && random.Intn(3) == 0:
 				event = WorkerUnresponsive{fmt.Sprint("w", random.Intn(3))}
 			case draw < 6 || len(running) == 0:
@@ -164,10 +164,10 @@
 				}
 				arriving := attempt(fmt.Sprint(next), class)
 				arriving.PromptTokens = random.Intn(150)
-				event = Arrival{arriving}
+				event = AttemptArrived{arriving}
 			default:
 				for id := range running {
-					event = Completion{AttemptID: id, CachedBlocks: -1}
+					event = AttemptEnded{AttemptID: id, CachedBlocks: -1}
 					delete(running, id)
 					break
 				}
--- a/internal/simulation/dispatcher.go
+++ b/internal/simulation/dispatcher.go
@@ -79,7 +79,7 @@
 		owned := d.workers[name]
 		// Leaving is learnt from the engine's own reports.
 		leaving := owned.claimed && e.alive && e.load().Leaving && e.incarnation == owned.assignment.Incarnation
-		request.Workers = append(request.Workers, wire.WorkerReport{Worker: name, Epoch: owned.assignment.Epoch, Leaving: leaving && d.world.mutation != MutationForgetLeaving})
+		request.Workers = append(request.Workers, wire.WorkerReport{Worker: name, Epoch: owned.assignment.Epoch, Leaving: leaving && d.world.mutation != MutationIgnoreLeaving})
 	}
 }
 
@@ -144,10 +144,10 @@
 	}
 	foreign := 0
 	if !owned.settled {
-		foreign = load.Running + load.Waiting - d.scheduler.RunningOn(owned.assignment.Worker, d.world.clock.now.Add(-2*loadLag))
+		foreign = load.Running + load.Waiting - d.scheduler.RunningSince(owned.assignment.Worker, d.world.clock.now.Add(-2*loadLag))
 		owned.settled = foreign <= 0
 	}
-	d.step(scheduling.WorkerUpdate{Spec: scheduling.WorkerSpec{
+	d.step(scheduling.WorkerUpdated{Spec: scheduling.WorkerSpec{
 		ID:                 owned.assignment.Worker,
 		Address:            owned.assignment.Worker,
 		Zone:               owned.assignment.Zone,
@@ -155,7 +155,7 @@
 		Slots:              d.world.profile.capacity().Slots,
 		KVTokens:           d.world.profile.capacity().KVTokens,
 		Models:             map[string]bool{simulatedModel: true},
-		Leaving:            owned.assignment.Leaving || (load.Leaving && d.world.mutation != MutationForgetLeaving),
+		Leaving:            owned.assignment.Leaving || (load.Leaving && d.world.mutation != MutationIgnoreLeaving),
 		PreviousOwnerSlots: max(0, foreign),
 	}})
 }
@@ -171,7 +171,7 @@
 			if err != nil || d.workers[name] != owned || load.Incarnation > owned.assignment.Incarnation {
 				return
 			}
-			if load.Leaving && d.world.mutation != MutationForgetLeaving {
+			if load.Leaving && d.world.mutation != MutationIgnoreLeaving {
 				owned.assignment.Leaving = true
 			}
 			d.update(owned)
--- a/internal/simulation/engine.go
+++ b/internal/simulation/engine.go
@@ -359,7 +359,7 @@
 			rows = state.rows
 		}
 	}
-	if p.world.mutation != MutationForgetLeaving {
+	if p.world.mutation != MutationIgnoreLeaving {
 		return rows
 	}
 	changed := append([]membership.ListedWorker(nil), rows...)
--- a/internal/simulation/experiment.go
+++ b/internal/simulation/experiment.go
@@ -28,8 +28,8 @@
 	// and no slot is kept free.
 	EnginePriorities bool
 	// Surge multiplies the online load between two moments; zero for none.
-	Surge                int
-	SurgeFrom, SurgeTill time.Duration
+	Surge              int
+	SurgeFrom, SurgeTo time.Duration
 }
 
 // Variants returns those that are measured side by side.
@@ -47,17 +47,17 @@
 	}
 }
 
-// Measured is what one variant showed, over all seeds.
-type Measured struct {
+// Measurement is what one variant showed, over all seeds.
+type Measurement struct {
 	Variant Variant
 	// FirstToken, Gap and Yield are in microseconds: until a caller's first
 	// token, between two of its tokens, and from a preemption's decision until
 	// the batch work was off its engine.
-	FirstToken *hdrhistogram.Histogram
-	Gap        *hdrhistogram.Histogram
-	Yield      *hdrhistogram.Histogram
-	// Refusal is the time until a refused request had its answer.
-	Refusal *hdrhistogram.Histogram
+	FirstToken        *hdrhistogram.Histogram
+	Gap               *hdrhistogram.Histogram
+	PreemptionLatency *hdrhistogram.Histogram
+	// RejectionLatency is the time until a refused request had its answer.
+	RejectionLatency *hdrhistogram.Histogram
 	// BatchTokens and OnlineTokens are generated tokens a second, one value for
 	// each seed.
 	BatchTokens  []float64
@@ -65,16 +65,16 @@
 	// OnlineShare is the share of slot time that online work held.
 	OnlineShare []float64
 	Requests    int
-	Whole       int
-	Refused     int
+	Completed   int
+	Rejected    int
 	Preemptions int
 	Violations  []Violation
 	// Goodput holds whole answers by the second of their end.
 	Goodput []int
 }
 
-func newMeasured(variant Variant) *Measured {
-	return &Measured{Variant: variant, FirstToken: loadgen.NewHistogram(), Gap: loadgen.NewHistogram(), Yield: loadgen.NewHistogram(), Refusal: loadgen.NewHistogram()}
+func newMeasured(variant Variant) *Measurement {
+	return &Measurement{Variant: variant, FirstToken: loadgen.NewHistogram(), Gap: loadgen.NewHistogram(), PreemptionLatency: loadgen.NewHistogram(), RejectionLatency: loadgen.NewHistogram()}
 }
 
 func recordDuration(histogram *hdrhistogram.Histogram, length time.Duration) {
@@ -82,17 +82,17 @@
 	_ = histogram.RecordValue(length.Microseconds())
 }
 
-func (m *Measured) add(other *Measured) {
+func (m *Measurement) add(other *Measurement) {
 	m.FirstToken.Merge(other.FirstToken)
 	m.Gap.Merge(other.Gap)
-	m.Yield.Merge(other.Yield)
-	m.Refusal.Merge(other.Refusal)
+	m.PreemptionLatency.Merge(other.PreemptionLatency)
+	m.RejectionLatency.Merge(other.RejectionLatency)
 	m.BatchTokens = append(m.BatchTokens, other.BatchTokens...)
 	m.OnlineTokens = append(m.OnlineTokens, other.OnlineTokens...)
 	m.OnlineShare = append(m.OnlineShare, other.OnlineShare...)
 	m.Requests += other.Requests
-	m.Whole += other.Whole
-	m.Refused += other.Refused
+	m.Completed += other.Completed
+	m.Rejected += other.Rejected
 	m.Preemptions += other.Preemptions
 	m.Violations = append(m.Violations, other.Violations...)
 	for second, count := range other.Goodput {
@@ -105,7 +105,7 @@
 
 // experiment collects a run's measurements.
 type experiment struct {
-	measured     *Measured
+	measured     *Measurement
 	from, till   time.Time
 	batchTokens  int
 	onlineTokens int
@@ -141,7 +141,7 @@
 
 // RunExperiment runs one variant with one seed and measures it for the length
 // given.
-func RunExperiment(profile Profile, variant Variant, length time.Duration, seed uint64) *Measured {
+func RunExperiment(profile Profile, variant Variant, length time.Duration, seed uint64) *Measurement {
 	w := newWorld(Options{Profile: experimentProfile(profile, variant, length), Seed: seed, Variant: variant})
 	w.experiment = &experiment{
 		measured: newMeasured(variant),
@@ -183,7 +183,7 @@
 	return w.experiment != nil && !w.clock.now.Before(w.experiment.from) && w.clock.now.Before(w.experiment.till)
 }
 
-func (x *experiment) finish(w *World) *Measured {
+func (x *experiment) finish(w *World) *Measurement {
 	m := x.measured
 	seconds := x.till.Sub(x.from).Seconds()
 	m.BatchTokens = []float64{float64(x.batchTokens) / seconds}
@@ -198,9 +198,9 @@
 		m.Requests++
 		switch {
 		case record.over && record.err == nil:
-			m.Whole++
+			m.Completed++
 		case record.over && failure.Is(record.err, failure.NotRun):
-			m.Refused++
+			m.Rejected++
 		}
 	}
 	return m
@@ -231,7 +231,7 @@
 		count++
 		w.ask(p, fmt.Sprintf("s.%d", count))
 		rate := questionsPerWorker * float64(w.profile.Workers)
-		if since := w.clock.now.Sub(w.experiment.from); variant.Surge > 0 && since >= variant.SurgeFrom && since < variant.SurgeTill {
+		if since := w.clock.now.Sub(w.experiment.from); variant.Surge > 0 && since >= variant.SurgeFrom && since < variant.SurgeTo {
 			rate *= float64(variant.Surge)
 		}
 		w.timer(p, time.Duration(w.workload.ExpFloat64()/rate*float64(time.Second)), again)
@@ -306,23 +306,23 @@
 type Experiment struct {
 	Profile  Profile
 	Variants []Variant
-	// Length is the measured part of each run, after the warm-up.
-	Length time.Duration
-	First  uint64
-	Last   uint64
+	// Duration is the measured part of each run, after the warm-up.
+	Duration time.Duration
+	First    uint64
+	Last     uint64
 }
 
 // Run runs all variants over all seeds, several at a time.
-func (x Experiment) Run() []*Measured {
+func (x Experiment) Run() []*Measurement {
 	type run struct {
 		variant int
 		seed    uint64
 	}
 	runs := make(chan run)
 	seeds := int(x.Last - x.First + 1)
-	results := make([][]*Measured, len(x.Variants))
+	results := make([][]*Measurement, len(x.Variants))
 	for index := range results {
-		results[index] = make([]*Measured, seeds)
+		results[index] = make([]*Measurement, seeds)
 	}
 	var workers sync.WaitGroup
 	for worker := 0; worker < runtime.NumCPU(); worker++ {
@@ -330,7 +330,7 @@
 		go func() {
 			defer workers.Done()
 			for next := range runs {
-				results[next.variant][next.seed-x.First] = RunExperiment(x.Profile, x.Variants[next.variant], x.Length, next.seed)
+				results[next.variant][next.seed-x.First] = RunExperiment(x.Profile, x.Variants[next.variant], x.Duration, next.seed)
 			}
 		}()
 	}
@@ -344,8 +344,8 @@
 	return mergeSeeds(x.Variants, results)
 }
 
-func mergeSeeds(variants []Variant, results [][]*Measured) []*Measured {
-	var merged []*Measured
+func mergeSeeds(variants []Variant, results [][]*Measurement) []*Measurement {
+	var merged []*Measurement
 	for index, variant := range variants {
 		total := newMeasured(variant)
 		for _, measured := range results[index] {
--- a/internal/simulation/experiment_report.go
+++ b/internal/simulation/experiment_report.go
@@ -10,8 +10,8 @@
 // PrintExperiment writes the variants as a table. Ratios are to the variants that
 // run one kind of work alone; the bound of batch work is what batch alone reaches,
 // less the share of slot time that online work held.
-func PrintExperiment(out io.Writer, variants []*Measured) {
-	var onlineAlone, batchAlone *Measured
+func PrintExperiment(out io.Writer, variants []*Measurement) {
+	var onlineAlone, batchAlone *Measurement
 	for _, m := range variants {
 		switch {
 		case !m.Variant.Batch:
@@ -32,11 +32,11 @@
 			millisOf(m, true, 50), millisOf(m, true, 99), ratio(millisOf(m, true, 99), millisOf(onlineAlone, true, 99)),
 			millisOf(m, false, 50), millisOf(m, false, 99), ratio(millisOf(m, false, 99), millisOf(onlineAlone, false, 99)),
 			mean(m.BatchTokens), lowest(m.BatchTokens), highest(m.BatchTokens), ratio(mean(m.BatchTokens), bound),
-			m.Preemptions, float64(m.Yield.ValueAtQuantile(99))/microsPerMilli, m.Whole, m.Requests, len(m.Violations))
+			m.Preemptions, float64(m.PreemptionLatency.ValueAtQuantile(99))/microsPerMilli, m.Completed, m.Requests, len(m.Violations))
 	}
 }
 
-func millisOf(m *Measured, first bool, percentile float64) float64 {
+func millisOf(m *Measurement, first bool, percentile float64) float64 {
 	if m == nil {
 		return 0
 	}
--- a/internal/simulation/experiment_test.go
+++ b/internal/simulation/experiment_test.go
@@ -18,7 +18,7 @@
 			if variant.Batch && m.BatchTokens[0] == 0 {
 				t.Error("no batch tokens")
 			}
-			if variant.Online && m.Whole == 0 {
+			if variant.Online && m.Completed == 0 {
 				t.Error("no online answers")
 			}
 		})
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -12,16 +12,16 @@
 // Fault is one failure that strikes at a moment of the run.
 
 type Fault struct {
-	At     time.Duration
-	Kind   string
-	Target int
-	Length time.Duration
+	At       time.Duration
+	Kind     string
+	Target   int
+	Duration time.Duration
 }
 
 // String returns the fault as a line of a schedule.
 
 func (f Fault) String() string {
-	return fmt.Sprintf("%6s %s target=%d length=%s", f.At.Round(time.Millisecond), f.Kind, f.Target, f.Length.Round(time.Millisecond))
+	return fmt.Sprintf("%6s %s target=%d length=%s", f.At.Round(time.Millisecond), f.Kind, f.Target, f.Duration.Round(time.Millisecond))
 }
 
 // faultKind is how a kind of fault is made and ended.
@@ -95,9 +95,9 @@
 
 // FaultKinds returns the names of the kinds of faults that runs draw from.
 
-func FaultKinds() []string {
+func DefaultFaultKinds() []string {
 	var names []string
-	for _, name := range KnownFaults() {
+	for _, name := range AllFaultKinds() {
 		if !faultKinds[name].rare {
 			names = append(names, name)
 		}
@@ -107,7 +107,7 @@
 
 // KnownFaults returns the names of all kinds of faults.
 
-func KnownFaults() []string { return sortedKeys(faultKinds) }
+func AllFaultKinds() []string { return sortedKeys(faultKinds) }
 
 // drawSchedule draws the faults of a run: some alone, some two at a time.
 
@@ -120,7 +120,7 @@
 		pair := min(1+random.IntN(2), count-len(schedule))
 		for i := 0; i < pair; i++ {
 			kind := kinds[random.IntN(len(kinds))]
-			fault := Fault{At: at, Kind: kind, Target: random.IntN(1 << 16), Length: 300*time.Millisecond + time.Duration(random.Int64N(int64(7*time.Second)))}
+			fault := Fault{At: at, Kind: kind, Target: random.IntN(1 << 16), Duration: 300*time.Millisecond + time.Duration(random.Int64N(int64(7*time.Second)))}
 			if faultKinds[kind].once && slices.ContainsFunc(schedule, func(earlier Fault) bool { return earlier.Kind == kind }) {
 				continue
 			}
@@ -163,7 +163,7 @@
 				w.faults.struck(fault.Kind)
 			}
 			w.faults.on++
-			w.clock.after(fault.Length+recoveryTime, func() { w.faults.on-- })
+			w.clock.after(fault.Duration+recoveryTime, func() { w.faults.on-- })
 		})
 	}
 }
--- a/internal/simulation/faults_control.go
+++ b/internal/simulation/faults_control.go
@@ -45,7 +45,7 @@
 }
 
 func strikeControlKilled(w *World, fault Fault) bool {
-	return w.bounceControl(pick(w.controls, fault), fault.Length)
+	return w.bounceControl(pick(w.controls, fault), fault.Duration)
 }
 
 func (w *World) bounceControl(c *controlProcess, length time.Duration) bool {
@@ -73,13 +73,13 @@
 }
 
 func strikeLeaderKilled(w *World, fault Fault) bool {
-	return w.bounceControl(w.metaLeaderProcess(), fault.Length)
+	return w.bounceControl(w.metaLeaderProcess(), fault.Duration)
 }
 
 func strikeMajorityKilled(w *World, fault Fault) bool {
 	struck := false
 	for number := 0; number < majorityLoss; number++ {
-		if w.bounceControl(w.controls[(fault.Target+number)%controlCount], fault.Length) {
+		if w.bounceControl(w.controls[(fault.Target+number)%controlCount], fault.Duration) {
 			struck = true
 		}
 	}
@@ -99,7 +99,7 @@
 
 func strikeControlFreezes(w *World, fault Fault) bool {
 	c := pick(w.controls, fault)
-	if !w.freeze(&c.process, fault.Length) {
+	if !w.freeze(&c.process, fault.Duration) {
 		return false
 	}
 	w.noteLeaders(c)
@@ -109,11 +109,11 @@
 func strikeControlCut(w *World, fault Fault) bool {
 	c := pick(w.controls, fault)
 	w.noteLeaders(c)
-	return w.cutOff(&c.process, fault.Length, false)
+	return w.cutOff(&c.process, fault.Duration, false)
 }
 
 func strikeControlCutOneWay(w *World, fault Fault) bool {
-	return w.cutOff(&pick(w.controls, fault).process, fault.Length, true)
+	return w.cutOff(&pick(w.controls, fault).process, fault.Duration, true)
 }
 
 func strikeLeaderCut(w *World, fault Fault) bool {
@@ -122,7 +122,7 @@
 		return false
 	}
 	w.noteLeaders(c)
-	return w.cutOff(&c.process, fault.Length, fault.Target%2 == 0)
+	return w.cutOff(&c.process, fault.Duration, fault.Target%2 == 0)
 }
 
 func strikeDiskLost(w *World, fault Fault) bool {
@@ -131,7 +131,7 @@
 		return false
 	}
 	w.killControl(c, true)
-	w.restartControl(c, fault.Length)
+	w.restartControl(c, fault.Duration)
 	return true
 }
 
@@ -152,7 +152,7 @@
 	}
 	lost := first.node.ID()
 	w.killControl(first, true)
-	w.restartControl(first, fault.Length)
+	w.restartControl(first, fault.Duration)
 	during := fault.Target%2 == 0
 	var watch func()
 	watch = func() {
@@ -169,7 +169,7 @@
 			second := w.controlByName(status.Membership.Voters[fault.Target%len(status.Membership.Voters)].Address)
 			if second.alive {
 				w.killControl(second, true)
-				w.restartControl(second, fault.Length)
+				w.restartControl(second, fault.Duration)
 			}
 			return
 		}
@@ -245,7 +245,7 @@
 			return
 		}
 		w.killControl(c, false)
-		w.restartControl(c, fault.Length)
+		w.restartControl(c, fault.Duration)
 	}
 	wait()
 	return true
--- a/internal/simulation/faults_daemons.go
+++ b/internal/simulation/faults_daemons.go
@@ -16,12 +16,12 @@
 		return false
 	}
 	w.killEngine(e)
-	w.clock.after(fault.Length, e.start)
+	w.clock.after(fault.Duration, e.start)
 	return true
 }
 
 func strikeWorkerFreezes(w *World, fault Fault) bool {
-	return w.freeze(&pick(w.engines, fault).process, fault.Length)
+	return w.freeze(&pick(w.engines, fault).process, fault.Duration)
 }
 
 func strikeWorkerLeaves(w *World, fault Fault) bool {
@@ -31,7 +31,7 @@
 	}
 	e.leaving = true
 	w.ledger.leavingAt[e.name] = w.clock.now
-	w.clock.after(leavingBound+fault.Length, func() {
+	w.clock.after(leavingBound+fault.Duration, func() {
 		if e.alive && e.leaving {
 			w.killEngine(e)
 			w.clock.after(time.Second, e.start)
@@ -41,17 +41,17 @@
 }
 
 func strikeLate(w *World, fault Fault) bool {
-	pick(w.engines, fault).lateUntil = w.clock.now.Add(fault.Length)
+	pick(w.engines, fault).lateUntil = w.clock.now.Add(fault.Duration)
 	return true
 }
 
 func strikeCrossed(w *World, fault Fault) bool {
-	pick(w.engines, fault).crossedUntil = w.clock.now.Add(fault.Length)
+	pick(w.engines, fault).crossedUntil = w.clock.now.Add(fault.Duration)
 	return true
 }
 
 func strikeTwice(w *World, fault Fault) bool {
-	pick(w.engines, fault).twiceUntil = w.clock.now.Add(fault.Length)
+	pick(w.engines, fault).twiceUntil = w.clock.now.Add(fault.Duration)
 	return true
 }
 
@@ -83,21 +83,21 @@
 		return false
 	}
 	w.killDispatcher(d)
-	w.clock.after(fault.Length, d.start)
+	w.clock.after(fault.Duration, d.start)
 	return true
 }
 
 func strikeDispatcherFreezes(w *World, fault Fault) bool {
-	return w.freeze(&pick(w.dispatchers, fault).process, fault.Length)
+	return w.freeze(&pick(w.dispatchers, fault).process, fault.Duration)
 }
 
 func strikeDispatcherCut(w *World, fault Fault) bool {
-	return w.cutOff(&pick(w.dispatchers, fault).process, fault.Length, fault.Target%3 == 0)
+	return w.cutOff(&pick(w.dispatchers, fault).process, fault.Duration, fault.Target%3 == 0)
 }
 
 func strikeDispatcherLostControl(w *World, fault Fault) bool {
 	d := pick(w.dispatchers, fault)
-	length := 5*time.Second + fault.Length
+	length := 5*time.Second + fault.Duration
 	for _, c := range w.controls {
 		out, in := [2]string{d.name, c.name}, [2]string{c.name, d.name}
 		w.network.cut[out], w.network.cut[in] = true, true
@@ -118,10 +118,10 @@
 	end := func() {
 		if d.alive && d.life == life {
 			w.killDispatcher(d)
-			w.clock.after(fault.Length, d.start)
+			w.clock.after(fault.Duration, d.start)
 		}
 	}
-	if w.mutation == MutationHardStop {
+	if w.mutation == MutationNoGracefulStop {
 		end()
 		return true
 	}
@@ -143,16 +143,16 @@
 		return false
 	}
 	w.killGateway(g)
-	w.clock.after(fault.Length, g.start)
+	w.clock.after(fault.Duration, g.start)
 	return true
 }
 
 func strikeGatewayFreezes(w *World, fault Fault) bool {
-	return w.freeze(&pick(w.gateways, fault).process, fault.Length)
+	return w.freeze(&pick(w.gateways, fault).process, fault.Duration)
 }
 
 func strikeGatewayCut(w *World, fault Fault) bool {
-	return w.cutOff(&pick(w.gateways, fault).process, fault.Length, fault.Target%3 == 0)
+	return w.cutOff(&pick(w.gateways, fault).process, fault.Duration, fault.Target%3 == 0)
 }
 
 func strikeGatewayStops(w *World, fault Fault) bool {
@@ -164,10 +164,10 @@
 	end := func() {
 		if g.alive && g.life == life {
 			w.killGateway(g)
-			w.clock.after(fault.Length, g.start)
+			w.clock.after(fault.Duration, g.start)
 		}
 	}
-	if w.mutation == MutationHardStop {
+	if w.mutation == MutationNoGracefulStop {
 		end()
 		return true
 	}
@@ -211,6 +211,6 @@
 }
 
 func strikePlatform(w *World, fault Fault) bool {
-	w.platform.contradictUntil = w.clock.now.Add(fault.Length)
+	w.platform.contradictUntil = w.clock.now.Add(fault.Duration)
 	return true
 }
--- a/internal/simulation/gateway.go
+++ b/internal/simulation/gateway.go
@@ -106,13 +106,13 @@
 		deliver: deliver,
 		policy: retry.Policy{
 			MaxAttempts:   maxGatewayAttempts,
-			NotRepeatable: request.NotRepeatable && g.world.mutation != MutationRepeat,
+			NotRepeatable: request.NotRepeatable && g.world.mutation != MutationRetryNotRepeatable,
 			Deadline:      g.world.clock.now.Add(time.Duration(request.TimeLeftMillis) * time.Millisecond),
 		},
 	}
 	r.done = func(err error) {
 		g.open--
-		if g.world.mutation == MutationLieNotRun && failure.Is(err, failure.OutcomeUnknown) {
+		if g.world.mutation == MutationFalseNotRun && failure.Is(err, failure.OutcomeUnknown) {
 			err = failure.New(failure.NotRun, "send it again", "a lie")
 		}
 		done(err)
--- a/internal/simulation/ledger.go
+++ b/internal/simulation/ledger.go
@@ -170,7 +170,7 @@
 		return
 	}
 	if r.err != nil {
-		recordDuration(x.measured.Refusal, now.Sub(r.asked))
+		recordDuration(x.measured.RejectionLatency, now.Sub(r.asked))
 		return
 	}
 	second := int(now.Sub(x.from) / time.Second)
--- a/internal/simulation/mutation.go
+++ b/internal/simulation/mutation.go
@@ -24,21 +24,21 @@
 	MutationNoIdempotency        Mutation = "a resent job is a new job"
 	MutationIgnoreCancel         Mutation = "dispatchers ignore cancelled and lapsed items"
 	MutationNoPreemption         Mutation = "preempted items stay on their worker"
-	MutationLieNotRun            Mutation = "an unknown outcome is called not run"
-	MutationRepeat               Mutation = "requests that may not be repeated are"
+	MutationFalseNotRun          Mutation = "an unknown outcome is called not run"
+	MutationRetryNotRepeatable   Mutation = "requests that may not be repeated are"
 	MutationNoSequencer          Mutation = "events of streams are not checked"
-	MutationForgetLeaving        Mutation = "leaving is not learnt"
-	MutationHardStop             Mutation = "a planned stop waits for nothing"
+	MutationIgnoreLeaving        Mutation = "leaving is not learnt"
+	MutationNoGracefulStop       Mutation = "a planned stop waits for nothing"
 	MutationNoConfigurationLease Mutation = "daemons act on a configuration without lease"
-	MutationOldConfiguration     Mutation = "a restarted daemon begins with its old configuration"
+	MutationStaleConfiguration   Mutation = "a restarted daemon begins with its old configuration"
 	MutationNoFencing            Mutation = "engines take orders of any epoch"
-	MutationFreeRevision         Mutation = "changes are not compared with the revision they expect"
+	MutationNoRevisionCheck      Mutation = "changes are not compared with the revision they expect"
 )
 
 // machine wraps a state machine as the mutation wants it.
 func (m Mutation) machine(group int, machine replication.StateMachine) replication.StateMachine {
 	switch {
-	case m == MutationFreeRevision && group == controlclient.MetaGroup:
+	case m == MutationNoRevisionCheck && group == controlclient.MetaGroup:
 		return &mutatedMachine{StateMachine: machine, change: freeRevision()}
 	case m == MutationNoIdempotency && group != controlclient.MetaGroup:
 		return &mutatedMachine{StateMachine: machine, change: freshKeys()}
--- a/internal/simulation/prove.go
+++ b/internal/simulation/prove.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Proof pairs a promise with the mutation that takes its mechanism away, and the
+// MutationCheck pairs a promise with the mutation that takes its mechanism away, and the
 // faults under which the check must notice.
-type Proof struct {
+type MutationCheck struct {
 	Promise  string
 	Mutation Mutation
 	// Check is the check that must notice; empty means any.
@@ -19,10 +19,10 @@
 	BatchOnly bool
 }
 
-// Proofs returns the mutations to be seen red.
-func Proofs() []Proof {
+// MutationChecks returns the mutations to be seen red.
+func MutationChecks() []MutationCheck {
 	stops := []string{"dispatcher_stops", "gateway_stops"}
-	return []Proof{
+	return []MutationCheck{
 		{Promise: "an accepted item completes exactly once", Mutation: MutationLastCompletionWins, Check: "exactly once", Kinds: []string{"dispatcher_lost_control"}, BatchOnly: true},
 		{Promise: "what is accepted outlives a lost disk", Mutation: MutationKeepIdentity, Check: "", Kinds: []string{"rolling_disk_loss"}},
 		{Promise: "what is accepted outlives a crash", Mutation: MutationNoSync, Check: "", Kinds: []string{"control_killed", "control_leader_killed"}},
@@ -30,14 +30,14 @@
 		{Promise: "a cancelled job stops", Mutation: MutationIgnoreCancel, Check: "cancel stops", Kinds: nil},
 		{Promise: "online never waits behind batch", Mutation: MutationNoPreemption, Check: "online before batch", Kinds: nil},
 		{Promise: "each caller gets the whole answer to its own request", Mutation: MutationNoSequencer, Check: "whole answer", Kinds: []string{"answers_crossed", "answers_twice", "answers_late"}},
-		{Promise: "not run is true", Mutation: MutationLieNotRun, Check: "not run is true", Kinds: []string{"worker_dies", "dispatcher_killed"}},
-		{Promise: "no repetition where it is forbidden", Mutation: MutationRepeat, Check: "at most once", Kinds: []string{"worker_dies", "streams_cut", "dispatcher_killed"}},
-		{Promise: "a leaving worker gets no new work", Mutation: MutationForgetLeaving, Check: "leaving gets no work", Kinds: []string{"worker_leaves"}},
-		{Promise: "a planned stop cuts no request", Mutation: MutationHardStop, Check: "planned stop", Kinds: stops},
+		{Promise: "not run is true", Mutation: MutationFalseNotRun, Check: "not run is true", Kinds: []string{"worker_dies", "dispatcher_killed"}},
+		{Promise: "no repetition where it is forbidden", Mutation: MutationRetryNotRepeatable, Check: "at most once", Kinds: []string{"worker_dies", "streams_cut", "dispatcher_killed"}},
+		{Promise: "a leaving worker gets no new work", Mutation: MutationIgnoreLeaving, Check: "leaving gets no work", Kinds: []string{"worker_leaves"}},
+		{Promise: "a planned stop cuts no request", Mutation: MutationNoGracefulStop, Check: "planned stop", Kinds: stops},
 		{Promise: "configuration is in force within seconds", Mutation: MutationNoConfigurationLease, Check: "configuration", Kinds: []string{"gateway_cut", "gateway_freezes"}},
-		{Promise: "configuration never goes back", Mutation: MutationOldConfiguration, Check: "configuration", Kinds: []string{"gateway_killed", "gateway_cut"}},
+		{Promise: "configuration never goes back", Mutation: MutationStaleConfiguration, Check: "configuration", Kinds: []string{"gateway_killed", "gateway_cut"}},
 		{Promise: "one owner of a worker", Mutation: MutationNoFencing, Check: "fencing", Kinds: []string{"dispatcher_cut", "dispatcher_freezes", "control_leader_cut"}},
-		{Promise: "equal numbers: one change wins", Mutation: MutationFreeRevision, Check: "configuration", Kinds: []string{"operators_race"}},
+		{Promise: "equal numbers: one change wins", Mutation: MutationNoRevisionCheck, Check: "configuration", Kinds: []string{"operators_race"}},
 	}
 }
 
@@ -49,7 +49,7 @@
 	profile.JobItems *= 3
 	profile.JobInterval /= 2
 	profile.EngineStep = 60 * time.Millisecond
-	profile.Settle *= 4
+	profile.Recovery *= 4
 	return profile
 }
 
@@ -61,13 +61,13 @@
 	return profile
 }
 
-// Prove runs each promise under its faults, whole and with its mutation, over the
+// VerifyMutations runs each promise under its faults, whole and with its mutation, over the
 // seeds, and writes a row for each. It reports whether every promise was green
 // and every mutation red.
-func Prove(out io.Writer, first, last uint64) bool {
+func VerifyMutations(out io.Writer, first, last uint64) bool {
 	good := true
 	fmt.Fprintf(out, "| promise | faults | seeds | whole system | mechanism taken away | seen red by |\n|---|---|---|---|---|---|\n")
-	for _, proof := range Proofs() {
+	for _, proof := range MutationChecks() {
 		profiles := proof.profiles()
 		whole := Sweep{First: first, Last: last, Profiles: profiles, Kinds: proof.Kinds}.Run()
 		mutated := Sweep{First: first, Last: last, Profiles: profiles, Kinds: proof.Kinds, Mutation: proof.Mutation}.Run()
@@ -97,7 +97,7 @@
 	return noticed
 }
 
-func (p Proof) profiles() []Profile {
+func (p MutationCheck) profiles() []Profile {
 	shape := proofProfile
 	if p.BatchOnly {
 		shape = batchProfile
--- a/internal/simulation/session.go
+++ b/internal/simulation/session.go
@@ -48,7 +48,7 @@
 		config:      configuration.NewStore(),
 		view:        map[string]wire.DaemonView{},
 	}
-	if previous != nil && w.mutation == MutationOldConfiguration {
+	if previous != nil && w.mutation == MutationStaleConfiguration {
 		s.config = previous.config
 		s.configLease.Renew(w.clock.now, time.Hour)
 		s.lease.Renew(w.clock.now, time.Hour)
--- a/internal/simulation/sweep.go
+++ b/internal/simulation/sweep.go
@@ -26,7 +26,7 @@
 type Summary struct {
 	Seeds    int
 	Failed   []*Result
-	Struck   map[string]int
+	Injected map[string]int
 	Totals   Result
 	Profiles []string
 }
@@ -79,7 +79,7 @@
 }
 
 func summarize(s Sweep, results []*Result) *Summary {
-	summary := &Summary{Struck: map[string]int{}}
+	summary := &Summary{Injected: map[string]int{}}
 	for _, profile := range s.Profiles {
 		summary.Profiles = append(summary.Profiles, profile.Name)
 	}
@@ -91,8 +91,8 @@
 		if len(result.Violations) > 0 {
 			summary.Failed = append(summary.Failed, result)
 		}
-		for kind, count := range result.Struck {
-			summary.Struck[kind] += count
+		for kind, count := range result.Injected {
+			summary.Injected[kind] += count
 		}
 		summary.Totals.add(result)
 	}
@@ -101,33 +101,33 @@
 
 func (r *Result) add(other *Result) {
 	r.Requests += other.Requests
-	r.Whole += other.Whole
-	r.Refused += other.Refused
+	r.Completed += other.Completed
+	r.Rejected += other.Rejected
 	r.Jobs += other.Jobs
 	r.Items += other.Items
 	r.Changes += other.Changes
 	r.Preemptions += other.Preemptions
 	r.Resumes += other.Resumes
-	r.Virtual += other.Virtual
-	r.PeakControl = max(r.PeakControl, other.PeakControl)
+	r.VirtualTime += other.VirtualTime
+	r.PeakControlCalls = max(r.PeakControlCalls, other.PeakControlCalls)
 	r.LeaderChange = append(r.LeaderChange, other.LeaderChange...)
-	r.HandOver = append(r.HandOver, other.HandOver...)
+	r.WorkerReassignment = append(r.WorkerReassignment, other.WorkerReassignment...)
 	r.InForce = append(r.InForce, other.InForce...)
-	r.FaultyInForce = append(r.FaultyInForce, other.FaultyInForce...)
+	r.InForceUnderFault = append(r.InForceUnderFault, other.InForceUnderFault...)
 }
 
 // Print writes the summary as text.
 func (s *Summary) Print(out io.Writer) {
 	t := &s.Totals
-	fmt.Fprintf(out, "seeds=%d profiles=%s failed=%d virtual=%s\n", s.Seeds, strings.Join(s.Profiles, ","), len(s.Failed), t.Virtual.Round(time.Second))
-	fmt.Fprintf(out, "requests=%d whole=%d refused=%d jobs=%d results_read=%d changes=%d preemptions=%d resumes=%d\n", t.Requests, t.Whole, t.Refused, t.Jobs, t.Items, t.Changes, t.Preemptions, t.Resumes)
+	fmt.Fprintf(out, "seeds=%d profiles=%s failed=%d virtual=%s\n", s.Seeds, strings.Join(s.Profiles, ","), len(s.Failed), t.VirtualTime.Round(time.Second))
+	fmt.Fprintf(out, "requests=%d whole=%d refused=%d jobs=%d results_read=%d changes=%d preemptions=%d resumes=%d\n", t.Requests, t.Completed, t.Rejected, t.Jobs, t.Items, t.Changes, t.Preemptions, t.Resumes)
 	fmt.Fprintf(out, "leader change:        %s\n", spread(t.LeaderChange))
-	fmt.Fprintf(out, "workers owned again:  %s\n", spread(t.HandOver))
+	fmt.Fprintf(out, "workers owned again:  %s\n", spread(t.WorkerReassignment))
 	fmt.Fprintf(out, "in force, no fault:   %s\n", spread(t.InForce))
-	fmt.Fprintf(out, "in force, with fault: %s\n", spread(t.FaultyInForce))
-	fmt.Fprintf(out, "calls to control:     most in a second %d\n", t.PeakControl)
-	for _, kind := range sortedKeys(s.Struck) {
-		fmt.Fprintf(out, "fault %-26s struck %d\n", kind, s.Struck[kind])
+	fmt.Fprintf(out, "in force, with fault: %s\n", spread(t.InForceUnderFault))
+	fmt.Fprintf(out, "calls to control:     most in a second %d\n", t.PeakControlCalls)
+	for _, kind := range sortedKeys(s.Injected) {
+		fmt.Fprintf(out, "fault %-26s struck %d\n", kind, s.Injected[kind])
 	}
 }
 
--- a/internal/simulation/task.go
+++ b/internal/simulation/task.go
@@ -51,7 +51,7 @@
 		tokens:     request.ContinueTokens,
 		policy: retry.Policy{
 			MaxAttempts:   maxAttempts,
-			NotRepeatable: request.NotRepeatable && d.world.mutation != MutationRepeat,
+			NotRepeatable: request.NotRepeatable && d.world.mutation != MutationRetryNotRepeatable,
 			Deadline:      d.world.clock.now.Add(time.Duration(request.TimeLeftMillis) * time.Millisecond),
 		},
 	}
@@ -74,7 +74,7 @@
 		}
 	}
 	t.dispatcher.tasks[t.attemptID] = t
-	t.dispatcher.step(scheduling.Arrival{Attempt: &scheduling.Attempt{
+	t.dispatcher.step(scheduling.AttemptArrived{Attempt: &scheduling.Attempt{
 		ID:           t.attemptID,
 		Class:        t.request.Class,
 		Rank:         t.request.Rank,
@@ -208,7 +208,7 @@
 	d.world.transmit(&d.process, &e.process, func() {
 		e.cancel(id)
 		if t.request.Class == wire.Batch && d.world.measuring() {
-			recordDuration(d.world.experiment.measured.Yield, d.world.clock.now.Sub(decided))
+			recordDuration(d.world.experiment.measured.PreemptionLatency, d.world.clock.now.Sub(decided))
 		}
 	}, nil)
 }
@@ -224,7 +224,7 @@
 		id := t.attemptID
 		delete(d.tasks, id)
 		t.attemptID = ""
-		d.step(scheduling.Completion{AttemptID: id, CachedBlocks: -1})
+		d.step(scheduling.AttemptEnded{AttemptID: id, CachedBlocks: -1})
 	}
 	t.attempts++
 	if t.worker != "" {
@@ -245,7 +245,7 @@
 	id := t.attemptID
 	delete(t.dispatcher.tasks, id)
 	t.attemptID = ""
-	t.dispatcher.step(scheduling.Completion{AttemptID: id, CachedBlocks: 0})
+	t.dispatcher.step(scheduling.AttemptEnded{AttemptID: id, CachedBlocks: 0})
 	t.end(err)
 }
 
@@ -265,5 +265,5 @@
 		return
 	}
 	t.leaveWorker(true)
-	t.dispatcher.step(scheduling.Completion{AttemptID: id, CachedBlocks: -1})
+	t.dispatcher.step(scheduling.AttemptEnded{AttemptID: id, CachedBlocks: -1})
 }
--- a/internal/simulation/timings.go
+++ b/internal/simulation/timings.go
@@ -12,9 +12,9 @@
 	// LeaderChange holds the times from a leader's failure to the first entry
 	// that its successor has committed.
 	LeaderChange []time.Duration
-	// HandOver holds the times from a dispatcher's death until each of its
+	// WorkerReassignment holds the times from a dispatcher's death until each of its
 	// workers is owned again.
-	HandOver []time.Duration
+	WorkerReassignment []time.Duration
 	// InForce holds the times from a change's commit until it is in force at
 	// every living daemon; with faults and without.
 	InForce []time.Duration
@@ -24,10 +24,10 @@
 	pending    []*pendingRevision
 	living     func() []string
 	faulty     func() bool
-	// FaultyInForce are those of InForce during which a fault was on.
-	FaultyInForce []time.Duration
-	lastRevision  uint64
-	reached       map[string]uint64
+	// InForceUnderFault are those of InForce during which a fault was on.
+	InForceUnderFault []time.Duration
+	lastRevision      uint64
+	reached           map[string]uint64
 }
 
 type leaderLoss struct {
@@ -79,7 +79,7 @@
 func (t *timings) owned(now time.Time, worker string) {
 	if since, orphan := t.orphans[worker]; orphan {
 		delete(t.orphans, worker)
-		t.HandOver = append(t.HandOver, now.Sub(since))
+		t.WorkerReassignment = append(t.WorkerReassignment, now.Sub(since))
 	}
 }
 
@@ -101,7 +101,7 @@
 			continue
 		}
 		if change.faulty {
-			t.FaultyInForce = append(t.FaultyInForce, now.Sub(change.at))
+			t.InForceUnderFault = append(t.InForceUnderFault, now.Sub(change.at))
 		} else {
 			t.InForce = append(t.InForce, now.Sub(change.at))
 		}
--- a/internal/simulation/world_run.go
+++ b/internal/simulation/world_run.go
@@ -36,7 +36,7 @@
 	WarmUp     time.Duration
 	FaultsFrom time.Duration
 	FaultsTo   time.Duration
-	Settle     time.Duration
+	Recovery   time.Duration
 	Faults     int
 }
 
@@ -59,7 +59,7 @@
 		WarmUp:         5 * time.Second,
 		FaultsFrom:     6 * time.Second,
 		FaultsTo:       20 * time.Second,
-		Settle:         60 * time.Second,
+		Recovery:       60 * time.Second,
 		Faults:         8,
 	}
 }
@@ -131,10 +131,10 @@
 	Profile     string
 	Schedule    []Fault
 	Violations  []Violation
-	Struck      map[string]int
+	Injected    map[string]int
 	Requests    int
-	Whole       int
-	Refused     int
+	Completed   int
+	Rejected    int
 	Jobs        int
 	Items       int
 	Changes     int
@@ -142,15 +142,15 @@
 	Resumes     int
 	// LeaderChange, HandOver, InForce and FaultyInForce are explained in
 	// timings.
-	LeaderChange  []time.Duration
-	HandOver      []time.Duration
-	InForce       []time.Duration
-	FaultyInForce []time.Duration
-	// PeakControl is the most calls to control in one second, once faults can
+	LeaderChange       []time.Duration
+	WorkerReassignment []time.Duration
+	InForce            []time.Duration
+	InForceUnderFault  []time.Duration
+	// PeakControlCalls is the most calls to control in one second, once faults can
 	// strike.
-	PeakControl int
-	// Virtual is the simulated time.
-	Virtual time.Duration
+	PeakControlCalls int
+	// VirtualTime is the simulated time.
+	VirtualTime time.Duration
 }
 
 // streams of random numbers that one seed is split into, so that leaving a fault
@@ -203,7 +203,7 @@
 	w.ledger.calm = func() bool { return len(w.faults.counts) == 0 }
 	w.ledger.timings.living = w.livingDaemons
 	w.ledger.timings.faulty = func() bool { return w.faults.on > 0 }
-	w.settleEnd = epoch.Add(w.profile.FaultsTo + w.profile.Settle)
+	w.settleEnd = epoch.Add(w.profile.FaultsTo + w.profile.Recovery)
 	w.addPlatform()
 	for number := 0; number < w.profile.Workers; number++ {
 		w.addEngine(number)
@@ -296,7 +296,7 @@
 			break
 		}
 		if w.clock.now.After(w.settleEnd) {
-			w.ledger.violate("recovery", "%s after the faults: %s", w.profile.Settle, missing)
+			w.ledger.violate("recovery", "%s after the faults: %s", w.profile.Recovery, missing)
 			return
 		}
 	}
@@ -383,33 +383,33 @@
 
 func (w *World) result(options Options, schedule []Fault) *Result {
 	result := &Result{
-		Seed:          options.Seed,
-		Profile:       w.profile.Name,
-		Schedule:      schedule,
-		Violations:    w.ledger.violations,
-		Struck:        w.faults.counts,
-		Requests:      len(w.ledger.order),
-		Jobs:          len(w.ledger.jobs),
-		Changes:       len(w.ledger.accepted),
-		Preemptions:   w.ledger.preemptions,
-		Resumes:       w.ledger.resumes,
-		LeaderChange:  w.ledger.timings.LeaderChange,
-		HandOver:      w.ledger.timings.HandOver,
-		InForce:       w.ledger.timings.InForce,
-		FaultyInForce: w.ledger.timings.FaultyInForce,
-		Virtual:       w.clock.now.Sub(epoch),
+		Seed:               options.Seed,
+		Profile:            w.profile.Name,
+		Schedule:           schedule,
+		Violations:         w.ledger.violations,
+		Injected:           w.faults.counts,
+		Requests:           len(w.ledger.order),
+		Jobs:               len(w.ledger.jobs),
+		Changes:            len(w.ledger.accepted),
+		Preemptions:        w.ledger.preemptions,
+		Resumes:            w.ledger.resumes,
+		LeaderChange:       w.ledger.timings.LeaderChange,
+		WorkerReassignment: w.ledger.timings.WorkerReassignment,
+		InForce:            w.ledger.timings.InForce,
+		InForceUnderFault:  w.ledger.timings.InForceUnderFault,
+		VirtualTime:        w.clock.now.Sub(epoch),
 	}
 	for second, calls := range w.controlLoad {
 		if second >= epoch.Add(w.profile.FaultsFrom).Unix() {
-			result.PeakControl = max(result.PeakControl, calls)
+			result.PeakControlCalls = max(result.PeakControlCalls, calls)
 		}
 	}
 	for _, record := range w.ledger.order {
 		if record.over && record.err == nil {
-			result.Whole++
+			result.Completed++
 		}
 	}
-	result.Refused = result.Requests - result.Whole
+	result.Rejected = result.Requests - result.Completed
 	for _, job := range w.ledger.jobs {
 		result.Items += len(job.seen)
 	}
--- a/test/control_test.go
+++ b/test/control_test.go
@@ -117,7 +117,7 @@
 // without an accepted change.
 func (c *cluster) underLoad(t *testing.T, ctx context.Context, name string, breakIt func()) time.Duration {
 	t.Helper()
-	job := &loadgen.Job{Model: testModel, Items: 600, MaxTokens: 64, Words: 32, Name: name}
+	job := &loadgen.BatchJob{Model: testModel, Items: 600, MaxTokens: 64, Words: 32, Name: name}
 	batch, err := job.Submit(ctx, c.client(0))
 	if err != nil {
 		t.Fatal(err)
@@ -131,7 +131,7 @@
 		defer running.Done()
 		changes.run(writing, c.operator(), strings.ReplaceAll(name, " ", "-"))
 	}()
-	online := &loadgen.Online{Model: testModel, Requests: 200, Rate: 20, MaxTokens: 64, Words: 32, Seed: 1, StreamShare: 0.5, AtMostOnceShare: 0.25}
+	online := &loadgen.OnlineLoad{Model: testModel, Requests: 200, Rate: 20, MaxTokens: 64, Words: 32, Seed: 1, StreamShare: 0.5, AtMostOnceShare: 0.25}
 	var summary *loadgen.Summary
 	go func() {
 		defer running.Done()
@@ -145,10 +145,10 @@
 	if changes.err != nil {
 		t.Errorf("changes: %v", changes.err)
 	}
-	if summary.Wrong > 0 {
-		t.Errorf("%d wrong answers", summary.Wrong)
+	if summary.Incorrect > 0 {
+		t.Errorf("%d wrong answers", summary.Incorrect)
 	}
-	if batch, err = loadgen.Wait(ctx, c.client(1), batch.ID); err != nil {
+	if batch, err = loadgen.WaitBatch(ctx, c.client(1), batch.ID); err != nil {
 		t.Fatal(err)
 	}
 	if err := job.Check(ctx, c.client(2), batch); err != nil {
--- a/test/fleet_api_test.go
+++ b/test/fleet_api_test.go
@@ -77,7 +77,7 @@
 	f := &ownFleet{t: t, binary: filepath.Join(folder, "sedgemast"), port: freePorts(t)}
 	for i := range 2 {
 		worker := emulator.NewHostedWorker(fmt.Sprintf("w-%d", i), 8, time.Millisecond)
-		worker.Names = dialect.Own()
+		worker.Dialect = dialect.Own()
 		t.Cleanup(worker.Close)
 		f.workers = append(f.workers, worker)
 	}
@@ -162,9 +162,9 @@
 	var deadly atomic.Bool
 	deadly.Store(true)
 	for _, worker := range f.workers {
-		worker.Behave(func(request *emulator.HostedRequest) emulator.HostedFault {
+		worker.InjectFaults(func(request *emulator.HostedRequest) emulator.HostedFault {
 			if request.Body == endingBody && deadly.Load() {
-				return emulator.HostedFault{End: time.Millisecond, Back: 20 * time.Millisecond}
+				return emulator.HostedFault{CrashAfter: time.Millisecond, RestartAfter: 20 * time.Millisecond}
 			}
 			return emulator.HostedFault{}
 		})
--- a/test/hosted_test.go
+++ b/test/hosted_test.go
@@ -94,7 +94,7 @@
 		t.Errorf("seal %q", seal)
 	}
 	for _, worker := range f.workers {
-		for _, seen := range worker.Seen() {
+		for _, seen := range worker.Requests() {
 			if seen.ID != "r-1" {
 				continue
 			}
@@ -107,13 +107,13 @@
 
 func (f *hostedFleet) behaveAll(behave func(request *emulator.HostedRequest) emulator.HostedFault) {
 	for _, worker := range f.workers {
-		worker.Behave(behave)
+		worker.InjectFaults(behave)
 	}
 }
 
 func (f *hostedFleet) runs(id string) (runs int) {
 	for _, worker := range f.workers {
-		for _, seen := range worker.Seen() {
+		for _, seen := range worker.Requests() {
 			if seen.ID == id {
 				runs++
 			}
@@ -126,7 +126,7 @@
 // and the caller sees each event once.
 func (f *hostedFleet) testResumed(t *testing.T, front string) {
 	f.behaveAll(func(request *emulator.HostedRequest) emulator.HostedFault {
-		if request.LastEvent == 0 {
+		if request.LastEventID == 0 {
 			return emulator.HostedFault{BreakAfter: 3}
 		}
 		return emulator.HostedFault{}
@@ -387,26 +387,26 @@
 // that is known.
 func (f *hostedFleet) testLeaving(t *testing.T, front string) {
 	leaving := f.workers[0]
-	leaving.Leave()
+	leaving.Drain()
 	number := 0
 	ask := func() {
 		number++
 		_, _, _, _ = f.call(http.MethodPost, front, "/stream/a", map[string]string{"Request-Id": fmt.Sprintf("l-%d", number), "Token-Count": "1,1"}, "p")
 	}
 	eventually(t, "an end of requests to the leaving worker", func() bool {
-		before := len(leaving.Seen())
+		before := len(leaving.Requests())
 		// One of three workers is passed over by chance in 60 requests once in 10^10 times;
 		// in 12 it was once in 130, at each of some ten looks.
 		for i := 0; i < 60; i++ {
 			ask()
 		}
-		return len(leaving.Seen()) == before
+		return len(leaving.Requests()) == before
 	})
-	before := len(leaving.Seen())
+	before := len(leaving.Requests())
 	for i := 0; i < 40; i++ {
 		ask()
 	}
-	if after := len(leaving.Seen()); after != before {
+	if after := len(leaving.Requests()); after != before {
 		t.Errorf("%d requests went to a leaving worker", after-before)
 	}
 }
@@ -416,12 +416,12 @@
 // part of them again. The time that this takes is logged, not bounded: the machine may be busy.
 func (f *hostedFleet) testFailing(t *testing.T, front string) {
 	ill := f.workers[1]
-	ill.Behave(func(*emulator.HostedRequest) emulator.HostedFault {
+	ill.InjectFaults(func(*emulator.HostedRequest) emulator.HostedFault {
 		return emulator.HostedFault{Status: http.StatusInternalServerError}
 	})
 	number := 0
 	ask := func(count int) (came int) {
-		before := len(ill.Seen())
+		before := len(ill.Requests())
 		for range count {
 			number++
 			headers := map[string]string{"Request-Id": fmt.Sprintf("f-%d", number), "Token-Count": "1,1"}
@@ -429,14 +429,14 @@
 				t.Errorf("call %d: %d, %v", number, status, err)
 			}
 		}
-		return len(ill.Seen()) - before
+		return len(ill.Requests()) - before
 	}
 	// Long enough for all to avoid it, beyond the second for which an edge does so by itself.
 	for begun := time.Now(); time.Since(begun) < 3*time.Second; time.Sleep(20 * time.Millisecond) {
 		ask(1)
 	}
 	eventually(t, "an end of requests to the failing worker but for probes", func() bool { return ask(60) <= 2 })
-	ill.Behave(nil)
+	ill.InjectFaults(nil)
 	well := time.Now()
 	eventually(t, "requests to the worker that is well again", func() bool { return ask(20) >= 4 })
 	t.Logf("the worker got its part again after %v", time.Since(well))
--- a/test/smoke_test.go
+++ b/test/smoke_test.go
@@ -15,8 +15,8 @@
 	smokeItems    = 2000
 )
 
-func smokeOnline() *loadgen.Online {
-	return &loadgen.Online{
+func smokeOnline() *loadgen.OnlineLoad {
+	return &loadgen.OnlineLoad{
 		Model:       testModel,
 		Requests:    smokeRequests,
 		Rate:        40,
@@ -57,7 +57,7 @@
 // runSmoke sends the smoke load while disturb runs, and checks every answer.
 func runSmoke(t *testing.T, ctx context.Context, c *cluster, disturb func()) {
 	t.Helper()
-	job := &loadgen.Job{Model: testModel, Items: smokeItems, MaxTokens: 64, Words: 64, Name: "smoke", Key: "smoke"}
+	job := &loadgen.BatchJob{Model: testModel, Items: smokeItems, MaxTokens: 64, Words: 64, Name: "smoke", Key: "smoke"}
 	batch, err := job.Submit(ctx, c.client(0))
 	if err != nil {
 		t.Fatal(err)
@@ -70,7 +70,7 @@
 	if summary.Failed() > 0 {
 		t.Errorf("%d online requests have no whole answer; the first: %v", summary.Failed(), summary.FirstError)
 	}
-	batch, err = loadgen.Wait(ctx, c.client(1), batch.ID)
+	batch, err = loadgen.WaitBatch(ctx, c.client(1), batch.ID)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -362,7 +362,7 @@
 	s.finishConfiguration()
 	runs := map[string]int{}
 	for _, worker := range s.workers {
-		for _, seen := range worker.Seen() {
+		for _, seen := range worker.Requests() {
 			runs[seen.ID]++
 		}
 	}
--- a/test/upload_test.go
+++ b/test/upload_test.go
@@ -20,7 +20,7 @@
 func TestLargestUpload(t *testing.T) {
 	ctx := testContext(t)
 	c := newCluster(t, ctx, clusterSize{engines: 1, dispatchers: 1, gateways: 1})
-	job := &loadgen.Job{Model: testModel, Items: largestJob, MaxTokens: 16, Words: 16, Name: "largest"}
+	job := &loadgen.BatchJob{Model: testModel, Items: largestJob, MaxTokens: 16, Words: 16, Name: "largest"}
 	batch, err := job.Submit(ctx, c.client(0))
 	if err != nil {
 		t.Fatal(err)
@@ -42,7 +42,7 @@
 func TestBadLineRefusesWholeFile(t *testing.T) {
 	ctx := testContext(t)
 	c := newCluster(t, ctx, clusterSize{engines: 1, dispatchers: 1, gateways: 1})
-	job := &loadgen.Job{Model: testModel, Items: 1500, MaxTokens: 16, Words: 4, Name: "bad"}
+	job := &loadgen.BatchJob{Model: testModel, Items: 1500, MaxTokens: 16, Words: 4, Name: "bad"}
 	_, err := c.client(0).Upload(ctx, func(writer io.Writer) error {
 		if err := job.Write(writer); err != nil {
 			return err
--- a/test/worker_ends_test.go
+++ b/test/worker_ends_test.go
@@ -48,7 +48,7 @@
 func (f *hostedFleet) endingWorkers(back time.Duration) {
 	f.behaveAll(func(request *emulator.HostedRequest) emulator.HostedFault {
 		if request.Body == endingBody {
-			return emulator.HostedFault{End: 15 * time.Millisecond, Back: back}
+			return emulator.HostedFault{CrashAfter: 15 * time.Millisecond, RestartAfter: back}
 		}
 		return emulator.HostedFault{}
 	})
@@ -56,7 +56,7 @@
 
 func (f *hostedFleet) ends() (count int) {
 	for _, worker := range f.workers {
-		count += worker.Ends()
+		count += worker.Crashes()
 	}
 	return count
 }
@@ -161,7 +161,7 @@
 	fronts := f.ready(t)
 	f.behaveAll(func(request *emulator.HostedRequest) emulator.HostedFault {
 		if request.ID == "j1-3" {
-			return emulator.HostedFault{End: 15 * time.Millisecond, Back: 60 * time.Millisecond}
+			return emulator.HostedFault{CrashAfter: 15 * time.Millisecond, RestartAfter: 60 * time.Millisecond}
 		}
 		return emulator.HostedFault{}
 	})
@@ -197,7 +197,7 @@
 		t.Run(back.String(), func(t *testing.T) {
 			f := newHostedFleet(t, 2)
 			for _, worker := range f.workers {
-				worker.KeepsID = true
+				worker.KeepID = true
 			}
 			fronts := f.ready(t)
 			f.endingWorkers(back)
