--- a/cmd/sedgemast-lab/experiment.go
+++ b/cmd/sedgemast-lab/experiment.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		return err
 	}
-	experiment := simulation.Experiment{Profile: profile, Variants: simulation.Variants(), Duration: flags.Length.Std(), First: first, Last: last}
+	experiment := simulation.Experiment{Profile: profile, Variants: simulation.Variants(), Duration: flags.Length.Std(), FirstSeed: first, LastSeed: last}
 	simulation.PrintExperiment(os.Stdout, experiment.Run())
 	return nil
 }
--- a/cmd/sedgemast-lab/simulate.go
+++ b/cmd/sedgemast-lab/simulate.go
@@ -47,10 +47,10 @@
 
 func (f *simulateCommand) shrink(sweep simulation.Sweep, failed *simulation.Result) {
 	smallest := simulation.Shrink(simulation.Options{
-		Profile:  simulation.Profiles()[failed.Profile],
-		Seed:     failed.Seed,
-		Kinds:    sweep.Kinds,
-		Mutation: sweep.Mutation,
+		Profile:    simulation.Profiles()[failed.Profile],
+		Seed:       failed.Seed,
+		FaultKinds: sweep.FaultKinds,
+		Mutation:   sweep.Mutation,
 	}, failed)
 	fmt.Printf("\nseed %d of %s, shrunk to %d faults:\n", failed.Seed, failed.Profile, len(smallest.Schedule))
 	smallest.Print(os.Stdout)
@@ -59,7 +59,7 @@
 func (f *simulateCommand) sweep() (simulation.Sweep, error) {
 	sweep := simulation.Sweep{Mutation: simulation.Mutation(f.Mutation), Parallel: f.Parallel}
 	var err error
-	if sweep.First, sweep.Last, err = parseSeeds(f.Seeds); err != nil {
+	if sweep.FirstSeed, sweep.LastSeed, err = parseSeeds(f.Seeds); err != nil {
 		return sweep, err
 	}
 	profiles := simulation.Profiles()
@@ -73,10 +73,10 @@
 	}
 	for i := range sweep.Profiles {
 		if f.Count > 0 {
-			sweep.Profiles[i].Faults = f.Count
+			sweep.Profiles[i].FaultCount = f.Count
 		}
 	}
-	sweep.Kinds, err = parseKinds(f.Faults)
+	sweep.FaultKinds, err = parseKinds(f.Faults)
 	return sweep, err
 }
 
--- a/cmd/sedgemastctl/commands.go
+++ b/cmd/sedgemastctl/commands.go
@@ -49,7 +49,7 @@
 		}
 		change.ExpectedRevision = &current.Revision
 	}
-	applied, err := operator.ApplyUntilAnswered(ctx, client, change)
+	applied, err := operator.ApplyWithRetry(ctx, client, change)
 	if err != nil {
 		return errors.Wrapf(err, "change %s", change.ChangeID)
 	}
@@ -178,7 +178,7 @@
 			return err
 		}
 		change := &operator.Change{ChangeID: newChangeID(), ExpectedRevision: &current.Revision, Documents: []operator.Document{document}}
-		applied, err := operator.ApplyUntilAnswered(ctx, client, change)
+		applied, err := operator.ApplyWithRetry(ctx, client, change)
 		if err == nil {
 			fmt.Printf("%s: drain=%t accepted as revision %d\n", flags.Name, !flags.Cancel, applied.Revision)
 			return nil
--- a/internal/batchstate/disk_test.go
+++ b/internal/batchstate/disk_test.go
@@ -84,7 +84,7 @@
 		ElectionTimeout:   50 * time.Millisecond,
 		HeartbeatInterval: 10 * time.Millisecond,
 		ReplaceAfter:      time.Minute,
-		LogBytes:          2 << 20,
+		RetainedLogBytes:  2 << 20,
 		Random:            rand.New(rand.NewPCG(1, 1)),
 	}, nobody{})
 	if err != nil {
--- a/internal/batchstore/loads.go
+++ b/internal/batchstore/loads.go
@@ -89,7 +89,7 @@
 func (l *loads) setGroups(count int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if count != l.quotas.Groups() {
+	if count != l.quotas.GroupCount() {
 		l.quotas = quota.New(count)
 	}
 }
--- a/internal/batchstore/reads.go
+++ b/internal/batchstore/reads.go
@@ -57,7 +57,7 @@
 }
 
 func (g *group) results(request *wire.BatchReadRequest) (response *wire.BatchReadResponse, err error) {
-	err = g.store.host.ReadReplica(g.number, func(_ uint64, reader storage.Reader) error {
+	err = g.store.host.ReadStale(g.number, func(_ uint64, reader storage.Reader) error {
 		response, err = g.machine.Read(reader, request.ID, request.Since, request.MaxBytes)
 		return err
 	})
@@ -81,7 +81,7 @@
 
 func (g *group) body(request *wire.ItemBodyRequest) (*wire.ItemBody, error) {
 	body := &wire.ItemBody{}
-	err := g.store.host.ReadReplica(g.number, func(_ uint64, reader storage.Reader) error {
+	err := g.store.host.ReadStale(g.number, func(_ uint64, reader storage.Reader) error {
 		job, err := g.machine.Job(request.Job)
 		if err != nil {
 			return err
@@ -123,7 +123,7 @@
 		// A question leaves nothing behind: any failure means try elsewhere.
 		return failure.Wrap(err, failure.NotRun, "ask another store", "the leader %s does not say how far it has come", leader)
 	}
-	return g.store.host.AwaitApplied(ctx, g.number, reached.Index)
+	return g.store.host.WaitApplied(ctx, g.number, reached.Index)
 }
 
 // index answers how far another replica of a group must have come to know all.
--- a/internal/batchstore/status.go
+++ b/internal/batchstore/status.go
@@ -34,7 +34,7 @@
 			continue
 		}
 		roles[number] = status.Role
-		logging.Info(s.logger, "role", "group", number, "role", status.Role, "term", status.Term, "applied", status.Applied, "voters", len(status.Membership.Voters), "learners", len(status.Membership.Learners))
+		logging.Info(s.logger, "role", "group", number, "role", status.Role, "term", status.Term, "applied", status.AppliedIndex, "voters", len(status.Membership.Voters), "learners", len(status.Membership.Learners))
 	}
 }
 
--- a/internal/batchstore/store.go
+++ b/internal/batchstore/store.go
@@ -134,7 +134,7 @@
 		ElectionTimeout:   s.settings.ElectionTimeout.Std(),
 		HeartbeatInterval: s.settings.ElectionTimeout.Std() / heartbeatsPerTimeout,
 		ReplaceAfter:      s.settings.ReplaceAfter.Std(),
-		LogBytes:          s.settings.RetainedLogBytes() / carriedGroups,
+		RetainedLogBytes:  s.settings.RetainedLogBytes() / carriedGroups,
 		Random:            random,
 	}
 }
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -101,7 +101,7 @@
 
 // NewDaemon returns the frame of a process with its settings.
 func NewDaemon(role string, process *settings.Process) (*daemon.Daemon, error) {
-	logger := logging.For(logging.New(os.Stderr, process.LogLevel), role, process.Name)
+	logger := logging.WithProcess(logging.New(os.Stderr, process.LogLevel), role, process.Name)
 	return daemon.New(daemon.Options{
 		Role:        role,
 		Name:        process.Name,
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -10,20 +10,20 @@
 // HardState, the removal of entries from TruncateFrom to TruncateTo, and
 // Entries, with a sync; send Durable; apply Committed; call Advance.
 type Ready struct {
-	Immediate    []wire.PeerMessage
-	HardState    *wire.HardState
-	TruncateFrom uint64
-	TruncateTo   uint64
-	Entries      []wire.LogEntry
-	Durable      []wire.PeerMessage
-	Committed    []wire.LogEntry
-	// SnapshotsTo names the followers that need a snapshot.
-	SnapshotsTo []uint64
+	MessagesBeforeSync []wire.PeerMessage
+	HardState          *wire.HardState
+	TruncateFrom       uint64
+	TruncateTo         uint64
+	Entries            []wire.LogEntry
+	MessagesAfterSync  []wire.PeerMessage
+	Committed          []wire.LogEntry
+	// SnapshotTargets names the followers that need a snapshot.
+	SnapshotTargets []uint64
 }
 
 // Empty reports whether there is nothing to do.
 func (r *Ready) Empty() bool {
-	return len(r.Immediate)+len(r.Durable)+len(r.Entries)+len(r.Committed)+len(r.SnapshotsTo) == 0 &&
+	return len(r.MessagesBeforeSync)+len(r.MessagesAfterSync)+len(r.Entries)+len(r.Committed)+len(r.SnapshotTargets) == 0 &&
 		r.HardState == nil && r.TruncateFrom == 0
 }
 
@@ -33,12 +33,12 @@
 // Ready returns what is to be done since the last call.
 func (r *Replica) Ready() Ready {
 	ready := Ready{
-		Immediate:    r.immediate,
-		Durable:      r.durable,
-		TruncateFrom: r.truncateFrom,
-		TruncateTo:   r.truncateTo,
-		SnapshotsTo:  r.snapshotsTo,
-		Entries:      r.unstored(),
+		MessagesBeforeSync: r.immediate,
+		MessagesAfterSync:  r.durable,
+		TruncateFrom:       r.truncateFrom,
+		TruncateTo:         r.truncateTo,
+		SnapshotTargets:    r.snapshotsTo,
+		Entries:            r.unstored(),
 	}
 	if hard := (wire.HardState{Term: r.term, Vote: r.vote, Leader: r.followed}); hard != r.storedHard {
 		ready.HardState = &hard
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -56,8 +56,8 @@
 	HardState wire.HardState
 	Base      wire.LogBase
 	Entries   []wire.LogEntry
-	// Applied is the index up to which the stored state has come.
-	Applied uint64
+	// AppliedIndex is the index up to which the stored state has come.
+	AppliedIndex uint64
 }
 
 // Replica is the state of one replica of one group.
@@ -112,7 +112,7 @@
 func New(config Config, restored PersistedState, now time.Time) *Replica {
 	r := &Replica{
 		config:      config,
-		log:         newLog(restored.Base, restored.Entries, restored.Applied),
+		log:         newLog(restored.Base, restored.Entries, restored.AppliedIndex),
 		term:        restored.HardState.Term,
 		vote:        restored.HardState.Vote,
 		followed:    restored.HardState.Leader,
--- a/internal/consensus/replica_test.go
+++ b/internal/consensus/replica_test.go
@@ -29,7 +29,7 @@
 	r.Step(now, &wire.PeerMessage{Kind: wire.MessageVote, From: from, To: r.ID(), Term: term, Forced: forced})
 	ready := r.Ready()
 	r.Advance(now, &ready)
-	return len(ready.Durable) == 1 && !ready.Durable[0].Reject
+	return len(ready.MessagesAfterSync) == 1 && !ready.MessagesAfterSync[0].Reject
 }
 
 // TestOneVotePerTerm shows that the stored vote is what keeps a restarted replica
@@ -81,7 +81,7 @@
 			}
 			r.Step(testStart.Add(test.after), &message)
 			ready := r.Ready()
-			granted := len(ready.Durable) == 1 && !ready.Durable[0].Reject
+			granted := len(ready.MessagesAfterSync) == 1 && !ready.MessagesAfterSync[0].Reject
 			if granted != test.granted {
 				t.Errorf("granted %t, want %t", granted, test.granted)
 			}
@@ -255,7 +255,7 @@
 				}
 				r.Step(early, &wire.PeerMessage{Kind: kind, From: test.from, To: 1, Term: 9, Index: 3, LogTerm: 3})
 				ready := r.Ready()
-				if granted := len(ready.Durable) == 1 && !ready.Durable[0].Reject; granted != test.granted {
+				if granted := len(ready.MessagesAfterSync) == 1 && !ready.MessagesAfterSync[0].Reject; granted != test.granted {
 					t.Errorf("granted %t, want %t", granted, test.granted)
 				}
 			}
@@ -270,8 +270,8 @@
 		r := testReplica(1, PersistedState{Base: three(), HardState: wire.HardState{Term: 3}})
 		r.Step(testStart, &wire.PeerMessage{Kind: kind, From: 2, To: 1, Term: 3})
 		ready := r.Ready()
-		if len(ready.Durable) != 1 || ready.HardState == nil || *ready.HardState != (wire.HardState{Term: 3, Leader: 2}) {
-			t.Errorf("%d: %d answers, stored %+v", kind, len(ready.Durable), ready.HardState)
+		if len(ready.MessagesAfterSync) != 1 || ready.HardState == nil || *ready.HardState != (wire.HardState{Term: 3, Leader: 2}) {
+			t.Errorf("%d: %d answers, stored %+v", kind, len(ready.MessagesAfterSync), ready.HardState)
 		}
 		r.Advance(testStart, &ready)
 		if !vote(r, testStart.Add(time.Second), 3, 5, false) {
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -8,13 +8,13 @@
 
 // Status is a replica's state for operators and for the repair of groups.
 type Status struct {
-	Role       Role
-	Term       uint64
-	Leader     uint64
-	Commit     uint64
-	Applied    uint64
-	Last       uint64
-	Membership wire.Membership
+	Role         Role
+	Term         uint64
+	Leader       uint64
+	CommitIndex  uint64
+	AppliedIndex uint64
+	LastIndex    uint64
+	Membership   wire.Membership
 	// MembershipStable is set while no change of membership is under way.
 	MembershipStable bool
 	// Peers holds a leader's followers.
@@ -59,9 +59,9 @@
 		Role:             r.role,
 		Term:             r.term,
 		Leader:           r.leader,
-		Commit:           r.log.commit,
-		Applied:          r.log.applied,
-		Last:             r.log.lastIndex(),
+		CommitIndex:      r.log.commit,
+		AppliedIndex:     r.log.applied,
+		LastIndex:        r.log.lastIndex(),
 		Membership:       r.membership,
 		MembershipStable: r.membershipIndex <= r.log.commit && len(r.membership.Outgoing) == 0,
 	}
--- a/internal/consensus/trace_test.go
+++ b/internal/consensus/trace_test.go
@@ -80,16 +80,16 @@
 				continue
 			}
 			busy = true
-			c.queue = append(c.queue, ready.Immediate...)
+			c.queue = append(c.queue, ready.MessagesBeforeSync...)
 			c.store(id, &ready)
-			c.queue = append(c.queue, ready.Durable...)
+			c.queue = append(c.queue, ready.MessagesAfterSync...)
 			for _, entry := range ready.Committed {
 				if entry.Kind == wire.EntryCommand {
 					c.applied[id] = append(c.applied[id], string(entry.Data))
 				}
 			}
 			if count := len(ready.Committed); count > 0 {
-				c.stored[id].Applied = ready.Committed[count-1].Index
+				c.stored[id].AppliedIndex = ready.Committed[count-1].Index
 			}
 			c.replicas[id].Advance(c.now, &ready)
 		}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -119,7 +119,7 @@
 		ElectionTimeout:   c.settings.ElectionTimeout.Std(),
 		HeartbeatInterval: c.settings.ElectionTimeout.Std() / heartbeatsPerTimeout,
 		ReplaceAfter:      c.settings.ReplaceAfter.Std(),
-		LogBytes:          c.settings.LogBytes,
+		RetainedLogBytes:  c.settings.LogBytes,
 		Random:            mathrand.New(mathrand.NewPCG(now, now)),
 	}
 }
--- a/internal/controlclient/session.go
+++ b/internal/controlclient/session.go
@@ -80,8 +80,8 @@
 	return max(1, s.gateways)
 }
 
-// JobGroups returns the number of job groups, zero before the first heartbeat.
-func (s *Session) JobGroups() int {
+// JobGroupCount returns the number of job groups, zero before the first heartbeat.
+func (s *Session) JobGroupCount() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.jobGroups
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -134,7 +134,7 @@
 		ElectionTimeout:   c.settings.ElectionTimeout.Std(),
 		HeartbeatInterval: c.settings.ElectionTimeout.Std() / heartbeatsPerTimeout,
 		ReplaceAfter:      c.settings.ReplaceAfter.Std(),
-		LogBytes:          c.settings.RetainedLogBytes(),
+		RetainedLogBytes:  c.settings.RetainedLogBytes(),
 		Random:            mathrand.New(mathrand.NewPCG(now, now)),
 	}
 }
--- a/internal/dispatcher/items.go
+++ b/internal/dispatcher/items.go
@@ -83,7 +83,7 @@
 
 func (s *itemSet) pullGroups(ctx context.Context, now time.Time) {
 	s.stopLapsed(clock.Exact())
-	groups := s.dispatcher.session.JobGroups()
+	groups := s.dispatcher.session.JobGroupCount()
 	want, models := s.room()
 	for number := 1; number <= groups; number++ {
 		request := s.dueRequest(now, number, want, models)
@@ -377,7 +377,7 @@
 	ctx, cancel := context.WithTimeout(ctx, giveBackTimeout)
 	defer cancel()
 	s.reportFinished(ctx)
-	for number := 1; number <= s.dispatcher.session.JobGroups(); number++ {
+	for number := 1; number <= s.dispatcher.session.JobGroupCount(); number++ {
 		request := &wire.LeaseItemsRequest{Group: number, Dispatcher: s.dispatcher.settings.Name, Incarnation: s.dispatcher.incarnation}
 		// Without an answer the leases run out by themselves.
 		_, _ = controlclient.CallOnce[wire.LeaseItemsResponse](ctx, s.dispatcher.control, number, controlclient.MethodLeaseItems, request, 0)
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -24,9 +24,9 @@
 	// ResumeGrace is how long an attempt goes on without a reader, and how
 	// long an ended one can still be read.
 	ResumeGrace time.Duration
-	// CrashOnPrompt, where it is set, ends the engine by Ended when a prompt that holds it begins.
-	CrashOnPrompt string
-	OnCrash       func()
+	// ExitOnPrompt, where it is set, ends the engine by Ended when a prompt that holds it begins.
+	ExitOnPrompt string
+	OnExit       func()
 	// WeightStore is the address of the weight store; empty loads at once.
 	WeightStore string
 	Logger      logging.Logger
--- a/internal/emulator/hosted.go
+++ b/internal/emulator/hosted.go
@@ -22,9 +22,9 @@
 	Slots int
 	// EventInterval is the time between two events.
 	EventInterval time.Duration
-	// Dialect are the headers that it knows; those of the users' platform unless
+	// HeaderNames are the headers that it knows; those of the users' platform unless
 	// they are set before the first request.
-	Dialect *dialect.Dialect
+	HeaderNames *dialect.Dialect
 	// KeepID is set where the worker comes back under its ID after an end; it must be set
 	// before the first request. Otherwise each life has another one.
 	KeepID bool
@@ -67,15 +67,15 @@
 	BreakAfter int
 	// Hang sends nothing until the caller has left.
 	Hang bool
-	// CrashAfter, where it is set, ends the worker under the request after so long; Back is
+	// ExitAfter, where it is set, ends the worker under the request after so long; Back is
 	// after which time it is back at the same address.
-	CrashAfter   time.Duration
+	ExitAfter    time.Duration
 	RestartAfter time.Duration
 }
 
 // NewHostedWorker starts a worker; Close ends it.
 func NewHostedWorker(id string, slots int, pause time.Duration) *HostedWorker {
-	w := &HostedWorker{ID: id, Slots: slots, EventInterval: pause, Dialect: platformNames(), born: time.Now()}
+	w := &HostedWorker{ID: id, Slots: slots, EventInterval: pause, HeaderNames: platformNames(), born: time.Now()}
 	w.server = httptest.NewServer(http.HandlerFunc(w.serve))
 	return w
 }
@@ -167,8 +167,8 @@
 		return
 	}
 	header := httpRequest.Header
-	writer.Header().Set(w.Dialect.RequestID, header.Get(w.Dialect.RequestID))
-	if expected := header.Get(w.Dialect.ExpectWorker); expected != "" && expected != w.Incarnation() {
+	writer.Header().Set(w.HeaderNames.RequestID, header.Get(w.HeaderNames.RequestID))
+	if expected := header.Get(w.HeaderNames.ExpectWorker); expected != "" && expected != w.Incarnation() {
 		writer.Header().Set("Instance", w.Incarnation())
 		writer.WriteHeader(http.StatusMisdirectedRequest)
 		return
@@ -177,9 +177,9 @@
 	if err != nil {
 		return
 	}
-	last, _ := strconv.Atoi(header.Get(w.Dialect.LastEvent))
+	last, _ := strconv.Atoi(header.Get(w.HeaderNames.LastEvent))
 	request := &HostedRequest{
-		ID:          header.Get(w.Dialect.RequestID),
+		ID:          header.Get(w.HeaderNames.RequestID),
 		Method:      httpRequest.Method,
 		Target:      httpRequest.RequestURI,
 		Host:        httpRequest.Host,
@@ -189,19 +189,19 @@
 	}
 	fault := w.admit(request)
 	if fault.NotRun {
-		writer.Header().Set(w.Dialect.NotRun, "1")
+		writer.Header().Set(w.HeaderNames.NotRun, "1")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	defer w.release()
-	writer.Header().Set(w.Dialect.Load, w.load())
+	writer.Header().Set(w.HeaderNames.Load, w.load())
 	writer.Header().Set("Server-Seal", w.ID+"."+request.ID)
 	if fault.Status != 0 {
 		writer.WriteHeader(fault.Status)
 		return
 	}
-	if fault.CrashAfter > 0 {
-		time.Sleep(fault.CrashAfter)
+	if fault.ExitAfter > 0 {
+		time.Sleep(fault.ExitAfter)
 		w.end(fault.RestartAfter)
 		panic(http.ErrAbortHandler)
 	}
@@ -246,7 +246,7 @@
 // stream sends the events after the last one that the caller has.
 func (w *HostedWorker) stream(writer http.ResponseWriter, httpRequest *http.Request, request *HostedRequest, fault HostedFault) {
 	writer.Header().Set("Content-Type", "text/event-stream")
-	_, out, _ := strings.Cut(request.Header.Get(w.Dialect.Tokens), ",")
+	_, out, _ := strings.Cut(request.Header.Get(w.HeaderNames.Tokens), ",")
 	count, _ := strconv.Atoi(out)
 	flusher, _ := writer.(http.Flusher)
 	for sent, number := 0, request.LastEventID+1; number <= count; number++ {
--- a/internal/emulator/hosted_end.go
+++ b/internal/emulator/hosted_end.go
@@ -19,8 +19,8 @@
 	return fmt.Sprintf("%s.%d", w.ID, w.incarnation)
 }
 
-// Crashes returns how often the worker has ended.
-func (w *HostedWorker) Crashes() int {
+// Exits returns how often the worker has ended.
+func (w *HostedWorker) Exits() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.ends
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -56,8 +56,8 @@
 		writeRefusal(writer, refusal)
 		return
 	}
-	if e.options.CrashOnPrompt != "" && strings.Contains(body.Prompt, e.options.CrashOnPrompt) {
-		e.options.OnCrash()
+	if e.options.ExitOnPrompt != "" && strings.Contains(body.Prompt, e.options.ExitOnPrompt) {
+		e.options.OnExit()
 		panic(http.ErrAbortHandler)
 	}
 	e.stream(writer, request, started, body.ContinueTokens)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -33,8 +33,8 @@
 	// Capacity is that of each engine.
 	Capacity emulator.Capacity
 	Faults   emulator.Faults
-	// CrashOnPrompt, where it is set, ends an engine when a prompt that holds it begins there.
-	CrashOnPrompt string
+	// ExitOnPrompt, where it is set, ends an engine when a prompt that holds it begins there.
+	ExitOnPrompt string
 	// OperatorKeySHA256 is the digest of the first operator's key.
 	OperatorKeySHA256 string
 }
@@ -131,7 +131,7 @@
 		Role:        role,
 		Name:        name,
 		Listen:      loopback,
-		Logger:      logging.For(f.options.Logger, role, name),
+		Logger:      logging.WithProcess(f.options.Logger, role, name),
 		StopTimeout: stopTimeout,
 		Embedded:    true,
 	})
@@ -161,18 +161,18 @@
 	var emulated *emulator.Engine
 	member, err := f.start("engine", name, func(d *daemon.Daemon) (func() error, error) {
 		emulated = emulator.NewEngine(emulator.EngineOptions{
-			Worker:        name,
-			Incarnation:   1,
-			Models:        f.options.Models,
-			Capacity:      f.options.Capacity,
-			Seed:          uint64(number),
-			Faults:        f.options.Faults,
-			LoadLag:       500 * time.Millisecond,
-			EventLag:      200 * time.Millisecond,
-			ResumeGrace:   resumeGrace,
-			WeightStore:   platformAddress,
-			CrashOnPrompt: f.options.CrashOnPrompt,
-			OnCrash:       func() { _ = d.Kill() },
+			Worker:       name,
+			Incarnation:  1,
+			Models:       f.options.Models,
+			Capacity:     f.options.Capacity,
+			Seed:         uint64(number),
+			Faults:       f.options.Faults,
+			LoadLag:      500 * time.Millisecond,
+			EventLag:     200 * time.Millisecond,
+			ResumeGrace:  resumeGrace,
+			WeightStore:  platformAddress,
+			ExitOnPrompt: f.options.ExitOnPrompt,
+			OnExit:       func() { _ = d.Kill() },
 		})
 		emulated.Register(d.Server)
 		d.Go(emulated.Run)
--- a/internal/fleetsim/builds.go
+++ b/internal/fleetsim/builds.go
@@ -102,7 +102,7 @@
 			continue
 		}
 		statuses := core.node.Statuses(core.clock())
-		applied, known := statuses[0].Applied, core.fleet.Quarantine().State()
+		applied, known := statuses[0].AppliedIndex, core.fleet.Quarantine().State()
 		other, found := states[applied]
 		if found && !reflect.DeepEqual(other.known, known) {
 			w.ledger.violate("%s and %s differ at entry %d: %+v, %+v", core.name, other.name, applied, known, other.known)
--- a/internal/fleetsim/machine.go
+++ b/internal/fleetsim/machine.go
@@ -129,7 +129,7 @@
 		HeartbeatInterval: electionTimeout / 5,
 		ReplaceAfter:      replaceAfter,
 		MinVoters:         2*tolerate + 1,
-		LogBytes:          logBytes,
+		RetainedLogBytes:  logBytes,
 		Random:            w.random,
 		Send:              m.send,
 	}
--- a/internal/gateway/batches.go
+++ b/internal/gateway/batches.go
@@ -108,7 +108,7 @@
 	if err != nil {
 		return err
 	}
-	group := jobstate.GroupOfTenant(tenant.Name, g.session.JobGroups())
+	group := jobstate.GroupOfTenant(tenant.Name, g.session.JobGroupCount())
 	response, err := callControl[wire.JobResponse](request.Context(), g, group, controlclient.MethodCreateJob, created)
 	if err != nil {
 		return err
@@ -270,7 +270,7 @@
 	if err != nil {
 		return err
 	}
-	group := jobstate.GroupOfTenant(tenant.Name, g.session.JobGroups())
+	group := jobstate.GroupOfTenant(tenant.Name, g.session.JobGroupCount())
 	response, err := callControl[wire.ListJobsResponse](request.Context(), g, group, controlclient.MethodListJobs, &wire.ListJobsRequest{Tenant: tenant.Name, Limit: limit + 1})
 	if err != nil {
 		return err
--- a/internal/gateway/files.go
+++ b/internal/gateway/files.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if group > g.session.JobGroups() {
+	if group > g.session.JobGroupCount() {
 		return nil, failure.New(failure.NotFound, "use an id as it was answered", "there is no object %q", id)
 	}
 	return callControl[Response, Pointer](ctx, g, group, method, request)
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -135,7 +135,7 @@
 		return err
 	}
 	list := operator.Jobs{Jobs: []operator.Job{}}
-	for group := 1; group <= g.session.JobGroups(); group++ {
+	for group := 1; group <= g.session.JobGroupCount(); group++ {
 		response, err := callControl[wire.ListJobsResponse](request.Context(), g, group, controlclient.MethodListJobs, &wire.ListJobsRequest{Group: group, Tenant: request.URL.Query().Get("tenant"), Limit: limit})
 		if err != nil {
 			return err
--- a/internal/gateway/upload.go
+++ b/internal/gateway/upload.go
@@ -152,7 +152,7 @@
 }
 
 func (u *upload) begin(ctx context.Context, filename string) error {
-	groups := u.gateway.session.JobGroups()
+	groups := u.gateway.session.JobGroupCount()
 	u.group = jobstate.GroupOfTenant(u.tenant.Name, max(1, groups))
 	request := &wire.BeginFileRequest{Tenant: u.tenant.Name, Filename: filename, Purpose: purposeBatch}
 	response, err := callControl[wire.FileResponse](ctx, u.gateway, u.group, controlclient.MethodBeginFile, request)
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -70,7 +70,7 @@
 	return leveled.Log(append([]any{"event", "framework"}, pairs...)...)
 }
 
-// For returns the logger of one process, marked with its role and name.
-func For(logger Logger, role, name string) Logger {
+// WithProcess returns the logger of one process, marked with its role and name.
+func WithProcess(logger Logger, role, name string) Logger {
 	return log.With(logger, "role", role, "process", name)
 }
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -96,9 +96,9 @@
 	applyBackoff = 200 * time.Millisecond
 )
 
-// ApplyUntilAnswered sends a change again, under its id, while the answer is
+// ApplyWithRetry sends a change again, under its id, while the answer is
 // lost or control can't take it.
-func ApplyUntilAnswered(ctx context.Context, client *Client, change *Change) (*Applied, error) {
+func ApplyWithRetry(ctx context.Context, client *Client, change *Change) (*Applied, error) {
 	for try := 1; ; try++ {
 		applied, err := client.Apply(ctx, change)
 		lost := failure.Is(err, failure.OutcomeUnknown) || failure.Is(err, failure.NotRun)
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -28,8 +28,8 @@
 // New returns a ledger of so many groups of which nothing is known.
 func New(groups int) *Tracker { return &Tracker{groups: make([]group, groups)} }
 
-// Groups returns how many groups the ledger is for.
-func (l *Tracker) Groups() int { return len(l.groups) }
+// GroupCount returns how many groups the ledger is for.
+func (l *Tracker) GroupCount() int { return len(l.groups) }
 
 // Update takes in the tokens that wait in a group by route, as they were at a moment.
 // A route that is not named has none.
--- a/internal/replication/discovery_test.go
+++ b/internal/replication/discovery_test.go
@@ -30,7 +30,7 @@
 		ElectionTimeout:   100 * time.Millisecond,
 		HeartbeatInterval: 20 * time.Millisecond,
 		ReplaceAfter:      300 * time.Millisecond,
-		LogBytes:          1 << 20,
+		RetainedLogBytes:  1 << 20,
 		Random:            rand.New(rand.NewPCG(id, 1)),
 	}, network.transport())
 	if err != nil {
@@ -217,8 +217,8 @@
 	node.Bootstrap(now, [][]wire.Replica{{replica(1, "a"), replica(2, "b")}})
 	node.Receive(now, &wire.PeerMessage{Kind: wire.MessageAppend, From: 1, To: 2, Term: 1, Entries: entries})
 	node.Flush(now)
-	if sent != 1 || node.Statuses(now)[0].Last != 1 {
-		t.Errorf("after forming %d answers, last index %d", sent, node.Statuses(now)[0].Last)
+	if sent != 1 || node.Statuses(now)[0].LastIndex != 1 {
+		t.Errorf("after forming %d answers, last index %d", sent, node.Statuses(now)[0].LastIndex)
 	}
 }
 
--- a/internal/replication/group.go
+++ b/internal/replication/group.go
@@ -75,7 +75,7 @@
 		return nil, err
 	}
 	g.replica = consensus.New(n.consensusConfig(number), restored, now)
-	g.applied.Store(restored.Applied)
+	g.applied.Store(restored.AppliedIndex)
 	g.publish(now)
 	return g, nil
 }
@@ -100,7 +100,7 @@
 	if err != nil {
 		return restored, err
 	}
-	restored.Applied = decodeUint64(applied)
+	restored.AppliedIndex = decodeUint64(applied)
 	if err := readMessage(store, groupKey(number, sectionHardState), &restored.HardState); err != nil {
 		return restored, err
 	}
--- a/internal/replication/host.go
+++ b/internal/replication/host.go
@@ -260,8 +260,8 @@
 	return ask(ctx, h, h.node.Processes)
 }
 
-// Groups returns the number of groups.
-func (h *Host) Groups() int { return len(h.node.groups) }
+// GroupCount returns the number of groups.
+func (h *Host) GroupCount() int { return len(h.node.groups) }
 
 // TransferAllLeadership gives the leadership of all groups to other processes, until ctx
 // ends.
--- a/internal/replication/host_test.go
+++ b/internal/replication/host_test.go
@@ -141,7 +141,7 @@
 			ElectionTimeout:   300 * time.Millisecond,
 			HeartbeatInterval: 60 * time.Millisecond,
 			ReplaceAfter:      time.Minute,
-			LogBytes:          1 << 20,
+			RetainedLogBytes:  1 << 20,
 			Random:            rand.New(rand.NewPCG(uint64(number), 1)),
 		}, network.transport())
 		if err != nil {
--- a/internal/replication/node.go
+++ b/internal/replication/node.go
@@ -46,9 +46,9 @@
 	// FullMeshLimit is up to how many peers a process says hello to all of them, with
 	// FormByOrder; zero means greetAll.
 	FullMeshLimit int
-	// LogBytes is how much of each group's log is kept for slow followers.
-	LogBytes int
-	Random   consensus.Random
+	// RetainedLogBytes is how much of each group's log is kept for slow followers.
+	RetainedLogBytes int
+	Random           consensus.Random
 	// Send sends a message to the process at the address; it may be lost.
 	Send func(address string, message wire.PeerMessage)
 	// OnApplied, if it is set, is told of every entry that is applied, for
@@ -222,7 +222,7 @@
 		// A lease that is given up must be gone before the message that lets
 		// another replica lead is sent.
 		g.publish(now)
-		n.sendAll(ready.Immediate)
+		n.sendAll(ready.MessagesBeforeSync)
 		rounds = append(rounds, round{group: g, ready: ready})
 	}
 	return rounds
@@ -247,7 +247,7 @@
 func (n *Node) applyAll(rounds []round, now time.Time) {
 	for i := range rounds {
 		g, ready := rounds[i].group, &rounds[i].ready
-		n.sendAll(ready.Durable)
+		n.sendAll(ready.MessagesAfterSync)
 		g.mutex.Lock()
 		batch, answers := g.apply(nil, ready.Committed)
 		n.tellApplied(g, ready.Committed)
@@ -260,7 +260,7 @@
 		for _, ended := range answers {
 			ended.done(ended.answer, ended.err)
 		}
-		for _, to := range ready.SnapshotsTo {
+		for _, to := range ready.SnapshotTargets {
 			n.beginSnapshot(g, to, now)
 		}
 	}
@@ -307,11 +307,11 @@
 
 // compact drops the oldest part of a log that has grown to twice what is kept.
 func (n *Node) compact(g *group) {
-	if g.replica.LogBytes() < 2*n.options.LogBytes {
+	if g.replica.LogBytes() < 2*n.options.RetainedLogBytes {
 		return
 	}
 	before := g.replica.Base().Index
-	base := g.replica.Compact(g.replica.CompactionPoint(n.options.LogBytes))
+	base := g.replica.Compact(g.replica.CompactionPoint(n.options.RetainedLogBytes))
 	if base.Index == before {
 		return
 	}
--- a/internal/replication/reads.go
+++ b/internal/replication/reads.go
@@ -54,9 +54,9 @@
 	return g.applied.Load(), nil
 }
 
-// ReadReplica calls read while the group's state here does not change. The state
+// ReadStale calls read while the group's state here does not change. The state
 // may be old: applied says how far it has come.
-func (n *Node) ReadReplica(number int, read func(applied uint64, reader storage.Reader) error) error {
+func (n *Node) ReadStale(number int, read func(applied uint64, reader storage.Reader) error) error {
 	g, err := n.group(number)
 	if err != nil {
 		return err
@@ -95,14 +95,14 @@
 // ReadIndex is Node.ReadIndex; it may be called from any goroutine.
 func (h *Host) ReadIndex(number int) (uint64, error) { return h.node.ReadIndex(clock.Exact(), number) }
 
-// ReadReplica is Node.ReadReplica; it may be called from any goroutine.
-func (h *Host) ReadReplica(number int, read func(applied uint64, reader storage.Reader) error) error {
-	return h.node.ReadReplica(number, read)
+// ReadStale is Node.ReadStale; it may be called from any goroutine.
+func (h *Host) ReadStale(number int, read func(applied uint64, reader storage.Reader) error) error {
+	return h.node.ReadStale(number, read)
 }
 
-// AwaitApplied waits until the replica here has come to the index, and fails with
+// WaitApplied waits until the replica here has come to the index, and fails with
 // NotRun if ctx ends first.
-func (h *Host) AwaitApplied(ctx context.Context, number int, index uint64) error {
+func (h *Host) WaitApplied(ctx context.Context, number int, index uint64) error {
 	g, err := h.node.group(number)
 	if err != nil {
 		return err
--- a/internal/replication/reads_test.go
+++ b/internal/replication/reads_test.go
@@ -30,10 +30,10 @@
 			continue
 		}
 		for number, host := range hosts {
-			if err := host.AwaitApplied(ctx, 0, index); err != nil {
+			if err := host.WaitApplied(ctx, 0, index); err != nil {
 				t.Fatal(err)
 			}
-			err := host.ReadReplica(0, func(applied uint64, reader storage.Reader) error {
+			err := host.ReadStale(0, func(applied uint64, reader storage.Reader) error {
 				got, err := reader.Get([]byte("last"))
 				if string(got) != want || applied < index {
 					t.Errorf("replica %d has come to %d of %d and reads %q, not %q", number, applied, index, got, want)
@@ -57,10 +57,10 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := host.AwaitApplied(ctx, 0, 7); !failure.Is(err, failure.NotRun) || !errors.Is(err, context.Canceled) {
+	if err := host.WaitApplied(ctx, 0, 7); !failure.Is(err, failure.NotRun) || !errors.Is(err, context.Canceled) {
 		t.Errorf("a wait without end: %v", err)
 	}
-	if err := host.ReadReplica(5, nil); !failure.Is(err, failure.NotFound) {
+	if err := host.ReadStale(5, nil); !failure.Is(err, failure.NotFound) {
 		t.Errorf("a group that does not exist: %v", err)
 	}
 }
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -138,7 +138,7 @@
 			return
 		case <-ticker.C:
 		}
-		groups := h.session.JobGroups()
+		groups := h.session.JobGroupCount()
 		dispatchers := max(1, len(d.all)*dispatcherShare/10)
 		owed = min(owed+float64(d.itemRate.Load())*itemInterval.Seconds()/float64(dispatchers), 256)
 		if groups == 0 || owed < 1 {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -143,7 +143,7 @@
 	if err != nil {
 		return 0, err
 	}
-	applied, err := operator.ApplyUntilAnswered(ctx, r.operator, &operator.Change{ChangeID: id, ExpectedRevision: &current.Revision, Documents: documents})
+	applied, err := operator.ApplyWithRetry(ctx, r.operator, &operator.Change{ChangeID: id, ExpectedRevision: &current.Revision, Documents: documents})
 	if err != nil {
 		return 0, err
 	}
--- a/internal/simulation/control.go
+++ b/internal/simulation/control.go
@@ -105,7 +105,7 @@
 		ElectionTimeout:   electionTimeout,
 		HeartbeatInterval: electionTimeout / heartbeatShare,
 		ReplaceAfter:      replaceAfter,
-		LogBytes:          w.logBytes(),
+		RetainedLogBytes:  w.logBytes(),
 		Random:            w.random,
 		Send:              c.send,
 		OnApplied: func(group int, entry *wire.LogEntry) {
--- a/internal/simulation/dispatcher.go
+++ b/internal/simulation/dispatcher.go
@@ -55,7 +55,7 @@
 	w := d.world
 	d.alive = true
 	d.life++
-	d.scheduler = scheduling.New(scheduling.Config{MaxQueue: maxOnlineQueue, ReservePercent: w.profile.ReservePercent, AdaptiveReserve: w.variant.Adaptive, EnginePriorities: w.variant.EnginePriorities, WorkerTimeout: workerTimeout}, w.random)
+	d.scheduler = scheduling.New(scheduling.Config{MaxQueue: maxOnlineQueue, ReservePercent: w.profile.ReservePercent, AdaptiveReserve: w.variant.AdaptiveReserve, EnginePriorities: w.variant.EnginePriorities, WorkerTimeout: workerTimeout}, w.random)
 	d.tasks = map[string]*task{}
 	d.workers = map[string]*ownedWorker{}
 	d.items = newItemSet(d)
--- a/internal/simulation/experiment.go
+++ b/internal/simulation/experiment.go
@@ -22,8 +22,8 @@
 	Batch  bool
 	// ReservePercent is the fixed reserve; with Adaptive set it is the most that
 	// the reserve may grow to.
-	ReservePercent int
-	Adaptive       bool
+	ReservePercent  int
+	AdaptiveReserve bool
 	// EnginePriorities leaves the order to the engines: nothing is preempted
 	// and no slot is kept free.
 	EnginePriorities bool
@@ -43,7 +43,7 @@
 		{Name: "fixed reserve 10%", Online: true, Batch: true, ReservePercent: 10},
 		{Name: "fixed reserve 25%", Online: true, Batch: true, ReservePercent: 25},
 		{Name: "fixed reserve 50%", Online: true, Batch: true, ReservePercent: 50},
-		{Name: "adaptive reserve", Online: true, Batch: true, ReservePercent: 50, Adaptive: true},
+		{Name: "adaptive reserve", Online: true, Batch: true, ReservePercent: 50, AdaptiveReserve: true},
 	}
 }
 
@@ -307,9 +307,9 @@
 	Profile  Profile
 	Variants []Variant
 	// Duration is the measured part of each run, after the warm-up.
-	Duration time.Duration
-	First    uint64
-	Last     uint64
+	Duration  time.Duration
+	FirstSeed uint64
+	LastSeed  uint64
 }
 
 // Run runs all variants over all seeds, several at a time.
@@ -319,7 +319,7 @@
 		seed    uint64
 	}
 	runs := make(chan run)
-	seeds := int(x.Last - x.First + 1)
+	seeds := int(x.LastSeed - x.FirstSeed + 1)
 	results := make([][]*Measurement, len(x.Variants))
 	for index := range results {
 		results[index] = make([]*Measurement, seeds)
@@ -330,12 +330,12 @@
 		go func() {
 			defer workers.Done()
 			for next := range runs {
-				results[next.variant][next.seed-x.First] = RunExperiment(x.Profile, x.Variants[next.variant], x.Duration, next.seed)
+				results[next.variant][next.seed-x.FirstSeed] = RunExperiment(x.Profile, x.Variants[next.variant], x.Duration, next.seed)
 			}
 		}()
 	}
 	for variant := range x.Variants {
-		for seed := x.First; seed <= x.Last; seed++ {
+		for seed := x.FirstSeed; seed <= x.LastSeed; seed++ {
 			runs <- run{variant, seed}
 		}
 	}
--- a/internal/simulation/prove.go
+++ b/internal/simulation/prove.go
@@ -13,8 +13,8 @@
 	Promise  string
 	Mutation Mutation
 	// Check is the check that must notice; empty means any.
-	Check string
-	Kinds []string
+	Check      string
+	FaultKinds []string
 	// BatchOnly leaves the workers to batch items.
 	BatchOnly bool
 }
@@ -23,21 +23,21 @@
 func MutationChecks() []MutationCheck {
 	stops := []string{"dispatcher_stops", "gateway_stops"}
 	return []MutationCheck{
-		{Promise: "an accepted item completes exactly once", Mutation: MutationLastCompletionWins, Check: "exactly once", Kinds: []string{"dispatcher_lost_control"}, BatchOnly: true},
-		{Promise: "what is accepted outlives a lost disk", Mutation: MutationKeepIdentity, Check: "", Kinds: []string{"rolling_disk_loss"}},
-		{Promise: "what is accepted outlives a crash", Mutation: MutationNoSync, Check: "", Kinds: []string{"control_killed", "control_leader_killed"}},
-		{Promise: "a resent job is the same job", Mutation: MutationNoIdempotency, Check: "resend", Kinds: nil},
-		{Promise: "a cancelled job stops", Mutation: MutationIgnoreCancel, Check: "cancel stops", Kinds: nil},
-		{Promise: "online never waits behind batch", Mutation: MutationNoPreemption, Check: "online before batch", Kinds: nil},
-		{Promise: "each caller gets the whole answer to its own request", Mutation: MutationNoSequencer, Check: "whole answer", Kinds: []string{"answers_crossed", "answers_twice", "answers_late"}},
-		{Promise: "not run is true", Mutation: MutationFalseNotRun, Check: "not run is true", Kinds: []string{"worker_dies", "dispatcher_killed"}},
-		{Promise: "no repetition where it is forbidden", Mutation: MutationRetryNotRepeatable, Check: "at most once", Kinds: []string{"worker_dies", "streams_cut", "dispatcher_killed"}},
-		{Promise: "a leaving worker gets no new work", Mutation: MutationIgnoreLeaving, Check: "leaving gets no work", Kinds: []string{"worker_leaves"}},
-		{Promise: "a planned stop cuts no request", Mutation: MutationNoGracefulStop, Check: "planned stop", Kinds: stops},
-		{Promise: "configuration is in force within seconds", Mutation: MutationNoConfigurationLease, Check: "configuration", Kinds: []string{"gateway_cut", "gateway_freezes"}},
-		{Promise: "configuration never goes back", Mutation: MutationStaleConfiguration, Check: "configuration", Kinds: []string{"gateway_killed", "gateway_cut"}},
-		{Promise: "one owner of a worker", Mutation: MutationNoFencing, Check: "fencing", Kinds: []string{"dispatcher_cut", "dispatcher_freezes", "control_leader_cut"}},
-		{Promise: "equal numbers: one change wins", Mutation: MutationNoRevisionCheck, Check: "configuration", Kinds: []string{"operators_race"}},
+		{Promise: "an accepted item completes exactly once", Mutation: MutationLastCompletionWins, Check: "exactly once", FaultKinds: []string{"dispatcher_lost_control"}, BatchOnly: true},
+		{Promise: "what is accepted outlives a lost disk", Mutation: MutationKeepIdentity, Check: "", FaultKinds: []string{"rolling_disk_loss"}},
+		{Promise: "what is accepted outlives a crash", Mutation: MutationNoSync, Check: "", FaultKinds: []string{"control_killed", "control_leader_killed"}},
+		{Promise: "a resent job is the same job", Mutation: MutationNoIdempotency, Check: "resend", FaultKinds: nil},
+		{Promise: "a cancelled job stops", Mutation: MutationIgnoreCancel, Check: "cancel stops", FaultKinds: nil},
+		{Promise: "online never waits behind batch", Mutation: MutationNoPreemption, Check: "online before batch", FaultKinds: nil},
+		{Promise: "each caller gets the whole answer to its own request", Mutation: MutationNoSequencer, Check: "whole answer", FaultKinds: []string{"answers_crossed", "answers_twice", "answers_late"}},
+		{Promise: "not run is true", Mutation: MutationFalseNotRun, Check: "not run is true", FaultKinds: []string{"worker_dies", "dispatcher_killed"}},
+		{Promise: "no repetition where it is forbidden", Mutation: MutationRetryNotRepeatable, Check: "at most once", FaultKinds: []string{"worker_dies", "streams_cut", "dispatcher_killed"}},
+		{Promise: "a leaving worker gets no new work", Mutation: MutationIgnoreLeaving, Check: "leaving gets no work", FaultKinds: []string{"worker_leaves"}},
+		{Promise: "a planned stop cuts no request", Mutation: MutationNoGracefulStop, Check: "planned stop", FaultKinds: stops},
+		{Promise: "configuration is in force within seconds", Mutation: MutationNoConfigurationLease, Check: "configuration", FaultKinds: []string{"gateway_cut", "gateway_freezes"}},
+		{Promise: "configuration never goes back", Mutation: MutationStaleConfiguration, Check: "configuration", FaultKinds: []string{"gateway_killed", "gateway_cut"}},
+		{Promise: "one owner of a worker", Mutation: MutationNoFencing, Check: "fencing", FaultKinds: []string{"dispatcher_cut", "dispatcher_freezes", "control_leader_cut"}},
+		{Promise: "equal numbers: one change wins", Mutation: MutationNoRevisionCheck, Check: "configuration", FaultKinds: []string{"operators_race"}},
 	}
 }
 
@@ -69,8 +69,8 @@
 	fmt.Fprintf(out, "| promise | faults | seeds | whole system | mechanism taken away | seen red by |\n|---|---|---|---|---|---|\n")
 	for _, proof := range MutationChecks() {
 		profiles := proof.profiles()
-		whole := Sweep{First: first, Last: last, Profiles: profiles, Kinds: proof.Kinds}.Run()
-		mutated := Sweep{First: first, Last: last, Profiles: profiles, Kinds: proof.Kinds, Mutation: proof.Mutation}.Run()
+		whole := Sweep{FirstSeed: first, LastSeed: last, Profiles: profiles, FaultKinds: proof.FaultKinds}.Run()
+		mutated := Sweep{FirstSeed: first, LastSeed: last, Profiles: profiles, FaultKinds: proof.FaultKinds, Mutation: proof.Mutation}.Run()
 		green, red := "green", "NOT RED"
 		if len(whole.Failed) > 0 {
 			green = fmt.Sprintf("RED in %d: %s", len(whole.Failed), describe(whole.Failed[0]))
@@ -81,7 +81,7 @@
 		} else {
 			good = false
 		}
-		fmt.Fprintf(out, "| %s | %s | %d..%d, 2 profiles | %s | %s | %s |\n", proof.Promise, orNone(proof.Kinds), first, last, green, proof.Mutation, red)
+		fmt.Fprintf(out, "| %s | %s | %d..%d, 2 profiles | %s | %s | %s |\n", proof.Promise, orNone(proof.FaultKinds), first, last, green, proof.Mutation, red)
 	}
 	return good
 }
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -15,7 +15,7 @@
 
 // TestPromisesUnderAllFaults runs whole fleets with all kinds of faults.
 func TestPromisesUnderAllFaults(t *testing.T) {
-	summary := Sweep{First: 1, Last: seedsInCI, Profiles: bothProfiles(), Kinds: DefaultFaultKinds()}.Run()
+	summary := Sweep{FirstSeed: 1, LastSeed: seedsInCI, Profiles: bothProfiles(), FaultKinds: DefaultFaultKinds()}.Run()
 	var text strings.Builder
 	summary.Print(&text)
 	t.Log(text.String())
@@ -34,7 +34,7 @@
 // TestBusyFleet runs overloaded fleets: batch work is preempted all the time.
 func TestBusyFleet(t *testing.T) {
 	profiles := []Profile{proofProfile(Profiles()["stundir"]), proofProfile(Profiles()["kotare"])}
-	summary := Sweep{First: 1, Last: 10, Profiles: profiles, Kinds: DefaultFaultKinds()}.Run()
+	summary := Sweep{FirstSeed: 1, LastSeed: 10, Profiles: profiles, FaultKinds: DefaultFaultKinds()}.Run()
 	for _, failed := range summary.Failed {
 		var details strings.Builder
 		failed.Print(&details)
@@ -47,7 +47,7 @@
 
 // TestSameSeedSameRun checks that a seed can be replayed.
 func TestSameSeedSameRun(t *testing.T) {
-	options := Options{Profile: Profiles()["kotare"], Seed: 7, Kinds: DefaultFaultKinds()}
+	options := Options{Profile: Profiles()["kotare"], Seed: 7, FaultKinds: DefaultFaultKinds()}
 	first, second := Run(options), Run(options)
 	if !reflect.DeepEqual(first, second) {
 		t.Errorf("two runs of one seed differ:\n%+v\n%+v", first, second)
@@ -58,7 +58,7 @@
 func TestMutationsTurnRed(t *testing.T) {
 	for _, proof := range MutationChecks() {
 		t.Run(string(proof.Mutation), func(t *testing.T) {
-			summary := Sweep{First: 1, Last: 10, Profiles: proof.profiles(), Kinds: proof.Kinds, Mutation: proof.Mutation, StopAtFailure: proof.Check == ""}.Run()
+			summary := Sweep{FirstSeed: 1, LastSeed: 10, Profiles: proof.profiles(), FaultKinds: proof.FaultKinds, Mutation: proof.Mutation, StopAtFailure: proof.Check == ""}.Run()
 			if len(noticedBy(summary.Failed, proof.Check)) == 0 {
 				t.Errorf("no check %q noticed in %d runs", proof.Check, summary.Seeds)
 			}
@@ -68,7 +68,7 @@
 
 // TestShrink checks that a failing schedule shrinks to what matters.
 func TestShrink(t *testing.T) {
-	options := Options{Profile: proofProfile(Profiles()["stundir"]), Seed: 1, Mutation: MutationFalseNotRun, Kinds: []string{"worker_dies", "platform_contradicts", "operators_race"}}
+	options := Options{Profile: proofProfile(Profiles()["stundir"]), Seed: 1, Mutation: MutationFalseNotRun, FaultKinds: []string{"worker_dies", "platform_contradicts", "operators_race"}}
 	for ; options.Seed < 20; options.Seed++ {
 		failing := Run(options)
 		if len(failing.Violations) == 0 {
--- a/internal/simulation/sweep.go
+++ b/internal/simulation/sweep.go
@@ -12,10 +12,10 @@
 
 // Sweep is a run of many seeds.
 type Sweep struct {
-	First, Last uint64
-	Profiles    []Profile
-	Kinds       []string
-	Mutation    Mutation
+	FirstSeed, LastSeed uint64
+	Profiles            []Profile
+	FaultKinds          []string
+	Mutation            Mutation
 	// StopAtFailure ends the sweep at the first violation.
 	StopAtFailure bool
 	// Parallel is how many seeds run at a time; zero means one per processor.
@@ -35,7 +35,7 @@
 // summary of a sweep is always the same.
 func (s Sweep) Run() *Summary {
 	jobs := make(chan int)
-	results := make([]*Result, int(s.Last-s.First+1)*len(s.Profiles))
+	results := make([]*Result, int(s.LastSeed-s.FirstSeed+1)*len(s.Profiles))
 	var stop sync.Once
 	stopped := make(chan struct{})
 	var workers sync.WaitGroup
@@ -71,10 +71,10 @@
 
 func (s Sweep) options(index int) Options {
 	return Options{
-		Profile:  s.Profiles[index%len(s.Profiles)],
-		Seed:     s.First + uint64(index/len(s.Profiles)),
-		Kinds:    s.Kinds,
-		Mutation: s.Mutation,
+		Profile:    s.Profiles[index%len(s.Profiles)],
+		Seed:       s.FirstSeed + uint64(index/len(s.Profiles)),
+		FaultKinds: s.FaultKinds,
+		Mutation:   s.Mutation,
 	}
 }
 
--- a/internal/simulation/world_run.go
+++ b/internal/simulation/world_run.go
@@ -37,7 +37,7 @@
 	FaultsFrom time.Duration
 	FaultsTo   time.Duration
 	Recovery   time.Duration
-	Faults     int
+	FaultCount int
 }
 
 func profile(name string, zones, workers int, jobInterval time.Duration) Profile {
@@ -60,7 +60,7 @@
 		FaultsFrom:     6 * time.Second,
 		FaultsTo:       20 * time.Second,
 		Recovery:       60 * time.Second,
-		Faults:         8,
+		FaultCount:     8,
 	}
 }
 
@@ -82,16 +82,16 @@
 	target.Gateways = 130
 	target.FaultsFrom = 8 * time.Second
 	target.FaultsTo = 10 * time.Second
-	target.Faults = 1
+	target.FaultCount = 1
 	return target
 }
 
 // Options say what to run.
 type Options struct {
-	Profile  Profile
-	Seed     uint64
-	Kinds    []string
-	Mutation Mutation
+	Profile    Profile
+	Seed       uint64
+	FaultKinds []string
+	Mutation   Mutation
 	// Variant is set in experiments.
 	Variant Variant
 	// Schedule replaces the schedule drawn from the seed.
@@ -167,7 +167,7 @@
 	w := newWorld(options)
 	schedule := options.Schedule
 	if schedule == nil {
-		schedule = drawSchedule(rand.New(rand.NewPCG(options.Seed, streamSchedule)), options.Kinds, w.profile.FaultsFrom, w.profile.FaultsTo, w.profile.Faults)
+		schedule = drawSchedule(rand.New(rand.NewPCG(options.Seed, streamSchedule)), options.FaultKinds, w.profile.FaultsFrom, w.profile.FaultsTo, w.profile.FaultCount)
 	}
 	w.plannedStopsOnly = true
 	for _, fault := range schedule {
--- a/test/cluster_test.go
+++ b/test/cluster_test.go
@@ -322,7 +322,7 @@
 func (c *cluster) configure(t *testing.T, ctx context.Context) {
 	t.Helper()
 	revision := uint64(0)
-	applied, err := operator.ApplyUntilAnswered(ctx, c.operator(), &operator.Change{
+	applied, err := operator.ApplyWithRetry(ctx, c.operator(), &operator.Change{
 		ChangeID:         "first",
 		ExpectedRevision: &revision,
 		Documents:        fleet.DemoDocuments(testTenant, []string{testModel}, c.tenantKey),
--- a/test/control_test.go
+++ b/test/control_test.go
@@ -41,7 +41,7 @@
 			w.err = err
 			return
 		}
-		applied, err := operator.ApplyUntilAnswered(ctx, client, &operator.Change{
+		applied, err := operator.ApplyWithRetry(ctx, client, &operator.Change{
 			ChangeID:         fmt.Sprintf("%s-%d", name, number),
 			ExpectedRevision: &current.Revision,
 			Documents:        []operator.Document{{Kind: metastate.KindDrain, Name: "nobody", Spec: spec}},
@@ -276,7 +276,7 @@
 			t.Fatal(err)
 		}
 		spec := json.RawMessage(fmt.Sprintf(`{"reason":"%d"}`, number))
-		applied, err := operator.ApplyUntilAnswered(ctx, client, &operator.Change{
+		applied, err := operator.ApplyWithRetry(ctx, client, &operator.Change{
 			ChangeID:         fmt.Sprintf("force-%d", number),
 			ExpectedRevision: &current.Revision,
 			Documents:        []operator.Document{{Kind: metastate.KindDrain, Name: "nobody", Spec: spec}},
--- a/test/engine_ends_test.go
+++ b/test/engine_ends_test.go
@@ -13,7 +13,7 @@
 // ends that begins it: three of eight end, and others are served.
 func TestPromptThatEndsEngines(t *testing.T) {
 	ctx := testContext(t)
-	started, _, key := embeddedOf(t, ctx, fleet.Options{Engines: 8, CrashOnPrompt: "ends its engine"})
+	started, _, key := embeddedOf(t, ctx, fleet.Options{Engines: 8, ExitOnPrompt: "ends its engine"})
 	client := loadgen.NewClient(started.Gateways[0].Address(), key)
 	ask := func(text string) bool {
 		request := &loadgen.Request{Model: testModel, Text: text, MaxTokens: 4, Stream: true, Deadline: 10 * time.Second}
--- a/test/fleet_api_test.go
+++ b/test/fleet_api_test.go
@@ -77,7 +77,7 @@
 	f := &ownFleet{t: t, binary: filepath.Join(folder, "sedgemast"), port: freePorts(t)}
 	for i := range 2 {
 		worker := emulator.NewHostedWorker(fmt.Sprintf("w-%d", i), 8, time.Millisecond)
-		worker.Dialect = dialect.Own()
+		worker.HeaderNames = dialect.Own()
 		t.Cleanup(worker.Close)
 		f.workers = append(f.workers, worker)
 	}
@@ -164,7 +164,7 @@
 	for _, worker := range f.workers {
 		worker.InjectFaults(func(request *emulator.HostedRequest) emulator.HostedFault {
 			if request.Body == endingBody && deadly.Load() {
-				return emulator.HostedFault{CrashAfter: time.Millisecond, RestartAfter: 20 * time.Millisecond}
+				return emulator.HostedFault{ExitAfter: time.Millisecond, RestartAfter: 20 * time.Millisecond}
 			}
 			return emulator.HostedFault{}
 		})
--- a/test/worker_ends_test.go
+++ b/test/worker_ends_test.go
@@ -48,7 +48,7 @@
 func (f *hostedFleet) endingWorkers(back time.Duration) {
 	f.behaveAll(func(request *emulator.HostedRequest) emulator.HostedFault {
 		if request.Body == endingBody {
-			return emulator.HostedFault{CrashAfter: 15 * time.Millisecond, RestartAfter: back}
+			return emulator.HostedFault{ExitAfter: 15 * time.Millisecond, RestartAfter: back}
 		}
 		return emulator.HostedFault{}
 	})
@@ -56,7 +56,7 @@
 
 func (f *hostedFleet) ends() (count int) {
 	for _, worker := range f.workers {
-		count += worker.Crashes()
+		count += worker.Exits()
 	}
 	return count
 }
@@ -161,7 +161,7 @@
 	fronts := f.ready(t)
 	f.behaveAll(func(request *emulator.HostedRequest) emulator.HostedFault {
 		if request.ID == "j1-3" {
-			return emulator.HostedFault{CrashAfter: 15 * time.Millisecond, RestartAfter: 60 * time.Millisecond}
+			return emulator.HostedFault{ExitAfter: 15 * time.Millisecond, RestartAfter: 60 * time.Millisecond}
 		}
 		return emulator.HostedFault{}
 	})
