--- a/internal/simulation/sweep.go
+++ b/internal/simulation/sweep.go
@@ -110,7 +110,7 @@
 	r.Resumes += other.Resumes
 	r.VirtualTime += other.VirtualTime
 	r.PeakControlCalls = max(r.PeakControlCalls, other.PeakControlCalls)
-	r.LeaderChange = append(r.LeaderChange, other.LeaderChange...)
+	r.LeaderFailover = append(r.LeaderFailover, other.LeaderFailover...)
 	r.WorkerReassignment = append(r.WorkerReassignment, other.WorkerReassignment...)
 	r.InForce = append(r.InForce, other.InForce...)
 	r.InForceUnderFault = append(r.InForceUnderFault, other.InForceUnderFault...)
@@ -121,7 +121,7 @@
 	t := &s.Totals
 	fmt.Fprintf(out, "seeds=%d profiles=%s failed=%d virtual=%s\n", s.Seeds, strings.Join(s.Profiles, ","), len(s.Failed), t.VirtualTime.Round(time.Second))
 	fmt.Fprintf(out, "requests=%d whole=%d refused=%d jobs=%d results_read=%d changes=%d preemptions=%d resumes=%d\n", t.Requests, t.Completed, t.Rejected, t.Jobs, t.Items, t.Changes, t.Preemptions, t.Resumes)
-	fmt.Fprintf(out, "leader change:        %s\n", spread(t.LeaderChange))
+	fmt.Fprintf(out, "leader change:        %s\n", spread(t.LeaderFailover))
 	fmt.Fprintf(out, "workers owned again:  %s\n", spread(t.WorkerReassignment))
 	fmt.Fprintf(out, "in force, no fault:   %s\n", spread(t.InForce))
 	fmt.Fprintf(out, "in force, with fault: %s\n", spread(t.InForceUnderFault))
--- a/internal/simulation/timings.go
+++ b/internal/simulation/timings.go
@@ -9,9 +9,9 @@
 
 // timings measures how long the fleet takes to get over a failure.
 type timings struct {
-	// LeaderChange holds the times from a leader's failure to the first entry
+	// LeaderFailover holds the times from a leader's failure to the first entry
 	// that its successor has committed.
-	LeaderChange []time.Duration
+	LeaderFailover []time.Duration
 	// WorkerReassignment holds the times from a dispatcher's death until each of its
 	// workers is owned again.
 	WorkerReassignment []time.Duration
@@ -54,7 +54,7 @@
 func (t *timings) committed(now time.Time, group int, entry *wire.LogEntry) {
 	if loss, lost := t.leaderless[group]; lost && entry.Term > loss.term {
 		delete(t.leaderless, group)
-		t.LeaderChange = append(t.LeaderChange, now.Sub(loss.at))
+		t.LeaderFailover = append(t.LeaderFailover, now.Sub(loss.at))
 	}
 	if group != controlclient.MetaGroup || entry.Kind != wire.EntryCommand {
 		return
--- a/internal/simulation/world_run.go
+++ b/internal/simulation/world_run.go
@@ -140,9 +140,9 @@
 	Changes     int
 	Preemptions int
 	Resumes     int
-	// LeaderChange, HandOver, InForce and FaultyInForce are explained in
+	// LeaderFailover, HandOver, InForce and FaultyInForce are explained in
 	// timings.
-	LeaderChange       []time.Duration
+	LeaderFailover     []time.Duration
 	WorkerReassignment []time.Duration
 	InForce            []time.Duration
 	InForceUnderFault  []time.Duration
@@ -393,7 +393,7 @@
 		Changes:            len(w.ledger.accepted),
 		Preemptions:        w.ledger.preemptions,
 		Resumes:            w.ledger.resumes,
-		LeaderChange:       w.ledger.timings.LeaderChange,
+		LeaderFailover:     w.ledger.timings.LeaderFailover,
 		WorkerReassignment: w.ledger.timings.WorkerReassignment,
 		InForce:            w.ledger.timings.InForce,
 		InForceUnderFault:  w.ledger.timings.InForceUnderFault,
