--- a/internal/batchstate/machine.go
+++ b/internal/batchstate/machine.go
@@ -76,7 +76,7 @@
 func (j *Job) Account() string { return AccountName(j.Owner, j.Route) }
 
 // AccountName names the account of an owner on a route.
-func AccountName(owner tenancy.Name, route string) string { return tenancy.Scoped(owner, route) }
+func AccountName(owner tenancy.Name, route string) string { return tenancy.ScopedName(owner, route) }
 
 // FindItem returns the number of the item with the id.
 func (j *Job) FindItem(id string) (int, bool) {
--- a/internal/batchstore/status.go
+++ b/internal/batchstore/status.go
@@ -34,7 +34,7 @@
 			continue
 		}
 		roles[number] = status.Role
-		logging.Info(s.logger, "role", "group", number, "role", status.Role, "term", status.Term, "applied", status.Applied, "voters", len(status.Membership.Voters), "learners", len(status.Membership.Learners))
+		logging.Info(s.logger, "role", "group", number, "role", status.Role, "term", status.Term, "applied", status.AppliedIndex, "voters", len(status.Membership.Voters), "learners", len(status.Membership.Learners))
 	}
 }
 
@@ -48,7 +48,7 @@
 			members = append(members, member.Name)
 		}
 		formed = formed || len(members) > 0
-		if status.Role == consensus.Leader && status.Settled {
+		if status.Role == consensus.Leader && status.MembershipStable {
 			led = append(led, wire.GroupReport{Group: number, Term: status.Term, Members: members})
 		}
 	}
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		return nil, errors.CombineErrors(err, store.Close())
 	}
-	d.MarkStep(daemon.StepStorage)
+	d.CompleteStep(daemon.StepStorage)
 	d.Registry.MustRegister(c.changes, c.watches, c.oddEntries)
 	c.relay = newRelay(c)
 	c.list.OnPage = c.addWorkers
@@ -110,7 +110,7 @@
 	d.BeforeStop(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 		defer cancel()
-		c.host.HandOver(ctx)
+		c.host.TransferAllLeadership(ctx)
 	})
 	d.Go(c.refreshLoop)
 	d.Go(c.pollLoop)
@@ -122,19 +122,19 @@
 	now := uint64(time.Now().UnixNano())
 	return replication.Options{
 		Store:             c.store,
-		Machines:          []replication.StateMachine{&replication.Notifying{StateMachine: c.machine, Notify: c.applied}},
+		Machines:          []replication.StateMachine{&replication.NotifyingStateMachine{StateMachine: c.machine, Notify: c.applied}},
 		Name:              c.settings.Name,
 		Address:           c.daemon.Address(),
 		Peers:             c.settings.Seeds,
 		Voters:            maxVoters,
 		MinVoters:         2*c.settings.Tolerate + 1,
-		Formation:         replication.FormBySeeds,
+		BootstrapMode:     replication.BootstrapFromSeeds,
 		Bootstrap:         c.settings.Bootstrap,
-		NewID:             replication.NewIdentity,
+		NewID:             replication.NewID,
 		ElectionTimeout:   c.settings.ElectionTimeout.Std(),
 		HeartbeatInterval: c.settings.ElectionTimeout.Std() / heartbeatsPerTimeout,
 		ReplaceAfter:      c.settings.ReplaceAfter.Std(),
-		LogBytes:          c.settings.KeptLogBytes(),
+		RetainedLogBytes:  c.settings.RetainedLogBytes(),
 		Random:            mathrand.New(mathrand.NewPCG(now, now)),
 	}
 }
@@ -176,7 +176,7 @@
 		var coordinators []string
 		if len(processes) > 1 {
 			// This process comes first, then those that were heard.
-			c.daemon.MarkStep(daemon.StepPeer)
+			c.daemon.CompleteStep(daemon.StepPeer)
 		}
 		for i := range processes {
 			if processes[i].SilentMillis <= fleetview.ProcessTTL.Milliseconds() {
@@ -330,7 +330,7 @@
 		if err == nil {
 			return response, nil
 		}
-		if leader := consensus.LeaderOf(err); leader != "" && leader != c.daemon.Address() {
+		if leader := consensus.LeaderFromError(err); leader != "" && leader != c.daemon.Address() {
 			callContext, cancel := context.WithDeadline(ctx, deadline.Add(leadPatience))
 			response, err = rpc.Call[Response, Pointer](callContext, c.client, leader, method, request)
 			cancel()
--- a/internal/dispatcher/workers.go
+++ b/internal/dispatcher/workers.go
@@ -140,7 +140,7 @@
 		// have begun after it. Nothing is placed on such a guess.
 		return
 	}
-	w.dispatcher.step(scheduling.WorkerUpdate{Spec: w.spec(owned)})
+	w.dispatcher.step(scheduling.WorkerUpdated{Spec: w.spec(owned)})
 }
 
 // reportLag is how old a load report may be: attempts that were started later
@@ -157,16 +157,16 @@
 		owned.settled = foreign <= 0
 	}
 	return scheduling.WorkerSpec{
-		ID:       owned.assignment.Worker,
-		Address:  owned.assignment.Address,
-		Zone:     owned.assignment.Zone,
-		Epoch:    owned.assignment.Epoch,
-		Slots:    load.Slots,
-		KVTokens: load.KVTokens,
-		Models:   setOf(load.Models),
-		Adapters: setOf(load.Adapters),
-		Leaving:  owned.assignment.Leaving || load.Leaving,
-		Foreign:  max(0, foreign),
+		ID:                 owned.assignment.Worker,
+		Address:            owned.assignment.Address,
+		Zone:               owned.assignment.Zone,
+		Epoch:              owned.assignment.Epoch,
+		Slots:              load.Slots,
+		KVTokens:           load.KVTokens,
+		Models:             setOf(load.Models),
+		Adapters:           setOf(load.Adapters),
+		Leaving:            owned.assignment.Leaving || load.Leaving,
+		PreviousOwnerSlots: max(0, foreign),
 	}
 }
 
@@ -175,7 +175,7 @@
 func (d *Dispatcher) runningOn(worker string, startedBy time.Time) int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.scheduler.RunningOn(worker, startedBy)
+	return d.scheduler.RunningSince(worker, startedBy)
 }
 
 func (w *workerSet) readCacheEvents(ctx context.Context, owned *ownedWorker) {
@@ -205,7 +205,7 @@
 	// An engine that comes back may have been restarted: claim it again.
 	owned.claimed = false
 	logging.Warn(w.dispatcher.logger, "worker_silent", "worker", owned.assignment.Worker)
-	w.dispatcher.step(scheduling.WorkerSilent{Worker: owned.assignment.Worker})
+	w.dispatcher.step(scheduling.WorkerUnresponsive{Worker: owned.assignment.Worker})
 }
 
 // reports lists the workers for a heartbeat.
--- a/internal/edge/identity_test.go
+++ b/internal/edge/identity_test.go
@@ -202,7 +202,7 @@
 func (f *tenantFleet) seen() []emulator.HostedRequest {
 	var seen []emulator.HostedRequest
 	for _, worker := range f.workers {
-		seen = append(seen, worker.Seen()...)
+		seen = append(seen, worker.Requests()...)
 	}
 	return seen
 }
@@ -258,7 +258,7 @@
 	first := make(chan struct{}, 1)
 	first <- struct{}{}
 	for _, worker := range f.workers {
-		worker.Behave(func(*emulator.HostedRequest) emulator.HostedFault {
+		worker.InjectFaults(func(*emulator.HostedRequest) emulator.HostedFault {
 			select {
 			case <-first:
 				return emulator.HostedFault{Status: http.StatusInternalServerError}
@@ -315,10 +315,10 @@
 		}
 	}
 	f.mutex.Lock()
-	if len(f.jobs) != 2 || f.jobs[tenancy.Scoped("a", "j")].Owner != "a" || f.jobs[tenancy.Scoped("b", "j")].Owner != "b" {
+	if len(f.jobs) != 2 || f.jobs[tenancy.ScopedName("a", "j")].Owner != "a" || f.jobs[tenancy.ScopedName("b", "j")].Owner != "b" {
 		t.Errorf("kept: %v", f.jobs)
 	}
-	delete(f.jobs, tenancy.Scoped("b", "j"))
+	delete(f.jobs, tenancy.ScopedName("b", "j"))
 	f.jobs["old"] = &wire.SubmitBatch{}
 	f.mutex.Unlock()
 	for _, call := range []struct{ method, path string }{
--- a/internal/fleetwatch/watcher.go
+++ b/internal/fleetwatch/watcher.go
@@ -79,8 +79,8 @@
 // New returns a watcher; Run runs it. report tells what this process is. The meter,
 // which may be nil, counts the calls and is told the zones of what the fleet has.
 func New(logger logging.Logger, meter *traffic.Meter, seeds []string, report func() wire.ProcessReport) *Watcher {
-	client := rpc.NewClientDialing(rpc.ShortDial)
-	client.Measure(meter)
+	client := rpc.NewClientWithDialTimeout(rpc.ShortDial)
+	client.SetMeter(meter)
 	w := &Watcher{logger: logger, meter: meter, client: client, report: report, seeds: seeds, book: quarantine.NewCache()}
 	w.current.Store(&Snapshot{})
 	return w
@@ -118,7 +118,7 @@
 			w.reachedAt(target)
 			continue
 		}
-		w.targets.failed(clock.Now(), target, consensus.LeaderOf(err))
+		w.targets.failed(clock.Now(), target, consensus.LeaderFromError(err))
 		w.missed(target, err)
 		select {
 		case <-ctx.Done():
--- a/internal/gateway/batches.go
+++ b/internal/gateway/batches.go
@@ -108,7 +108,7 @@
 	if err != nil {
 		return err
 	}
-	group := jobstate.GroupOfTenant(tenant.Name, g.session.JobGroups())
+	group := jobstate.GroupOfTenant(tenant.Name, g.session.JobGroupCount())
 	response, err := callControl[wire.JobResponse](request.Context(), g, group, controlclient.MethodCreateJob, created)
 	if err != nil {
 		return err
@@ -216,10 +216,10 @@
 		body.ExpiredAt = ended
 	}
 	if job.Succeeded > 0 {
-		body.OutputFileID = jobstate.OutputFile(job.ID)
+		body.OutputFileID = jobstate.OutputFileID(job.ID)
 	}
 	if job.Failed > 0 {
-		body.ErrorFileID = jobstate.ErrorFile(job.ID)
+		body.ErrorFileID = jobstate.ErrorFileID(job.ID)
 	}
 	// Metadata was encoded by a gateway; damage would only hide it.
 	_ = json.Unmarshal(job.Metadata, &body.Metadata)
@@ -270,7 +270,7 @@
 	if err != nil {
 		return err
 	}
-	group := jobstate.GroupOfTenant(tenant.Name, g.session.JobGroups())
+	group := jobstate.GroupOfTenant(tenant.Name, g.session.JobGroupCount())
 	response, err := callControl[wire.ListJobsResponse](request.Context(), g, group, controlclient.MethodListJobs, &wire.ListJobsRequest{Tenant: tenant.Name, Limit: limit + 1})
 	if err != nil {
 		return err
--- a/internal/gateway/chooser.go
+++ b/internal/gateway/chooser.go
@@ -45,10 +45,10 @@
 	c := &chooser{session: session, zone: zone, random: random, ring: routing.NewRing(nil), suspects: map[string]time.Time{}}
 	c.pipeline = routing.NewPipeline(
 		[]routing.Filter{routing.AvailableFilter{}, routing.ModelFilter{}, routing.ExcludeFilter{}},
-		[]routing.Weighted{
+		[]routing.WeightedScorer{
 			{Scorer: routing.LoadScorer{}, Weight: weightLoad},
 			{Scorer: routing.ZoneScorer{}, Weight: weightZone},
-			{Scorer: routing.AffinityScorer{}, Weight: weightAffinity},
+			{Scorer: routing.RendezvousScorer{}, Weight: weightAffinity},
 		},
 		routing.BestPicker{},
 	)
@@ -94,7 +94,7 @@
 
 // refresh rebuilds the ring after the view has changed.
 func (c *chooser) refresh() {
-	if c.session.ViewChanges() == c.changes {
+	if c.session.ViewVersion() == c.changes {
 		return
 	}
 	view, changes := c.session.View()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -71,7 +71,7 @@
 		Interval: config.Heartbeat.Interval.Std(),
 		Timeout:  config.Heartbeat.Timeout.Std(),
 		Report:   g.report,
-		Changed:  func(*wire.HeartbeatResponse) { d.SetReady(!g.draining.Load()) },
+		OnChange: func(*wire.HeartbeatResponse) { d.SetReady(!g.draining.Load()) },
 	})
 	g.chooser = newChooser(g.session, config.Zone, rand.New(rand.NewPCG(g.incarnation, 1)))
 	g.metrics = newMetrics(d.Registry, g)
@@ -92,7 +92,7 @@
 }
 
 func (g *Gateway) isDraining() bool {
-	return g.draining.Load() || g.session.Config().Drained[g.settings.Name]
+	return g.draining.Load() || g.session.Config().Draining[g.settings.Name]
 }
 
 // accepts returns a NotRun failure while the gateway must take no new work.
@@ -137,7 +137,7 @@
 func (g *Gateway) countRequest() {
 	g.budgetMutex.Lock()
 	defer g.budgetMutex.Unlock()
-	g.budget.Request()
+	g.budget.Deposit()
 }
 
 // handler is an HTTP handler that answers its failures itself.
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -54,7 +54,7 @@
 	writer.Header().Set("ETag", entityTag(response.Revision))
 	writeJSON(writer, response)
 	// Have the change in force here as soon as the operator has the answer.
-	g.session.Hurry()
+	g.session.HeartbeatNow()
 	return nil
 }
 
@@ -135,7 +135,7 @@
 		return err
 	}
 	list := operator.Jobs{Jobs: []operator.Job{}}
-	for group := 1; group <= g.session.JobGroups(); group++ {
+	for group := 1; group <= g.session.JobGroupCount(); group++ {
 		response, err := callControl[wire.ListJobsResponse](request.Context(), g, group, controlclient.MethodListJobs, &wire.ListJobsRequest{Group: group, Tenant: request.URL.Query().Get("tenant"), Limit: limit})
 		if err != nil {
 			return err
--- a/internal/replication/group.go
+++ b/internal/replication/group.go
@@ -75,7 +75,7 @@
 		return nil, err
 	}
 	g.replica = consensus.New(n.consensusConfig(number), restored, now)
-	g.applied.Store(restored.Applied)
+	g.applied.Store(restored.AppliedIndex)
 	g.publish(now)
 	return g, nil
 }
@@ -93,14 +93,14 @@
 }
 
 // restored reads a group's part of the log.
-func (n *Node) restored(number int) (consensus.Restored, error) {
-	var restored consensus.Restored
+func (n *Node) restored(number int) (consensus.PersistedState, error) {
+	var restored consensus.PersistedState
 	store := n.options.Store
 	applied, err := store.Get(groupKey(number, sectionApplied))
 	if err != nil {
 		return restored, err
 	}
-	restored.Applied = decodeUint64(applied)
+	restored.AppliedIndex = decodeUint64(applied)
 	if err := readMessage(store, groupKey(number, sectionHardState), &restored.HardState); err != nil {
 		return restored, err
 	}
@@ -123,7 +123,7 @@
 }
 
 func (n *Node) reader(of *group) storage.Reader {
-	return storage.Scoped(n.options.Store, statePrefix(of.number, of.generation))
+	return storage.WithPrefix(n.options.Store, statePrefix(of.number, of.generation))
 }
 
 // stage adds to the batch what the Ready wants stored.
@@ -202,9 +202,9 @@
 
 // publish lets readers know whether this replica leads.
 func (g *group) publish(now time.Time) {
-	next := &leadership{term: g.replica.Term(), leaseUntil: g.replica.LeaseUntil(now)}
+	next := &leadership{term: g.replica.Term(), leaseUntil: g.replica.LeaseExpiry(now)}
 	if next.leaseUntil.IsZero() {
-		next.refusal = g.replica.NotLeader()
+		next.refusal = g.replica.NotLeaderError()
 	}
 	g.leadership.Store(next)
 }
--- a/internal/replication/node.go
+++ b/internal/replication/node.go
@@ -29,8 +29,8 @@
 	// largest number of voters.
 	Peers  []string
 	Voters int
-	// Formation says how the first membership comes about.
-	Formation Formation
+	// BootstrapMode says how the first membership comes about.
+	BootstrapMode BootstrapMode
 	// Bootstrap is set while the whole system starts for the first time; only
 	// then may FormBySeeds form a cluster.
 	Bootstrap bool
@@ -43,17 +43,17 @@
 	// ReplaceAfter is how long a voter may be silent before a spare takes its
 	// place.
 	ReplaceAfter time.Duration
-	// GreetAll is up to how many peers a process says hello to all of them, with
+	// FullMeshLimit is up to how many peers a process says hello to all of them, with
 	// FormByOrder; zero means greetAll.
-	GreetAll int
-	// LogBytes is how much of each group's log is kept for slow followers.
-	LogBytes int
-	Random   consensus.Random
+	FullMeshLimit int
+	// RetainedLogBytes is how much of each group's log is kept for slow followers.
+	RetainedLogBytes int
+	Random           consensus.Random
 	// Send sends a message to the process at the address; it may be lost.
 	Send func(address string, message wire.PeerMessage)
-	// Applied, if it is set, is told of every entry that is applied, for
+	// OnApplied, if it is set, is told of every entry that is applied, for
 	// checkers.
-	Applied func(group int, entry *wire.LogEntry)
+	OnApplied func(group int, entry *wire.LogEntry)
 }
 
 // Node holds the replicas of one control process.
@@ -104,7 +104,7 @@
 }
 
 func (n *Node) soleProcess() bool {
-	return !n.identity.Formed && n.options.Formation == FormFixed && len(n.options.Peers) == 1 && n.options.Peers[0] == n.options.Address
+	return !n.identity.Formed && n.options.BootstrapMode == BootstrapStatic && len(n.options.Peers) == 1 && n.options.Peers[0] == n.options.Address
 }
 
 // Tick lets time pass.
@@ -156,9 +156,9 @@
 	g.waiting[index] = waiter{term: term, done: done}
 }
 
-// TransferAll hands leadership of every group to another process, and reports
+// TransferAllLeadership hands leadership of every group to another process, and reports
 // whether this one leads none any more.
-func (n *Node) TransferAll(now time.Time) bool {
+func (n *Node) TransferAllLeadership(now time.Time) bool {
 	done := true
 	for _, g := range n.groups {
 		if g.replica.TransferLeadership(now) {
@@ -168,9 +168,9 @@
 	return done
 }
 
-// Transfer hands leadership of a group to another replica, and reports whether
+// TransferLeadership hands leadership of a group to another replica, and reports whether
 // that has begun.
-func (n *Node) Transfer(now time.Time, number int, to uint64) bool {
+func (n *Node) TransferLeadership(now time.Time, number int, to uint64) bool {
 	g, err := n.group(number)
 	return err == nil && g.replica.TransferLeadershipTo(now, to)
 }
@@ -222,7 +222,7 @@
 		// A lease that is given up must be gone before the message that lets
 		// another replica lead is sent.
 		g.publish(now)
-		n.sendAll(ready.Immediate)
+		n.sendAll(ready.MessagesBeforeSync)
 		rounds = append(rounds, round{group: g, ready: ready})
 	}
 	return rounds
@@ -247,7 +247,7 @@
 func (n *Node) applyAll(rounds []round, now time.Time) {
 	for i := range rounds {
 		g, ready := rounds[i].group, &rounds[i].ready
-		n.sendAll(ready.Durable)
+		n.sendAll(ready.MessagesAfterSync)
 		g.mutex.Lock()
 		batch, answers := g.apply(nil, ready.Committed)
 		n.tellApplied(g, ready.Committed)
@@ -260,18 +260,18 @@
 		for _, ended := range answers {
 			ended.done(ended.answer, ended.err)
 		}
-		for _, to := range ready.SnapshotsTo {
+		for _, to := range ready.SnapshotTargets {
 			n.beginSnapshot(g, to, now)
 		}
 	}
 }
 
 func (n *Node) tellApplied(g *group, entries []wire.LogEntry) {
-	if n.options.Applied == nil {
+	if n.options.OnApplied == nil {
 		return
 	}
 	for i := range entries {
-		n.options.Applied(g.number, &entries[i])
+		n.options.OnApplied(g.number, &entries[i])
 	}
 }
 
@@ -307,11 +307,11 @@
 
 // compact drops the oldest part of a log that has grown to twice what is kept.
 func (n *Node) compact(g *group) {
-	if g.replica.LogBytes() < 2*n.options.LogBytes {
+	if g.replica.LogBytes() < 2*n.options.RetainedLogBytes {
 		return
 	}
 	before := g.replica.Base().Index
-	base := g.replica.Compact(g.replica.CompactionPoint(n.options.LogBytes))
+	base := g.replica.Compact(g.replica.CompactionPoint(n.options.RetainedLogBytes))
 	if base.Index == before {
 		return
 	}
--- a/internal/scheduling/scheduler.go
+++ b/internal/scheduling/scheduler.go
@@ -87,10 +87,10 @@
 		running: map[string]*running{},
 		pipeline: routing.NewPipeline(
 			[]routing.Filter{routing.AvailableFilter{}, routing.ModelFilter{}, routing.ExcludeFilter{}},
-			[]routing.Weighted{
+			[]routing.WeightedScorer{
 				{Scorer: routing.PrefixScorer{}, Weight: weightPrefix},
 				{Scorer: routing.LoadScorer{}, Weight: weightLoad},
-				{Scorer: routing.GatherScorer{}, Weight: weightGather},
+				{Scorer: routing.ClassScorer{}, Weight: weightGather},
 			},
 			routing.BestPicker{},
 		),
@@ -119,10 +119,10 @@
 	if s.config.WorkerTimeout == 0 {
 		return
 	}
-	update, _ := event.(WorkerUpdate)
+	update, _ := event.(WorkerUpdated)
 	for _, id := range s.order {
 		if known := s.workers[id]; id != update.Spec.ID && !known.silent && s.now.Sub(known.heard) > s.config.WorkerTimeout {
-			WorkerSilent{Worker: id}.apply(s, s.now)
+			WorkerUnresponsive{Worker: id}.apply(s, s.now)
 		}
 	}
 }
@@ -148,7 +148,7 @@
 }
 
 func (s *Scheduler) refuse(attempt *Attempt, reason Reason, retryAfter time.Duration) {
-	s.emit(Action{Kind: Refuse, AttemptID: attempt.ID, Reason: reason, RetryAfter: retryAfter})
+	s.emit(Action{Kind: Reject, AttemptID: attempt.ID, Reason: reason, RetryAfter: retryAfter})
 }
 
 // servable reports whether any worker could ever run the attempt.
@@ -299,9 +299,9 @@
 	})
 }
 
-// BatchRoom returns how many more batch items could start now, and the models
+// BatchCapacity returns how many more batch items could start now, and the models
 // that the workers serve.
-func (s *Scheduler) BatchRoom() (int, []string) {
+func (s *Scheduler) BatchCapacity() (int, []string) {
 	room := 0
 	models := map[string]bool{}
 	for _, id := range s.order {
@@ -352,9 +352,9 @@
 // SetReserve changes the reserve in percent of a worker's slots.
 func (s *Scheduler) SetReserve(percent int) { s.config.ReservePercent = percent }
 
-// RunningOn returns the attempts in flight on a worker that were started at the
+// RunningSince returns the attempts in flight on a worker that were started at the
 // moment given or before.
-func (s *Scheduler) RunningOn(worker string, startedBy time.Time) int {
+func (s *Scheduler) RunningSince(worker string, startedBy time.Time) int {
 	known := s.workers[worker]
 	if known == nil {
 		return 0
--- a/internal/simulation/dispatcher.go
+++ b/internal/simulation/dispatcher.go
@@ -55,7 +55,7 @@
 	w := d.world
 	d.alive = true
 	d.life++
-	d.scheduler = scheduling.New(scheduling.Config{MaxQueue: maxOnlineQueue, ReservePercent: w.profile.ReservePercent, AdaptiveReserve: w.variant.Adaptive, EnginePriorities: w.variant.EnginePriorities, WorkerTimeout: workerTimeout}, w.random)
+	d.scheduler = scheduling.New(scheduling.Config{MaxQueue: maxOnlineQueue, ReservePercent: w.profile.ReservePercent, AdaptiveReserve: w.variant.AdaptiveReserve, EnginePriorities: w.variant.EnginePriorities, WorkerTimeout: workerTimeout}, w.random)
 	d.tasks = map[string]*task{}
 	d.workers = map[string]*ownedWorker{}
 	d.items = newItemSet(d)
@@ -72,14 +72,14 @@
 }
 
 func (d *dispatcherProcess) report(request *wire.HeartbeatRequest) {
-	_, request.Models = d.scheduler.BatchRoom()
+	_, request.Models = d.scheduler.BatchCapacity()
 	request.Utilization = d.scheduler.Utilization() &^ 31
 	for _, name := range sortedKeys(d.workers) {
 		e := d.world.engineByName(name)
 		owned := d.workers[name]
 		// Leaving is learnt from the engine's own reports.
 		leaving := owned.claimed && e.alive && e.load().Leaving && e.incarnation == owned.assignment.Incarnation
-		request.Workers = append(request.Workers, wire.WorkerReport{Worker: name, Epoch: owned.assignment.Epoch, Leaving: leaving && d.world.mutation != MutationForgetLeaving})
+		request.Workers = append(request.Workers, wire.WorkerReport{Worker: name, Epoch: owned.assignment.Epoch, Leaving: leaving && d.world.mutation != MutationIgnoreLeaving})
 	}
 }
 
@@ -144,19 +144,19 @@
 	}
 	foreign := 0
 	if !owned.settled {
-		foreign = load.Running + load.Waiting - d.scheduler.RunningOn(owned.assignment.Worker, d.world.clock.now.Add(-2*loadLag))
+		foreign = load.Running + load.Waiting - d.scheduler.RunningSince(owned.assignment.Worker, d.world.clock.now.Add(-2*loadLag))
 		owned.settled = foreign <= 0
 	}
-	d.step(scheduling.WorkerUpdate{Spec: scheduling.WorkerSpec{
-		ID:       owned.assignment.Worker,
-		Address:  owned.assignment.Worker,
-		Zone:     owned.assignment.Zone,
-		Epoch:    owned.assignment.Epoch,
-		Slots:    d.world.profile.capacity().Slots,
-		KVTokens: d.world.profile.capacity().KVTokens,
-		Models:   map[string]bool{simulatedModel: true},
-		Leaving:  owned.assignment.Leaving || (load.Leaving && d.world.mutation != MutationForgetLeaving),
-		Foreign:  max(0, foreign),
+	d.step(scheduling.WorkerUpdated{Spec: scheduling.WorkerSpec{
+		ID:                 owned.assignment.Worker,
+		Address:            owned.assignment.Worker,
+		Zone:               owned.assignment.Zone,
+		Epoch:              owned.assignment.Epoch,
+		Slots:              d.world.profile.capacity().Slots,
+		KVTokens:           d.world.profile.capacity().KVTokens,
+		Models:             map[string]bool{simulatedModel: true},
+		Leaving:            owned.assignment.Leaving || (load.Leaving && d.world.mutation != MutationIgnoreLeaving),
+		PreviousOwnerSlots: max(0, foreign),
 	}})
 }
 
@@ -171,7 +171,7 @@
 			if err != nil || d.workers[name] != owned || load.Incarnation > owned.assignment.Incarnation {
 				return
 			}
-			if load.Leaving && d.world.mutation != MutationForgetLeaving {
+			if load.Leaving && d.world.mutation != MutationIgnoreLeaving {
 				owned.assignment.Leaving = true
 			}
 			d.update(owned)
@@ -184,7 +184,7 @@
 	actions := d.scheduler.Step(d.world.clock.now, happened)
 	if w := d.world; w.experiment != nil {
 		// Every step is checked in failure runs; here it would take the time.
-	} else if err := d.scheduler.Verify(); err != nil {
+	} else if err := d.scheduler.CheckInvariants(); err != nil {
 		d.world.ledger.violate("priority", "%s: %v", d.name, err)
 	}
 	for _, action := range actions {
@@ -204,7 +204,7 @@
 			found.started = true
 			found.leaveWorker(true)
 			found.failed(failure.New(failure.OutcomeUnknown, "send it again if it may be repeated", "the worker stopped answering"))
-		case scheduling.Refuse:
+		case scheduling.Reject:
 			delete(d.tasks, action.AttemptID)
 			found.failed(failure.New(failure.NotRun, "send it again", "refused for reason %d", action.Reason))
 		}
--- a/internal/simulation/world_run.go
+++ b/internal/simulation/world_run.go
@@ -36,8 +36,8 @@
 	WarmUp     time.Duration
 	FaultsFrom time.Duration
 	FaultsTo   time.Duration
-	Settle     time.Duration
-	Faults     int
+	Recovery   time.Duration
+	FaultCount int
 }
 
 func profile(name string, zones, workers int, jobInterval time.Duration) Profile {
@@ -59,8 +59,8 @@
 		WarmUp:         5 * time.Second,
 		FaultsFrom:     6 * time.Second,
 		FaultsTo:       20 * time.Second,
-		Settle:         60 * time.Second,
-		Faults:         8,
+		Recovery:       60 * time.Second,
+		FaultCount:     8,
 	}
 }
 
@@ -82,16 +82,16 @@
 	target.Gateways = 130
 	target.FaultsFrom = 8 * time.Second
 	target.FaultsTo = 10 * time.Second
-	target.Faults = 1
+	target.FaultCount = 1
 	return target
 }
 
 // Options say what to run.
 type Options struct {
-	Profile  Profile
-	Seed     uint64
-	Kinds    []string
-	Mutation Mutation
+	Profile    Profile
+	Seed       uint64
+	FaultKinds []string
+	Mutation   Mutation
 	// Variant is set in experiments.
 	Variant Variant
 	// Schedule replaces the schedule drawn from the seed.
@@ -131,26 +131,26 @@
 	Profile     string
 	Schedule    []Fault
 	Violations  []Violation
-	Struck      map[string]int
+	Injected    map[string]int
 	Requests    int
-	Whole       int
-	Refused     int
+	Completed   int
+	Rejected    int
 	Jobs        int
 	Items       int
 	Changes     int
 	Preemptions int
 	Resumes     int
-	// LeaderChange, HandOver, InForce and FaultyInForce are explained in
+	// LeaderFailover, HandOver, InForce and FaultyInForce are explained in
 	// timings.
-	LeaderChange  []time.Duration
-	HandOver      []time.Duration
-	InForce       []time.Duration
-	FaultyInForce []time.Duration
-	// PeakControl is the most calls to control in one second, once faults can
+	LeaderFailover     []time.Duration
+	WorkerReassignment []time.Duration
+	InForce            []time.Duration
+	InForceUnderFault  []time.Duration
+	// PeakControlCalls is the most calls to control in one second, once faults can
 	// strike.
-	PeakControl int
-	// Virtual is the simulated time.
-	Virtual time.Duration
+	PeakControlCalls int
+	// VirtualTime is the simulated time.
+	VirtualTime time.Duration
 }
 
 // streams of random numbers that one seed is split into, so that leaving a fault
@@ -167,7 +167,7 @@
 	w := newWorld(options)
 	schedule := options.Schedule
 	if schedule == nil {
-		schedule = drawSchedule(rand.New(rand.NewPCG(options.Seed, streamSchedule)), options.Kinds, w.profile.FaultsFrom, w.profile.FaultsTo, w.profile.Faults)
+		schedule = drawSchedule(rand.New(rand.NewPCG(options.Seed, streamSchedule)), options.FaultKinds, w.profile.FaultsFrom, w.profile.FaultsTo, w.profile.FaultCount)
 	}
 	w.plannedStopsOnly = true
 	for _, fault := range schedule {
@@ -203,7 +203,7 @@
 	w.ledger.calm = func() bool { return len(w.faults.counts) == 0 }
 	w.ledger.timings.living = w.livingDaemons
 	w.ledger.timings.faulty = func() bool { return w.faults.on > 0 }
-	w.settleEnd = epoch.Add(w.profile.FaultsTo + w.profile.Settle)
+	w.settleEnd = epoch.Add(w.profile.FaultsTo + w.profile.Recovery)
 	w.addPlatform()
 	for number := 0; number < w.profile.Workers; number++ {
 		w.addEngine(number)
@@ -296,7 +296,7 @@
 			break
 		}
 		if w.clock.now.After(w.settleEnd) {
-			w.ledger.violate("recovery", "%s after the faults: %s", w.profile.Settle, missing)
+			w.ledger.violate("recovery", "%s after the faults: %s", w.profile.Recovery, missing)
 			return
 		}
 	}
@@ -348,7 +348,7 @@
 		if !c.alive {
 			continue
 		}
-		read := c.readJobs(group, func(*coordination.Jobs, storage.Reader) (err error) {
+		read := c.readJobs(group, func(*coordination.JobLeader, storage.Reader) (err error) {
 			record, err = c.jobs[group-1].Job("", id)
 			return err
 		})
@@ -383,33 +383,33 @@
 
 func (w *World) result(options Options, schedule []Fault) *Result {
 	result := &Result{
-		Seed:          options.Seed,
-		Profile:       w.profile.Name,
-		Schedule:      schedule,
-		Violations:    w.ledger.violations,
-		Struck:        w.faults.counts,
-		Requests:      len(w.ledger.order),
-		Jobs:          len(w.ledger.jobs),
-		Changes:       len(w.ledger.accepted),
-		Preemptions:   w.ledger.preemptions,
-		Resumes:       w.ledger.resumes,
-		LeaderChange:  w.ledger.timings.LeaderChange,
-		HandOver:      w.ledger.timings.HandOver,
-		InForce:       w.ledger.timings.InForce,
-		FaultyInForce: w.ledger.timings.FaultyInForce,
-		Virtual:       w.clock.now.Sub(epoch),
+		Seed:               options.Seed,
+		Profile:            w.profile.Name,
+		Schedule:           schedule,
+		Violations:         w.ledger.violations,
+		Injected:           w.faults.counts,
+		Requests:           len(w.ledger.order),
+		Jobs:               len(w.ledger.jobs),
+		Changes:            len(w.ledger.accepted),
+		Preemptions:        w.ledger.preemptions,
+		Resumes:            w.ledger.resumes,
+		LeaderFailover:     w.ledger.timings.LeaderFailover,
+		WorkerReassignment: w.ledger.timings.WorkerReassignment,
+		InForce:            w.ledger.timings.InForce,
+		InForceUnderFault:  w.ledger.timings.InForceUnderFault,
+		VirtualTime:        w.clock.now.Sub(epoch),
 	}
 	for second, calls := range w.controlLoad {
 		if second >= epoch.Add(w.profile.FaultsFrom).Unix() {
-			result.PeakControl = max(result.PeakControl, calls)
+			result.PeakControlCalls = max(result.PeakControlCalls, calls)
 		}
 	}
 	for _, record := range w.ledger.order {
 		if record.over && record.err == nil {
-			result.Whole++
+			result.Completed++
 		}
 	}
-	result.Refused = result.Requests - result.Whole
+	result.Rejected = result.Requests - result.Completed
 	for _, job := range w.ledger.jobs {
 		result.Items += len(job.seen)
 	}
