--- a/internal/loadshare/chooser.go
+++ b/internal/loadshare/chooser.go
@@ -11,88 +11,89 @@
 )
 
 const (
-	// silence is how long a hub may be silent before another is asked. Together with
-	// one interval it stays within Fresh, so that a reporter whose hub is lost asks
-	// the next one before what it knows is too old.
-	silence = 2*MaxInterval + Interval
-	// homeAfter is how long a reporter stays away from the hub that it likes best,
-	// once that was silent, before it tries it again. A lost store leaves the view
-	// of the fleet after some 3 s.
-	homeAfter = 2 * time.Second
-	// doubtAfter is how long a hub must have been silent to be doubted.
-	doubtAfter = 40 * time.Millisecond
+	// hubTimeout is how long a hub may stay unresponsive before the next one is tried. Together
+	// with one interval it stays within ReportTTL, so that a reporter that lost its hub reaches the
+	// next one before the loads it knows expire.
+	hubTimeout = 2*MaxInterval + Interval
+	// preferredRetryDelay is how long a reporter waits after it left its preferred hub before it
+	// tries that hub again. A lost store is removed from the membership after about 3 s.
+	preferredRetryDelay = 2 * time.Second
+	// suspectAfter is how long a hub must have been unresponsive before unanswered requests count
+	// against it.
+	suspectAfter = 40 * time.Millisecond
 )
 
-// chooser chooses whom to tell the loads. It is pure; times are those since its
-// process began.
-type chooser struct {
-	// home is set where the first candidate is to be gone back to.
-	home   bool
-	target string
-	// since is when the target was chosen, heard when a hub last answered.
-	since time.Duration
-	heard time.Duration
-	// referred is the hub that another process has named, until it is asked.
-	referred string
+// hubSelector selects the hub that a process reports to. It does no I/O; times are relative to the
+// start of the process.
+type hubSelector struct {
+	// preferFirst makes the selector return to the first candidate after preferredRetryDelay.
+	preferFirst bool
+	target      string
+	// targetSince is when the target was selected, lastAnswer when a hub last answered.
+	targetSince time.Duration
+	lastAnswer  time.Duration
+	// referral is the hub that another process named, until it becomes the target.
+	referral string
 }
 
-// next returns whom to tell now, empty for nobody, and whom to tell that this process
-// reports to it no more, empty for nobody.
-func (c *chooser) next(now time.Duration, candidates []string) (target, left string) {
-	before, heard := c.target, c.heard >= c.since && c.target != ""
+// next returns the hub to report to now, and the previous hub if it has to be told that this
+// process reports elsewhere. Either is empty if there is none.
+func (s *hubSelector) next(now time.Duration, candidates []string) (target, previous string) {
+	current, answered := s.target, s.lastAnswer >= s.targetSince && s.target != ""
 	switch {
-	case c.referred != "":
-		c.move(now, c.referred)
-		c.referred = ""
-	case c.target == "" || now-max(c.since, c.heard) > silence:
-		c.move(now, after(candidates, c.target))
-		heard = false
-	case c.home && len(candidates) > 0 && c.target != candidates[0] && now-c.since > homeAfter:
-		c.move(now, candidates[0])
+	case s.referral != "":
+		s.switchTo(now, s.referral)
+		s.referral = ""
+	case s.target == "" || now-max(s.targetSince, s.lastAnswer) > hubTimeout:
+		s.switchTo(now, nextCandidate(candidates, s.target))
+		answered = false
+	case s.preferFirst && len(candidates) > 0 && s.target != candidates[0] && now-s.targetSince > preferredRetryDelay:
+		s.switchTo(now, candidates[0])
 	}
-	if before != c.target && heard {
-		left = before
+	if current != s.target && answered {
+		previous = current
 	}
-	return c.target, left
+	return s.target, previous
 }
 
-func (c *chooser) move(now time.Duration, target string) {
-	if target != c.target {
-		c.target, c.since = target, now
+func (s *hubSelector) switchTo(now time.Duration, target string) {
+	if target != s.target {
+		s.target, s.targetSince = target, now
 		return
 	}
-	c.since = now
+	s.targetSince = now
 }
 
-// after returns the candidate that follows one, the first where that is none.
-func after(candidates []string, candidate string) string {
+// nextCandidate returns the candidate that follows the given one, or the first if the given one is
+// not among them.
+func nextCandidate(candidates []string, candidate string) string {
 	if len(candidates) == 0 {
 		return ""
 	}
 	return candidates[(slices.Index(candidates, candidate)+1)%len(candidates)]
 }
 
-// doubt takes in that the hub leaves questions unanswered: the next one is told from now
-// on, unless it has been the hub for a moment only.
-func (c *chooser) doubt(now time.Duration) {
-	if now-max(c.since, c.heard) > doubtAfter {
-		c.since, c.heard = now-silence-1, min(c.heard, now-silence-1)
+// suspect records that the hub leaves requests unanswered: the following call of next switches to
+// another one, unless the hub was selected or answered within suspectAfter.
+func (s *hubSelector) suspect(now time.Duration) {
+	if now-max(s.targetSince, s.lastAnswer) > suspectAfter {
+		s.targetSince, s.lastAnswer = now-hubTimeout-1, min(s.lastAnswer, now-hubTimeout-1)
 	}
 }
 
-// answered takes in that a hub has answered.
-func (c *chooser) answered(now time.Duration) { c.heard = now }
+// recordAnswer records that a hub answered.
+func (s *hubSelector) recordAnswer(now time.Duration) { s.lastAnswer = now }
 
-// refer takes in that a process named the hub to ask.
-func (c *chooser) refer(address string) {
-	if address != c.target {
-		c.referred = address
+// recordReferral records that a process named the hub to report to.
+func (s *hubSelector) recordReferral(address string) {
+	if address != s.target {
+		s.referral = address
 	}
 }
 
-// HubOrder returns the stores in the order in which processes of a zone ask them to be
-// their hub: those of the zone first. All processes of a zone that know the same
-// stores have the same order, and a store that comes or goes changes little of it.
+// HubOrder returns the stores in the order in which the processes of a zone prefer them as their
+// hub: stores of the zone first. Processes of a zone that know the same stores compute the same
+// order, and adding or removing a store leaves the order of the others unchanged.
 func HubOrder(zone string, stores []wire.ProcessAddress) []string {
 	ordered := slices.Clone(stores)
 	rank := func(store *wire.ProcessAddress) uint64 { return xxhash.Sum64String(zone + " " + store.Address) }
--- a/internal/loadshare/chooser_test.go
+++ b/internal/loadshare/chooser_test.go
@@ -8,88 +8,89 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// TestSilentHubIsReplacedInTime lets the best hub fall silent: the next one is asked
-// before what is known is too old, and the best one again once it may be back.
+// TestSilentHubIsReplacedInTime makes the preferred hub unresponsive: the next one must be
+// selected before the known loads expire, and the preferred one again after it is back.
 func TestSilentHubIsReplacedInTime(t *testing.T) {
 	hubs := []string{"a", "b", "c"}
-	c := chooser{home: true}
-	var now, lost, moved, home time.Duration
-	lost = time.Second
-	for ; home == 0 && now < 10*time.Second; now += Interval {
-		target, _ := c.next(now, hubs)
-		up := target != "a" || now < lost || now > 2*time.Second
+	selector := hubSelector{preferFirst: true}
+	var now, lostAt, switchedAt, returnedAt time.Duration
+	lostAt = time.Second
+	for ; returnedAt == 0 && now < 10*time.Second; now += Interval {
+		target, _ := selector.next(now, hubs)
+		up := target != "a" || now < lostAt || now > 2*time.Second
 		if up {
-			c.answered(now)
+			selector.recordAnswer(now)
 		}
 		switch {
-		case target == "b" && moved == 0:
-			moved = now
-		case moved > 0 && target == "a" && up:
-			home = now
+		case target == "b" && switchedAt == 0:
+			switchedAt = now
+		case switchedAt > 0 && target == "a" && up:
+			returnedAt = now
 		}
 	}
-	if moved-lost > ReportTTL {
-		t.Errorf("the next hub is asked %s after the first was lost", moved-lost)
+	if switchedAt-lostAt > ReportTTL {
+		t.Errorf("switched to the next hub %s after the first was lost", switchedAt-lostAt)
 	}
-	if home == 0 || home-moved > 2*homeAfter {
-		t.Errorf("it goes back at %s, having left at %s", home, moved)
+	if returnedAt == 0 || returnedAt-switchedAt > 2*preferredRetryDelay {
+		t.Errorf("returned to the preferred hub at %s after leaving it at %s", returnedAt, switchedAt)
 	}
 }
 
-// TestLeftHubIsTold checks that a hub is told that its reporter went elsewhere if it
-// has counted it, and only then.
-func TestLeftHubIsTold(t *testing.T) {
+// TestPreviousHubIsNotified checks that a reporter that switches hubs notifies the previous one only if
+// that one has answered, and so counts the reporter.
+func TestPreviousHubIsNotified(t *testing.T) {
 	hubs := []string{"a", "b"}
-	c := chooser{home: true, target: "b"}
-	c.answered(0)
-	if target, left := c.next(homeAfter+1, hubs); target != "b" {
-		// b has been silent, so this is a move away from a lost hub.
-		if left != "" {
-			t.Errorf("a silent hub is told: %q", left)
+	selector := hubSelector{preferFirst: true, target: "b"}
+	selector.recordAnswer(0)
+	if target, previous := selector.next(preferredRetryDelay+1, hubs); target != "b" {
+		// b has not answered for too long, so this switch leaves an unresponsive hub.
+		if previous != "" {
+			t.Errorf("unresponsive hub %q is notified", previous)
 		}
 	}
-	c = chooser{home: true, target: "b"}
+	selector = hubSelector{preferFirst: true, target: "b"}
 	now := time.Duration(0)
-	for now <= homeAfter {
-		c.answered(now)
-		if target, left := c.next(now, hubs); target != "b" || left != "" {
-			t.Fatalf("at %s: %q, left %q", now, target, left)
+	for now <= preferredRetryDelay {
+		selector.recordAnswer(now)
+		if target, previous := selector.next(now, hubs); target != "b" || previous != "" {
+			t.Fatalf("at %s: target %q, previous %q", now, target, previous)
 		}
 		now += Interval
 	}
-	c.answered(now)
-	if target, left := c.next(now, hubs); target != "a" || left != "b" {
-		t.Errorf("%q, left %q", target, left)
+	selector.recordAnswer(now)
+	if target, previous := selector.next(now, hubs); target != "a" || previous != "b" {
+		t.Errorf("target %q, previous %q; want a and b", target, previous)
 	}
 }
 
-// TestReferralIsFollowed checks that the hub that is named is asked next, once.
+// TestReferralIsFollowed checks that a hub named in a referral is selected next and stays
+// selected.
 func TestReferralIsFollowed(t *testing.T) {
 	hubs := []string{"a", "b", "c"}
-	c := chooser{}
-	if target, _ := c.next(0, hubs); target != "a" {
+	selector := hubSelector{}
+	if target, _ := selector.next(0, hubs); target != "a" {
 		t.Fatalf("%q", target)
 	}
-	c.refer("c")
-	for now := Interval; now < homeAfter; now += Interval {
-		if target, _ := c.next(now, hubs); target != "c" {
-			t.Fatalf("at %s: %q", now, target)
+	selector.recordReferral("c")
+	for now := Interval; now < preferredRetryDelay; now += Interval {
+		if target, _ := selector.next(now, hubs); target != "c" {
+			t.Fatalf("at %s: target %q, want c", now, target)
 		}
-		c.answered(now)
+		selector.recordAnswer(now)
 	}
-	if target, _ := (&chooser{}).next(0, nil); target != "" {
-		t.Errorf("%q where no hub is known", target)
+	if target, _ := (&hubSelector{}).next(0, nil); target != "" {
+		t.Errorf("target %q without known hubs", target)
 	}
 }
 
-// TestHubOrder checks that a zone's own stores come first, in an order that all share
-// and that the loss of a store leaves as it is.
+// TestHubOrder checks that a zone's own stores come first, and that the order depends neither on
+// the order of the list nor on a store that was removed.
 func TestHubOrder(t *testing.T) {
 	stores := []wire.ProcessAddress{{Address: "1", Zone: "a"}, {Address: "2", Zone: "b"}, {Address: "3", Zone: "a"}, {Address: "4", Zone: "b"}, {Address: "5", Zone: "a"}}
 	order := HubOrder("a", stores)
 	slices.Reverse(stores)
 	if !slices.Equal(order, HubOrder("a", stores)) {
-		t.Error("the order depends on that of the list")
+		t.Error("the order depends on the order of the list")
 	}
 	own := slices.Clone(order[:3])
 	slices.Sort(own)
@@ -98,6 +99,6 @@
 	}
 	fewer := slices.DeleteFunc(slices.Clone(stores), func(s wire.ProcessAddress) bool { return s.Address == order[0] })
 	if !slices.Equal(HubOrder("a", fewer), order[1:]) {
-		t.Errorf("order %v without the first of %v", HubOrder("a", fewer), order)
+		t.Errorf("order %v after the first store of %v was removed", HubOrder("a", fewer), order)
 	}
 }
--- a/internal/loadshare/datagrams.go
+++ b/internal/loadshare/datagrams.go
@@ -15,11 +15,11 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// maxDatagram bounds a report; what does not fit is left out.
+// maxDatagram is the size limit of a report in bytes; rows that do not fit are omitted.
 const maxDatagram = 60 << 10
 
-// Serve answers reports at the address until ctx ends. answer returns what the
-// sender is told, or nothing if it is to ask elsewhere.
+// Serve answers reports that arrive at the UDP address until ctx ends. answer returns the reply to
+// the sender, or nil to send none. It returns an error if the socket can't be opened.
 func Serve(ctx context.Context, address string, answer func(report *wire.LoadReport) *wire.LoadReport) error {
 	udpAddress, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
@@ -40,12 +40,12 @@
 			}
 			continue
 		}
-		report := read(buffer[:count], sender)
+		report := decodeReport(buffer[:count], sender)
 		if report == nil {
 			continue
 		}
 		if reply := answer(report); reply != nil {
-			// A lost answer is made good by the next.
+			// A lost answer is replaced by the next one.
 			if encoded, err := reply.MarshalMsg(nil); err == nil {
 				_, _ = socket.WriteToUDPAddrPort(encoded, sender)
 			}
@@ -53,66 +53,67 @@
 	}
 }
 
-// read returns the report in a datagram, or nil where it can't be read.
-func read(datagram []byte, sender netip.AddrPort) *wire.LoadReport {
+// decodeReport returns the report in a datagram, or nil if it can't be decoded.
+func decodeReport(datagram []byte, sender netip.AddrPort) *wire.LoadReport {
 	report := &wire.LoadReport{}
 	if _, err := report.UnmarshalMsg(datagram); err != nil {
-		// A datagram tells no generation where it can't be read.
+		// The sender's generation is unknown if the datagram can't be decoded.
 		decodeerror.Record(string(traffic.Loads), sender.String(), 0, err)
 		return nil
 	}
 	return report
 }
 
-// Reporter is what a process tells a hub and learns from it.
+// Reporter connects a process to its hub: it supplies the reports and receives the answers.
 type Reporter struct {
-	// Hubs returns the addresses among which a hub is looked for, the best first.
+	// Hubs returns the addresses of the candidate hubs, in order of preference.
 	Hubs func() []string
-	// PreferFirst is set where the first of them is to be gone back to whenever it answers.
-	// Otherwise the reporter stays with the hub that answers, or that it is referred to.
+	// PreferFirst makes the reporter return to the first candidate whenever that one answers.
+	// Otherwise it stays with the hub that answers or that it was referred to.
 	PreferFirst bool
-	// Report returns what this process has, or nil if there is nothing to tell.
+	// Report returns the loads of this process, or nil if there is nothing to report.
 	Report func() *wire.LoadReport
-	// OnAnswer takes in the hub's answer, which says what the others have.
+	// OnAnswer handles the hub's answer, which holds the loads of the other processes.
 	OnAnswer func(now time.Time, answer *wire.LoadReport)
-	// Interval returns the time to the next report, see Interval.
+	// Interval returns the time until the next report, between Interval and MaxInterval.
 	Interval func() time.Duration
-	// Meter counts the exchanges; it may be nil.
+	// Meter counts the datagrams and their bytes; it may be nil.
 	Meter *traffic.Meter
 }
 
-// Report tells a hub what this process has, again and again, until ctx ends.
-func Report(ctx context.Context, p *Reporter) error { return NewExchange(p).Run(ctx) }
+// Report sends the loads of this process to a hub at intervals until ctx ends.
+func Report(ctx context.Context, r *Reporter) error { return NewExchange(r).Run(ctx) }
 
-// Exchange tells a hub what a process has, at intervals and whenever it is asked to.
+// Exchange sends the loads of a process to a hub, at intervals and on request, and matches the
+// answers to the callers that wait for them.
 type Exchange struct {
-	reporter *Reporter
-	began    time.Time
+	reporter  *Reporter
+	startedAt time.Time
 
-	// mutex guards what follows.
-	mutex   sync.Mutex
-	chooser chooser
-	// socket is nil while Run does not run.
+	// mutex guards the fields below.
+	mutex sync.Mutex
+	hubs  hubSelector
+	// socket is nil until Run has opened it.
 	socket *net.UDPConn
-	// asked is when a report was sent last that is to be answered, answered is closed
-	// at the next answer.
-	asked    time.Duration
-	answered chan struct{}
-	// replies says which reports have been answered.
-	replies replies
-	// questions holds who waits for verdicts, by ticket.
-	questions map[uint64]chan wire.TokenVerdict
-	// claims holds the standings told of requests that claim room, by ticket; nil while
-	// none was told.
-	claims map[uint64]*wire.RoomStanding
+	// lastRequest is when the last report that asks for an answer was sent; answerReceived is
+	// closed and replaced when an answer arrives.
+	lastRequest    time.Duration
+	answerReceived chan struct{}
+	// replies tracks which reports were answered.
+	replies replyTracker
+	// tokenWaiters holds the callers that wait for verdicts, by ticket.
+	tokenWaiters map[uint64]chan wire.TokenVerdict
+	// standings holds the answers to capacity claims by ticket, nil until the hub sends a standing.
+	standings map[uint64]*wire.RoomStanding
 }
 
-// NewExchange returns an exchange; Run runs it.
-func NewExchange(p *Reporter) *Exchange {
-	return &Exchange{reporter: p, began: clock.Now(), chooser: chooser{home: p.PreferFirst}, answered: make(chan struct{}), replies: replies{keep: replyTime}, questions: map[uint64]chan wire.TokenVerdict{}, claims: map[uint64]*wire.RoomStanding{}}
+// NewExchange returns an exchange that starts when Run is called.
+func NewExchange(r *Reporter) *Exchange {
+	return &Exchange{reporter: r, startedAt: clock.Now(), hubs: hubSelector{preferFirst: r.PreferFirst}, answerReceived: make(chan struct{}), replies: replyTracker{timeout: replyTimeout}, tokenWaiters: map[uint64]chan wire.TokenVerdict{}, standings: map[uint64]*wire.RoomStanding{}}
 }
 
-// Run reports at the reporter's pauses until ctx ends.
+// Run sends reports at the reporter's intervals until ctx ends. It returns an error if no socket
+// can be opened.
 func (x *Exchange) Run(ctx context.Context) error {
 	socket, err := net.ListenUDP("udp", &net.UDPAddr{})
 	if err != nil {
@@ -132,112 +133,114 @@
 			return nil
 		case <-timer.C:
 		}
-		x.report(message{})
+		x.sendReport(message{})
 		timer.Reset(x.reporter.Interval())
 	}
 }
 
-// sameAsk is how close together two questions share an answer: less than it takes to
-// come within a zone.
-const sameAsk = time.Millisecond
+// sharedAnswerWindow is the time within which a second query waits for the answer to the first
+// instead of sending its own: less than a round trip within a zone.
+const sharedAnswerWindow = time.Millisecond
 
-// Query tells the hub what this process has and waits for the answer, for patience at
-// most. It reports whether there was one in time. Where the hub has not answered lately
-// it does not wait. asked are the short names of workers that the answer is to tell of.
-// repeatable is set where the request to be placed may run more than once.
-func (x *Exchange) Query(ctx context.Context, patience time.Duration, asked []uint32, repeatable bool) bool {
+// Query sends the loads of this process to the hub and waits for an answer, at most for the given
+// time. It reports whether one arrived in time. If the hub has not answered within ReportTTL it
+// returns at once. The answer covers the workers whose hashes are given. repeatable is set if the
+// request to be placed may run more than once.
+func (x *Exchange) Query(ctx context.Context, timeout time.Duration, workers []uint32, repeatable bool) bool {
 	x.mutex.Lock()
-	now := clock.Since(x.began)
-	answered, silent := x.answered, now-x.chooser.heard > ReportTTL || x.chooser.heard == 0
-	shared := x.asked > 0 && now-x.asked < sameAsk
+	now := clock.Since(x.startedAt)
+	answered, unresponsive := x.answerReceived, now-x.hubs.lastAnswer > ReportTTL || x.hubs.lastAnswer == 0
+	shared := x.lastRequest > 0 && now-x.lastRequest < sharedAnswerWindow
 	x.mutex.Unlock()
-	if silent {
+	if unresponsive {
 		return false
 	}
 	if !shared {
-		x.report(message{choosing: true, asked: asked, repeatable: repeatable})
+		x.sendReport(message{choosing: true, workers: workers, repeatable: repeatable})
 	}
-	timeout := time.NewTimer(patience)
-	defer timeout.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
 	case <-answered:
 		return true
-	case <-timeout.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 	return false
 }
 
-// Report tells the hub what this process has, without an answer.
-func (x *Exchange) Report() { x.report(message{quiet: true}) }
+// Report sends the loads of this process to the hub without asking for an answer.
+func (x *Exchange) Report() { x.sendReport(message{noAnswer: true}) }
 
 const (
-	// tokenPause is the time between two sendings of a question for a token: several
-	// times what an answer takes within a zone.
-	tokenPause = 12 * time.Millisecond
-	// tokenDoubt is after how many of them without an answer another hub is asked, and
-	// tokenTries how many there are.
-	tokenDoubt = 4
-	tokenTries = 9
+	// tokenRetryInterval is the time after which an unanswered token request is sent again: several
+	// times the round trip within a zone.
+	tokenRetryInterval = 12 * time.Millisecond
+	// tokenTriesPerHub is the number of unanswered tries after which another hub is selected, and
+	// maxTokenTries the total number of tries.
+	tokenTriesPerHub = 4
+	maxTokenTries    = 9
 )
 
-// AcquireToken asks the hub for a token of a tenant. The answer also tells what the hub knows of
-// the workers, and how the claim stands where one goes with the question: nil means within
-// the share. It reports whether there was an answer. repeatable is as for Ask.
+// AcquireToken asks the hub for a token of a tenant's limit. It returns the verdict, the standing
+// of the claim sent along with it (nil if there is no claim or the tenant is within its share),
+// and whether the hub answered. The answer also updates the loads of the workers. repeatable has
+// the same meaning as in Query.
 func (x *Exchange) AcquireToken(ctx context.Context, question wire.TokenQuestion, claim *wire.RoomClaim, repeatable bool) (wire.TokenVerdict, *wire.RoomStanding, bool) {
 	verdict := make(chan wire.TokenVerdict, 1)
 	m := message{choosing: true, tokens: []wire.TokenQuestion{question}, repeatable: repeatable}
 	if claim != nil {
 		m.claims = []wire.RoomClaim{*claim}
-		defer x.forgetClaim(x.expect(claim))
+		defer x.unregisterClaim(x.registerClaim(claim))
 	}
 	x.mutex.Lock()
-	x.questions[question.Ticket] = verdict
+	x.tokenWaiters[question.Ticket] = verdict
 	x.mutex.Unlock()
 	defer func() {
 		x.mutex.Lock()
-		delete(x.questions, question.Ticket)
+		delete(x.tokenWaiters, question.Ticket)
 		x.mutex.Unlock()
 	}()
-	timer := time.NewTimer(tokenPause)
+	timer := time.NewTimer(tokenRetryInterval)
 	defer timer.Stop()
-	for try := 1; try <= tokenTries; try++ {
-		x.report(m)
+	for try := 1; try <= maxTokenTries; try++ {
+		x.sendReport(m)
 		select {
 		case answer := <-verdict:
 			return answer, x.standing(claim), true
 		case <-timer.C:
-			timer.Reset(tokenPause)
+			timer.Reset(tokenRetryInterval)
 		case <-ctx.Done():
 			return wire.TokenVerdict{}, nil, false
 		}
-		if try%tokenDoubt == 0 {
-			x.doubt()
+		if try%tokenTriesPerHub == 0 {
+			x.suspectHub()
 		}
 	}
 	return wire.TokenVerdict{}, nil, false
 }
 
-// claimTries is how many times a claim is sent within the patience of its request.
-const claimTries = 2
+// maxClaimTries is how often a claim is sent within the timeout of QueryClaim.
+const maxClaimTries = 2
 
-// QueryClaim puts a request's claim of room to the hub with the question of what the others have
-// at the workers (Ask). It returns how the claim stands, nil for within the share, and
-// whether there was an answer in time, to a report that was sent with the claim or after it: the
-// answer to an earlier one says nothing of it. repeatable is as for Ask.
-func (x *Exchange) QueryClaim(ctx context.Context, patience time.Duration, asked []uint32, claim *wire.RoomClaim, repeatable bool) (*wire.RoomStanding, bool) {
+// QueryClaim sends a request's capacity claim to the hub together with a query for the loads of
+// the given workers, as Query does. It returns the standing of the claim, nil if the tenant is
+// within its share, and whether the hub answered in time. Only answers to the report that first
+// carried the claim or to later ones count, because answers to earlier reports say nothing about
+// it. repeatable has the same meaning as in Query.
+func (x *Exchange) QueryClaim(ctx context.Context, timeout time.Duration, workers []uint32, claim *wire.RoomClaim, repeatable bool) (*wire.RoomStanding, bool) {
 	x.mutex.Lock()
-	silent := clock.Since(x.began)-x.chooser.heard > ReportTTL || x.chooser.heard == 0
+	unresponsive := clock.Since(x.startedAt)-x.hubs.lastAnswer > ReportTTL || x.hubs.lastAnswer == 0
 	x.mutex.Unlock()
-	if silent {
+	if unresponsive {
 		return nil, false
 	}
-	defer x.forgetClaim(x.expect(claim))
-	timer := time.NewTimer(patience / claimTries)
+	defer x.unregisterClaim(x.registerClaim(claim))
+	timer := time.NewTimer(timeout / maxClaimTries)
 	defer timer.Stop()
 	first := uint64(0)
-	for range claimTries {
-		number := x.report(message{choosing: true, asked: asked, claims: []wire.RoomClaim{*claim}, repeatable: repeatable})
+	for range maxClaimTries {
+		number := x.sendReport(message{choosing: true, workers: workers, claims: []wire.RoomClaim{*claim}, repeatable: repeatable})
 		first = cmp.Or(first, number)
 		if x.awaitStanding(ctx, timer, first, claim) {
 			return x.standing(claim), true
@@ -245,20 +248,20 @@
 		if ctx.Err() != nil {
 			return nil, false
 		}
-		timer.Reset(patience / claimTries)
+		timer.Reset(timeout / maxClaimTries)
 	}
 	return nil, false
 }
 
-// awaitStanding waits until the claim is answered, the timer fires or ctx ends. It reports
-// whether the answer came. first is the number of the first report that the claim went with, zero
-// where none was sent.
+// awaitStanding waits until the claim is answered, the timer fires or ctx ends, and reports
+// whether the claim was answered. first is the number of the first report that carried the claim,
+// zero if none was sent.
 func (x *Exchange) awaitStanding(ctx context.Context, timer *time.Timer, first uint64, claim *wire.RoomClaim) bool {
 	for {
 		x.mutex.Lock()
-		next, known := x.answered, first > 0 && x.replies.answered >= first || x.claims[claim.Ticket] != nil
+		next, answered := x.answerReceived, first > 0 && x.replies.answered >= first || x.standings[claim.Ticket] != nil
 		x.mutex.Unlock()
-		if known {
+		if answered {
 			return true
 		}
 		select {
@@ -271,91 +274,92 @@
 	}
 }
 
-// expect lets the standing of a claim be kept until forgetClaim, and returns its ticket.
-func (x *Exchange) expect(claim *wire.RoomClaim) uint64 {
+// registerClaim makes handleAnswer keep the standing of the claim until unregisterClaim is called,
+// and returns the claim's ticket.
+func (x *Exchange) registerClaim(claim *wire.RoomClaim) uint64 {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	x.claims[claim.Ticket] = nil
+	x.standings[claim.Ticket] = nil
 	return claim.Ticket
 }
 
-func (x *Exchange) forgetClaim(ticket uint64) {
+func (x *Exchange) unregisterClaim(ticket uint64) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	delete(x.claims, ticket)
+	delete(x.standings, ticket)
 }
 
-// standing returns what was told of a claim, which may be nil.
+// standing returns the standing received for a claim, or nil.
 func (x *Exchange) standing(claim *wire.RoomClaim) *wire.RoomStanding {
 	if claim == nil {
 		return nil
 	}
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	return x.claims[claim.Ticket]
+	return x.standings[claim.Ticket]
 }
 
-// doubt takes in that the hub has left questions unanswered.
-func (x *Exchange) doubt() {
+// suspectHub records that the hub leaves requests unanswered.
+func (x *Exchange) suspectHub() {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	x.chooser.doubt(clock.Since(x.began))
+	x.hubs.suspect(clock.Since(x.startedAt))
 }
 
-// ReleaseToken gives the token of a question back.
+// ReleaseToken returns the token acquired with the question.
 func (x *Exchange) ReleaseToken(question wire.TokenQuestion) {
 	question.Back = true
-	x.report(message{quiet: true, tokens: []wire.TokenQuestion{question}})
+	x.sendReport(message{noAnswer: true, tokens: []wire.TokenQuestion{question}})
 }
 
-// message is what a report says beside the loads.
+// message holds what a report carries in addition to the loads.
 type message struct {
-	// quiet is set where it is not to be answered.
-	quiet    bool
+	// noAnswer asks the hub not to answer.
+	noAnswer bool
 	choosing bool
-	asked    []uint32
+	workers  []uint32
 	tokens   []wire.TokenQuestion
-	// repeatable is set where the request to be placed may run more than once.
+	// repeatable is set if the request to be placed may run more than once.
 	repeatable bool
 	claims     []wire.RoomClaim
 }
 
-// report sends a report to the hub chosen, if there is anything to tell. It returns the number
-// by which the answer is found, zero where none will come.
-func (x *Exchange) report(m message) (number uint64) {
-	own := x.reporter.Report()
-	if own == nil {
+// sendReport sends a report to the selected hub unless there is nothing to report. It returns the
+// report's number in replies, zero if no answer will arrive.
+func (x *Exchange) sendReport(m message) (number uint64) {
+	report := x.reporter.Report()
+	if report == nil {
 		return 0
 	}
-	own.Quiet, own.Choosing, own.Asked, own.Tokens, own.Claims = m.quiet, m.choosing, m.asked, m.tokens, m.claims
-	own.Repeatable = m.repeatable
+	report.Quiet, report.Choosing, report.Asked, report.Tokens, report.Claims = m.noAnswer, m.choosing, m.workers, m.tokens, m.claims
+	report.Repeatable = m.repeatable
 	hubs := x.reporter.Hubs()
 	x.mutex.Lock()
-	now := clock.Since(x.began)
-	target, left := x.chooser.next(now, hubs)
+	now := clock.Since(x.startedAt)
+	target, previous := x.hubs.next(now, hubs)
 	socket := x.socket
-	if !m.quiet {
-		x.asked = now
+	if !m.noAnswer {
+		x.lastRequest = now
 		if socket != nil && target != "" {
-			number = x.replies.add(now)
+			number = x.replies.recordSent(now)
 		}
 	}
 	x.mutex.Unlock()
 	if socket == nil {
 		return 0
 	}
-	if left != "" {
-		// The hub that is left would count this process until its report is too old.
-		x.send(socket, left, &wire.LoadReport{Source: own.Source, Sums: own.Sums, Left: true})
+	if previous != "" {
+		// Without this the previous hub would count this process until its last report expires.
+		x.sendDatagram(socket, previous, &wire.LoadReport{Source: report.Source, Sums: report.Sums, Left: true})
 	}
 	if target != "" {
-		x.send(socket, target, own)
+		x.sendDatagram(socket, target, report)
 	}
 	return number
 }
 
-// send sends a report. One that is lost is made good by the next.
-func (x *Exchange) send(socket *net.UDPConn, target string, report *wire.LoadReport) {
+// sendDatagram sends a report. A lost report is replaced by the next one.
+func (x *Exchange) sendDatagram(socket *net.UDPConn, target string, report *wire.LoadReport) {
 	encoded, err := report.MarshalMsg(nil)
 	if err != nil {
 		return
@@ -376,49 +380,49 @@
 			continue
 		}
 		x.reporter.Meter.AddReceived(traffic.Loads, sender.String(), count)
-		report := read(buffer[:count], sender)
+		report := decodeReport(buffer[:count], sender)
 		if report == nil {
 			continue
 		}
 		if report.Hub != "" {
-			x.refer(report.Hub)
+			x.handleReferral(report.Hub)
 			continue
 		}
 		x.reporter.OnAnswer(clock.Now(), report)
-		x.heard(report)
+		x.handleAnswer(report)
 	}
 }
 
-// refer takes in that another process is the hub.
-func (x *Exchange) refer(hub string) {
+// handleReferral records that another process is the hub.
+func (x *Exchange) handleReferral(hub string) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	x.replies.reply(clock.Since(x.began))
-	x.chooser.refer(hub)
+	x.replies.recordReply(clock.Since(x.startedAt))
+	x.hubs.recordReferral(hub)
 }
 
-// heard takes in that the hub has answered, and what it said has been learnt. The
-// verdicts and standings go to those who wait for them.
-func (x *Exchange) heard(answer *wire.LoadReport) {
+// handleAnswer passes the verdicts and standings of the hub's answer to their waiting callers.
+// OnAnswer has already applied the loads.
+func (x *Exchange) handleAnswer(answer *wire.LoadReport) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	now := clock.Since(x.began)
-	x.chooser.answered(now)
-	x.replies.reply(now)
+	now := clock.Since(x.startedAt)
+	x.hubs.recordAnswer(now)
+	x.replies.recordReply(now)
 	for i := range answer.Standings {
-		if _, claimed := x.claims[answer.Standings[i].Ticket]; claimed {
-			x.claims[answer.Standings[i].Ticket] = &answer.Standings[i]
+		if _, registered := x.standings[answer.Standings[i].Ticket]; registered {
+			x.standings[answer.Standings[i].Ticket] = &answer.Standings[i]
 		}
 	}
 	for _, verdict := range answer.Verdicts {
-		if waiting := x.questions[verdict.Ticket]; waiting != nil {
+		if waiter := x.tokenWaiters[verdict.Ticket]; waiter != nil {
 			select {
-			case waiting <- verdict:
+			case waiter <- verdict:
 			default:
-				// The question was sent again, and has its answer.
+				// The request was sent twice and its first answer is already queued.
 			}
 		}
 	}
-	close(x.answered)
-	x.answered = make(chan struct{})
+	close(x.answerReceived)
+	x.answerReceived = make(chan struct{})
 }
--- a/internal/loadshare/health.go
+++ b/internal/loadshare/health.go
@@ -6,80 +6,82 @@
 )
 
 const (
-	// healthHalf is the time after which an answer counts half.
-	healthHalf = 2 * time.Second
-	// leastFailed is how many failures, by weight, make a worker a failing one,
-	// if they are failedPart of its answers or more.
-	leastFailed = 1.5
-	failedPart  = 0.2
-	// forgiven is the weight of failures below which it is tried again where no probe
-	// could be sent there for forgiveTime: longer than from one failed probe to the next.
-	forgiven    = 0.3
-	forgiveTime = mostProbePause + 2*answerTime
-	// proofWeight is what a good answer to a probe weighs against one to a request that was
+	// healthHalfLife is the time in which the weight of an answer halves.
+	healthHalfLife = 2 * time.Second
+	// minFailedWeight is the weight of failures at which a worker counts as failing, if they are
+	// also at least the fraction minFailedFraction of its answers.
+	minFailedWeight   = 1.5
+	minFailedFraction = 0.2
+	// negligibleWeight is the weight of failures below which a worker is readmitted without probes
+	// if none failed for timedReadmitDelay, for the case that no probe could be sent. The delay is
+	// longer than the time between two failed probes. It is also the weight of successes below
+	// which a rating may be dropped.
+	negligibleWeight  = 0.3
+	timedReadmitDelay = maxProbeInterval + 2*probeTimeout
+	// probeWeight is the weight of a successful probe relative to a successful request that was
 	// sent before the worker was avoided: a worker that fails some requests answers others.
-	proofWeight = 4
-	// readmitWeight is the weight of good answers in a row that lifts the avoidance, that of a
-	// few probes. Each relapse asks for one probe more, up to mostRelapses, because a worker
-	// that fails some requests passes a few probes by chance.
-	readmitWeight = 3 * proofWeight
-	mostRelapses  = 5
-	// relapseTime is for how long a readmitted worker that fails again counts as one that was
-	// ill all the time.
-	relapseTime = 10 * time.Second
-	// doubtWeight is the weight of failures that a readmitted worker begins with: one more
-	// makes it a failing one again.
-	doubtWeight = leastFailed / 2
+	probeWeight = 4
+	// readmitWeight is the weight of consecutive successes that readmits a worker, equal to a few
+	// probes. Each relapse requires one more probe, up to maxRelapses, because a worker that fails
+	// some requests passes a few probes by chance.
+	readmitWeight = 3 * probeWeight
+	maxRelapses   = 5
+	// relapseWindow is the time after readmission within which a new failure counts as a relapse,
+	// that is, as a continuation of the earlier failure.
+	relapseWindow = 10 * time.Second
+	// readmittedFailedWeight caps the failure weight of a readmitted worker: one more failure makes
+	// it failing again.
+	readmittedFailedWeight = minFailedWeight / 2
 )
 
-// health is how a worker has answered lately, over all processes. A worker may
-// fail a part of its requests while its own checks are good, and a worker that
-// fails fast looks idle: without this it would draw requests. The zero value is
-// ready for use.
+// health rates the recent answers of a worker to all processes. A worker may fail some of its
+// requests while its own health checks pass, and a worker that fails fast looks idle and would
+// attract requests. The zero value is ready for use.
 type health struct {
-	at       time.Time
-	answered float64
-	failed   float64
-	avoided  bool
-	// good is the weight of the good answers in a row since it was avoided.
-	good int
-	// since is when it fell ill, readmitted when probes lifted the avoidance last, relapses
-	// how often it failed again soon after that.
-	since      time.Time
-	readmitted time.Time
-	relapses   int
-	// failedAt is when it failed last.
-	failedAt time.Time
-	// lapsed is set once time alone has lifted the avoidance, until that is written down.
-	lapsed bool
+	updatedAt time.Time
+	succeeded float64
+	failed    float64
+	avoided   bool
+	// goodStreak is the weight of consecutive successes since the worker was avoided.
+	goodStreak int
+	// unhealthySince is when the worker started failing, readmitted when it was last readmitted,
+	// and relapses how often it failed again within relapseWindow.
+	unhealthySince time.Time
+	readmitted     time.Time
+	relapses       int
+	// lastFailure is when a request last failed.
+	lastFailure time.Time
+	// readmittedByTime is set when the worker was readmitted without probes, until that change is
+	// recorded.
+	readmittedByTime bool
 }
 
-// outcomes is how a worker answered since the last report: requests that were answered well,
-// those that failed, and well answered probes. online is set where a zone's hub told of them,
-// to whom only processes with online requests report.
+// outcomes counts a worker's answers since the last report: successful requests, failed ones and
+// successful probes. fromZoneHub is set if a zone's hub sent the report; only processes with
+// online requests report to those.
 type outcomes struct {
-	well, failed, proofs int
-	online               bool
+	succeeded, failed, probesSucceeded int
+	fromZoneHub                        bool
 }
 
-// take takes in how requests were answered. It returns what this changed.
-func (h *health) take(now time.Time, got outcomes) Change {
-	h.age(now)
-	h.answered += float64(got.well)
-	h.failed += float64(got.failed)
-	if got.failed > 0 {
-		h.failedAt = now
+// applyOutcomes adds the outcomes of requests and returns how the rating changed.
+func (h *health) applyOutcomes(now time.Time, observed outcomes) Change {
+	h.decay(now)
+	h.succeeded += float64(observed.succeeded)
+	h.failed += float64(observed.failed)
+	if observed.failed > 0 {
+		h.lastFailure = now
 	}
 	switch {
-	case h.avoided && got.failed > 0:
-		h.good = 0
+	case h.avoided && observed.failed > 0:
+		h.goodStreak = 0
 	case h.avoided:
-		h.good += got.well + proofWeight*got.proofs
-		if h.good >= readmitWeight+proofWeight*h.relapses {
+		h.goodStreak += observed.succeeded + probeWeight*observed.probesSucceeded
+		if h.goodStreak >= readmitWeight+probeWeight*h.relapses {
 			h.readmit(now)
 			return Readmitted
 		}
-	case h.failed >= leastFailed && h.failed >= failedPart*(h.answered+h.failed):
+	case h.failed >= minFailedWeight && h.failed >= minFailedFraction*(h.succeeded+h.failed):
 		h.avoid(now)
 		return Avoided
 	}
@@ -87,41 +89,42 @@
 }
 
 func (h *health) avoid(now time.Time) {
-	h.avoided, h.good = true, 0
-	if h.readmitted.IsZero() || now.Sub(h.readmitted) > relapseTime {
-		h.since, h.relapses = now, 0
+	h.avoided, h.goodStreak = true, 0
+	if h.readmitted.IsZero() || now.Sub(h.readmitted) > relapseWindow {
+		h.unhealthySince, h.relapses = now, 0
 		return
 	}
-	h.relapses = min(h.relapses+1, mostRelapses)
+	h.relapses = min(h.relapses+1, maxRelapses)
 }
 
 func (h *health) readmit(now time.Time) {
 	h.avoided, h.readmitted = false, now
-	// What it answered well before it fell ill doesn't excuse a relapse.
-	h.failed, h.answered = min(h.failed, doubtWeight), 0
+	// Successes from before the failure don't excuse a relapse.
+	h.failed, h.succeeded = min(h.failed, readmittedFailedWeight), 0
 }
 
-func (h *health) age(now time.Time) {
-	if !h.at.IsZero() {
-		weight := math.Exp2(-float64(now.Sub(h.at)) / float64(healthHalf))
-		h.answered *= weight
+func (h *health) decay(now time.Time) {
+	if !h.updatedAt.IsZero() {
+		weight := math.Exp2(-float64(now.Sub(h.updatedAt)) / float64(healthHalfLife))
+		h.succeeded *= weight
 		h.failed *= weight
 	}
-	h.at = now
+	h.updatedAt = now
 }
 
-// failing reports whether the worker is to be avoided.
+// failing reports whether the worker has to be avoided. It readmits a worker whose failures have
+// decayed without new ones.
 func (h *health) failing(now time.Time) bool {
-	h.age(now)
-	if h.avoided && h.failed < forgiven && now.Sub(h.failedAt) > forgiveTime {
+	h.decay(now)
+	if h.avoided && h.failed < negligibleWeight && now.Sub(h.lastFailure) > timedReadmitDelay {
 		h.readmit(now)
-		h.lapsed = true
+		h.readmittedByTime = true
 	}
 	return h.avoided
 }
 
-// stale reports whether nothing is left to remember.
+// stale reports whether the rating can be dropped.
 func (h *health) stale(now time.Time) bool {
-	relapse := !h.readmitted.IsZero() && now.Sub(h.readmitted) <= relapseTime
-	return !h.failing(now) && h.answered < forgiven && !relapse
+	mayRelapse := !h.readmitted.IsZero() && now.Sub(h.readmitted) <= relapseWindow
+	return !h.failing(now) && h.succeeded < negligibleWeight && !mayRelapse
 }
--- a/internal/loadshare/hub.go
+++ b/internal/loadshare/hub.go
@@ -1,9 +1,8 @@
-// Package loadshare lets processes that send requests to the same workers know
-// of one another's. Each tells the hub of its zone what it has in flight and how
-// workers answered, and is told what all others have and which workers do badly.
-// The hubs of the zones tell the top hub the sums over their zones in the same way,
-// so that only sums cross zones. Reports are datagrams; a lost one is made good by
-// the next.
+// Package loadshare shares the loads of workers among the processes that send requests to them.
+// Each process reports its requests in flight and the outcomes of its requests to the hub of its
+// zone, and receives the loads of all other processes and which workers are failing. The hubs of
+// the zones report the sums over their zones to the top hub in the same way, so that only sums
+// cross zones. Reports are datagrams; a lost one is replaced by the next.
 package loadshare
 
 import (
@@ -19,151 +18,152 @@
 )
 
 const (
-	// Interval is the shortest time between two reports of a process,
-	// MaxInterval the longest; two in a row may be lost within Fresh.
+	// Interval and MaxInterval are the shortest and the longest time between two reports of a
+	// process. Two consecutive reports may be lost within ReportTTL.
 	Interval    = 50 * time.Millisecond
 	MaxInterval = 125 * time.Millisecond
 	// ReportTTL is how long a report counts.
 	ReportTTL = 400 * time.Millisecond
-	// expireInterval is the time between looks for old reports.
+	// expireInterval is the time between two scans for expired reports.
 	expireInterval = 50 * time.Millisecond
 )
 
-// Hash returns the short name of a process.
+// Hash returns the 32-bit hash that identifies a process in reports.
 func Hash(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// WorkerHash returns the short name of a worker by the name of its life. It is the same for
-// all its lives: loads are counted anew several times a second, and processes that know of
-// no lives tell of the same worker by the same name.
+// WorkerHash returns the hash that identifies a worker in reports, given the name of its
+// incarnation. It is the same for all incarnations: loads are reported anew several times a
+// second, and processes that don't know about incarnations use the same hash.
 func WorkerHash(name string) uint32 { return Hash(incarnation.WorkerID(name)) }
 
-// Hub adds the reports up. It is pure and not safe for concurrent use.
+// Hub sums up reports. It does no I/O and is not safe for concurrent use.
 type Hub struct {
 	sources map[uint32]*source
-	// totals are the sums over all sources, kept as reports come and expire.
+	// totals holds the sums over all sources by worker, updated as reports arrive and expire.
 	totals map[uint32]total
-	// watched holds what workers showed of themselves.
-	watched map[uint32]*watched
-	// above is what the hub above told at aboveAt: the loads of all who don't
-	// report here, and what it knows of the workers.
-	above   map[uint32]wire.WorkerLoad
-	aboveAt time.Time
-	// abovePart is set where it told of some workers of other zones only.
-	abovePart bool
-	// perSecond is how many online requests the workers answer, as the hub above told.
-	perSecond float64
-	// left is how many rows the last sums left out.
-	left int
-	// toldAbove is set while the hub above counts this one's sums.
-	toldAbove bool
-	expireDue time.Time
-	// probations holds when avoided workers are probed, judgements what has changed in the
-	// judgement of workers and is not taken yet.
-	probations map[uint32]*probation
-	judgements []HealthChange
-	// failingAbove are the workers that the hub above calls failing, itemsRun is set where
-	// it told of items at any worker, and unprobedAbove are those failing ones that items
-	// don't probe all the same.
-	failingAbove  []uint32
-	itemsRun      bool
-	unprobedAbove map[uint32]bool
+	// stats holds the observed behavior of workers.
+	stats map[uint32]*workerStats
+	// parentLoads is what the parent hub sent at parentLoadsAt: the loads of all processes that
+	// don't report here, and its ratings of the workers.
+	parentLoads   map[uint32]wire.WorkerLoad
+	parentLoadsAt time.Time
+	// parentPartial is set if the parent hub sent only some of the workers of other zones.
+	parentPartial bool
+	// requestRate is the number of online requests per second that the workers answer, according to
+	// the parent hub.
+	requestRate float64
+	// omitted is the number of rows that the last call of Sums left out.
+	omitted int
+	// reportedToParent is set while the parent hub counts this hub's sums.
+	reportedToParent bool
+	nextExpiry       time.Time
+	// probations schedules the probes of avoided workers; healthChanges holds the changes since
+	// HealthChanges was last called.
+	probations    map[uint32]*probation
+	healthChanges []HealthChange
+	// parentFailing lists the workers that the parent hub calls failing. itemsRunning is set if it
+	// reported batch items at any worker. parentUnprobed holds, for each failing worker, whether
+	// items don't probe it.
+	parentFailing  []uint32
+	itemsRunning   bool
+	parentUnprobed map[uint32]bool
 }
 
-// source is the last report of a process, or of a zone's hub.
+// source is the last report of a process or of a zone's hub.
 type source struct {
 	at      time.Time
 	workers []wire.WorkerLoad
-	// processes is how many processes it speaks for.
+	// processes is the number of processes that the report covers.
 	processes int
 }
 
-// total is what several processes have at a worker.
-type total struct{ online, batch, unread int }
+// total is the load of several processes at a worker. pendingPrefill counts prompt tokens still to
+// be prefilled.
+type total struct{ online, batch, pendingPrefill int }
 
 func (t total) plus(load *wire.WorkerLoad, sign int) total {
 	t.online += sign * int(load.Online)
 	t.batch += sign * int(load.Batch)
-	t.unread += sign * int(load.Unread)
+	t.pendingPrefill += sign * int(load.Unread)
 	return t
 }
 
-// watched is what a worker showed of itself to any process.
-type watched struct {
+// workerStats is the behavior of a worker as observed by any process.
+type workerStats struct {
 	orphans orphans
 	health  health
-	pace    pace
-	// gathered is what is still to be told to the hub above.
-	gathered gathered
+	speed   workerSpeed
+	// pending is the part not yet reported to the parent hub.
+	pending pendingStats
 }
 
 // NewHub returns an empty hub.
 func NewHub() *Hub {
-	return &Hub{sources: map[uint32]*source{}, totals: map[uint32]total{}, watched: map[uint32]*watched{}, probations: map[uint32]*probation{}}
+	return &Hub{sources: map[uint32]*source{}, totals: map[uint32]total{}, stats: map[uint32]*workerStats{}, probations: map[uint32]*probation{}}
 }
 
-// ApplyReport takes in a report.
+// ApplyReport replaces the previous report of the same source and applies the outcomes in it.
 func (h *Hub) ApplyReport(now time.Time, report *wire.LoadReport) {
 	h.expire(now)
-	if before := h.sources[report.Source]; before != nil {
-		h.count(before, -1)
+	if previous := h.sources[report.Source]; previous != nil {
+		h.count(previous, -1)
 		delete(h.sources, report.Source)
 	}
 	if report.Left {
 		return
 	}
-	taken := &source{at: now, workers: report.Workers, processes: 1}
+	latest := &source{at: now, workers: report.Workers, processes: 1}
 	if report.Sums {
-		taken.processes = int(report.Sources)
+		latest.processes = int(report.Sources)
 	}
-	h.sources[report.Source] = taken
-	h.count(taken, 1)
-	h.watch(now, report)
+	h.sources[report.Source] = latest
+	h.count(latest, 1)
+	h.applyStats(now, report)
 }
 
-// SetParentLoads takes in what the hub above tells: the sums over all who don't report
-// here, and what is known of the workers over all processes. rest is how many online
-// requests workers that were left out answer in ten seconds; part is set where a worker
-// with any load may be among them.
-func (h *Hub) SetParentLoads(now time.Time, rows []wire.WorkerLoad, rest int, part bool) {
-	h.abovePart = part
-	rate := rest
+// SetParentLoads stores what the parent hub sent: the sums over all processes that don't report
+// here, and the ratings of the workers. unlistedRate is the number of online requests that the
+// omitted workers answer in ten seconds. partial is set if omitted workers may have load.
+func (h *Hub) SetParentLoads(now time.Time, rows []wire.WorkerLoad, unlistedRate int, partial bool) {
+	h.parentPartial = partial
+	rate := unlistedRate
 	for i := range rows {
 		rate += int(rows[i].Rate)
 	}
-	h.perSecond = float64(rate) / rateSeconds
+	h.requestRate = float64(rate) / reportedRateSeconds
 
-	h.above = make(map[uint32]wire.WorkerLoad, len(rows))
-	h.failingAbove, h.itemsRun = h.failingAbove[:0], false
-	h.unprobedAbove = map[uint32]bool{}
+	h.parentLoads = make(map[uint32]wire.WorkerLoad, len(rows))
+	h.parentFailing, h.itemsRunning = h.parentFailing[:0], false
+	h.parentUnprobed = map[uint32]bool{}
 	for _, row := range rows {
 		if row.Failing {
-			h.failingAbove = append(h.failingAbove, row.Worker)
-			h.unprobedAbove[row.Worker] = row.Start > 0
+			h.parentFailing = append(h.parentFailing, row.Worker)
+			h.parentUnprobed[row.Worker] = row.Start > 0
 		}
-		h.itemsRun = h.itemsRun || row.Batch > 0
-		// That was for this hub alone.
+		h.itemsRunning = h.itemsRunning || row.Batch > 0
+		// Start is meant for this hub only and is not passed on.
 		row.Start = 0
-		h.above[row.Worker] = row
+		h.parentLoads[row.Worker] = row
 	}
-	h.aboveAt = now
+	h.parentLoadsAt = now
 }
 
-// RequestRate returns how many online requests the workers answer, as far as the hub above
-// told of them.
-func (h *Hub) RequestRate() float64 { return h.perSecond }
+// RequestRate returns the number of online requests per second that the workers answer, as far as
+// the parent hub reported.
+func (h *Hub) RequestRate() float64 { return h.requestRate }
 
-// OmittedCount returns how many workers with any load the last Sums left out.
-func (h *Hub) OmittedCount() int { return h.left }
+// OmittedCount returns how many workers with load the last call of Sums omitted.
+func (h *Hub) OmittedCount() int { return h.omitted }
 
-// ParentPartial reports whether something is known of some workers of other zones only.
-func (h *Hub) ParentPartial() bool { return h.abovePart }
+// ParentPartial reports whether the loads of only some workers of other zones are known.
+func (h *Hub) ParentPartial() bool { return h.parentPartial }
 
-// knowsAbove reports whether what the hub above told still counts.
-func (h *Hub) knowsAbove(now time.Time) bool {
-	return !h.aboveAt.IsZero() && now.Sub(h.aboveAt) <= ReportTTL
+// hasParentLoads reports whether the loads from the parent hub are still valid.
+func (h *Hub) hasParentLoads(now time.Time) bool {
+	return !h.parentLoadsAt.IsZero() && now.Sub(h.parentLoadsAt) <= ReportTTL
 }
 
-// count adds a source's report to the totals, or takes it off.
+// count adds a source's report to the totals, or subtracts it if sign is -1.
 func (h *Hub) count(s *source, sign int) {
 	for i := range s.workers {
 		load := &s.workers[i]
@@ -176,25 +176,25 @@
 	}
 }
 
-// expire drops what is too old to count.
+// expire drops expired reports, worker stats and probations.
 func (h *Hub) expire(now time.Time) {
-	if now.Before(h.expireDue) {
+	if now.Before(h.nextExpiry) {
 		return
 	}
-	h.expireDue = now.Add(expireInterval)
-	for name, known := range h.sources {
-		if now.Sub(known.at) > ReportTTL {
-			h.count(known, -1)
+	h.nextExpiry = now.Add(expireInterval)
+	for name, s := range h.sources {
+		if now.Sub(s.at) > ReportTTL {
+			h.count(s, -1)
 			delete(h.sources, name)
 		}
 	}
-	for worker, known := range h.watched {
-		if known.health.failing(now); known.health.lapsed {
-			known.health.lapsed = false
-			h.judged(now, worker, Readmitted)
+	for worker, stats := range h.stats {
+		if stats.health.failing(now); stats.health.readmittedByTime {
+			stats.health.readmittedByTime = false
+			h.recordChange(now, worker, Readmitted)
 		}
-		if known.orphans.stale(now) && known.health.stale(now) && known.pace.stale(now) {
-			delete(h.watched, worker)
+		if stats.orphans.stale(now) && stats.health.stale(now) && stats.speed.stale(now) {
+			delete(h.stats, worker)
 		}
 	}
 	for worker := range h.probations {
@@ -204,75 +204,76 @@
 	}
 }
 
-// watch takes in how workers answered the reporting process.
-func (h *Hub) watch(now time.Time, report *wire.LoadReport) {
+// applyStats applies the outcomes and step times that a process observed at the workers.
+func (h *Hub) applyStats(now time.Time, report *wire.LoadReport) {
 	for i := range report.Workers {
 		load := &report.Workers[i]
 		if load.Told == 0 && load.Answered == 0 && load.Failed == 0 && load.Steps == 0 {
 			continue
 		}
-		known := h.watchedAt(load.Worker)
-		h.takeAnswers(now, known, load.Worker, outcomes{well: int(load.Answered), failed: int(load.Failed), online: report.Sums})
-		known.pace.take(now, load)
-		known.gathered.take(load)
+		stats := h.statsFor(load.Worker)
+		h.applyOutcomes(now, stats, load.Worker, outcomes{succeeded: int(load.Answered), failed: int(load.Failed), fromZoneHub: report.Sums})
+		stats.speed.applyReport(now, load)
+		stats.pending.add(load)
 		if load.Told > 0 {
-			known.orphans.take(now, int(load.Told)-1-h.known(now, load.Worker))
+			stats.orphans.addSample(now, int(load.Told)-1-h.knownRequests(now, load.Worker))
 		}
 	}
-	for _, proof := range report.Proofs {
-		known := h.watchedAt(proof.Worker)
-		h.takeAnswers(now, known, proof.Worker, outcomes{proofs: int(proof.Well), online: report.Sums})
-		known.gathered.proofs += int(proof.Well)
+	for _, probe := range report.Proofs {
+		stats := h.statsFor(probe.Worker)
+		h.applyOutcomes(now, stats, probe.Worker, outcomes{probesSucceeded: int(probe.Well), fromZoneHub: report.Sums})
+		stats.pending.probesSucceeded += int(probe.Well)
 	}
 }
 
-// watchedAt returns what a worker showed of itself, to be added to.
-func (h *Hub) watchedAt(worker uint32) *watched {
-	known := h.watched[worker]
-	if known == nil {
-		known = &watched{}
-		h.watched[worker] = known
+// statsFor returns the stats of a worker, creating them if there are none.
+func (h *Hub) statsFor(worker uint32) *workerStats {
+	stats := h.stats[worker]
+	if stats == nil {
+		stats = &workerStats{}
+		h.stats[worker] = stats
 	}
-	return known
+	return stats
 }
 
-// takeAnswers takes in how a worker answered a process.
-func (h *Hub) takeAnswers(now time.Time, known *watched, worker uint32, got outcomes) {
-	change := known.health.take(now, got)
-	if probed := h.probations[worker]; probed != nil {
-		probed.take(now, got)
+// applyOutcomes applies the outcomes of requests at a worker.
+func (h *Hub) applyOutcomes(now time.Time, stats *workerStats, worker uint32, observed outcomes) {
+	change := stats.health.applyOutcomes(now, observed)
+	if p := h.probations[worker]; p != nil {
+		p.applyOutcomes(now, observed)
 	}
-	// With a hub above, this one's own judgement counts for nothing.
-	if !h.knowsAbove(now) {
-		h.judged(now, worker, change)
+	// With valid loads from a parent hub, that hub's rating replaces this one's.
+	if !h.hasParentLoads(now) {
+		h.recordChange(now, worker, change)
 	}
 }
 
-// known returns how many requests anybody is known to have at a worker.
-func (h *Hub) known(now time.Time, worker uint32) int {
+// knownRequests returns how many requests all processes are known to have at a worker.
+func (h *Hub) knownRequests(now time.Time, worker uint32) int {
 	sum := h.totals[worker]
 	count := sum.online + sum.batch
-	if h.knowsAbove(now) {
-		others := h.above[worker]
-		count += int(others.Online) + int(others.Batch)
+	if h.hasParentLoads(now) {
+		parent := h.parentLoads[worker]
+		count += int(parent.Online) + int(parent.Batch)
 	}
 	return count
 }
 
-// PeerLoads returns the sums over all processes but one source, and what is known of
-// the workers, in the order of the workers' hashes.
+// PeerLoads returns the sums over all processes except one source and the ratings of the workers,
+// ordered by worker hash. Rows without any information are left out.
 func (h *Hub) PeerLoads(now time.Time, except uint32) []wire.WorkerLoad {
-	return listed(h.gather(now, except))
+	return sortedRows(h.collectLoads(now, except))
 }
 
-// UpdateFor returns what Others does, less what need not be told or does not fit.
+// UpdateFor returns what PeerLoads does, without rows that are not needed or do not fit into a
+// datagram.
 func (h *Hub) UpdateFor(now time.Time, except uint32) Update {
-	return loadedOf(h.gather(now, except))
+	return newUpdate(h.collectLoads(now, except))
 }
 
-func (h *Hub) gather(now time.Time, except uint32) map[uint32]wire.WorkerLoad {
+func (h *Hub) collectLoads(now time.Time, except uint32) map[uint32]wire.WorkerLoad {
 	h.expire(now)
-	loads := make(map[uint32]wire.WorkerLoad, len(h.totals)+len(h.above))
+	loads := make(map[uint32]wire.WorkerLoad, len(h.totals)+len(h.parentLoads))
 	for worker, sum := range h.totals {
 		loads[worker] = sum.load(worker)
 	}
@@ -282,16 +283,17 @@
 			loads[worker] = h.totals[worker].plus(&own.workers[i], -1).load(worker)
 		}
 	}
-	if h.knowsAbove(now) {
-		h.addAbove(loads)
+	if h.hasParentLoads(now) {
+		h.addParentLoads(loads)
 	} else {
-		h.addWatched(now, loads)
+		h.addStats(now, loads)
 	}
 	return loads
 }
 
-// LoadsOf returns, for each of the workers, the sums over all processes but one source and
-// what is known of it, also where that is nothing. It costs as much as there are names.
+// LoadsOf returns, for each of the workers, the sums over all processes except one source and the
+// worker's rating, also if there is no load. Its cost grows with the number of workers given and
+// the rows of that source, not with the fleet.
 func (h *Hub) LoadsOf(now time.Time, except uint32, workers []uint32) []wire.WorkerLoad {
 	h.expire(now)
 	own := map[uint32]*wire.WorkerLoad{}
@@ -303,58 +305,58 @@
 	rows := make([]wire.WorkerLoad, 0, len(workers))
 	for _, worker := range workers {
 		sum := h.totals[worker]
-		if mine := own[worker]; mine != nil {
-			sum = sum.plus(mine, -1)
+		if reported := own[worker]; reported != nil {
+			sum = sum.plus(reported, -1)
 		}
 		load := sum.load(worker)
-		if others, found := h.above[worker]; found && h.knowsAbove(now) {
-			load = joined(others, load)
-		} else if !h.knowsAbove(now) {
-			load = h.showed(now, load)
+		if parent, found := h.parentLoads[worker]; found && h.hasParentLoads(now) {
+			load = addLocalLoad(parent, load)
+		} else if !h.hasParentLoads(now) {
+			load = h.withStats(now, load)
 		}
 		rows = append(rows, load)
 	}
 	return rows
 }
 
-// addAbove adds what the hub above told, which knows more of the workers than this
-// one does.
-func (h *Hub) addAbove(loads map[uint32]wire.WorkerLoad) {
-	for worker, others := range h.above {
-		loads[worker] = joined(others, loads[worker])
+// addParentLoads adds the loads of the parent hub, and takes over its ratings because they rest on
+// more processes.
+func (h *Hub) addParentLoads(loads map[uint32]wire.WorkerLoad) {
+	for worker, parent := range h.parentLoads {
+		loads[worker] = addLocalLoad(parent, loads[worker])
 	}
 }
 
-// joined adds the sums here to what the hub above told of a worker.
-func joined(others, load wire.WorkerLoad) wire.WorkerLoad {
-	others.Online = clamp16(int(others.Online) + int(load.Online))
-	others.Batch = clamp16(int(others.Batch) + int(load.Batch))
-	others.Unread = clamp32(int(others.Unread) + int(load.Unread))
-	return others
+// addLocalLoad adds the local sums to the load that the parent hub sent for a worker.
+func addLocalLoad(parent, local wire.WorkerLoad) wire.WorkerLoad {
+	parent.Online = clamp16(int(parent.Online) + int(local.Online))
+	parent.Batch = clamp16(int(parent.Batch) + int(local.Batch))
+	parent.Unread = clamp32(int(parent.Unread) + int(local.Unread))
+	return parent
 }
 
-// addWatched adds what workers showed of themselves to those who report here.
-func (h *Hub) addWatched(now time.Time, loads map[uint32]wire.WorkerLoad) {
-	for worker := range h.watched {
+// addStats adds the stats of all workers that processes reporting here observed.
+func (h *Hub) addStats(now time.Time, loads map[uint32]wire.WorkerLoad) {
+	for worker := range h.stats {
 		load := loads[worker]
 		load.Worker = worker
-		loads[worker] = h.showed(now, load)
+		loads[worker] = h.withStats(now, load)
 	}
 }
 
-// showed adds what a worker showed of itself to its load.
-func (h *Hub) showed(now time.Time, load wire.WorkerLoad) wire.WorkerLoad {
-	if known := h.watched[load.Worker]; known != nil {
-		load.Orphans = clamp16(known.orphans.count(now))
-		load.Failing = known.health.failing(now)
-		load.Step = known.pace.step(now)
-		load.Rate = known.pace.rate(now)
+// withStats returns the load with the rating and speed of its worker filled in.
+func (h *Hub) withStats(now time.Time, load wire.WorkerLoad) wire.WorkerLoad {
+	if stats := h.stats[load.Worker]; stats != nil {
+		load.Orphans = clamp16(stats.orphans.count(now))
+		load.Failing = stats.health.failing(now)
+		load.Step = stats.speed.step(now)
+		load.Rate = stats.speed.rate(now)
 	}
 	return load
 }
 
-// listed returns the loads that say anything, in order.
-func listed(loads map[uint32]wire.WorkerLoad) []wire.WorkerLoad {
+// sortedRows returns the loads that are not empty, ordered by worker hash.
+func sortedRows(loads map[uint32]wire.WorkerLoad) []wire.WorkerLoad {
 	rows := make([]wire.WorkerLoad, 0, len(loads))
 	for worker, load := range loads {
 		if load != (wire.WorkerLoad{Worker: worker}) {
@@ -370,7 +372,7 @@
 		Worker: worker,
 		Online: clamp16(t.online),
 		Batch:  clamp16(t.batch),
-		Unread: clamp32(t.unread),
+		Unread: clamp32(t.pendingPrefill),
 	}
 }
 
@@ -378,43 +380,44 @@
 
 func clamp32(count int) uint32 { return uint32(min(max(count, 0), math.MaxUint32)) }
 
-// SourceCount returns how many processes report, here or to hubs that report here.
+// SourceCount returns the number of processes that report here or to hubs that report here.
 func (h *Hub) SourceCount(now time.Time) int {
 	count := 0
-	for _, known := range h.sources {
-		if now.Sub(known.at) <= ReportTTL {
-			count += known.processes
+	for _, s := range h.sources {
+		if now.Sub(s.at) <= ReportTTL {
+			count += s.processes
 		}
 	}
 	return count
 }
 
 const (
-	// requestsPart is the part of the workers, one in so many, that may get a request
-	// between two reports of a hub.
-	requestsPart = 100
-	// leastPerSecond is the rate that is reckoned with at least: a wave of requests begins
-	// within a report.
-	leastPerSecond = 10.0
+	// workersPerRequest limits the staleness between two reports of a hub: at most one request per
+	// this many workers arrives meanwhile.
+	workersPerRequest = 100
+	// minRequestRate is the lowest request rate, in requests per second, used to compute the
+	// interval: a burst of requests starts within one report.
+	minRequestRate = 10.0
 )
 
-// HubReportInterval returns the time between two reports of a zone's hub, or of a process that runs
-// items, to the top hub, where all processes send so many requests a second to so many
-// workers: the shortest but in a fleet whose workers mostly idle, where news age slowly.
+// HubReportInterval returns the time between two reports to the top hub, of a zone's hub or of a
+// process that runs batch items. perSecond is the request rate of all processes, workers the
+// number of workers. It is the shortest interval except in a mostly idle fleet, where loads change
+// slowly.
 func HubReportInterval(perSecond float64, workers int) time.Duration {
-	pause := time.Duration(float64(workers) / (requestsPart * max(perSecond, leastPerSecond)) * float64(time.Second))
-	return min(max(pause, Interval), MaxInterval)
+	interval := time.Duration(float64(workers) / (workersPerRequest * max(perSecond, minRequestRate)) * float64(time.Second))
+	return min(max(interval, Interval), MaxInterval)
 }
 
-// ReportInterval returns the time between two reports of a process that sends so many
-// requests a second, one of so many processes before so many workers: as long as it
-// takes all of them together to send one request to each worker. What is told is
-// then wrong by about one request, whatever the size of the fleet.
+// ReportInterval returns the time between two reports of a process that sends perSecond requests a
+// second, where the given number of processes share the workers: the time in which all of them
+// together send one request to each worker. Reported loads are then off by about one request,
+// whatever the size of the fleet.
 func ReportInterval(perSecond float64, processes, workers int) time.Duration {
-	together := perSecond * float64(max(processes, 1))
-	if together <= 0 {
+	totalRate := perSecond * float64(max(processes, 1))
+	if totalRate <= 0 {
 		return MaxInterval
 	}
-	pause := time.Duration(float64(workers) / together * float64(time.Second))
-	return min(max(pause, Interval), MaxInterval)
+	interval := time.Duration(float64(workers) / totalRate * float64(time.Second))
+	return min(max(interval, Interval), MaxInterval)
 }
--- a/internal/loadshare/large_test.go
+++ b/internal/loadshare/large_test.go
@@ -10,9 +10,9 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// TestNamedAreAsOthers lets processes report at random, with and without a hub above: what
-// a hub tells of workers by name is what it tells of all of them.
-func TestNamedAreAsOthers(t *testing.T) {
+// TestLoadsOfMatchesPeerLoads checks with random reports, with and without a parent hub, that LoadsOf
+// returns the same row for a worker as PeerLoads.
+func TestLoadsOfMatchesPeerLoads(t *testing.T) {
 	random := rand.New(rand.NewPCG(4, 4))
 	h, now := NewHub(), start
 	names := make([]uint32, 30)
@@ -35,25 +35,25 @@
 		if random.IntN(9) == 0 {
 			h.SetParentLoads(now, loads(), 0, random.IntN(2) == 0)
 		}
-		told := map[uint32]wire.WorkerLoad{}
+		peers := map[uint32]wire.WorkerLoad{}
 		for _, row := range h.PeerLoads(now, source) {
-			told[row.Worker] = row
+			peers[row.Worker] = row
 		}
 		for _, row := range h.LoadsOf(now, source, names) {
-			want := told[row.Worker]
+			want := peers[row.Worker]
 			want.Worker = row.Worker
 			if row != want {
-				t.Fatalf("step %d: %+v by name, %+v among all", step, row, want)
+				t.Fatalf("step %d: LoadsOf returns %+v, PeerLoads %+v", step, row, want)
 			}
 		}
 	}
 }
 
-// TestLoadedFits checks what a hub leaves out: nothing while there is little, then the rows
-// that tell of no load, then those of the least load, which are counted.
-func TestLoadedFits(t *testing.T) {
-	for _, test := range []struct{ idle, loaded, kept, left int }{
-		{200, 50, 250, 0}, {2000, 300, 300, 0}, {0, 1400, 1400, 0}, {100, 4000, maxTold, 4000 - maxTold},
+// TestUpdateFitsDatagram checks which rows an update omits: none while there are few, then rows without
+// load, then the least loaded ones, which are counted.
+func TestUpdateFitsDatagram(t *testing.T) {
+	for _, test := range []struct{ idle, loaded, kept, omitted int }{
+		{200, 50, 250, 0}, {2000, 300, 300, 0}, {0, 1400, 1400, 0}, {100, 4000, maxUpdateRows, 4000 - maxUpdateRows},
 	} {
 		loads := map[uint32]wire.WorkerLoad{}
 		for worker := range uint32(test.idle) {
@@ -62,27 +62,27 @@
 		for worker := range uint32(test.loaded) {
 			loads[10_000+worker] = wire.WorkerLoad{Worker: 10_000 + worker, Online: uint16(1 + worker%8)}
 		}
-		told := loadedOf(loads)
-		kept, left := told.Rows, told.Omitted
-		if len(kept) != test.kept || left != test.left {
-			t.Errorf("%+v: kept %d, left %d", test, len(kept), left)
+		update := newUpdate(loads)
+		kept, omitted := update.Rows, update.Omitted
+		if len(kept) != test.kept || omitted != test.omitted {
+			t.Errorf("%+v: kept %d rows, omitted %d", test, len(kept), omitted)
 		}
-		if dropped := test.idle + test.loaded - len(kept) - left; told.UnlistedRate != 5*dropped {
-			t.Errorf("%+v: %d answers in ten seconds at the rest", test, told.UnlistedRate)
+		if dropped := test.idle + test.loaded - len(kept) - omitted; update.UnlistedRate != 5*dropped {
+			t.Errorf("%+v: an unlisted rate of %d answers in ten seconds", test, update.UnlistedRate)
 		}
 		report := &wire.LoadReport{Workers: kept}
 		if encoded, err := report.MarshalMsg(nil); err != nil || len(encoded) > maxDatagram {
 			t.Errorf("%+v: a report of %d bytes, %v", test, len(encoded), err)
 		}
-		if left > 0 && !slices.ContainsFunc(kept, func(row wire.WorkerLoad) bool { return row.Online == 8 }) {
-			t.Errorf("%+v: the busiest workers are left out", test)
+		if omitted > 0 && !slices.ContainsFunc(kept, func(row wire.WorkerLoad) bool { return row.Online == 8 }) {
+			t.Errorf("%+v: the busiest workers are omitted", test)
 		}
 	}
 }
 
-// TestDrawnStaysTheSame counts rows and bytes of an answer to an edge that is about to
-// choose, with all workers loaded, at 10,000 workers and at twice as many; every worker of
-// the zone comes up, and the asked ones each time.
+// TestDrawnStaysTheSame measures the answer to an edge that is about to choose, with all workers
+// loaded, at 10,000 and 20,000 workers. It must fit into a packet and contain the workers that
+// were asked for; over many answers every worker of the zone must appear.
 func TestDrawnStaysTheSame(t *testing.T) {
 	random := rand.New(rand.NewPCG(6, 6))
 	for _, count := range []int{10_000, 20_000} {
@@ -99,53 +99,53 @@
 		}
 		h.ApplyReport(start, &wire.LoadReport{Source: 1, Workers: rows})
 		if !Large(&near) {
-			t.Fatal("the zone counts as small")
+			t.Fatal("the zone is not large")
 		}
-		seen, most := map[uint32]bool{}, 0
+		seen, maxBytes := map[uint32]bool{}, 0
 		for range 2500 {
-			drawn := Sample(random, []uint32{5, 10}, &near, &far)
-			if !slices.Contains(drawn, 5) || !slices.Contains(drawn, 10) {
-				t.Fatal("a worker that was asked for is not told of")
+			sampled := Sample(random, []uint32{5, 10}, &near, &far)
+			if !slices.Contains(sampled, 5) || !slices.Contains(sampled, 10) {
+				t.Fatal("a requested worker is missing from the sample")
 			}
-			answer := &wire.LoadReport{Workers: h.LoadsOf(start, 2, drawn), Drawn: true}
+			answer := &wire.LoadReport{Workers: h.LoadsOf(start, 2, sampled), Drawn: true}
 			encoded, err := answer.MarshalMsg(nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			most = max(most, len(encoded))
-			for _, worker := range drawn {
+			maxBytes = max(maxBytes, len(encoded))
+			for _, worker := range sampled {
 				seen[worker] = true
 			}
 		}
-		if most > 1400 {
-			t.Errorf("%d workers: an answer of %d bytes", count, most)
+		if maxBytes > 1400 {
+			t.Errorf("%d workers: an answer of %d bytes", count, maxBytes)
 		}
 		for worker := uint32(0); worker < uint32(count); worker += 5 {
 			if !seen[worker] {
-				t.Errorf("%d workers: worker %d of the zone never comes up", count, worker)
+				t.Errorf("%d workers: worker %d of the zone never appears", count, worker)
 			}
 		}
 	}
 }
 
-// TestLotForgets checks that a worker that left is drawn no more, and one that came twice
-// is there once.
-func TestLotForgets(t *testing.T) {
+// TestSetRemove checks that a removed worker is not sampled any more, and that one added twice is
+// in the set once.
+func TestSetRemove(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 2))
-	var lot Set
-	lot.Remove(1)
+	var set Set
+	set.Remove(1)
 	for _, worker := range []uint32{1, 2, 3, 2} {
-		lot.Add(worker)
+		set.Add(worker)
 	}
-	lot.Remove(2)
-	lot.Remove(2)
-	if drawn := lot.draw(random, 9, nil); lot.Len() != 2 || len(drawn) != 2 || slices.Contains(drawn, 2) {
-		t.Errorf("drawn %v of %d", drawn, lot.Len())
+	set.Remove(2)
+	set.Remove(2)
+	if sampled := set.sample(random, 9, nil); set.Len() != 2 || len(sampled) != 2 || slices.Contains(sampled, 2) {
+		t.Errorf("sampled %v from a set of %d", sampled, set.Len())
 	}
 }
 
-// TestHubPause checks that hubs report fast but in a fleet that mostly idles.
-func TestHubPause(t *testing.T) {
+// TestHubReportInterval checks that hubs report at the shortest interval except in a mostly idle fleet.
+func TestHubReportInterval(t *testing.T) {
 	for _, test := range []struct {
 		perSecond float64
 		workers   int
@@ -157,8 +157,8 @@
 	}
 }
 
-// BenchmarkAnswer is a hub's answer to an edge where all workers have work. Before, by the
-// issue's figures, 0.06, 9.0 and 17.0 ms and 1.2 MB at 10,000 workers.
+// BenchmarkAnswer measures a hub's answer to an edge if all workers have load. Without sampling it
+// takes 0.06, 9.0 and 17.0 ms at these sizes, and 1.2 MB at 10,000 workers.
 func BenchmarkAnswer(b *testing.B) {
 	for _, count := range []int{100, 10_000, 20_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -17,7 +17,7 @@
 	return &wire.LoadReport{Source: source, Workers: []wire.WorkerLoad{{Worker: worker, Online: online, Unread: 10}}}
 }
 
-func TestHubAddsUp(t *testing.T) {
+func TestHubSumsReports(t *testing.T) {
 	hub := NewHub()
 	hub.ApplyReport(start, report(1, 7, 3))
 	hub.ApplyReport(start, report(2, 7, 4))
@@ -25,20 +25,20 @@
 	hub.ApplyReport(start, report(3, 8, 1))
 	others := hub.PeerLoads(start, 1)
 	if len(others) != 2 || others[0].Worker != 7 || others[0].Online != 5 || others[1].Online != 1 {
-		t.Errorf("others of 1: %+v", others)
+		t.Errorf("peer loads of process 1: %+v", others)
 	}
 	if all := hub.PeerLoads(start, 0); all[0].Online != 8 || all[0].Unread != 20 {
-		t.Errorf("all: %+v", all)
+		t.Errorf("sums over all processes: %+v", all)
 	}
 }
 
-// told is a report of a process that has one request at worker 7 and was told by
-// it that it has so many.
-func told(source uint32, count uint16) *wire.LoadReport {
+// selfCountReport returns a report of a process that has one request at worker 7 and was told by
+// that worker that it runs count requests in total.
+func selfCountReport(source uint32, count uint16) *wire.LoadReport {
 	return &wire.LoadReport{Source: source, Workers: []wire.WorkerLoad{{Worker: 7, Online: 1, Told: count + 1}}}
 }
 
-// orphansOf returns the estimate that a process is told of worker 7.
+// orphansOf returns the estimated orphans of worker 7 that a process receives.
 func orphansOf(hub *Hub, now time.Time) int {
 	for _, load := range hub.PeerLoads(now, 1) {
 		if load.Worker == 7 {
@@ -48,51 +48,51 @@
 	return 0
 }
 
-// TestOrphansAreSeenAndForgotten lets a worker tell two processes of five requests
-// more than anybody has. They count from the fourth answer on, and no longer once
-// the worker tells of them no more, or tells nothing.
-func TestOrphansAreSeenAndForgotten(t *testing.T) {
+// TestOrphansAreDetectedAndExpire lets a worker tell two processes that it runs five requests more
+// than all processes have. They must count as orphans from the fourth answer on, and no longer
+// once the worker stops counting them or stops answering.
+func TestOrphansAreDetectedAndExpire(t *testing.T) {
 	hub, now := NewHub(), start
-	hub.ApplyReport(now, told(1, 2))
-	hub.ApplyReport(now, told(2, 2))
+	hub.ApplyReport(now, selfCountReport(1, 2))
+	hub.ApplyReport(now, selfCountReport(2, 2))
 	if got := orphansOf(hub, now); got != 0 {
-		t.Fatalf("%d orphans where all is known", got)
+		t.Fatalf("%d orphans though all requests are known", got)
 	}
-	for i := range toldSamples {
+	for i := range orphanSamples {
 		if got := orphansOf(hub, now); got != 0 {
 			t.Errorf("%d orphans after %d answers", got, i)
 		}
 		now = now.Add(20 * time.Millisecond)
-		hub.ApplyReport(now, told(uint32(1+i%2), 7))
+		hub.ApplyReport(now, selfCountReport(uint32(1+i%2), 7))
 	}
 	if got := orphansOf(hub, now); got != 5 {
 		t.Errorf("%d orphans, want 5", got)
 	}
-	if got := orphansOf(hub, now.Add(toldFresh+1)); got != 0 {
-		t.Errorf("%d orphans by answers of long ago", got)
+	if got := orphansOf(hub, now.Add(orphanSampleTTL+1)); got != 0 {
+		t.Errorf("%d orphans from expired answers", got)
 	}
-	hub.ApplyReport(now, told(1, 2))
+	hub.ApplyReport(now, selfCountReport(1, 2))
 	if got := orphansOf(hub, now); got != 0 {
-		t.Errorf("%d orphans after the worker told of none", got)
+		t.Errorf("%d orphans after the worker reported none", got)
 	}
-	hub.ApplyReport(now.Add(2*toldFresh), report(1, 7, 1))
-	if len(hub.watched) != 0 {
-		t.Error("estimates are kept for ever")
+	hub.ApplyReport(now.Add(2*orphanSampleTTL), report(1, 7, 1))
+	if len(hub.stats) != 0 {
+		t.Error("expired estimates are not dropped")
 	}
 }
 
-// TestNoiseIsNoOrphan checks that differences that come and go count for nothing.
-func TestNoiseIsNoOrphan(t *testing.T) {
+// TestNoiseIsNotCountedAsOrphans checks that excesses that come and go are not counted.
+func TestNoiseIsNotCountedAsOrphans(t *testing.T) {
 	hub := NewHub()
 	for _, count := range []uint16{9, 1, 9, 9, 1, 9, 0} {
-		hub.ApplyReport(start, told(1, count))
+		hub.ApplyReport(start, selfCountReport(1, count))
 		if got := orphansOf(hub, start); got != 0 {
-			t.Errorf("%d orphans by noise", got)
+			t.Errorf("%d orphans from noise", got)
 		}
 	}
 }
 
-func TestPauseFollowsTheLoad(t *testing.T) {
+func TestReportInterval(t *testing.T) {
 	for _, test := range []struct {
 		perSecond          float64
 		processes, workers int
@@ -115,7 +115,7 @@
 	var rate Rate
 	now, count := start, uint64(5)
 	if got := rate.Observe(now, count); got != 0 {
-		t.Errorf("a rate of %f by one count", got)
+		t.Errorf("a rate of %f from a single count", got)
 	}
 	for range 40 {
 		now, count = now.Add(50*time.Millisecond), count+2
@@ -125,18 +125,18 @@
 		t.Errorf("a rate of %f, want 40", got)
 	}
 	if got := rate.Observe(now.Add(time.Second), count); got != 0 {
-		t.Errorf("a rate of %f after a second of nothing", got)
+		t.Errorf("a rate of %f after a second without a change", got)
 	}
 }
 
-// answers is a report of how worker 7 answered a process.
-func answers(source uint32, answered, failed uint16) *wire.LoadReport {
+// outcomeReport returns a report with the outcomes of a process's requests at worker 7.
+func outcomeReport(source uint32, answered, failed uint16) *wire.LoadReport {
 	return &wire.LoadReport{Source: source, Workers: []wire.WorkerLoad{{Worker: 7, Answered: answered, Failed: failed}}}
 }
 
-// TestFailingWorkersAreTold lets two processes see one failure each of a worker:
-// all are told to avoid it, and may try it again after some seconds.
-func TestFailingWorkersAreTold(t *testing.T) {
+// TestFailingWorkersAreReported lets two processes observe one failure each at a worker: all processes
+// must be told to avoid it, and may try it again after some seconds.
+func TestFailingWorkersAreReported(t *testing.T) {
 	failing := func(hub *Hub, now time.Time) bool {
 		for _, load := range hub.PeerLoads(now, 9) {
 			if load.Worker == 7 {
@@ -146,32 +146,32 @@
 		return false
 	}
 	hub, now := NewHub(), start
-	hub.ApplyReport(now, answers(1, 2, 1))
+	hub.ApplyReport(now, outcomeReport(1, 2, 1))
 	if failing(hub, now) {
-		t.Error("one failure makes a failing worker")
+		t.Error("the worker is failing after one failure")
 	}
-	hub.ApplyReport(now, answers(2, 0, 1))
+	hub.ApplyReport(now, outcomeReport(2, 0, 1))
 	if !failing(hub, now) {
-		t.Fatal("two failures of four answers don't")
+		t.Fatal("the worker is not failing after two failures in four answers")
 	}
 	if now = now.Add(3 * time.Second); !failing(hub, now) {
-		t.Error("it is tried again at once")
+		t.Error("the worker is readmitted after 3 s")
 	}
 	if now = now.Add(4 * time.Second); failing(hub, now) {
-		t.Error("it is never tried again")
+		t.Error("the worker is not readmitted after 7 s")
 	}
-	hub.ApplyReport(now, answers(1, 50, 3))
+	hub.ApplyReport(now, outcomeReport(1, 50, 3))
 	if failing(hub, now) {
-		t.Error("a few failures of many answers make a failing worker")
+		t.Error("the worker is failing after 3 failures in 53 answers")
 	}
-	if now = now.Add(time.Minute); failing(hub, now) || len(hub.watched) != 0 {
-		t.Error("it is remembered for ever")
+	if now = now.Add(time.Minute); failing(hub, now) || len(hub.stats) != 0 {
+		t.Error("the worker's stats are not dropped after a minute")
 	}
 }
 
-// TestTotalsFollowTheReports checks with random reports that the sums that are
-// kept are those that a count of all reports gives.
-func TestTotalsFollowTheReports(t *testing.T) {
+// TestTotalsMatchReports checks with random reports that the incrementally updated totals
+// equal the sums computed from all reports.
+func TestTotalsMatchReports(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	hub, now := NewHub(), start
 	last := map[uint32]*wire.LoadReport{}
@@ -191,13 +191,13 @@
 		want := map[uint32]int{}
 		for name, known := range last {
 			for _, load := range known.Workers {
-				// Reports expire a little late.
+				// Expired reports may still be counted until the next scan.
 				if name != except && now.Sub(at[name]) <= ReportTTL {
 					want[load.Worker] += int(load.Online) + int(load.Batch)
 				}
 			}
 		}
-		hub.expireDue = time.Time{}
+		hub.nextExpiry = time.Time{}
 		got := map[uint32]int{}
 		for _, load := range hub.PeerLoads(now, except) {
 			got[load.Worker] = int(load.Online) + int(load.Batch)
@@ -213,55 +213,55 @@
 func TestOldReportsDoNotCount(t *testing.T) {
 	hub := NewHub()
 	hub.ApplyReport(start, report(1, 7, 3))
-	late := start.Add(ReportTTL + 1)
-	if others := hub.PeerLoads(late, 2); len(others) != 0 || hub.SourceCount(late) != 0 {
-		t.Errorf("others %+v", others)
+	expired := start.Add(ReportTTL + 1)
+	if others := hub.PeerLoads(expired, 2); len(others) != 0 || hub.SourceCount(expired) != 0 {
+		t.Errorf("expired loads are returned: %+v", others)
 	}
-	hub.ApplyReport(late, report(2, 7, 1))
+	hub.ApplyReport(expired, report(2, 7, 1))
 	if len(hub.sources) != 1 {
-		t.Errorf("%d reports are kept", len(hub.sources))
+		t.Errorf("%d reports are kept, want 1", len(hub.sources))
 	}
 }
 
-// TestReporterFindsTheHub lets the first of two stores be silent: the reporter
-// goes on to the one that answers and learns what the others have.
+// TestReporterFindsTheHub makes the first of two hubs unresponsive: the reporter must switch to
+// the other one and receive its answers.
 func TestReporterFindsTheHub(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	silent, answering := freeUDP(t), freeUDP(t)
-	var running sync.WaitGroup
+	unresponsive, answering := freeUDP(t), freeUDP(t)
+	var wg sync.WaitGroup
 	serve := func(address string, answer func(*wire.LoadReport) *wire.LoadReport) {
-		running.Add(1)
+		wg.Add(1)
 		go func() {
-			defer running.Done()
+			defer wg.Done()
 			if err := Serve(ctx, address, answer); err != nil {
 				t.Error(err)
 			}
 		}()
 	}
-	serve(silent, func(*wire.LoadReport) *wire.LoadReport { return nil })
-	serve(answering, func(told *wire.LoadReport) *wire.LoadReport {
-		return &wire.LoadReport{Workers: []wire.WorkerLoad{{Worker: told.Workers[0].Worker, Online: 42}}}
+	serve(unresponsive, func(*wire.LoadReport) *wire.LoadReport { return nil })
+	serve(answering, func(report *wire.LoadReport) *wire.LoadReport {
+		return &wire.LoadReport{Workers: []wire.WorkerLoad{{Worker: report.Workers[0].Worker, Online: 42}}}
 	})
-	learned := make(chan wire.WorkerLoad, 1000)
-	running.Add(1)
+	received := make(chan wire.WorkerLoad, 1000)
+	wg.Add(1)
 	go func() {
-		defer running.Done()
+		defer wg.Done()
 		err := Report(ctx, &Reporter{
-			Hubs:     func() []string { return []string{silent, answering} },
+			Hubs:     func() []string { return []string{unresponsive, answering} },
 			Report:   func() *wire.LoadReport { return report(1, 7, 3) },
-			OnAnswer: func(_ time.Time, answer *wire.LoadReport) { learned <- answer.Workers[0] },
+			OnAnswer: func(_ time.Time, answer *wire.LoadReport) { received <- answer.Workers[0] },
 			Interval: func() time.Duration { return Interval },
 		})
 		if err != nil {
 			t.Error(err)
 		}
 	}()
-	if load := <-learned; load.Worker != 7 || load.Online != 42 {
-		t.Errorf("learned %+v", load)
+	if load := <-received; load.Worker != 7 || load.Online != 42 {
+		t.Errorf("received %+v", load)
 	}
 	cancel()
-	running.Wait()
+	wg.Wait()
 }
 
 func freeUDP(t *testing.T) string {
@@ -273,7 +273,7 @@
 	return socket.LocalAddr().String()
 }
 
-// FuzzReport checks that no datagram makes the decoder fail but with an error.
+// FuzzReport checks that no datagram makes the decoder or ApplyReport panic.
 func FuzzReport(f *testing.F) {
 	encoded, err := report(1, 7, 3).MarshalMsg(nil)
 	if err != nil {
@@ -288,28 +288,28 @@
 	})
 }
 
-// TestAskedBeforeTold lets a hub answer what it is asked: who asks knows what others had
-// told by then, quiet reports count without an answer, and a silent hub holds nobody up.
-func TestAskedBeforeTold(t *testing.T) {
+// TestQueryReturnsEarlierReports checks that Query returns what other processes had reported
+// before it, that reports without an answer count, and that an unresponsive hub delays no caller.
+func TestQueryReturnsEarlierReports(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	var running sync.WaitGroup
-	t.Cleanup(func() { cancel(); running.Wait() })
+	var wg sync.WaitGroup
+	t.Cleanup(func() { cancel(); wg.Wait() })
 	address := freeUDP(t)
 	hub, quiet := NewHub(), 0
 	var mutex sync.Mutex
-	silent := false
-	running.Go(func() {
-		_ = Serve(ctx, address, func(told *wire.LoadReport) *wire.LoadReport {
+	unresponsive := false
+	wg.Go(func() {
+		_ = Serve(ctx, address, func(report *wire.LoadReport) *wire.LoadReport {
 			mutex.Lock()
 			defer mutex.Unlock()
-			hub.ApplyReport(time.Now(), told)
-			if told.Quiet {
+			hub.ApplyReport(time.Now(), report)
+			if report.Quiet {
 				quiet++
 			}
-			if told.Quiet || silent {
+			if report.Quiet || unresponsive {
 				return nil
 			}
-			return &wire.LoadReport{Workers: hub.PeerLoads(time.Now(), told.Source)}
+			return &wire.LoadReport{Workers: hub.PeerLoads(time.Now(), report.Source)}
 		})
 	})
 	var online [3]uint16
@@ -333,12 +333,12 @@
 			},
 			Interval: func() time.Duration { return Interval },
 		})
-		running.Go(func() { _ = exchanges[i].Run(ctx) })
+		wg.Go(func() { _ = exchanges[i].Run(ctx) })
 	}
-	// Nothing below rests on how long anything takes: a wait for a silent hub would not end.
-	const patience = time.Hour
+	// No check below depends on timing: a wait for an unresponsive hub would not end.
+	const timeout = time.Hour
 	knows := func(i int, want uint16) bool {
-		if !exchanges[i].Query(ctx, patience, nil, false) {
+		if !exchanges[i].Query(ctx, timeout, nil, false) {
 			return false
 		}
 		mutex.Lock()
@@ -358,18 +358,18 @@
 		time.Sleep(time.Millisecond)
 	}
 	mutex.Lock()
-	silent = true
+	unresponsive = true
 	mutex.Unlock()
 	for exchanges[2].Query(ctx, time.Millisecond, nil, false) {
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep(ReportTTL)
-	if exchanges[2].Query(ctx, patience, nil, false) {
-		t.Error("a silent hub has answered")
+	if exchanges[2].Query(ctx, timeout, nil, false) {
+		t.Error("an unresponsive hub has answered")
 	}
 	mutex.Lock()
 	defer mutex.Unlock()
 	if quiet == 0 {
-		t.Error("nobody told without asking")
+		t.Error("no report without an answer arrived")
 	}
 }
--- a/internal/loadshare/orphans.go
+++ b/internal/loadshare/orphans.go
@@ -3,49 +3,48 @@
 import "time"
 
 const (
-	// toldSamples is how many of a worker's answers an estimate rests on, and
-	// toldFresh how old they may be.
-	toldSamples = 4
-	toldFresh   = time.Second
+	// orphanSamples is the number of a worker's answers that an estimate rests on, and
+	// orphanSampleTTL how old they may be.
+	orphanSamples   = 4
+	orphanSampleTTL = time.Second
 )
 
-// orphans estimates how many requests a worker has that no living process answers
-// for. A process that lost power, froze or was cut off leaves its requests behind,
-// and the worker goes on with them until it notices. What a worker tells of itself
-// is a moment old and lags in bursts, so the estimate is the least difference of
-// several answers: noise comes and goes, orphans stay. The zero value is ready for
-// use.
+// orphans estimates how many requests a worker runs that belong to no living process. A process
+// that lost power, froze or was cut off leaves its requests behind, and the worker continues them
+// until it notices. The count that a worker reports about itself is slightly old and lags in
+// bursts, so the estimate is the minimum excess of several answers: noise comes and goes, orphans
+// stay. The zero value is ready for use.
 type orphans struct {
-	samples [toldSamples]toldSample
+	samples [orphanSamples]orphanSample
 	next    int
 }
 
-// toldSample is by how much a worker's own count exceeded what was known.
-type toldSample struct {
+// orphanSample is the excess of a worker's own request count over the number of known requests.
+type orphanSample struct {
 	at     time.Time
 	excess int
 }
 
-// take takes in an answer.
-func (o *orphans) take(now time.Time, excess int) {
-	o.samples[o.next] = toldSample{at: now, excess: excess}
-	o.next = (o.next + 1) % toldSamples
+// addSample adds the excess of one answer, replacing the oldest sample.
+func (o *orphans) addSample(now time.Time, excess int) {
+	o.samples[o.next] = orphanSample{at: now, excess: excess}
+	o.next = (o.next + 1) % orphanSamples
 }
 
-// count returns the estimate.
+// count returns the estimated number of orphans, zero until all samples are recent.
 func (o *orphans) count(now time.Time) int {
-	least := o.samples[0].excess
+	minimum := o.samples[0].excess
 	for _, sample := range o.samples {
-		if sample.at.IsZero() || now.Sub(sample.at) > toldFresh {
+		if sample.at.IsZero() || now.Sub(sample.at) > orphanSampleTTL {
 			return 0
 		}
-		least = min(least, sample.excess)
+		minimum = min(minimum, sample.excess)
 	}
-	return max(least, 0)
+	return max(minimum, 0)
 }
 
-// stale reports whether no sample counts any more.
+// stale reports whether all samples have expired.
 func (o *orphans) stale(now time.Time) bool {
-	last := o.samples[(o.next+toldSamples-1)%toldSamples]
-	return now.Sub(last.at) > toldFresh
+	last := o.samples[(o.next+orphanSamples-1)%orphanSamples]
+	return now.Sub(last.at) > orphanSampleTTL
 }
--- a/internal/loadshare/pace.go
+++ b/internal/loadshare/pace.go
@@ -8,58 +8,60 @@
 )
 
 const (
-	// paceHalf is the time after which an observation counts half.
-	paceHalf = time.Second
-	// leastSteps is the weight of times between events that a mean rests on.
-	leastSteps = 2.0
-	// rateSeconds is the span of time that a rate is told for.
-	rateSeconds = 10
+	// speedHalfLife is the time in which the weight of an observation halves.
+	speedHalfLife = time.Second
+	// minSteps is the minimum weight of steps that a mean rests on. A step is the time between two
+	// events.
+	minSteps = 2.0
+	// reportedRateSeconds is the time span, in seconds, that reported rates refer to.
+	reportedRateSeconds = 10
 )
 
-// pace is how fast a worker makes events and answers online requests, over all
-// processes. The zero value is ready for use.
-type pace struct {
-	at       time.Time
-	answered float64
-	steps    float64
-	// micros is the sum of the times between events.
-	micros float64
+// workerSpeed measures a worker's time between events and its rate of answered online requests,
+// over all processes. The zero value is ready for use.
+type workerSpeed struct {
+	updatedAt time.Time
+	answered  float64
+	steps     float64
+	// stepMicros is the sum of the times between events, in microseconds.
+	stepMicros float64
 }
 
-// take takes in what a process has seen since its last report.
-func (p *pace) take(now time.Time, load *wire.WorkerLoad) {
-	p.age(now)
-	p.answered += float64(load.Answered)
-	p.steps += float64(load.Steps)
-	p.micros += float64(load.StepMicros)
+// applyReport adds what a process observed since its last report.
+func (w *workerSpeed) applyReport(now time.Time, load *wire.WorkerLoad) {
+	w.decay(now)
+	w.answered += float64(load.Answered)
+	w.steps += float64(load.Steps)
+	w.stepMicros += float64(load.StepMicros)
 }
 
-func (p *pace) age(now time.Time) {
-	if !p.at.IsZero() {
-		weight := math.Exp2(-float64(now.Sub(p.at)) / float64(paceHalf))
-		p.answered *= weight
-		p.steps *= weight
-		p.micros *= weight
+func (w *workerSpeed) decay(now time.Time) {
+	if !w.updatedAt.IsZero() {
+		weight := math.Exp2(-float64(now.Sub(w.updatedAt)) / float64(speedHalfLife))
+		w.answered *= weight
+		w.steps *= weight
+		w.stepMicros *= weight
 	}
-	p.at = now
+	w.updatedAt = now
 }
 
 // step returns the mean time between events in microseconds, zero if unknown.
-func (p *pace) step(now time.Time) uint32 {
-	p.age(now)
-	if p.steps < leastSteps {
+func (w *workerSpeed) step(now time.Time) uint32 {
+	w.decay(now)
+	if w.steps < minSteps {
 		return 0
 	}
-	return uint32(min(p.micros/p.steps, math.MaxUint32))
+	return uint32(min(w.stepMicros/w.steps, math.MaxUint32))
 }
 
-// rate returns how many online requests are answered in ten seconds. What is
-// answered evenly adds up to its rate times the mean age at which it is forgotten.
-func (p *pace) rate(now time.Time) uint16 {
-	p.age(now)
-	perSecond := p.answered * math.Ln2 / paceHalf.Seconds()
-	return clamp16(int(math.Round(perSecond * rateSeconds)))
+// rate returns the number of online requests answered in ten seconds. At a constant rate, the
+// decaying sum equals the rate times the mean lifetime of an observation, which is the half-life
+// divided by ln 2.
+func (w *workerSpeed) rate(now time.Time) uint16 {
+	w.decay(now)
+	perSecond := w.answered * math.Ln2 / speedHalfLife.Seconds()
+	return clamp16(int(math.Round(perSecond * reportedRateSeconds)))
 }
 
-// stale reports whether nothing is left to remember.
-func (p *pace) stale(now time.Time) bool { return p.step(now) == 0 && p.rate(now) == 0 }
+// stale reports whether all observations have decayed.
+func (w *workerSpeed) stale(now time.Time) bool { return w.step(now) == 0 && w.rate(now) == 0 }
--- a/internal/loadshare/part_test.go
+++ b/internal/loadshare/part_test.go
@@ -7,13 +7,12 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// TestPartStaysTheSameSize lists fleets of different sizes: a process is told of all
-// workers of its zone, and of others up to one packet; over several answers it hears of
-// every worker.
-func TestPartStaysTheSameSize(t *testing.T) {
+// TestSubsetSizeIsBounded checks fleets of several sizes: a process receives all workers of its
+// zone, and as many others as fit into one packet. Over several answers it receives every worker.
+func TestSubsetSizeIsBounded(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
 	for _, test := range []struct{ workers, zones, want int }{
-		{12, 3, 12}, {maxRows, 4, maxRows}, {130, 5, maxRows}, {600, 9, 67}, {0, 1, 0},
+		{12, 3, 12}, {maxAnswerRows, 4, maxAnswerRows}, {130, 5, maxAnswerRows}, {600, 9, 67}, {0, 1, 0},
 	} {
 		zoneOf, seen := map[uint32]string{}, map[uint32]bool{}
 		for worker := range test.workers {
@@ -24,14 +23,14 @@
 			for worker := range rows {
 				rows[worker].Worker = uint32(worker)
 			}
-			part, left := Subset(rows, "a", func(worker uint32) string { return zoneOf[worker] }, random)
-			if len(part) != test.want || left != (test.want < test.workers) {
-				t.Fatalf("%+v: %d rows, left %t", test, len(part), left)
+			subset, omitted := Subset(rows, "a", func(worker uint32) string { return zoneOf[worker] }, random)
+			if len(subset) != test.want || omitted != (test.want < test.workers) {
+				t.Fatalf("%+v: %d rows, omitted %t", test, len(subset), omitted)
 			}
 			near := 0
-			for i := range part {
-				seen[part[i].Worker] = true
-				if zoneOf[part[i].Worker] == "a" {
+			for i := range subset {
+				seen[subset[i].Worker] = true
+				if zoneOf[subset[i].Worker] == "a" {
 					near++
 				}
 			}
@@ -40,7 +39,7 @@
 			}
 		}
 		if test.zones < 9 && len(seen) != test.workers {
-			t.Errorf("%+v: %d workers were told of", test, len(seen))
+			t.Errorf("%+v: only %d workers were ever included", test, len(seen))
 		}
 	}
 }
--- a/internal/loadshare/probe.go
+++ b/internal/loadshare/probe.go
@@ -3,31 +3,31 @@
 import "time"
 
 const (
-	// illParts is the part of the time that a worker has been ill, one in so many, that
-	// passes between two probes: that is by how much too late a worker that is well again is
-	// readmitted at most, and the number of probes grows with the logarithm of the time.
-	illParts = 5
-	// leastProbePause and mostProbePause bound that: in less a report of how the last probe
-	// ended may still be under way; in more a worker would stay idle for long after it is
-	// well. Each probe that fails costs its request a second attempt elsewhere.
-	leastProbePause = 4 * Interval
-	mostProbePause  = 4 * time.Second
-	// answerTime is how long an answer to a probe takes at most, to be reported too, before
-	// another is sent. It grows with the pause, for workers whose answers begin late.
-	answerTime = time.Second
+	// probeIntervalDivisor sets the time between two probes to this fraction, a fifth, of the time
+	// that the worker has been failing. A recovered worker is thus readmitted late by at most that
+	// fraction, and the number of probes grows with the logarithm of the time.
+	probeIntervalDivisor = 5
+	// minProbeInterval and maxProbeInterval bound the time between probes. With less, the report on
+	// the last probe may still be in transit; with more, a recovered worker stays idle for long.
+	// Each failed probe costs its request a second attempt elsewhere.
+	minProbeInterval = 4 * Interval
+	maxProbeInterval = 4 * time.Second
+	// probeTimeout is how long the answer to a probe, including its report, may take before another
+	// probe is sent. The probe interval is added to it, for workers whose first events are slow.
+	probeTimeout = time.Second
 )
 
-// Change is how the judgement of a worker changed.
+// Change is a change in the health rating of a worker.
 type Change uint8
 
 const (
-	// Unchanged means that it did not change.
+	// Unchanged means that the rating did not change.
 	Unchanged Change = iota
-	// Avoided means that no requests but probes go to the worker from now on.
+	// Avoided means that from now on only probes are sent to the worker.
 	Avoided
-	// Probed means that one request goes there to learn whether it is well.
+	// Probed means that one request is sent to the worker to test whether it has recovered.
 	Probed
-	// Readmitted means that requests go there as to any other.
+	// Readmitted means that the worker receives requests as any other.
 	Readmitted
 )
 
@@ -36,112 +36,113 @@
 	return [...]string{"unchanged", "avoided", "probed", "readmitted"}[c]
 }
 
-// HealthChange is a change in the judgement of a worker, with what it rests on.
+// HealthChange is a change in the health rating of a worker, with the values it rests on.
 type HealthChange struct {
-	// Worker is the worker's short name.
+	// Worker is the hash of the worker.
 	Worker uint32
 	Change Change
-	// Failed and Answered are the weights of failures and good answers, which count half
-	// after each healthHalf, and Relapses how often it was readmitted too soon.
+	// Failed and Answered are the weights of failures and successes, which halve after each
+	// healthHalfLife. Relapses is how often the worker failed again soon after it was readmitted.
 	Failed   float64
 	Answered float64
 	Relapses int
-	// GoodStreak is the weight of the good answers in a row while it was avoided.
+	// GoodStreak is the weight of consecutive successes while the worker was avoided.
 	GoodStreak int
-	// UnhealthyFor is for how long it has been ill.
+	// UnhealthyFor is the time since the worker started failing.
 	UnhealthyFor time.Duration
 }
 
-// probation is when an avoided worker is probed. Processes that send no probes don't avoid
-// it for longer: one probe is under way at a time.
+// probation schedules the probes of an avoided worker, one in flight at a time. The schedule is
+// shared, so processes that send no probes don't avoid the worker for longer than others.
 type probation struct {
-	since time.Time
-	due   time.Time
-	// granted is set while a probe is under way. unprobed is set once items bring no news of
-	// the worker though they should: none of those that wait can be the probe. News of an item
-	// ends that, news of online requests don't.
-	granted  bool
-	unprobed bool
+	startedAt time.Time
+	nextProbe time.Time
+	// inFlight is set while a probe is in flight. unprobedByItems is set once batch items should
+	// have reported on the worker and did not: none of the waiting items can probe it. A report on
+	// an item clears it, a report on online requests does not.
+	inFlight        bool
+	unprobedByItems bool
 }
 
 func newProbation(now time.Time) *probation {
-	p := &probation{since: now}
-	p.due = now.Add(p.pause(now))
+	p := &probation{startedAt: now}
+	p.nextProbe = now.Add(p.probeInterval(now))
 	return p
 }
 
-// pause is the time from a failure to the next probe.
-func (p *probation) pause(now time.Time) time.Duration {
-	return min(max(now.Sub(p.since)/illParts, leastProbePause), mostProbePause)
+// probeInterval returns the time from a failure to the next probe.
+func (p *probation) probeInterval(now time.Time) time.Duration {
+	return min(max(now.Sub(p.startedAt)/probeIntervalDivisor, minProbeInterval), maxProbeInterval)
 }
 
-// sent takes in that a probe is sent. Without any answer it is given up.
-func (p *probation) sent(now time.Time) {
-	p.unprobed = p.unprobed || p.granted
-	p.granted, p.due = true, now.Add(answerTime+p.pause(now))
+// recordProbe records that a probe is sent. Unless its outcome is reported, the next probe is due
+// after probeTimeout plus the probe interval.
+func (p *probation) recordProbe(now time.Time) {
+	p.unprobedByItems = p.unprobedByItems || p.inFlight
+	p.inFlight, p.nextProbe = true, now.Add(probeTimeout+p.probeInterval(now))
 }
 
-// lacksItems reports whether items don't probe the worker: a probe brought nothing by its due
-// time, or none was sent for as long.
-func (p *probation) lacksItems(now time.Time) bool {
-	last := p.due
-	if !p.granted {
-		last = last.Add(answerTime)
+// lacksItemProbes reports whether batch items don't probe the worker: either a probe was not
+// answered by its deadline, or none was sent within probeTimeout of being due.
+func (p *probation) lacksItemProbes(now time.Time) bool {
+	deadline := p.nextProbe
+	if !p.inFlight {
+		deadline = deadline.Add(probeTimeout)
 	}
-	p.unprobed = p.unprobed || !now.Before(last)
-	return p.unprobed
+	p.unprobedByItems = p.unprobedByItems || !now.Before(deadline)
+	return p.unprobedByItems
 }
 
-// take takes in how requests at the worker ended.
-func (p *probation) take(now time.Time, got outcomes) {
-	if got.failed > 0 || got.proofs > 0 {
-		p.granted = false
-		p.unprobed = p.unprobed && got.online
+// applyOutcomes updates the schedule with the outcomes of requests at the worker.
+func (p *probation) applyOutcomes(now time.Time, observed outcomes) {
+	if observed.failed > 0 || observed.probesSucceeded > 0 {
+		p.inFlight = false
+		p.unprobedByItems = p.unprobedByItems && observed.fromZoneHub
 	}
 	switch {
-	case got.failed > 0:
-		p.due = now.Add(p.pause(now))
-	case got.proofs > 0:
-		p.due = now
+	case observed.failed > 0:
+		p.nextProbe = now.Add(p.probeInterval(now))
+	case observed.probesSucceeded > 0:
+		p.nextProbe = now
 	}
 }
 
-// ProbeDue reports whether one request may be sent to an avoided worker, to learn whether it
-// is well again.
+// ProbeDue reports whether one request may be sent to an avoided worker to test whether it has
+// recovered.
 func (h *Hub) ProbeDue(now time.Time, worker uint32) bool {
 	if !h.avoids(now, worker) {
 		delete(h.probations, worker)
 		return false
 	}
-	known := h.probations[worker]
-	if known == nil {
-		known = newProbation(now)
-		h.probations[worker] = known
+	p := h.probations[worker]
+	if p == nil {
+		p = newProbation(now)
+		h.probations[worker] = p
 	}
-	return !now.Before(known.due)
+	return !now.Before(p.nextProbe)
 }
 
-// RecordProbe takes in that a probe is sent to the worker.
+// RecordProbe records that a probe is sent to the worker.
 func (h *Hub) RecordProbe(now time.Time, worker uint32) {
-	known := h.probations[worker]
-	if known == nil {
+	p := h.probations[worker]
+	if p == nil {
 		return
 	}
-	known.sent(now)
-	h.judged(now, worker, Probed)
+	p.recordProbe(now)
+	h.recordChange(now, worker, Probed)
 }
 
-// OnlineProbes returns the avoided workers to one of which an online request may go that may
-// run more than once. Items are the better probes, since nobody waits for them; so this is for
-// when none run, or where the hub above has said that they bring no news of the worker. Only
-// workers that the hub above calls failing are named, of those for which near returns true, so
-// that one hub alone decides on each.
+// OnlineProbes returns the avoided worker to which one repeatable online request may be sent as a
+// probe, or nil. Batch items are the better probes because no caller waits for them, so it returns
+// a worker only if no items run or the parent hub says that they don't probe it. Only workers that
+// the parent hub calls failing and for which near returns true count, so that a single hub decides
+// on each. The probe counts as sent.
 func (h *Hub) OnlineProbes(now time.Time, near func(worker uint32) bool) []uint32 {
-	if !h.knowsAbove(now) {
+	if !h.hasParentLoads(now) {
 		return nil
 	}
-	for _, worker := range h.failingAbove {
-		if h.itemsRun && !h.unprobedAbove[worker] {
+	for _, worker := range h.parentFailing {
+		if h.itemsRunning && !h.parentUnprobed[worker] {
 			continue
 		}
 		if near(worker) && h.ProbeDue(now, worker) {
@@ -152,57 +153,59 @@
 	return nil
 }
 
-// UpdateForHub returns what Loaded does, for a zone's hub: Start is set at an avoided worker
-// that items don't probe, so that one request may start there.
+// UpdateForHub returns what UpdateFor does, for a zone's hub: Start is set for an avoided worker
+// that batch items don't probe, so that one online request may start there.
 func (h *Hub) UpdateForHub(now time.Time, except uint32) Update {
-	told := h.UpdateFor(now, except)
-	for i := range told.Rows {
-		if row := &told.Rows[i]; row.Failing && h.lacksItems(now, row.Worker) {
+	update := h.UpdateFor(now, except)
+	for i := range update.Rows {
+		if row := &update.Rows[i]; row.Failing && h.lacksItemProbes(now, row.Worker) {
 			row.Start = 1
 		}
 	}
-	return told
+	return update
 }
 
-// lacksItems reports whether items don't probe an avoided worker (probation.lacksItems).
-func (h *Hub) lacksItems(now time.Time, worker uint32) bool {
-	// This begins the probation of a worker that no runner has asked for.
+// lacksItemProbes reports whether batch items don't probe an avoided worker, see
+// probation.lacksItemProbes.
+func (h *Hub) lacksItemProbes(now time.Time, worker uint32) bool {
+	// Starts the probation of a worker for which ProbeDue was not called before.
 	h.ProbeDue(now, worker)
-	known := h.probations[worker]
-	return known != nil && known.lacksItems(now)
+	p := h.probations[worker]
+	return p != nil && p.lacksItemProbes(now)
 }
 
-// avoids reports whether the worker is avoided, by what the hub above told if it is heard.
+// avoids reports whether the worker is avoided, according to the parent hub if its loads are
+// valid.
 func (h *Hub) avoids(now time.Time, worker uint32) bool {
-	if h.knowsAbove(now) {
-		return h.above[worker].Failing
+	if h.hasParentLoads(now) {
+		return h.parentLoads[worker].Failing
 	}
-	known := h.watched[worker]
-	return known != nil && known.health.failing(now)
+	stats := h.stats[worker]
+	return stats != nil && stats.health.failing(now)
 }
 
-// judged keeps a change until it is taken.
-func (h *Hub) judged(now time.Time, worker uint32, change Change) {
-	if change == Unchanged || len(h.judgements) >= mostJudgements {
+// recordChange keeps a change until HealthChanges returns it. At most maxHealthChanges are kept.
+func (h *Hub) recordChange(now time.Time, worker uint32, change Change) {
+	if change == Unchanged || len(h.healthChanges) >= maxHealthChanges {
 		return
 	}
-	judgement := HealthChange{Worker: worker, Change: change}
-	if known := h.watched[worker]; known != nil {
-		judgement.Failed, judgement.Answered = known.health.failed, known.health.answered
-		judgement.Relapses, judgement.GoodStreak = known.health.relapses, known.health.good
-		if !known.health.since.IsZero() {
-			judgement.UnhealthyFor = now.Sub(known.health.since)
+	recorded := HealthChange{Worker: worker, Change: change}
+	if stats := h.stats[worker]; stats != nil {
+		recorded.Failed, recorded.Answered = stats.health.failed, stats.health.succeeded
+		recorded.Relapses, recorded.GoodStreak = stats.health.relapses, stats.health.goodStreak
+		if !stats.health.unhealthySince.IsZero() {
+			recorded.UnhealthyFor = now.Sub(stats.health.unhealthySince)
 		}
 	}
-	h.judgements = append(h.judgements, judgement)
+	h.healthChanges = append(h.healthChanges, recorded)
 }
 
-// mostJudgements bounds the changes that are kept for who writes them down.
-const mostJudgements = 256
+// maxHealthChanges limits the changes kept between two calls of HealthChanges.
+const maxHealthChanges = 256
 
-// HealthChanges returns what has changed since the last call.
+// HealthChanges returns the changes since the last call.
 func (h *Hub) HealthChanges() []HealthChange {
-	changed := h.judgements
-	h.judgements = nil
-	return changed
+	changes := h.healthChanges
+	h.healthChanges = nil
+	return changes
 }
--- a/internal/loadshare/probe_test.go
+++ b/internal/loadshare/probe_test.go
@@ -8,19 +8,20 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// patient is a worker of a hub that fails requests by a rule, and those who use it: while it
-// is not avoided they send a request each 10 ms, else probes as the hub wants them.
-type patient struct {
+// simulatedWorker simulates a worker of a hub that fails requests by a rule, and its callers:
+// every 10 ms they send a request while the worker is not avoided, or a probe if one is due.
+type simulatedWorker struct {
 	hub    *Hub
 	now    time.Time
 	random *rand.Rand
-	// fails returns whether a request that comes now fails, silent is set where it says so
-	// only by keeping silent.
-	fails  func(now time.Time) bool
-	silent bool
-	// lost counts failed probes, sent all of them, under how many were under way at most.
-	lost, sent, under, most int
-	// reports are under way.
+	// fails reports whether a request sent now fails. timesOut is set if failures are detected by a
+	// timeout rather than by an error.
+	fails    func(now time.Time) bool
+	timesOut bool
+	// probesFailed counts failed probes, probesSent all probes, probesInFlight those in flight and
+	// maxProbesInFlight the maximum of that.
+	probesFailed, probesSent, probesInFlight, maxProbesInFlight int
+	// reports holds the reports in transit.
 	reports []pendingReport
 }
 
@@ -30,186 +31,187 @@
 	probe  bool
 }
 
-const patientWorker = 7
+const simulatedWorkerHash = 7
 
-// reportLag is what passes from an answer until the hub knows of it.
+// reportLag is the time from an answer until the hub has the report on it.
 const reportLag = 100 * time.Millisecond
 
-func newPatient(fails func(now time.Time) bool) *patient {
-	return &patient{hub: NewHub(), now: start, random: rand.New(rand.NewPCG(1, 1)), fails: fails}
+func newSimulatedWorker(fails func(now time.Time) bool) *simulatedWorker {
+	return &simulatedWorker{hub: NewHub(), now: start, random: rand.New(rand.NewPCG(1, 1)), fails: fails}
 }
 
-// send sends a request and has its end reported.
-func (p *patient) send(probe bool) {
-	report := &wire.LoadReport{Source: uint32(1 + p.random.IntN(4))}
-	failed, after := p.fails(p.now), reportLag
+// send sends a request and schedules the report on its outcome.
+func (w *simulatedWorker) send(probe bool) {
+	report := &wire.LoadReport{Source: uint32(1 + w.random.IntN(4))}
+	failed, after := w.fails(w.now), reportLag
 	switch {
 	case failed:
-		report.Workers = []wire.WorkerLoad{{Worker: patientWorker, Failed: 1}}
-		if p.silent {
+		report.Workers = []wire.WorkerLoad{{Worker: simulatedWorkerHash, Failed: 1}}
+		if w.timesOut {
 			after += 400 * time.Millisecond
 		}
 	case probe:
-		report.Proofs = []wire.WorkerProof{{Worker: patientWorker, Well: 1}}
+		report.Proofs = []wire.WorkerProof{{Worker: simulatedWorkerHash, Well: 1}}
 	default:
-		report.Workers = []wire.WorkerLoad{{Worker: patientWorker, Answered: 1}}
+		report.Workers = []wire.WorkerLoad{{Worker: simulatedWorkerHash, Answered: 1}}
 	}
 	if probe {
-		p.sent++
-		p.under++
-		p.most = max(p.most, p.under)
+		w.probesSent++
+		w.probesInFlight++
+		w.maxProbesInFlight = max(w.maxProbesInFlight, w.probesInFlight)
 		if failed {
-			p.lost++
+			w.probesFailed++
 		}
 	}
-	p.reports = append(p.reports, pendingReport{p.now.Add(after), report, probe})
+	w.reports = append(w.reports, pendingReport{w.now.Add(after), report, probe})
 }
 
-// play plays until a moment, and returns when the worker was readmitted last.
-func (p *patient) play(until time.Duration) (readmitted time.Time) {
-	for ; p.now.Sub(start) < until; p.now = p.now.Add(10 * time.Millisecond) {
-		kept := p.reports[:0]
-		for _, pending := range p.reports {
-			if pending.at.After(p.now) {
+// run simulates until the given time and returns when the worker was last readmitted.
+func (w *simulatedWorker) run(until time.Duration) (readmitted time.Time) {
+	for ; w.now.Sub(start) < until; w.now = w.now.Add(10 * time.Millisecond) {
+		kept := w.reports[:0]
+		for _, pending := range w.reports {
+			if pending.at.After(w.now) {
 				kept = append(kept, pending)
 				continue
 			}
-			p.hub.ApplyReport(p.now, pending.report)
+			w.hub.ApplyReport(w.now, pending.report)
 			if pending.probe {
-				p.under--
+				w.probesInFlight--
 			}
 		}
-		p.reports = kept
-		for _, judged := range p.hub.HealthChanges() {
-			if judged.Change == Readmitted {
-				readmitted = p.now
+		w.reports = kept
+		for _, change := range w.hub.HealthChanges() {
+			if change.Change == Readmitted {
+				readmitted = w.now
 			}
 		}
 		switch {
-		case !p.hub.avoids(p.now, patientWorker):
-			p.send(false)
-		case p.hub.ProbeDue(p.now, patientWorker):
-			p.hub.RecordProbe(p.now, patientWorker)
-			p.send(true)
+		case !w.hub.avoids(w.now, simulatedWorkerHash):
+			w.send(false)
+		case w.hub.ProbeDue(w.now, simulatedWorkerHash):
+			w.hub.RecordProbe(w.now, simulatedWorkerHash)
+			w.send(true)
 		}
 	}
 	return readmitted
 }
 
-// TestWellWorkersComeBackSoon lets a worker fail everything for some time: it is sent requests
-// again about a second after it is well, however it failed, and a fifth of the time that it
-// was ill at most.
+// TestWellWorkersComeBackSoon makes a worker fail all requests for a while, by errors or timeouts.
+// After recovery it must receive requests again after about a second, plus at most about a fifth
+// of the time that it was failing.
 func TestWellWorkersComeBackSoon(t *testing.T) {
 	for _, test := range []struct {
-		ill    time.Duration
-		silent bool
-		within time.Duration
+		failingFor time.Duration
+		timesOut   bool
+		within     time.Duration
 	}{
 		{time.Second, false, 1200 * time.Millisecond},
 		{5 * time.Second, false, 1600 * time.Millisecond},
 		{5 * time.Second, true, 2200 * time.Millisecond},
 		{20 * time.Second, false, 4600 * time.Millisecond},
 	} {
-		ends := start.Add(test.ill)
-		p := newPatient(func(now time.Time) bool { return now.Before(ends) })
-		p.silent = test.silent
-		back := p.play(test.ill + 15*time.Second).Sub(ends)
-		t.Logf("ill for %v, silent %t: back after %v, %d probes, %d lost", test.ill, test.silent, back, p.sent, p.lost)
-		if back <= 0 || back > test.within {
-			t.Errorf("ill for %v, silent %t: back after %v", test.ill, test.silent, back)
+		recovery := start.Add(test.failingFor)
+		worker := newSimulatedWorker(func(now time.Time) bool { return now.Before(recovery) })
+		worker.timesOut = test.timesOut
+		readmittedAfter := worker.run(test.failingFor + 15*time.Second).Sub(recovery)
+		t.Logf("failing for %v, timeouts %t: readmitted after %v, %d probes, %d failed", test.failingFor, test.timesOut, readmittedAfter, worker.probesSent, worker.probesFailed)
+		if readmittedAfter <= 0 || readmittedAfter > test.within {
+			t.Errorf("failing for %v, timeouts %t: readmitted after %v", test.failingFor, test.timesOut, readmittedAfter)
 		}
-		if p.most > 1 {
-			t.Errorf("%d probes at once", p.most)
+		if worker.maxProbesInFlight > 1 {
+			t.Errorf("%d probes in flight at once", worker.maxProbesInFlight)
 		}
 	}
 }
 
-// TestIllWorkersCostFewProbes lets a worker fail for good: the requests lost grow with the
-// logarithm of the time, then by fifteen a minute.
+// TestIllWorkersCostFewProbes makes a worker fail for good: failed probes grow with the logarithm
+// of the time, and later by fifteen a minute.
 func TestIllWorkersCostFewProbes(t *testing.T) {
-	for _, silent := range []bool{false, true} {
-		p := newPatient(func(time.Time) bool { return true })
-		p.silent = silent
-		p.play(10 * time.Second)
-		early := p.lost
-		p.play(70 * time.Second)
-		t.Logf("silent %t: %d lost in 10 s, %d in 70 s", silent, early, p.lost)
-		if early > 20 || p.lost > early+25 || p.most > 1 {
-			t.Errorf("silent %t: %d probes lost in 10 s, %d in 70 s, %d at once", silent, early, p.lost, p.most)
+	for _, timesOut := range []bool{false, true} {
+		worker := newSimulatedWorker(func(time.Time) bool { return true })
+		worker.timesOut = timesOut
+		worker.run(10 * time.Second)
+		first := worker.probesFailed
+		worker.run(70 * time.Second)
+		t.Logf("timeouts %t: %d probes failed in 10 s, %d in 70 s", timesOut, first, worker.probesFailed)
+		if first > 20 || worker.probesFailed > first+25 || worker.maxProbesInFlight > 1 {
+			t.Errorf("timeouts %t: %d probes failed in 10 s, %d in 70 s, %d in flight at once", timesOut, first, worker.probesFailed, worker.maxProbesInFlight)
 		}
 	}
 }
 
-// TestHalfIllWorkersStayAvoided lets a worker fail one request in three: it is avoided most of
-// the time, because each relapse asks for more good answers.
+// TestHalfIllWorkersStayAvoided makes a worker fail one in three requests: it must be avoided most
+// of the time, because each relapse requires more successes.
 func TestHalfIllWorkersStayAvoided(t *testing.T) {
-	luck := rand.New(rand.NewPCG(3, 3))
-	p := newPatient(func(time.Time) bool { return luck.IntN(3) == 0 })
+	failures := rand.New(rand.NewPCG(3, 3))
+	worker := newSimulatedWorker(func(time.Time) bool { return failures.IntN(3) == 0 })
 	avoided, all := 0, 0
 	for all = range 3000 {
-		p.play(time.Duration(all) * 20 * time.Millisecond)
-		if p.hub.avoids(p.now, patientWorker) {
+		worker.run(time.Duration(all) * 20 * time.Millisecond)
+		if worker.hub.avoids(worker.now, simulatedWorkerHash) {
 			avoided++
 		}
 	}
-	t.Logf("avoided in %d of %d moments, %d probes", avoided, all, p.sent)
+	t.Logf("avoided in %d of %d steps, %d probes", avoided, all, worker.probesSent)
 	if avoided < all*9/10 {
-		t.Errorf("avoided in %d of %d moments", avoided, all)
+		t.Errorf("avoided in %d of %d steps", avoided, all)
 	}
 }
 
-// TestOnlineProbesComeSecond checks that a zone's hub names an avoided worker of its zone for
-// a repeatable request only while no items run that could be the probe, and one at a time.
-func TestOnlineProbesComeSecond(t *testing.T) {
+// TestOnlineProbesOnlyWithoutItems checks that a zone's hub offers an avoided worker of its zone
+// to a repeatable request only while no batch items run that could probe it, and only one probe at
+// a time.
+func TestOnlineProbesOnlyWithoutItems(t *testing.T) {
 	h, now := NewHub(), start
-	near := func(worker uint32) bool { return worker == patientWorker }
-	rows := []wire.WorkerLoad{{Worker: patientWorker, Failing: true}, {Worker: 8, Failing: true}, {Worker: 9, Batch: 1}}
-	tell := func(rows []wire.WorkerLoad, times int) (named []uint32) {
+	near := func(worker uint32) bool { return worker == simulatedWorkerHash }
+	rows := []wire.WorkerLoad{{Worker: simulatedWorkerHash, Failing: true}, {Worker: 8, Failing: true}, {Worker: 9, Batch: 1}}
+	receive := func(rows []wire.WorkerLoad, times int) (offered []uint32) {
 		for range times {
 			now = now.Add(Interval)
 			h.SetParentLoads(now, rows, 0, false)
-			named = append(named, h.OnlineProbes(now, near)...)
+			offered = append(offered, h.OnlineProbes(now, near)...)
 		}
-		return named
+		return offered
 	}
-	if named := tell(rows, 40); len(named) != 0 {
-		t.Errorf("%v are named though items run", named)
+	if offered := receive(rows, 40); len(offered) != 0 {
+		t.Errorf("workers %v offered though items run", offered)
 	}
-	if named := tell(rows[:2], 10); len(named) != 1 || named[0] != patientWorker {
-		t.Errorf("%v are named", named)
+	if offered := receive(rows[:2], 10); len(offered) != 1 || offered[0] != simulatedWorkerHash {
+		t.Errorf("workers %v offered, want one", offered)
 	}
-	if named := tell(rows[1:2], 40); len(named) != 0 {
-		t.Errorf("%v are named, which are well or of other zones", named)
+	if offered := receive(rows[1:2], 40); len(offered) != 0 {
+		t.Errorf("workers %v offered, which are healthy or in other zones", offered)
 	}
 }
 
-// TestOnlineProbesTakeOver lets items run while a worker is avoided. While their probes bring
-// news of it, bad or good, its zone's hub names it for no online request; where they bring none,
-// or none is sent, it does from the due time of the first on. Then online probes alone bring
-// the worker back, and soon.
-func TestOnlineProbesTakeOver(t *testing.T) {
+// TestOnlineProbesReplaceMissingItemProbes runs batch items while a worker is avoided. While their
+// probes report on the worker, its zone's hub must offer it to no online request. If the probes
+// are not reported or none is sent, the hub must offer it from the first missed deadline on, and
+// online probes alone must readmit the worker soon.
+func TestOnlineProbesReplaceMissingItemProbes(t *testing.T) {
 	const runner, zoneName = 50, 60
-	near := func(worker uint32) bool { return worker == patientWorker }
+	near := func(worker uint32) bool { return worker == simulatedWorkerHash }
 	for _, test := range []struct {
-		name            string
-		granted, answer bool
-		want            bool
+		name             string
+		probed, answered bool
+		want             bool
 	}{
-		{"items tell of it", true, true, false},
-		{"items don't come", true, false, true},
-		{"none may start", false, false, true},
+		{"item probes are reported", true, true, false},
+		{"item probes are not reported", true, false, true},
+		{"no item probes are sent", false, false, true},
 	} {
 		top, zone := NewHub(), NewHub()
 		items := []wire.WorkerLoad{{Worker: 9, Batch: 1}}
-		zone.ApplyReport(start, &wire.LoadReport{Source: 1, Workers: []wire.WorkerLoad{{Worker: patientWorker, Failed: 5}}})
-		first, back, named, toldOn := time.Duration(0), time.Duration(0), 0, false
-		for after := Interval; after < 10*time.Second && back == 0; after += Interval {
+		zone.ApplyReport(start, &wire.LoadReport{Source: 1, Workers: []wire.WorkerLoad{{Worker: simulatedWorkerHash, Failed: 5}}})
+		firstOffered, readmittedAfter, offered, startLeaked := time.Duration(0), time.Duration(0), 0, false
+		for after := Interval; after < 10*time.Second && readmittedAfter == 0; after += Interval {
 			now := start.Add(after)
 			report := &wire.LoadReport{Source: runner, Workers: items}
-			if top.ProbeDue(now, patientWorker) && test.granted {
-				top.RecordProbe(now, patientWorker)
-				if test.answer {
-					report.Workers = append([]wire.WorkerLoad{{Worker: patientWorker, Failed: 1}}, items...)
+			if top.ProbeDue(now, simulatedWorkerHash) && test.probed {
+				top.RecordProbe(now, simulatedWorkerHash)
+				if test.answered {
+					report.Workers = append([]wire.WorkerLoad{{Worker: simulatedWorkerHash, Failed: 1}}, items...)
 				}
 			}
 			top.ApplyReport(now, report)
@@ -219,28 +221,28 @@
 			zone.SetParentLoads(now, top.UpdateForHub(now, zoneName).Rows, 0, false)
 			zone.ApplyReport(now, &wire.LoadReport{Source: 1})
 			for range zone.OnlineProbes(now, near) {
-				named++
-				if first == 0 {
-					first = after
+				offered++
+				if firstOffered == 0 {
+					firstOffered = after
 				}
-				zone.ApplyReport(now, &wire.LoadReport{Source: 1, Proofs: []wire.WorkerProof{{Worker: patientWorker, Well: 1}}})
+				zone.ApplyReport(now, &wire.LoadReport{Source: 1, Proofs: []wire.WorkerProof{{Worker: simulatedWorkerHash, Well: 1}}})
 			}
 			for _, row := range zone.PeerLoads(now, 1) {
-				toldOn = toldOn || row.Start > 0
+				startLeaked = startLeaked || row.Start > 0
 			}
-			if first > 0 && !top.avoids(now, patientWorker) {
-				back = after
+			if firstOffered > 0 && !top.avoids(now, simulatedWorkerHash) {
+				readmittedAfter = after
 			}
 		}
-		t.Logf("%s: first named after %v, %d times, back after %v", test.name, first, named, back)
-		if toldOn {
-			t.Errorf("%s: edges are told of items that may start", test.name)
+		t.Logf("%s: first offered after %v, %d times, readmitted after %v", test.name, firstOffered, offered, readmittedAfter)
+		if startLeaked {
+			t.Errorf("%s: Start is passed on to edges", test.name)
 		}
-		if (named > 0) != test.want {
-			t.Errorf("%s: named %d times", test.name, named)
+		if (offered > 0) != test.want {
+			t.Errorf("%s: offered %d times", test.name, offered)
 		}
-		if test.want && (first > 2*time.Second || back == 0 || back > first+time.Second) {
-			t.Errorf("%s: first named after %v, back after %v", test.name, first, back)
+		if test.want && (firstOffered > 2*time.Second || readmittedAfter == 0 || readmittedAfter > firstOffered+time.Second) {
+			t.Errorf("%s: first offered after %v, readmitted after %v", test.name, firstOffered, readmittedAfter)
 		}
 	}
 }
--- a/internal/loadshare/replies.go
+++ b/internal/loadshare/replies.go
@@ -2,47 +2,47 @@
 
 import "time"
 
-// replyTime is for how long a report counts as one whose answer may still come: several times
-// what that takes within a zone.
-const replyTime = 12 * time.Millisecond
+// replyTimeout is how long the answer to a report may be outstanding: several times the round trip
+// within a zone.
+const replyTimeout = 12 * time.Millisecond
 
-// replies finds out which report an answer belongs to, since answers don't say so: a hub answers
-// in the order in which it is asked. While a lost report or answer is not forgotten, answers count
-// for earlier reports than theirs. It is pure; times are those since its process began.
-type replies struct {
-	// keep is for how long a report waits for its answer.
-	keep time.Duration
-	// sent and answered are the numbers of the last report that was sent and of the last one
-	// that was answered.
+// replyTracker matches answers to reports. Answers carry no report number, but a hub answers in
+// the order of the reports. After a lost report or answer, answers are matched to earlier reports
+// than theirs until the lost one times out. It does no I/O; times are relative to the start of the
+// process.
+type replyTracker struct {
+	// timeout is how long a report waits for its answer.
+	timeout time.Duration
+	// sent and answered are the numbers of the last report sent and of the last one answered.
 	sent     uint64
 	answered uint64
-	// waiting holds when the reports were sent that wait for answers, the earliest first. The
-	// last one has the number sent.
-	waiting []time.Duration
+	// pending holds the send times of unanswered reports, oldest first. The last one has the number
+	// sent.
+	pending []time.Duration
 }
 
-// add takes in that a report was sent, and returns its number.
-func (r *replies) add(now time.Duration) uint64 {
-	r.forget(now)
+// recordSent records that a report was sent and returns its number.
+func (r *replyTracker) recordSent(now time.Duration) uint64 {
+	r.expire(now)
 	r.sent++
-	r.waiting = append(r.waiting, now)
+	r.pending = append(r.pending, now)
 	return r.sent
 }
 
-// reply takes in that an answer came.
-func (r *replies) reply(now time.Duration) {
-	r.forget(now)
-	if len(r.waiting) == 0 {
-		// It is so late that its report does not count any more.
+// recordReply records that an answer arrived.
+func (r *replyTracker) recordReply(now time.Duration) {
+	r.expire(now)
+	if len(r.pending) == 0 {
+		// The answer is so late that its report has timed out.
 		return
 	}
-	r.waiting = r.waiting[1:]
-	r.answered = r.sent - uint64(len(r.waiting))
+	r.pending = r.pending[1:]
+	r.answered = r.sent - uint64(len(r.pending))
 }
 
-// forget passes over reports whose answers come no more.
-func (r *replies) forget(now time.Duration) {
-	for len(r.waiting) > 0 && now-r.waiting[0] > r.keep {
-		r.waiting = r.waiting[1:]
+// expire drops reports whose answers have timed out.
+func (r *replyTracker) expire(now time.Duration) {
+	for len(r.pending) > 0 && now-r.pending[0] > r.timeout {
+		r.pending = r.pending[1:]
 	}
 }
--- a/internal/loadshare/room_test.go
+++ b/internal/loadshare/room_test.go
@@ -10,29 +10,30 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// roomHub is a hub on a socket of its own that answers claims as it is told to.
-type roomHub struct {
-	// asked counts the claims that came, leave how many of them are left unanswered.
-	asked, leave atomic.Int32
-	// over is set where standings are told, as no older hub does.
-	over atomic.Bool
-	// hold is sent to when a report without a claim has come that asks for workers, and is
-	// received from before it is answered; nil for no wait.
-	hold chan struct{}
+// claimHub is a hub with its own socket whose answers to claims are set by the test.
+type claimHub struct {
+	// claimCount counts the claims received; unanswered is how many of the next claims stay
+	// unanswered.
+	claimCount, unanswered atomic.Int32
+	// sendStandings makes the hub send standings, which older hubs don't.
+	sendStandings atomic.Bool
+	// workerQuery is sent to when a query for workers without a claim arrives, and received from
+	// before that query is answered. Tests without such queries leave it nil.
+	workerQuery chan struct{}
 }
 
-func (h *roomHub) answer(report *wire.LoadReport) *wire.LoadReport {
+func (h *claimHub) answer(report *wire.LoadReport) *wire.LoadReport {
 	answer := &wire.LoadReport{}
 	if len(report.Asked) > 0 && len(report.Claims) == 0 {
-		h.hold <- struct{}{}
-		<-h.hold
+		h.workerQuery <- struct{}{}
+		<-h.workerQuery
 	}
 	for _, claim := range report.Claims {
-		h.asked.Add(1)
-		if h.leave.Add(-1) >= 0 {
+		h.claimCount.Add(1)
+		if h.unanswered.Add(-1) >= 0 {
 			return nil
 		}
-		if h.over.Load() {
+		if h.sendStandings.Load() {
 			answer.Standings = append(answer.Standings, wire.RoomStanding{Ticket: claim.Ticket, Share: 7}, wire.RoomStanding{Ticket: claim.Ticket + 1})
 		}
 	}
@@ -42,9 +43,9 @@
 	return answer
 }
 
-// exchangeWith returns a running exchange that has heard the hub, and reports after each
-// pause.
-func exchangeWith(t *testing.T, h *roomHub, pause time.Duration) *Exchange {
+// exchangeWith returns a running exchange that has received an answer from the hub and reports at
+// the interval.
+func exchangeWith(t *testing.T, h *claimHub, interval time.Duration) *Exchange {
 	t.Helper()
 	socket, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -59,71 +60,71 @@
 		Hubs:     func() []string { return []string{address} },
 		Report:   func() *wire.LoadReport { return &wire.LoadReport{Source: 1} },
 		OnAnswer: func(time.Time, *wire.LoadReport) {},
-		Interval: func() time.Duration { return pause },
+		Interval: func() time.Duration { return interval },
 	})
 	go func() { _ = x.Run(ctx) }()
-	for heard := false; !heard; time.Sleep(time.Millisecond) {
+	for answered := false; !answered; time.Sleep(time.Millisecond) {
 		x.mutex.Lock()
-		heard = x.chooser.heard > 0
+		answered = x.hubs.lastAnswer > 0
 		x.mutex.Unlock()
 	}
 	return x
 }
 
-// TestRoomIsClaimed puts claims to a hub that tells standings, to one that doesn't know of
-// them, and to one that leaves the first of two unanswered, or all.
+// TestRoomIsClaimed sends claims to a hub that doesn't know standings, to one that sends them, and
+// together with a token request.
 func TestRoomIsClaimed(t *testing.T) {
-	const patience = 10 * time.Second
-	h := &roomHub{}
+	const timeout = 10 * time.Second
+	h := &claimHub{}
 	x := exchangeWith(t, h, Interval)
 	ctx := context.Background()
 	claim := &wire.RoomClaim{Ticket: 40, Tenant: 3}
-	if standing, answered := x.QueryClaim(ctx, patience, nil, claim, false); standing != nil || !answered {
-		t.Errorf("an older hub: %+v, %t", standing, answered)
+	if standing, answered := x.QueryClaim(ctx, timeout, nil, claim, false); standing != nil || !answered {
+		t.Errorf("older hub: standing %+v, answered %t", standing, answered)
 	}
-	h.over.Store(true)
-	// A report's answer that takes longer than replyTime may be taken for the claim's.
-	told := 0
+	h.sendStandings.Store(true)
+	// An answer to a report may be taken for the claim's if it takes longer than replyTimeout.
+	received := 0
 	for range 20 {
-		if standing, answered := x.QueryClaim(ctx, patience, nil, claim, false); answered && standing != nil && standing.Share == 7 && standing.Ticket == 40 {
-			told++
+		if standing, answered := x.QueryClaim(ctx, timeout, nil, claim, false); answered && standing != nil && standing.Share == 7 && standing.Ticket == 40 {
+			received++
 		}
 	}
-	if told < 18 {
-		t.Errorf("%d of 20 claims were told their standing", told)
+	if received < 18 {
+		t.Errorf("%d of 20 claims received their standing", received)
 	}
 	verdict, standing, answered := x.AcquireToken(ctx, wire.TokenQuestion{Ticket: 40}, claim, false)
 	if !answered || !verdict.Granted || standing == nil || standing.Share != 7 {
-		t.Errorf("with a token: %+v, %+v, %t", verdict, standing, answered)
+		t.Errorf("token with a claim: verdict %+v, standing %+v, answered %t", verdict, standing, answered)
 	}
 	if _, standing, _ := x.AcquireToken(ctx, wire.TokenQuestion{Ticket: 40}, nil, false); standing != nil {
-		t.Errorf("without a claim: %+v", standing)
+		t.Errorf("token without a claim: standing %+v", standing)
 	}
 	x.mutex.Lock()
-	if len(x.claims)+len(x.questions) > 0 {
-		t.Errorf("%d claims and %d questions are kept", len(x.claims), len(x.questions))
+	if len(x.standings)+len(x.tokenWaiters) > 0 {
+		t.Errorf("%d standings and %d token waiters are kept", len(x.standings), len(x.tokenWaiters))
 	}
 	x.mutex.Unlock()
 }
 
-// TestLostClaimIsSentAgain leaves the first of two claims unanswered, and all.
+// TestLostClaimIsSentAgain leaves the first of two claims unanswered, and then all claims.
 func TestLostClaimIsSentAgain(t *testing.T) {
-	const patience = 300 * time.Millisecond
-	h := &roomHub{}
-	h.over.Store(true)
+	const timeout = 300 * time.Millisecond
+	h := &claimHub{}
+	h.sendStandings.Store(true)
 	x := exchangeWith(t, h, time.Hour)
-	h.leave.Store(1)
-	standing, answered := x.QueryClaim(context.Background(), patience, nil, &wire.RoomClaim{Ticket: 1}, false)
-	if asked := h.asked.Load(); !answered || standing == nil || asked != 2 {
-		t.Errorf("%+v, %t, asked %d times", standing, answered, asked)
+	h.unanswered.Store(1)
+	standing, answered := x.QueryClaim(context.Background(), timeout, nil, &wire.RoomClaim{Ticket: 1}, false)
+	if sent := h.claimCount.Load(); !answered || standing == nil || sent != 2 {
+		t.Errorf("standing %+v, answered %t, claim sent %d times", standing, answered, sent)
 	}
-	h.leave.Store(1000)
-	if _, answered := x.QueryClaim(context.Background(), patience, nil, &wire.RoomClaim{Ticket: 2}, false); answered {
-		t.Error("answered by a silent hub")
+	h.unanswered.Store(1000)
+	if _, answered := x.QueryClaim(context.Background(), timeout, nil, &wire.RoomClaim{Ticket: 2}, false); answered {
+		t.Error("an unresponsive hub has answered")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if _, answered := x.QueryClaim(ctx, time.Hour, nil, &wire.RoomClaim{Ticket: 3}, false); answered {
-		t.Error("answered though nobody waits")
+		t.Error("answered after the context was canceled")
 	}
 }
--- a/internal/loadshare/sums.go
+++ b/internal/loadshare/sums.go
@@ -6,71 +6,72 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// gathered is what processes saw of a worker since a zone's hub last told the hub
-// above. The zero value is ready for use.
-type gathered struct {
-	// told is one more than the least count that the worker told of itself; zero
-	// means that it told none.
-	told     uint16
-	answered int
-	failed   int
-	steps    int
-	micros   int
-	proofs   int
+// pendingStats is what processes observed at a worker since a zone's hub last reported to the
+// parent hub. The zero value is ready for use.
+type pendingStats struct {
+	// minSelfCount is one more than the smallest request count that the worker reported about
+	// itself, zero if it reported none.
+	minSelfCount    uint16
+	answered        int
+	failed          int
+	steps           int
+	stepMicros      int
+	probesSucceeded int
 }
 
-// take takes in a row of a report.
-func (g *gathered) take(load *wire.WorkerLoad) {
-	if load.Told > 0 && (g.told == 0 || load.Told < g.told) {
-		g.told = load.Told
+// add adds a row of a report.
+func (p *pendingStats) add(load *wire.WorkerLoad) {
+	if load.Told > 0 && (p.minSelfCount == 0 || load.Told < p.minSelfCount) {
+		p.minSelfCount = load.Told
 	}
-	g.answered += int(load.Answered)
-	g.failed += int(load.Failed)
-	g.steps += int(load.Steps)
-	g.micros += int(load.StepMicros)
+	p.answered += int(load.Answered)
+	p.failed += int(load.Failed)
+	p.steps += int(load.Steps)
+	p.stepMicros += int(load.StepMicros)
 }
 
-// Sums returns the sums over all who report here, and what they saw of the workers
-// since the last call, as one report under the name. Once nobody reports any more it
-// returns a last report, which takes back the sums told before, and then nil.
+// Sums returns one report, sent under the given source hash, with the sums over all processes that
+// report here and what they observed at the workers since the last call. Once no process reports
+// any more it returns a last report, which withdraws the earlier sums, and after that nil.
 func (h *Hub) Sums(now time.Time, name uint32) *wire.LoadReport {
 	h.expire(now)
 	loads := make(map[uint32]wire.WorkerLoad, len(h.totals))
 	for worker, sum := range h.totals {
 		loads[worker] = sum.load(worker)
 	}
-	var proofs []wire.WorkerProof
-	for worker, known := range h.watched {
-		if known.gathered == (gathered{}) {
+	var probes []wire.WorkerProof
+	for worker, stats := range h.stats {
+		if stats.pending == (pendingStats{}) {
 			continue
 		}
-		if known.gathered.proofs > 0 {
-			proofs = append(proofs, wire.WorkerProof{Worker: worker, Well: clamp16(known.gathered.proofs)})
+		if stats.pending.probesSucceeded > 0 {
+			probes = append(probes, wire.WorkerProof{Worker: worker, Well: clamp16(stats.pending.probesSucceeded)})
 		}
 		load := loads[worker]
 		load.Worker = worker
-		load.Told = known.gathered.told
-		load.Answered = clamp16(known.gathered.answered)
-		load.Failed = clamp16(known.gathered.failed)
-		load.Steps = clamp16(known.gathered.steps)
-		load.StepMicros = clamp32(known.gathered.micros)
+		load.Told = stats.pending.minSelfCount
+		load.Answered = clamp16(stats.pending.answered)
+		load.Failed = clamp16(stats.pending.failed)
+		load.Steps = clamp16(stats.pending.steps)
+		load.StepMicros = clamp32(stats.pending.stepMicros)
 		loads[worker] = load
-		known.gathered = gathered{}
+		stats.pending = pendingStats{}
 	}
 	if len(h.sources) == 0 && len(loads) == 0 {
-		return h.leave(name)
+		return h.leaveReport(name)
 	}
-	h.toldAbove = true
-	told := loadedOf(loads)
-	h.left = told.Omitted
-	return &wire.LoadReport{Source: name, Workers: told.Rows, Sources: clamp16(h.SourceCount(now)), Sums: true, Proofs: proofs}
+	h.reportedToParent = true
+	update := newUpdate(loads)
+	h.omitted = update.Omitted
+	return &wire.LoadReport{Source: name, Workers: update.Rows, Sources: clamp16(h.SourceCount(now)), Sums: true, Proofs: probes}
 }
 
-// leave returns the report that takes back what was told above, or nil if nothing was.
-func (h *Hub) leave(name uint32) *wire.LoadReport {
-	if !h.toldAbove {
+// leaveReport returns the report that withdraws the sums sent to the parent hub, or nil if none
+// were sent.
+func (h *Hub) leaveReport(name uint32) *wire.LoadReport {
+	if !h.reportedToParent {
 		return nil
 	}
-	h.toldAbove = false
+	h.reportedToParent = false
 	return &wire.LoadReport{Source: name, Sums: true, Left: true}
 }
--- a/internal/loadshare/sums_test.go
+++ b/internal/loadshare/sums_test.go
@@ -12,7 +12,8 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// zones is a top hub with the hubs of three zones, beside a single hub that hears all.
+// zones is a top hub with the hubs of three zones, and a single hub that receives all reports for
+// comparison.
 type zones struct {
 	single *Hub
 	top    *Hub
@@ -27,10 +28,10 @@
 	return z
 }
 
-// name is the source of a zone's sums.
+// name returns the source of a zone's sums.
 func (z *zones) name(zone int) uint32 { return uint32(1000 + zone) }
 
-// exchange lets each zone tell its sums, and then hear of the others.
+// exchange sends the sums of each zone to the top hub and then its answers to the zones.
 func (z *zones) exchange(now time.Time, mutation string) {
 	for i, hub := range z.hubs {
 		if sums := hub.Sums(now, z.name(i)); sums != nil {
@@ -39,7 +40,7 @@
 	}
 	for i, hub := range z.hubs {
 		except := z.name(i)
-		if mutation == "own sums come back" {
+		if mutation == "own sums are returned" {
 			except = 0
 		}
 		hub.SetParentLoads(now, z.top.PeerLoads(now, except), 0, false)
@@ -57,31 +58,31 @@
 	return counts
 }
 
-// TestZonesKnowWhatOneHubKnows checks with random reports that, once the zones have
-// exchanged their sums, every process is told just what a single hub would tell it:
-// no report is missed, and none counts twice.
+// TestZonesKnowWhatOneHubKnows checks with random reports that, once the zones have exchanged
+// their sums, every process receives the same loads as from a single hub: no report is missed, and
+// none counts twice.
 func TestZonesKnowWhatOneHubKnows(t *testing.T) {
-	if err := playZones(""); err != nil {
+	if err := simulateZones(""); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestZoneChecksTurnRed takes mechanisms away: the check notices each.
+// TestZoneChecksTurnRed is a mutation check: simulateZones must fail under each mutation.
 func TestZoneChecksTurnRed(t *testing.T) {
-	for _, mutation := range []string{"own sums come back", "who leaves is not told of", "the top hub is not heard"} {
-		if playZones(mutation) == nil {
-			t.Errorf("nothing is noticed: %s", mutation)
+	for _, mutation := range []string{"own sums are returned", "leaving is not reported", "the top hub is unreachable"} {
+		if simulateZones(mutation) == nil {
+			t.Errorf("mutation not detected: %s", mutation)
 		}
 	}
 }
 
-// playZones lets processes report to the hubs of their zones and to a single hub, move
-// to other zones' hubs now and then, and compares what they are told.
-func playZones(mutation string) error {
+// simulateZones lets processes report to the hubs of their zones and to a single hub, moves them
+// to other zones' hubs now and then, and compares the loads they receive.
+func simulateZones(mutation string) error {
 	random := rand.New(rand.NewPCG(7, 7))
 	z, now := newZones(), start
 	const processes = 12
-	at := map[uint32]int{}
+	hubOf := map[uint32]int{}
 	for step := range 500 {
 		now = now.Add(time.Duration(random.IntN(int(ReportTTL / 2))))
 		for process := range uint32(processes) {
@@ -89,10 +90,10 @@
 				continue
 			}
 			if random.IntN(10) == 0 {
-				if mutation != "who leaves is not told of" {
-					z.hubs[at[process]].ApplyReport(now, &wire.LoadReport{Source: process + 1, Left: true})
+				if mutation != "leaving is not reported" {
+					z.hubs[hubOf[process]].ApplyReport(now, &wire.LoadReport{Source: process + 1, Left: true})
 				}
-				at[process] = random.IntN(len(z.hubs))
+				hubOf[process] = random.IntN(len(z.hubs))
 			}
 			report := &wire.LoadReport{Source: process + 1}
 			for worker := range uint32(5) {
@@ -101,19 +102,19 @@
 				}
 			}
 			z.single.ApplyReport(now, report)
-			z.hubs[at[process]].ApplyReport(now, report)
+			z.hubs[hubOf[process]].ApplyReport(now, report)
 		}
 		for _, hub := range append([]*Hub{z.single, z.top}, z.hubs[:]...) {
-			hub.expireDue = time.Time{}
+			hub.nextExpiry = time.Time{}
 		}
-		if mutation != "the top hub is not heard" {
+		if mutation != "the top hub is unreachable" {
 			z.exchange(now, mutation)
 		}
 		for process := range uint32(processes) {
 			want := online(z.single.PeerLoads(now, process+1))
-			got := online(z.hubs[at[process]].PeerLoads(now, process+1))
+			got := online(z.hubs[hubOf[process]].PeerLoads(now, process+1))
 			if !maps.Equal(got, want) {
-				return errors.Newf("step %d: process %d is told of %v, want %v", step, process, got, want)
+				return errors.Newf("step %d: process %d receives %v, want %v", step, process, got, want)
 			}
 		}
 		if got, want := z.top.SourceCount(now), z.single.SourceCount(now); got != want {
@@ -123,14 +124,14 @@
 	return nil
 }
 
-// TestSilentProcessAgesOutEverywhere lets a process fall silent: within Fresh of its
-// zone's hub and Fresh of the top hub nobody counts it any more.
+// TestSilentProcessAgesOutEverywhere stops the reports of a process: no hub may count it after one
+// ReportTTL of its zone's hub and one of the top hub.
 func TestSilentProcessAgesOutEverywhere(t *testing.T) {
 	z, now := newZones(), start
 	z.hubs[0].ApplyReport(now, report(1, 7, 3))
 	z.exchange(now, "")
 	if got := online(z.hubs[1].PeerLoads(now, 0)); got[7] != 3 {
-		t.Fatalf("another zone is told %v", got)
+		t.Fatalf("another zone receives %v", got)
 	}
 	for range int(2*ReportTTL/Interval) + 1 {
 		now = now.Add(Interval)
@@ -138,30 +139,30 @@
 	}
 	for i, hub := range z.hubs {
 		if got := online(hub.PeerLoads(now, 0)); len(got) != 0 {
-			t.Errorf("zone %d is told %v", i, got)
+			t.Errorf("zone %d still receives %v", i, got)
 		}
 	}
 }
 
-// TestZoneGoesOnWithoutTheTop lets the top hub fall silent: the processes of a zone
-// still know of one another, and of slow workers by what they saw themselves.
+// TestZoneGoesOnWithoutTheTop makes the top hub unresponsive: the processes of a zone must still
+// know each other's loads, and the speed of workers from their own observations.
 func TestZoneGoesOnWithoutTheTop(t *testing.T) {
 	z, now := newZones(), start
 	z.hubs[1].ApplyReport(now, report(2, 7, 2))
 	z.exchange(now, "")
 	for range 20 {
 		now = now.Add(Interval)
-		z.hubs[0].ApplyReport(now, paced(1, 1, 5, 500))
+		z.hubs[0].ApplyReport(now, speedReport(1, 1, 5, 500))
 		z.hubs[0].ApplyReport(now, report(3, 7, 4))
 	}
 	rows := z.hubs[0].PeerLoads(now, 1)
 	if len(rows) != 1 || rows[0].Online != 4 || rows[0].Step != 100 || rows[0].Rate == 0 {
-		t.Errorf("told %+v", rows)
+		t.Errorf("received %+v", rows)
 	}
 }
 
-// TestLeavingCountsNoMore checks that a process that says it reports elsewhere is not
-// counted twice meanwhile.
+// TestLeavingCountsNoMore checks that a process that announces that it reports elsewhere is no
+// longer counted.
 func TestLeavingCountsNoMore(t *testing.T) {
 	hub := NewHub()
 	hub.ApplyReport(start, report(1, 7, 3))
@@ -172,9 +173,9 @@
 	}
 }
 
-// TestSumsPassOnWhatWasSeenOnce checks that what processes saw of a worker goes up
-// once, added up, with the least count that the worker told.
-func TestSumsPassOnWhatWasSeenOnce(t *testing.T) {
+// TestSumsReportObservationsOnce checks that what processes observed at a worker is reported to the
+// parent hub once, summed up, with the smallest count that the worker reported about itself.
+func TestSumsReportObservationsOnce(t *testing.T) {
 	hub := NewHub()
 	hub.ApplyReport(start, &wire.LoadReport{Source: 1, Workers: []wire.WorkerLoad{{Worker: 7, Told: 9, Answered: 2, Failed: 1, Steps: 3, StepMicros: 30}}})
 	hub.ApplyReport(start, &wire.LoadReport{Source: 2, Workers: []wire.WorkerLoad{{Worker: 7, Told: 6, Answered: 1, Steps: 1, StepMicros: 10}}})
@@ -184,6 +185,6 @@
 		t.Errorf("%+v", sums)
 	}
 	if sums = hub.Sums(start, 100); len(sums.Workers) != 0 {
-		t.Errorf("again: %+v", sums)
+		t.Errorf("the second report repeats %+v", sums)
 	}
 }
