--- a/internal/forecast/forecast.go
+++ b/internal/forecast/forecast.go
@@ -1,12 +1,13 @@
-// Package forecast says how many slots online requests will need in the next moments, by
-// what they needed so far. It is pure: times come from the caller.
+// Package forecast predicts how many slots online requests will need in the next moments from how
+// many they needed so far. It does no I/O; times come from the caller.
 //
-// A Forecast learns waves that recur. It cuts the need into bins of time, notes when the
-// need rises through the middle between its low and its high level, and is sure of a
-// pattern once the times between such rises repeat. From then on what comes is what came
-// at the same distance from the rises before, with what the present differs from that. It
-// gives up once two waves in a row did not come when they should, and needs longer to be
-// sure again. Without a pattern it says so, and the present need is all it knows.
+// A Forecast learns recurring waves of demand. It divides time into bins, records the onsets at
+// which the demand rises through the middle between its low and its high level, and is confident
+// of a pattern once the times between onsets repeat. From then on it predicts the mean demand at
+// the same distance from earlier onsets, corrected by how much the current demand differs from it.
+// It abandons the pattern after two consecutive waves that did not come in time, and then needs
+// more repetitions to be confident again. Without a pattern the forecast is the current demand,
+// and Demand says so.
 package forecast
 
 import (
@@ -14,216 +15,217 @@
 	"time"
 )
 
-// Demand is how many slots online requests will need at a moment.
+// Demand is the number of slots that online requests will need at a time.
 type Demand struct {
 	Slots float64
-	// At is the moment, and Until when the level changes next, zero where that is unknown.
+	// At is the time of the demand. Until is when the level changes next, zero if unknown.
 	At    time.Time
 	Until time.Time
-	// Confident is set where the level follows from a pattern that has held; otherwise it is the
-	// present level.
+	// Confident is set if the level follows from a pattern that has held; otherwise the level is
+	// the current one.
 	Confident bool
-	// Rising is set where it is not sure, and the level is the one that a rise that has just
-	// begun goes on to.
+	// Rising is set if there is no confident pattern and the level is extrapolated from a rise that
+	// has just begun.
 	Rising bool
 }
 
 const (
-	// binTime is the time that one kept value stands for: reports come no more often, so
-	// shorter bins would hold nothing more.
+	// binTime is the width of a bin. Reports don't come more often, so narrower bins would hold no
+	// more information.
 	binTime = 50 * time.Millisecond
-	// keptBins bounds what is kept, two minutes. Longer waves are not learnt: an item that
-	// stops for one is not worth a forecast, because it waits for long after it anyway.
-	keptBins = 2400
-	// longestGap is how long nothing may be heard before all is forgotten: whoever plans
-	// then has missed what came meanwhile.
-	longestGap = time.Second
-	// warmBins is how long the need must not have risen for its first rise to be over, by
-	// more than chance: two of the longest times between reports, so that all have been heard
-	// too. warmTime is the longest that this may last.
-	warmBins = 5
-	warmTime = time.Second
-	// riseBins is over how many bins a rise is looked for, two reports, and riseDeviations how
-	// many standard deviations of a count it must be not to be chance.
-	riseBins       = 2
-	riseDeviations = 3
+	// maxBins is the number of bins that trim keeps, two minutes. Longer waves are not learned: an
+	// item that stops for one waits for long afterwards in any case, so a forecast gains little.
+	maxBins = 2400
+	// maxGap is the longest time without observations before everything is forgotten: after it, too
+	// much of the demand in between is unknown.
+	maxGap = time.Second
+	// warmUpBins is how long the demand must not have risen, by more than chance, for its first
+	// rise to count as over: two of the longest times between reports, so that all processes have
+	// reported as well. maxWarmUpTime limits the wait.
+	warmUpBins    = 5
+	maxWarmUpTime = time.Second
+	// riseBins is the number of bins over which a rise is measured, two reports. minRiseDeviations
+	// is how many standard deviations of a count the rise must exceed to count as more than chance.
+	riseBins          = 2
+	minRiseDeviations = 3
 )
 
-// Forecast holds what is known of the online need of a pool. It is not safe for concurrent
+// Forecast holds what is known about the online demand of a pool. It is not safe for concurrent
 // use.
 type Forecast struct {
-	// began is the begin of bin zero, zero before anything was heard; heard is when
-	// something was last.
-	began time.Time
-	heard time.Time
-	// bins holds closed bins, the first of which has the number dropped.
+	// startedAt is the start of bin zero, zero before the first observation; lastObserved is the
+	// time of the latest one.
+	startedAt    time.Time
+	lastObserved time.Time
+	// bins holds the closed bins; the first of them has the number dropped.
 	bins    []float64
 	dropped int
-	// sum and count are of the bin that is open, present is the need heard last.
+	// sum and count cover the observations in the open bin; current is the demand observed last.
 	sum     float64
 	count   int
-	present float64
+	current float64
 
-	// since is the bin from which on waves are learnt; warm is set once it is known, and most
-	// is the highest bin until then.
-	since int
-	warm  bool
-	most  float64
+	// learnFrom is the first bin that waves are learned from. Until warmedUp is set it is the bin
+	// of the highest value so far, warmUpPeak; it moves on when a pattern is abandoned.
+	learnFrom  int
+	warmedUp   bool
+	warmUpPeak float64
 
 	levels  levels
 	pattern pattern
 	score   score
-	news    Change
+	change  Change
 }
 
-// New returns a forecast that knows nothing.
+// New returns an empty forecast.
 func New() *Forecast { return &Forecast{} }
 
-// Observe takes in the present need, in slots. Requests that wait for a slot count, because
-// they need one.
-func (f *Forecast) Observe(now time.Time, need float64) {
-	if f.began.IsZero() || now.Sub(f.heard) > longestGap || now.Before(f.heard) {
-		*f = Forecast{began: now}
+// Observe adds the current demand, in slots. Requests that wait for a slot count as demand.
+func (f *Forecast) Observe(now time.Time, demand float64) {
+	if f.startedAt.IsZero() || now.Sub(f.lastObserved) > maxGap || now.Before(f.lastObserved) {
+		*f = Forecast{startedAt: now}
 	}
-	f.heard = now
-	for open := f.number(); open < int(now.Sub(f.began)/binTime); open++ {
+	f.lastObserved = now
+	for open := f.openBin(); open < int(now.Sub(f.startedAt)/binTime); open++ {
 		f.closeBin()
 	}
-	f.present = need
-	f.sum += need
+	f.current = demand
+	f.sum += demand
 	f.count++
 }
 
-// number returns the number of the bin that is open.
-func (f *Forecast) number() int { return f.dropped + len(f.bins) }
+// openBin returns the number of the open bin.
+func (f *Forecast) openBin() int { return f.dropped + len(f.bins) }
 
-// closeBin closes the open bin and learns from it.
+// closeBin closes the open bin and learns from its value.
 func (f *Forecast) closeBin() {
-	value := f.present
+	value := f.current
 	if f.count > 0 {
 		value = f.sum / float64(f.count)
 	}
 	f.sum, f.count = 0, 0
-	number := f.number()
+	number := f.openBin()
 	f.score.compare(f, number, value)
 	f.bins = append(f.bins, value)
 	f.trim()
-	f.warmUp(number, value)
-	if f.levels.learn(f.counted(), number) {
-		f.reviewWaves(number)
+	f.updateWarmUp(number, value)
+	if f.levels.update(f.learnedBins(), number) {
+		f.rebuildOnsets(number)
 	}
-	f.learnWave(number, value)
-	f.score.note(f, number)
+	f.observeWave(number, value)
+	f.score.recordPrediction(f, number)
 }
 
-// warmUp waits until the need has stopped rising: its first rise, from nothing, is no wave.
-func (f *Forecast) warmUp(number int, value float64) {
-	if f.warm {
+// updateWarmUp waits until the demand has stopped rising: its first rise from zero is not a wave.
+func (f *Forecast) updateWarmUp(number int, value float64) {
+	if f.warmedUp {
 		return
 	}
-	if value > f.most+math.Sqrt(f.most) {
-		f.most, f.since = value, number
+	if value > f.warmUpPeak+math.Sqrt(f.warmUpPeak) {
+		f.warmUpPeak, f.learnFrom = value, number
 	}
-	// While there is nothing the crowd is still to come.
-	settled := f.most > 0 && number-f.since >= warmBins
-	f.warm = settled || time.Duration(number)*binTime >= warmTime
+	// Without any demand, the burst of requests after a restart is still to come.
+	settled := f.warmUpPeak > 0 && number-f.learnFrom >= warmUpBins
+	f.warmedUp = settled || time.Duration(number)*binTime >= maxWarmUpTime
 }
 
-// WarmedUp reports whether enough was heard: all had time to report, and the crowd of requests
-// that comes once processes are back has come.
-func (f *Forecast) WarmedUp() bool { return f.warm }
+// WarmedUp reports whether there are enough observations: all processes had time to report, and
+// the burst of requests that follows a restart has arrived.
+func (f *Forecast) WarmedUp() bool { return f.warmedUp }
 
-// counted returns the bins that waves are learnt from.
-func (f *Forecast) counted() []float64 {
-	if !f.warm {
+// learnedBins returns the bins that waves are learned from.
+func (f *Forecast) learnedBins() []float64 {
+	if !f.warmedUp {
 		return nil
 	}
-	return f.bins[max(f.since-f.dropped, 0):]
+	return f.bins[max(f.learnFrom-f.dropped, 0):]
 }
 
-// trim drops the oldest bins, many at a time so that it costs little.
+// trim drops the oldest bins, many at a time to keep the cost per bin low.
 func (f *Forecast) trim() {
-	if len(f.bins) < 2*keptBins {
+	if len(f.bins) < 2*maxBins {
 		return
 	}
-	surplus := len(f.bins) - keptBins
+	surplus := len(f.bins) - maxBins
 	f.bins = append(f.bins[:0], f.bins[surplus:]...)
 	f.dropped += surplus
 }
 
-// bin returns the value of a closed bin that is kept.
+// bin returns the value of a closed bin, and false if it is not kept.
 func (f *Forecast) bin(number int) (float64, bool) {
-	if number < f.dropped || number >= f.number() {
+	if number < f.dropped || number >= f.openBin() {
 		return 0, false
 	}
 	return f.bins[number-f.dropped], true
 }
 
-// Peak returns the highest need from now until so long ahead.
+// Peak returns the highest expected demand from now until ahead has passed.
 func (f *Forecast) Peak(now time.Time, ahead time.Duration) Demand {
-	need := Demand{Slots: f.present, At: now}
-	if f.began.IsZero() {
-		return need
+	demand := Demand{Slots: f.current, At: now}
+	if f.startedAt.IsZero() {
+		return demand
 	}
-	if !f.pattern.sure {
-		return f.rising(need, ahead)
+	if !f.pattern.confident {
+		return f.extrapolateRise(demand, ahead)
 	}
-	need.Confident, need.Until = true, f.changeAfter(now)
-	open := f.number()
-	last := int(now.Add(ahead).Sub(f.began) / binTime)
+	demand.Confident, demand.Until = true, f.changeAfter(now)
+	open := f.openBin()
+	last := int(now.Add(ahead).Sub(f.startedAt) / binTime)
 	for number := open + 1; number <= last; number++ {
-		level, known := f.expect(number)
+		level, known := f.predict(number)
 		if !known {
 			continue
 		}
-		if level += f.score.margin(level); level > need.Slots {
-			need.Slots, need.At = level, f.timeOf(number)
+		if level += f.score.margin(level); level > demand.Slots {
+			demand.Slots, demand.At = level, f.timeOf(number)
 		}
 	}
-	return need
+	return demand
 }
 
-// rising adds what a rise that has just begun goes on to.
-func (f *Forecast) rising(need Demand, ahead time.Duration) Demand {
-	before, known := f.bin(f.number() - riseBins)
-	if !known || !f.warm {
-		return need
+// extrapolateRise returns the demand with a rise that has just begun extrapolated until ahead has
+// passed.
+func (f *Forecast) extrapolateRise(demand Demand, ahead time.Duration) Demand {
+	before, known := f.bin(f.openBin() - riseBins)
+	if !known || !f.warmedUp {
+		return demand
 	}
-	rise := f.present - before
-	if rise <= riseDeviations*math.Sqrt(max(before, 1)) {
-		return need
+	rise := f.current - before
+	if rise <= minRiseDeviations*math.Sqrt(max(before, 1)) {
+		return demand
 	}
-	need.Rising = true
-	reached := f.present + rise*float64(ahead)/float64(riseBins*binTime)
+	demand.Rising = true
+	reached := f.current + rise*float64(ahead)/float64(riseBins*binTime)
 	if f.levels.known {
 		// Waves have not been higher so far.
-		reached = min(reached, max(f.levels.high, f.present))
+		reached = min(reached, max(f.levels.high, f.current))
 	}
-	need.Slots = reached
-	return need
+	demand.Slots = reached
+	return demand
 }
 
-// expect returns the need in a bin to come.
-func (f *Forecast) expect(number int) (float64, bool) {
-	usual, known := f.usual(number)
+// predict returns the expected demand in a future bin, and false if it is unknown.
+func (f *Forecast) predict(number int) (float64, bool) {
+	usual, known := f.profileMean(number)
 	if !known {
 		return 0, false
 	}
-	open := f.number()
-	before, known := f.usual(open)
+	open := f.openBin()
+	usualNow, known := f.profileMean(open)
 	if !known {
 		return usual, true
 	}
-	// What the present differs by lasts for a while: requests hold their slots.
-	return max(usual+f.score.lasting(number-open)*(f.present-before), 0), true
+	// A difference from the usual demand persists for a while because requests hold their slots.
+	return max(usual+f.score.persistence(number-open)*(f.current-usualNow), 0), true
 }
 
-// timeOf returns the begin of a bin.
+// timeOf returns the start of a bin.
 func (f *Forecast) timeOf(number int) time.Time {
-	return f.began.Add(time.Duration(number) * binTime)
+	return f.startedAt.Add(time.Duration(number) * binTime)
 }
 
-// changeAfter returns when the level changes next: the end of the wave, or the next begin.
+// changeAfter returns when the level changes next: at the end of the current wave or at the onset
+// of the next one.
 func (f *Forecast) changeAfter(now time.Time) time.Time {
 	if end := f.timeOf(f.pattern.anchor + f.pattern.length); f.pattern.high && end.After(now) {
 		return end
--- a/internal/forecast/forecast_test.go
+++ b/internal/forecast/forecast_test.go
@@ -13,37 +13,38 @@
 
 var start = time.Unix(1000, 0)
 
-// tick is the time between two values of a trace.
-const tick = 10 * time.Millisecond
+// traceStep is the time between two values of a trace.
+const traceStep = 10 * time.Millisecond
 
-// shape says when requests come: so many a second times low or high, in turn.
+// shape describes the arrivals of requests: the mean rate perSecond, multiplied by low for lowTime
+// and by high for highTime in turn. Without highTime the rate is constant.
 type shape struct {
-	perSecond  float64
-	hold       time.Duration
-	low, high  float64
-	calm, wave time.Duration
+	perSecond         float64
+	holdTime          time.Duration
+	low, high         float64
+	lowTime, highTime time.Duration
 }
 
-// factor returns by how much the rate differs from the mean at a time.
+// factor returns the factor of the mean rate at a time.
 func (s *shape) factor(at time.Duration) float64 {
-	if s.wave == 0 {
+	if s.highTime == 0 {
 		return 1
 	}
-	if at%(s.calm+s.wave) < s.calm {
+	if at%(s.lowTime+s.highTime) < s.lowTime {
 		return s.low
 	}
 	return s.high
 }
 
-// trace draws how many requests hold a slot, tick by tick.
+// trace returns a random trace of how many requests hold a slot, one value each traceStep.
 func (s *shape) trace(random *rand.Rand, length time.Duration) []float64 {
-	count := int(length / tick)
+	count := int(length / traceStep)
 	arrivals := make([]int, count)
 	trace := make([]float64, count)
-	hold := int(s.hold / tick)
+	hold := int(s.holdTime / traceStep)
 	held := 0
 	for i := range count {
-		arrivals[i] = poisson(random, s.perSecond*s.factor(time.Duration(i)*tick)*tick.Seconds())
+		arrivals[i] = poisson(random, s.perSecond*s.factor(time.Duration(i)*traceStep)*traceStep.Seconds())
 		held += arrivals[i]
 		if i >= hold {
 			held -= arrivals[i-hold]
@@ -62,259 +63,263 @@
 	return count
 }
 
-// waves is a fleet of 360 slots, 130 of which are needed in the mean.
+// waves returns the shape for a fleet of 360 slots, 130 of which are used on average.
 func waves() *shape {
-	return &shape{perSecond: 171, hold: 760 * time.Millisecond, low: 0.378, high: 1.85, calm: 3 * time.Second, wave: 2200 * time.Millisecond}
+	return &shape{perSecond: 171, holdTime: 760 * time.Millisecond, low: 0.378, high: 1.85, lowTime: 3 * time.Second, highTime: 2200 * time.Millisecond}
 }
 
-// way forecasts the need so many ticks ahead.
-type way interface {
-	take(now time.Time, need float64)
-	expect(now time.Time, ahead time.Duration) float64
+// method is a way to forecast the demand.
+type method interface {
+	observe(now time.Time, demand float64)
+	predict(now time.Time, ahead time.Duration) float64
 }
 
-// presentWay takes what is for what comes.
-type presentWay struct{ need float64 }
+// currentMethod forecasts the current demand.
+type currentMethod struct{ demand float64 }
 
-func (w *presentWay) take(_ time.Time, need float64)              { w.need = need }
-func (w *presentWay) expect(_ time.Time, _ time.Duration) float64 { return w.need }
+func (m *currentMethod) observe(_ time.Time, demand float64)          { m.demand = demand }
+func (m *currentMethod) predict(_ time.Time, _ time.Duration) float64 { return m.demand }
 
-// burstWay is an exponentially weighted level with a margin for bursts: the mean deviation.
-type burstWay struct{ level, deviation float64 }
+// ewmaMethod forecasts an exponentially weighted mean, plus the mean deviation as a margin for
+// bursts.
+type ewmaMethod struct{ level, deviation float64 }
 
-func (w *burstWay) take(_ time.Time, need float64) {
-	const part = 30
-	w.level += (need - w.level) / part
-	w.deviation += (math.Abs(need-w.level) - w.deviation) / part
+func (m *ewmaMethod) observe(_ time.Time, demand float64) {
+	const window = 30
+	m.level += (demand - m.level) / window
+	m.deviation += (math.Abs(demand-m.level) - m.deviation) / window
 }
-func (w *burstWay) expect(time.Time, time.Duration) float64 { return w.level + w.deviation }
-
-// autoWay finds the lag at which the need is most like itself, and takes the middle of what
-// was one, two and three lags ago.
-type autoWay struct {
-	bins []float64
-	lag  int
-	due  time.Time
+func (m *ewmaMethod) predict(time.Time, time.Duration) float64 { return m.level + m.deviation }
+
+// autocorrelationMethod finds the lag with the highest autocorrelation, and forecasts the mean of
+// the values one, two and three lags ago.
+type autocorrelationMethod struct {
+	bins       []float64
+	lag        int
+	nextSearch time.Time
 }
 
-func (w *autoWay) take(now time.Time, need float64) {
-	if at := int(now.Sub(start) / binTime); at >= len(w.bins) {
-		w.bins = append(w.bins, need)
+func (m *autocorrelationMethod) observe(now time.Time, demand float64) {
+	if at := int(now.Sub(start) / binTime); at >= len(m.bins) {
+		m.bins = append(m.bins, demand)
 	}
-	w.bins[len(w.bins)-1] = need
-	if now.Before(w.due) {
+	m.bins[len(m.bins)-1] = demand
+	if now.Before(m.nextSearch) {
 		return
 	}
-	w.due = now.Add(time.Second)
-	w.seek()
+	m.nextSearch = now.Add(time.Second)
+	m.findLag()
 }
 
-func (w *autoWay) seek() {
+func (m *autocorrelationMethod) findLag() {
 	mean := 0.0
-	for _, value := range w.bins {
-		mean += value / float64(len(w.bins))
+	for _, value := range m.bins {
+		mean += value / float64(len(m.bins))
 	}
 	best := 0.5
-	w.lag = 0
-	for lag := 10; lag < len(w.bins)/2; lag++ {
-		with, square := 0.0, 0.0
-		for i := lag; i < len(w.bins); i++ {
-			with += (w.bins[i] - mean) * (w.bins[i-lag] - mean)
-			square += (w.bins[i] - mean) * (w.bins[i] - mean)
+	m.lag = 0
+	for lag := 10; lag < len(m.bins)/2; lag++ {
+		covariance, variance := 0.0, 0.0
+		for i := lag; i < len(m.bins); i++ {
+			covariance += (m.bins[i] - mean) * (m.bins[i-lag] - mean)
+			variance += (m.bins[i] - mean) * (m.bins[i] - mean)
 		}
-		if square > 0 && with/square > best+0.02 && lag > 20 {
-			best, w.lag = with/square, lag
+		if variance > 0 && covariance/variance > best+0.02 && lag > 20 {
+			best, m.lag = covariance/variance, lag
 		}
 	}
 }
 
-func (w *autoWay) expect(now time.Time, ahead time.Duration) float64 {
+func (m *autocorrelationMethod) predict(now time.Time, ahead time.Duration) float64 {
 	at := int(now.Add(ahead).Sub(start) / binTime)
 	sum, count := 0.0, 0
-	for back := 1; w.lag > 0 && back <= 3; back++ {
-		if i := at - back*w.lag; i >= 0 && i < len(w.bins) {
-			sum += w.bins[i]
+	for back := 1; m.lag > 0 && back <= 3; back++ {
+		if i := at - back*m.lag; i >= 0 && i < len(m.bins) {
+			sum += m.bins[i]
 			count++
 		}
 	}
 	if count == 0 {
-		return w.bins[len(w.bins)-1]
+		return m.bins[len(m.bins)-1]
 	}
 	return sum / float64(count)
 }
 
-// middleWay keeps begin, length and height of the last waves and takes them for boxes.
-type middleWay struct{ f *Forecast }
+// boxMethod forecasts the mean height during the mean length of the last waves, and the low level
+// otherwise.
+type boxMethod struct{ f *Forecast }
 
-func (w *middleWay) take(now time.Time, need float64) { w.f.Observe(now, need) }
-func (w *middleWay) expect(now time.Time, ahead time.Duration) float64 {
-	p := &w.f.pattern
-	if !p.sure {
-		return w.f.present
+func (m *boxMethod) observe(now time.Time, demand float64) { m.f.Observe(now, demand) }
+func (m *boxMethod) predict(now time.Time, ahead time.Duration) float64 {
+	p := &m.f.pattern
+	if !p.confident {
+		return m.f.current
 	}
-	at := int(now.Add(ahead).Sub(w.f.began) / binTime)
+	at := int(now.Add(ahead).Sub(m.f.startedAt) / binTime)
 	if next := p.next; at >= next || at < p.anchor+p.length {
 		return p.height
 	}
-	return w.f.levels.low
+	return m.f.levels.low
 }
 
-// phaseWay is what is built.
-type phaseWay struct{ f *Forecast }
+// phaseMethod is the method of Forecast.
+type phaseMethod struct{ f *Forecast }
 
-func (w *phaseWay) take(now time.Time, need float64) { w.f.Observe(now, need) }
-func (w *phaseWay) expect(now time.Time, ahead time.Duration) float64 {
-	if !w.f.pattern.sure {
-		return w.f.present
+func (m *phaseMethod) observe(now time.Time, demand float64) { m.f.Observe(now, demand) }
+func (m *phaseMethod) predict(now time.Time, ahead time.Duration) float64 {
+	if !m.f.pattern.confident {
+		return m.f.current
 	}
-	number := int(now.Add(ahead).Sub(w.f.began) / binTime)
-	level, known := w.f.expect(number)
+	number := int(now.Add(ahead).Sub(m.f.startedAt) / binTime)
+	level, known := m.f.predict(number)
 	if !known {
-		return w.f.present
+		return m.f.current
 	}
 	return level
 }
 
-// offOf returns by how much a way is off in the mean, 200 ms ahead, after so long.
-func offOf(w way, trace []float64, after time.Duration) float64 {
+// meanError returns the mean absolute error of a method 200 ms ahead, in slots, from the given
+// time on.
+func meanError(m method, trace []float64, after time.Duration) float64 {
 	const ahead = 200 * time.Millisecond
-	off, count := 0.0, 0
-	for i := 0; i+int(ahead/tick) < len(trace); i++ {
-		now := start.Add(time.Duration(i) * tick)
-		w.take(now, trace[i])
-		if time.Duration(i)*tick >= after {
-			off += math.Abs(w.expect(now, ahead) - trace[i+int(ahead/tick)])
+	sum, count := 0.0, 0
+	for i := 0; i+int(ahead/traceStep) < len(trace); i++ {
+		now := start.Add(time.Duration(i) * traceStep)
+		m.observe(now, trace[i])
+		if time.Duration(i)*traceStep >= after {
+			sum += math.Abs(m.predict(now, ahead) - trace[i+int(ahead/traceStep)])
 			count++
 		}
 	}
-	return off / float64(count)
+	return sum / float64(count)
 }
 
-// TestWaysAreWeighed compares ways to forecast the need 200 ms ahead, in slots.
+// TestWaysAreWeighed compares the forecast 200 ms ahead with other methods: its error must be the
+// smallest with waves, and about that of the current demand without.
 func TestWaysAreWeighed(t *testing.T) {
-	calm := &shape{perSecond: 171, hold: 760 * time.Millisecond}
+	constant := &shape{perSecond: 171, holdTime: 760 * time.Millisecond}
 	for _, test := range []struct {
 		name  string
 		shape *shape
-	}{{"waves", waves()}, {"none", calm}} {
-		off := map[string]float64{}
-		const plays = 5
-		for seed := range int64(plays) {
+	}{{"waves", waves()}, {"none", constant}} {
+		errorOf := map[string]float64{}
+		const runs = 5
+		for seed := range int64(runs) {
 			trace := test.shape.trace(rand.New(rand.NewSource(seed)), 60*time.Second)
 			after := 30 * time.Second
-			off["present"] += offOf(&presentWay{}, trace, after) / plays
-			off["burst"] += offOf(&burstWay{}, trace, after) / plays
-			off["autocorrelation"] += offOf(&autoWay{}, trace, after) / plays
-			off["middle"] += offOf(&middleWay{New()}, trace, after) / plays
-			off["phase"] += offOf(&phaseWay{New()}, trace, after) / plays
+			errorOf["present"] += meanError(&currentMethod{}, trace, after) / runs
+			errorOf["burst"] += meanError(&ewmaMethod{}, trace, after) / runs
+			errorOf["autocorrelation"] += meanError(&autocorrelationMethod{}, trace, after) / runs
+			errorOf["middle"] += meanError(&boxMethod{New()}, trace, after) / runs
+			errorOf["phase"] += meanError(&phaseMethod{New()}, trace, after) / runs
 		}
-		t.Logf("%s: off by %v", test.name, off)
-		for way, value := range off {
-			if test.shape.wave > 0 && off["phase"] > value {
-				t.Errorf("%s: the phase is off by %.1f slots, %s by %.1f", test.name, off["phase"], way, value)
+		t.Logf("%s: mean errors %v", test.name, errorOf)
+		for method, value := range errorOf {
+			if test.shape.highTime > 0 && errorOf["phase"] > value {
+				t.Errorf("%s: the mean error of the phase method is %.1f slots, that of the %s method %.1f", test.name, errorOf["phase"], method, value)
 			}
 		}
-		if test.shape.wave == 0 && off["phase"] > 1.01*off["present"] {
-			t.Errorf("%s: off by %.2f slots, %.2f with the present need", test.name, off["phase"], off["present"])
+		if test.shape.highTime == 0 && errorOf["phase"] > 1.01*errorOf["present"] {
+			t.Errorf("%s: mean error of %.2f slots, %.2f with the current demand as forecast", test.name, errorOf["phase"], errorOf["present"])
 		}
 	}
 }
 
-// feed hands a trace to a forecast and returns what became known when.
-func feed(f *Forecast, from time.Time, trace []float64) (learnt, given []time.Duration) {
-	for i, need := range trace {
-		at := time.Duration(i) * tick
-		f.Observe(from.Add(at), need)
-		news := f.Changes()
-		if news.Learned {
-			learnt = append(learnt, at)
+// feed feeds a trace to a forecast and returns when patterns were learned and abandoned.
+func feed(f *Forecast, from time.Time, trace []float64) (learned, abandoned []time.Duration) {
+	for i, demand := range trace {
+		at := time.Duration(i) * traceStep
+		f.Observe(from.Add(at), demand)
+		change := f.Changes()
+		if change.Learned {
+			learned = append(learned, at)
 		}
-		if news.Abandoned {
-			given = append(given, at)
+		if change.Abandoned {
+			abandoned = append(abandoned, at)
 		}
 	}
-	return learnt, given
+	return learned, abandoned
 }
 
-// TestPatternIsLearnt draws waves: a pattern is sure at the fourth begin at the latest,
-// and stays so while they come.
-func TestPatternIsLearnt(t *testing.T) {
+// TestPatternIsLearned checks with random waves that a pattern is learned by the fourth cycle, and
+// kept while the waves go on.
+func TestPatternIsLearned(t *testing.T) {
 	proptest.Run(t, "waves", func(random *rand.Rand) error {
-		drawn := waves()
-		drawn.calm = time.Duration(2000+random.Intn(4000)) * time.Millisecond
-		drawn.wave = time.Duration(1500+random.Intn(2500)) * time.Millisecond
-		drawn.low, drawn.high = 0.2+0.3*random.Float64(), 1.6+0.6*random.Float64()
-		cycle := drawn.calm + drawn.wave
+		waveShape := waves()
+		waveShape.lowTime = time.Duration(2000+random.Intn(4000)) * time.Millisecond
+		waveShape.highTime = time.Duration(1500+random.Intn(2500)) * time.Millisecond
+		waveShape.low, waveShape.high = 0.2+0.3*random.Float64(), 1.6+0.6*random.Float64()
+		cycle := waveShape.lowTime + waveShape.highTime
 		f := New()
-		learnt, given := feed(f, start, drawn.trace(random, 10*cycle))
-		if len(learnt) != 1 || learnt[0] > 4*cycle || len(given) > 0 {
-			return errors.Newf("%+v: learnt at %v, given up at %v", drawn, learnt, given)
+		learned, abandoned := feed(f, start, waveShape.trace(random, 10*cycle))
+		if len(learned) != 1 || learned[0] > 4*cycle || len(abandoned) > 0 {
+			return errors.Newf("%+v: pattern learned at %v, abandoned at %v; want it learned once, by the fourth cycle", waveShape, learned, abandoned)
 		}
-		if off := time.Duration(f.pattern.cycle)*binTime - cycle; max(off, -off) > cycle/toleranceParts {
-			return errors.Newf("a cycle of %s is taken for one of %s", cycle, time.Duration(f.pattern.cycle)*binTime)
+		if off := time.Duration(f.pattern.cycle)*binTime - cycle; max(off, -off) > cycle/toleranceDivisor {
+			return errors.Newf("a cycle of %s is learned as %s", cycle, time.Duration(f.pattern.cycle)*binTime)
 		}
 		if s := f.Score(); s.MeanError > s.BaselineError {
-			return errors.Newf("off by %+v", s)
+			return errors.Newf("mean error above the baseline: %+v", s)
 		}
 		return nil
 	})
 }
 
-// TestNoPatternIsSaidSo draws needs without waves, and waves at random times: what is not
-// there is not believed for long.
-func TestNoPatternIsSaidSo(t *testing.T) {
+// TestNoPatternWithoutWaves checks with random demand without waves that no pattern is learned and
+// that the forecast is the current demand.
+func TestNoPatternWithoutWaves(t *testing.T) {
 	proptest.Run(t, "none", func(random *rand.Rand) error {
-		calm := &shape{perSecond: 40 + 400*random.Float64(), hold: 760 * time.Millisecond}
+		constant := &shape{perSecond: 40 + 400*random.Float64(), holdTime: 760 * time.Millisecond}
 		f := New()
-		if learnt, _ := feed(f, start, calm.trace(random, 60*time.Second)); len(learnt) > 0 {
-			return errors.Newf("%+v: learnt at %v %+v", calm, learnt, f.pattern)
+		if learned, _ := feed(f, start, constant.trace(random, 60*time.Second)); len(learned) > 0 {
+			return errors.Newf("%+v: pattern learned at %v without waves: %+v", constant, learned, f.pattern)
 		}
-		if need := f.Peak(start.Add(60*time.Second), time.Second); need.Confident || need.Slots != f.present {
-			return errors.Newf("without a pattern: %+v", need)
+		if demand := f.Peak(start.Add(60*time.Second), time.Second); demand.Confident || demand.Slots != f.current {
+			return errors.Newf("forecast without a pattern: %+v, want the current demand", demand)
 		}
 		return nil
 	})
 }
 
-// TestPatternIsGivenUp lets waves end for good, and shifts them by half a cycle: two that
-// fail are enough.
+// TestPatternIsGivenUp stops the waves, and shifts them by half a cycle: the pattern must be
+// abandoned after two misses, and learned again after the shift.
 func TestPatternIsGivenUp(t *testing.T) {
 	random := rand.New(rand.NewSource(1))
-	drawn := waves()
-	cycle := drawn.calm + drawn.wave
+	waveShape := waves()
+	cycle := waveShape.lowTime + waveShape.highTime
 	f := New()
-	feed(f, start, drawn.trace(random, 6*cycle))
-	if !f.pattern.sure {
-		t.Fatal("not learnt")
+	feed(f, start, waveShape.trace(random, 6*cycle))
+	if !f.pattern.confident {
+		t.Fatal("pattern not learned after six cycles")
 	}
-	calm := &shape{perSecond: 171 * drawn.low, hold: drawn.hold}
-	if _, given := feed(f, start.Add(6*cycle), calm.trace(random, 4*cycle)); len(given) != 1 || given[0] > 3*cycle {
-		t.Errorf("given up at %v", given)
+	constant := &shape{perSecond: 171 * waveShape.low, holdTime: waveShape.holdTime}
+	if _, abandoned := feed(f, start.Add(6*cycle), constant.trace(random, 4*cycle)); len(abandoned) != 1 || abandoned[0] > 3*cycle {
+		t.Errorf("pattern abandoned at %v, want once within three cycles", abandoned)
 	}
 	f = New()
-	trace := drawn.trace(random, 12*cycle)
-	shifted := append(trace[:6*cycle/tick:6*cycle/tick], trace[(6*cycle+cycle/2)/tick:]...)
+	trace := waveShape.trace(random, 12*cycle)
+	shifted := append(trace[:6*cycle/traceStep:6*cycle/traceStep], trace[(6*cycle+cycle/2)/traceStep:]...)
 	feed(f, start, shifted)
-	if off := f.pattern.next - int(11*cycle/binTime) - int((drawn.calm+drawn.wave/4)/binTime); !f.pattern.sure || max(off, -off) > int(cycle/binTime) {
-		t.Errorf("after a shift: sure %t, off by %d bins", f.pattern.sure, off)
+	if off := f.pattern.next - int(11*cycle/binTime) - int((waveShape.lowTime+waveShape.highTime/4)/binTime); !f.pattern.confident || max(off, -off) > int(cycle/binTime) {
+		t.Errorf("after a shift: confident %t, next wave off by %d bins", f.pattern.confident, off)
 	}
 }
 
-// TestGapForgets checks that whoever has heard nothing for a while begins anew.
-func TestGapForgets(t *testing.T) {
+// TestGapResetsForecast checks that a forecast starts over after a time without observations.
+func TestGapResetsForecast(t *testing.T) {
 	f := New()
-	drawn := waves()
-	feed(f, start, drawn.trace(rand.New(rand.NewSource(1)), 30*time.Second))
-	now := start.Add(30*time.Second + longestGap + tick)
+	waveShape := waves()
+	feed(f, start, waveShape.trace(rand.New(rand.NewSource(1)), 30*time.Second))
+	now := start.Add(30*time.Second + maxGap + traceStep)
 	f.Observe(now, 100)
-	if need := f.Peak(now, time.Second); need.Confident || need.Slots != 100 {
-		t.Errorf("after a gap: %+v", need)
+	if demand := f.Peak(now, time.Second); demand.Confident || demand.Slots != 100 {
+		t.Errorf("forecast after a gap: %+v, want the current demand of 100", demand)
 	}
 }
 
-// TestRisesEndAtTheKnownLevel lets the need rise steeply: it is expected to go on rising, up to
-// the high level where one is known, and to what it is at least.
-func TestRisesEndAtTheKnownLevel(t *testing.T) {
+// TestRiseIsCappedAtHighLevel makes the demand rise steeply: the rise must be extrapolated up to
+// the high level if one is known, but not to less than the current demand.
+func TestRiseIsCappedAtHighLevel(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		known levels
@@ -322,8 +327,8 @@
 	}{
 		{"nothing known", levels{}, 250},
 		{"a higher level", levels{low: 10, high: 400, known: true}, 250},
-		{"a level between", levels{low: 10, high: 90, known: true}, 90},
-		{"a level that is passed", levels{low: 10, high: 30, known: true}, 50},
+		{"a level in between", levels{low: 10, high: 90, known: true}, 90},
+		{"a level already exceeded", levels{low: 10, high: 30, known: true}, 50},
 	} {
 		f := New()
 		for now := time.Duration(0); now <= 2*time.Second; now += binTime {
@@ -332,41 +337,41 @@
 		now := start.Add(2*time.Second + binTime)
 		f.Observe(now, 50)
 		f.levels = test.known
-		// Forty slots in two bins; ten more bins are looked ahead.
-		if need := f.Peak(now, 10*binTime); !need.Rising || need.Slots != test.want {
-			t.Errorf("%s: %+v", test.name, need)
+		// A rise of 40 slots in two bins, extrapolated over ten more bins.
+		if demand := f.Peak(now, 10*binTime); !demand.Rising || demand.Slots != test.want {
+			t.Errorf("%s: %+v", test.name, demand)
 		}
 	}
 }
 
-// TestWarmOnceTheCrowdHasCome checks when a forecast that is new has heard enough: once the
-// need stops rising, not while there is none, and after a second at the latest.
-func TestWarmOnceTheCrowdHasCome(t *testing.T) {
-	const late = 400 * time.Millisecond
+// TestWarmUp checks when a new forecast is warmed up: once the demand stops rising, not while
+// there is none, and after a second at the latest.
+func TestWarmUp(t *testing.T) {
+	const delay = 400 * time.Millisecond
 	for _, test := range []struct {
-		name  string
-		need  func(at time.Duration) float64
-		after time.Duration
+		name   string
+		demand func(at time.Duration) float64
+		after  time.Duration
 	}{
-		{"a steady need", func(time.Duration) float64 { return 50 }, (warmBins + 1) * binTime},
-		{"nothing", func(time.Duration) float64 { return 0 }, warmTime},
-		{"a crowd that comes late", func(at time.Duration) float64 {
-			return 200 * min(max((at-late).Seconds(), 0)/0.2, 1)
-		}, late + 200*time.Millisecond + warmBins*binTime},
-		{"a rise without an end", func(at time.Duration) float64 { return 1000 * at.Seconds() }, warmTime},
+		{"a constant demand", func(time.Duration) float64 { return 50 }, (warmUpBins + 1) * binTime},
+		{"nothing", func(time.Duration) float64 { return 0 }, maxWarmUpTime},
+		{"a burst that comes late", func(at time.Duration) float64 {
+			return 200 * min(max((at-delay).Seconds(), 0)/0.2, 1)
+		}, delay + 200*time.Millisecond + warmUpBins*binTime},
+		{"an endless rise", func(at time.Duration) float64 { return 1000 * at.Seconds() }, maxWarmUpTime},
 	} {
 		f := New()
 		at := time.Duration(0)
-		for ; !f.WarmedUp() && at < 10*warmTime; at += tick {
-			f.Observe(start.Add(at), test.need(at))
+		for ; !f.WarmedUp() && at < 10*maxWarmUpTime; at += traceStep {
+			f.Observe(start.Add(at), test.demand(at))
 		}
 		if off := at - test.after; max(off, -off) > 3*binTime {
-			t.Errorf("%s: warm after %s, want %s", test.name, at, test.after)
+			t.Errorf("%s: warmed up after %s, want %s", test.name, at, test.after)
 		}
 	}
 }
 
-// BenchmarkTake is a report, with a question, of a pattern that is known.
+// BenchmarkTake measures one observation and one forecast with a known pattern.
 func BenchmarkTake(b *testing.B) {
 	f := New()
 	trace := waves().trace(rand.New(rand.NewSource(1)), 60*time.Second)
@@ -375,7 +380,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		i++
-		now := start.Add(60*time.Second + time.Duration(i)*tick)
+		now := start.Add(60*time.Second + time.Duration(i)*traceStep)
 		f.Observe(now, trace[i%len(trace)])
 		f.Peak(now, 200*time.Millisecond)
 	}
--- a/internal/forecast/levels.go
+++ b/internal/forecast/levels.go
@@ -6,67 +6,70 @@
 )
 
 const (
-	// levelBins is after how many bins levels are learnt anew, a second: sorting what is
-	// kept is the dearest step here.
-	levelBins = 20
-	// lowPart and highPart are the parts of the time in which the need is below the low and
-	// the high level: a wave or a valley that takes less than a twentieth of the time is
-	// not seen as one.
-	lowPart  = 0.05
-	highPart = 0.95
-	// levelCycles is over how many cycles of a known pattern levels are learnt.
+	// levelInterval is the number of bins, one second, after which the levels are recomputed:
+	// sorting the kept bins is the most expensive step of the forecast.
+	levelInterval = 20
+	// lowQuantile and highQuantile are the fractions of the time in which the demand is below the
+	// low and the high level: a wave or a valley that takes less than a twentieth of the time is
+	// not detected.
+	lowQuantile  = 0.05
+	highQuantile = 0.95
+	// levelCycles is the number of cycles of a known pattern that the levels are computed over.
 	levelCycles = 4
-	// leastLift is how far apart the levels must be, in standard deviations of a count as
-	// large as the high one, to be a wave rather than chance: of counts that vary by chance
-	// alone nine tenths lie within three and a third.
-	leastLift = 5
-	// bandParts is the part of the lift, one in so many, that the need must go beyond the
-	// middle between the levels to have crossed it.
-	bandParts = 10
-	// bandDeviations is how many standard deviations of a count there it must be at least.
-	bandDeviations = 2
-	// widestBandParts bounds it, so that a small lift can be crossed at all.
-	widestBandParts = 3
+	// minLiftDeviations is the minimum distance between the levels, in standard deviations of a
+	// count as large as the high one, for a wave rather than chance: the two quantiles of a count
+	// that varies by chance alone are 3.3 standard deviations apart.
+	minLiftDeviations = 5
+	// bandDivisor sets how far the demand must go beyond the middle between the levels to have
+	// crossed it: a tenth of the distance between them.
+	bandDivisor = 10
+	// minBandDeviations is the minimum of that band in standard deviations of a count at the
+	// middle.
+	minBandDeviations = 2
+	// maxBandDivisor limits the band to a third of that distance, so that a small lift can be
+	// crossed at all.
+	maxBandDivisor = 3
 )
 
-// levels are the need in valleys and in waves. The zero value knows none.
+// levels are the demand in valleys and in waves. The zero value knows none.
 type levels struct {
 	low  float64
 	high float64
-	// known is set where they are apart enough.
+	// known is set if the levels are far enough apart for waves.
 	known  bool
 	cycle  int
 	sorted []float64
 }
 
-// learn takes in the bins that count, the last of which has the number. It reports whether
-// the levels were learnt anew.
-func (l *levels) learn(bins []float64, number int) bool {
-	if number%levelBins != 0 || len(bins) < levelBins {
+// update recomputes the levels on every levelInterval-th bin if there are enough bins, and reports
+// whether it did. number is that of the last bin.
+func (l *levels) update(bins []float64, number int) bool {
+	if number%levelInterval != 0 || len(bins) < levelInterval {
 		return false
 	}
-	span := keptBins
+	span := maxBins
 	if l.cycle > 0 {
-		span = max(levelCycles*l.cycle, levelBins)
+		span = max(levelCycles*l.cycle, levelInterval)
 	}
 	l.sorted = append(l.sorted[:0], bins[max(len(bins)-span, 0):]...)
 	slices.Sort(l.sorted)
-	l.low = l.quantile(lowPart)
-	l.high = l.quantile(highPart)
-	l.known = l.high-l.low > leastLift*math.Sqrt(max(l.high, 1))
+	l.low = l.quantile(lowQuantile)
+	l.high = l.quantile(highQuantile)
+	l.known = l.high-l.low > minLiftDeviations*math.Sqrt(max(l.high, 1))
 	return true
 }
 
-func (l *levels) quantile(part float64) float64 {
-	return l.sorted[int(part*float64(len(l.sorted)-1))]
+func (l *levels) quantile(fraction float64) float64 {
+	return l.sorted[int(fraction*float64(len(l.sorted)-1))]
 }
 
-// crossed returns whether the need is high now, which stays as it was between the levels.
-func (l *levels) crossed(high bool, value float64) bool {
+// isHigh returns whether the demand is high now, given whether it was before. Near the middle
+// between the levels it stays as it was.
+func (l *levels) isHigh(high bool, value float64) bool {
 	middle := (l.low + l.high) / 2
 	lift := l.high - l.low
-	// Counts vary by their root, and that must not look like a crossing.
-	band := min(max(lift/bandParts, bandDeviations*math.Sqrt(middle)), lift/widestBandParts)
+	// A count varies by its square root, which must not count as a crossing.
+	band := min(max(lift/bandDivisor, minBandDeviations*math.Sqrt(middle)), lift/maxBandDivisor)
 	if high {
 		return value >= middle-band
 	}
--- a/internal/forecast/pattern.go
+++ b/internal/forecast/pattern.go
@@ -3,217 +3,220 @@
 import "time"
 
 const (
-	// mostWaves is how many waves a cycle may have: so many of different distance that
-	// recur together.
-	mostWaves = 3
-	// leastCycles is how many cycles of equal length must have come before a pattern is
-	// sure, and mostGivenUp how many more at most once some have failed.
-	leastCycles = 2
-	mostGivenUp = 2
-	// keptBegins is how many begins of waves are kept.
-	keptBegins = mostWaves*(leastCycles+mostGivenUp) + 1
-	// toleranceParts is the part of a cycle, one in so many, by which a begin may be early or
-	// late, leastTolerance the least in bins: a report's time at both ends, and one more
-	// because a count that varies crosses the middle by chance a bin sooner or later.
-	toleranceParts = 16
-	leastTolerance = 3
-	// lateParts is the part of a cycle, one in so many, within which a wave that was missed
-	// is late rather than another one.
-	lateParts = 4
-	// failures is after how many waves in a row that did not come when they should a pattern
-	// is given up.
-	failures = 2
-	// shortestCycle is the least length of a cycle in bins, a second: what recurs faster is
-	// over before items have left and come back.
-	shortestCycle = 20
-	// profileCycles is how many cycles are averaged.
+	// maxWaves is the maximum number of waves in a cycle: waves at different distances that recur
+	// together.
+	maxWaves = 3
+	// minCycles is the number of cycles of equal length that must have come before a pattern is
+	// confident. After abandoned patterns it takes one more for each, maxAbandoned at most.
+	minCycles    = 2
+	maxAbandoned = 2
+	// maxOnsets is the number of wave onsets that are kept.
+	maxOnsets = maxWaves*(minCycles+maxAbandoned) + 1
+	// toleranceDivisor sets how early or late an onset may be: a sixteenth of a cycle. minTolerance
+	// is the minimum in bins: the time of a report at both ends, and one more because a varying
+	// count crosses the middle a bin sooner or later by chance.
+	toleranceDivisor = 16
+	minTolerance     = 3
+	// lateDivisor sets how late a missed wave may come to count as late rather than as another
+	// wave: a quarter of the mean time between waves.
+	lateDivisor = 4
+	// maxMisses is the number of consecutive waves out of time after which a pattern is abandoned.
+	maxMisses = 2
+	// minCycle is the minimum length of a cycle in bins, one second: faster waves are over before
+	// items have stopped and resumed.
+	minCycle = 20
+	// profileCycles is the number of cycles that the profile averages.
 	profileCycles = 6
-	// lengthParts is the part of a new value in the mean length and height of waves.
-	lengthParts = 3
+	// smoothingDivisor sets the weight of a new value in the mean length and height of waves, a
+	// third.
+	smoothingDivisor = 3
 )
 
-// pattern is what recurs. The zero value knows nothing.
+// pattern is a recurring sequence of waves. The zero value knows nothing.
 type pattern struct {
-	// high is set while the need is high, and begins are the bins in which it became so,
-	// the last one last.
+	// high is set while the demand is high. onsets holds the bins in which it became high, oldest
+	// first.
 	high   bool
-	begins []int
-	// sure is set while the pattern holds. cycle is its length, of so many waves.
-	sure  bool
-	cycle int
-	waves int
-	// anchor is the begin of the last wave, or where it should have been while skipped is
-	// set, and next where the next one should begin.
+	onsets []int
+	// confident is set while the pattern holds. cycle is its length in bins, and waves the number
+	// of waves in it.
+	confident bool
+	cycle     int
+	waves     int
+	// anchor is the onset of the last wave, or where it should have been if skipped is set. next is
+	// where the next wave should begin.
 	anchor  int
 	skipped bool
 	next    int
-	// length is that of waves in bins, height the need in them.
+	// length is the mean length of waves in bins, height the mean demand in them.
 	length int
 	height float64
-	// misses counts waves in a row that did not come in time, hits those that did; givenUp is
-	// how often a pattern was given up since one last held.
-	misses  int
-	hits    int
-	givenUp int
+	// misses counts consecutive waves out of time, hits consecutive waves in time. abandoned is how
+	// often a pattern was abandoned since one last held.
+	misses    int
+	hits      int
+	abandoned int
 }
 
-// expect finds where the next wave should begin.
-func (p *pattern) expect() {
-	count := len(p.begins)
+// updateNext computes where the next wave should begin.
+func (p *pattern) updateNext() {
+	count := len(p.onsets)
 	if p.waves <= 1 || p.skipped || count <= p.waves {
 		p.next = p.anchor + p.cycle/max(p.waves, 1)
 		return
 	}
-	p.next = p.anchor + p.begins[count-p.waves] - p.begins[count-p.waves-1]
+	p.next = p.anchor + p.onsets[count-p.waves] - p.onsets[count-p.waves-1]
 }
 
-// tolerance returns by how many bins a begin may be off in a cycle.
-func tolerance(cycle int) int { return max(cycle/toleranceParts, leastTolerance) }
+// tolerance returns by how many bins an onset may be early or late in a cycle.
+func tolerance(cycle int) int { return max(cycle/toleranceDivisor, minTolerance) }
 
-// learnWave takes in a closed bin.
-func (f *Forecast) learnWave(number int, value float64) {
+// observeWave updates the pattern with a closed bin.
+func (f *Forecast) observeWave(number int, value float64) {
 	p := &f.pattern
 	if !f.levels.known {
-		f.giveUp()
+		f.abandon()
 		return
 	}
-	if f.cross(number, value) {
-		f.waveBegan(number)
+	if f.observeCrossing(number, value) {
+		f.recordOnset(number)
 	}
-	if p.sure && number > p.next+tolerance(p.cycle) {
-		f.waveMissed()
+	if p.confident && number > p.next+tolerance(p.cycle) {
+		f.recordMiss()
 	}
 }
 
-// reviewWaves finds begins anew once levels have changed, while nothing is sure: those found
-// by levels that rested on little would be off.
-func (f *Forecast) reviewWaves(number int) {
+// rebuildOnsets recomputes the onsets after the levels have changed, while there is no confident
+// pattern: onsets found by levels that rested on few bins would be inaccurate.
+func (f *Forecast) rebuildOnsets(number int) {
 	p := &f.pattern
-	if p.sure || !f.levels.known {
+	if p.confident || !f.levels.known {
 		return
 	}
-	p.high, p.begins, p.length = false, p.begins[:0], 0
-	for at := max(f.since, f.dropped); at < number; at++ {
+	p.high, p.onsets, p.length = false, p.onsets[:0], 0
+	for at := max(f.learnFrom, f.dropped); at < number; at++ {
 		value, _ := f.bin(at)
-		f.cross(at, value)
+		f.observeCrossing(at, value)
 	}
 }
 
-// cross takes in a bin's need, and reports whether a wave began with it.
-func (f *Forecast) cross(number int, value float64) bool {
+// observeCrossing updates the high state with the demand of a bin, and reports whether a wave
+// began with it.
+func (f *Forecast) observeCrossing(number int, value float64) bool {
 	p := &f.pattern
-	before := p.high
-	p.high = f.levels.crossed(p.high, value)
+	wasHigh := p.high
+	p.high = f.levels.isHigh(p.high, value)
 	switch {
-	case p.high && !before:
-		p.addBegin(number)
+	case p.high && !wasHigh:
+		p.addOnset(number)
 		return true
-	case before && !p.high:
-		f.waveEnded(number)
+	case wasHigh && !p.high:
+		f.recordWaveEnd(number)
 	}
 	return false
 }
 
-// addBegin keeps the begin of a wave.
-func (p *pattern) addBegin(number int) {
-	p.begins = append(p.begins, number)
-	if surplus := len(p.begins) - keptBegins; surplus > 0 {
-		p.begins = append(p.begins[:0], p.begins[surplus:]...)
+// addOnset adds the onset of a wave and drops the oldest ones beyond maxOnsets.
+func (p *pattern) addOnset(number int) {
+	p.onsets = append(p.onsets, number)
+	if surplus := len(p.onsets) - maxOnsets; surplus > 0 {
+		p.onsets = append(p.onsets[:0], p.onsets[surplus:]...)
 	}
 }
 
-// waveBegan takes in that a wave has begun just now.
-func (f *Forecast) waveBegan(number int) {
+// recordOnset records that a wave has begun.
+func (f *Forecast) recordOnset(number int) {
 	p := &f.pattern
-	if p.sure {
-		f.judge(number)
+	if p.confident {
+		f.checkOnset(number)
 	}
-	if len(p.begins) == 0 {
-		// The pattern was given up just now.
-		p.addBegin(number)
+	if len(p.onsets) == 0 {
+		// The pattern was abandoned by checkOnset.
+		p.addOnset(number)
 	}
 	p.anchor, p.skipped = number, false
-	f.seek()
-	p.expect()
+	f.findCycle()
+	p.updateNext()
 }
 
-// judge takes in that a wave began while one was forecast.
-func (f *Forecast) judge(number int) {
+// checkOnset compares the onset of a wave with the predicted one.
+func (f *Forecast) checkOnset(number int) {
 	p := &f.pattern
-	if p.skipped && number-p.anchor < p.cycle/p.waves/lateParts {
-		// It is the one that was missed.
+	if p.skipped && number-p.anchor < p.cycle/p.waves/lateDivisor {
+		// This is the wave that was recorded as missed, coming late.
 		return
 	}
 	if p.next-number <= tolerance(p.cycle) {
 		p.misses = 0
 		p.hits++
-		if p.hits >= failures {
-			p.givenUp = 0
+		if p.hits >= maxMisses {
+			p.abandoned = 0
 		}
 		return
 	}
 	p.hits = 0
 	p.misses++
-	if p.misses >= failures {
-		f.giveUp()
+	if p.misses >= maxMisses {
+		f.abandon()
 	}
 }
 
-// waveMissed takes in that a wave did not come.
-func (f *Forecast) waveMissed() {
+// recordMiss records that a predicted wave did not come.
+func (f *Forecast) recordMiss() {
 	p := &f.pattern
 	p.anchor, p.skipped = p.next, true
-	p.expect()
+	p.updateNext()
 	p.hits = 0
 	p.misses++
-	if p.misses >= failures {
-		f.giveUp()
+	if p.misses >= maxMisses {
+		f.abandon()
 	}
 }
 
-// giveUp forgets a pattern that did not hold.
-func (f *Forecast) giveUp() {
+// abandon discards a pattern that did not hold.
+func (f *Forecast) abandon() {
 	p := &f.pattern
-	if !p.sure {
+	if !p.confident {
 		return
 	}
-	givenUp := min(p.givenUp+1, mostGivenUp)
-	f.news = Change{Abandoned: true, Period: time.Duration(p.cycle) * binTime, Waves: p.waves}
-	f.pattern = pattern{high: p.high, givenUp: givenUp}
-	f.since = f.number() - 1
+	abandoned := min(p.abandoned+1, maxAbandoned)
+	f.change = Change{Abandoned: true, Period: time.Duration(p.cycle) * binTime, Waves: p.waves}
+	f.pattern = pattern{high: p.high, abandoned: abandoned}
+	f.learnFrom = f.openBin() - 1
 	f.levels.cycle = 0
 	f.score = score{}
 }
 
-// seek looks for the shortest cycle that has repeated often enough.
-func (f *Forecast) seek() {
+// findCycle looks for the cycle with the fewest waves that has repeated often enough.
+func (f *Forecast) findCycle() {
 	p := &f.pattern
-	for waves := 1; waves <= mostWaves; waves++ {
-		cycle, found := p.repeats(waves)
+	for waves := 1; waves <= maxWaves; waves++ {
+		cycle, found := p.repeatedCycle(waves)
 		if !found {
 			continue
 		}
-		if !p.sure {
-			f.news = Change{Learned: true, Period: time.Duration(cycle) * binTime, Waves: waves, Duration: time.Duration(p.length) * binTime, Amplitude: p.height}
+		if !p.confident {
+			f.change = Change{Learned: true, Period: time.Duration(cycle) * binTime, Waves: waves, Duration: time.Duration(p.length) * binTime, Amplitude: p.height}
 		}
-		p.sure, p.cycle, p.waves = true, cycle, waves
+		p.confident, p.cycle, p.waves = true, cycle, waves
 		f.levels.cycle = cycle
 		return
 	}
 }
 
-// repeats returns the mean length of the last cycles of so many waves, if they are alike.
-func (p *pattern) repeats(waves int) (int, bool) {
-	cycles := leastCycles + p.givenUp
-	if len(p.begins) <= cycles*waves {
+// repeatedCycle returns the mean length of the last cycles with the given number of waves, and
+// false if they are not alike.
+func (p *pattern) repeatedCycle(waves int) (int, bool) {
+	cycles := minCycles + p.abandoned
+	if len(p.onsets) <= cycles*waves {
 		return 0, false
 	}
 	cycle := p.meanCycle(waves, cycles)
-	if cycle < shortestCycle || p.alike(waves, cycle) < (cycles-1)*waves+1 {
+	if cycle < minCycle || p.matchingOnsets(waves, cycle) < (cycles-1)*waves+1 {
 		return 0, false
 	}
-	// Those before, as far as they are alike, make the mean more exact.
-	if longer := (p.alike(waves, cycle)-1)/waves + 1; longer > cycles {
+	// Earlier cycles, as far as they are alike, make the mean more accurate.
+	if longer := (p.matchingOnsets(waves, cycle)-1)/waves + 1; longer > cycles {
 		cycle = p.meanCycle(waves, longer)
 	}
 	return cycle, true
@@ -221,15 +224,15 @@
 
 // meanCycle returns the mean length of the last cycles.
 func (p *pattern) meanCycle(waves, cycles int) int {
-	last := len(p.begins) - 1
-	return (p.begins[last] - p.begins[last-cycles*waves] + cycles/2) / cycles
+	last := len(p.onsets) - 1
+	return (p.onsets[last] - p.onsets[last-cycles*waves] + cycles/2) / cycles
 }
 
-// alike counts the last begins that followed others by a cycle.
-func (p *pattern) alike(waves, cycle int) int {
+// matchingOnsets counts the last onsets that came one cycle after another onset.
+func (p *pattern) matchingOnsets(waves, cycle int) int {
 	count := 0
-	for i := len(p.begins) - 1 - waves; i >= 0; i-- {
-		if off := p.begins[i+waves] - p.begins[i] - cycle; max(off, -off) > tolerance(cycle) {
+	for i := len(p.onsets) - 1 - waves; i >= 0; i-- {
+		if off := p.onsets[i+waves] - p.onsets[i] - cycle; max(off, -off) > tolerance(cycle) {
 			break
 		}
 		count++
@@ -237,15 +240,15 @@
 	return count
 }
 
-// waveEnded takes in the end of a wave: its length, and the mean need in it.
-func (f *Forecast) waveEnded(number int) {
+// recordWaveEnd updates the mean length and height with a wave that ended.
+func (f *Forecast) recordWaveEnd(number int) {
 	p := &f.pattern
-	if len(p.begins) == 0 {
+	if len(p.onsets) == 0 {
 		return
 	}
-	begin := p.begins[len(p.begins)-1]
-	length, height := number-begin, 0.0
-	for at := begin; at < number; at++ {
+	onset := p.onsets[len(p.onsets)-1]
+	length, height := number-onset, 0.0
+	for at := onset; at < number; at++ {
 		value, _ := f.bin(at)
 		height += value / float64(length)
 	}
@@ -253,20 +256,21 @@
 		p.length, p.height = length, height
 		return
 	}
-	p.length += (length - p.length) / lengthParts
-	p.height += (height - p.height) / lengthParts
+	p.length += (length - p.length) / smoothingDivisor
+	p.height += (height - p.height) / smoothingDivisor
 }
 
-// usual returns the mean need at the same distance from the begins of earlier cycles.
-func (f *Forecast) usual(number int) (float64, bool) {
+// profileMean returns the mean demand at the same distance from the onsets of earlier cycles, and
+// false if there is none.
+func (f *Forecast) profileMean(number int) (float64, bool) {
 	p := &f.pattern
 	distance := number - p.anchor
 	if p.skipped && distance < p.cycle/max(p.waves, 1)/2 {
-		// The wave that should be now did not come.
-		return f.present, true
+		// The wave that should be running did not come.
+		return f.current, true
 	}
 	sum, count := 0.0, 0
-	f.eachEarlier(number, func(known int) {
+	f.eachProfileBin(number, func(known int) {
 		sum += f.bins[known-f.dropped]
 		count++
 	})
@@ -276,17 +280,17 @@
 	return sum / float64(count), true
 }
 
-// eachEarlier calls take for the closed bins at the same distance from the begins of earlier
-// cycles, the last few of them.
-func (f *Forecast) eachEarlier(number int, take func(known int)) {
+// eachProfileBin calls visit for the closed bins at the same distance from the onsets of earlier
+// cycles, for the last profileCycles of them.
+func (f *Forecast) eachProfileBin(number int, visit func(known int)) {
 	p := &f.pattern
 	distance, count := number-p.anchor, 0
-	for i := len(p.begins) - 1; i >= 0 && count < profileCycles; i-- {
-		if (len(p.begins)-1-i)%p.waves != 0 && !p.skipped {
+	for i := len(p.onsets) - 1; i >= 0 && count < profileCycles; i-- {
+		if (len(p.onsets)-1-i)%p.waves != 0 && !p.skipped {
 			continue
 		}
-		if known := p.begins[i] + distance; known >= f.dropped && known < len(f.bins)+f.dropped {
-			take(known)
+		if known := p.onsets[i] + distance; known >= f.dropped && known < len(f.bins)+f.dropped {
+			visit(known)
 			count++
 		}
 	}
--- a/internal/forecast/score.go
+++ b/internal/forecast/score.go
@@ -6,125 +6,127 @@
 )
 
 const (
-	// scoredAhead is how many bins ahead forecasts are compared with what came: about as
-	// long as a stop takes from the report that it rests on to the free slot.
-	scoredAhead = 4
-	// scoreParts is the part of a new value in the score, one in so many: some 12 seconds,
-	// so that calm parts and waves are both in it.
-	scoreParts = 256
-	// marginTimes is by how many times its mean error a forecast is raised. Errors go both
-	// ways, and a request that finds no slot waits for an item to leave.
-	marginTimes = 2
+	// scoreHorizon is how many bins ahead predictions are scored: about the time from the report
+	// that a stop rests on until the slot is free.
+	scoreHorizon = 4
+	// scoreWindow is the number of values over which the score is averaged exponentially, about 12
+	// seconds, so that it covers both waves and valleys.
+	scoreWindow = 256
+	// marginFactor is the multiple of its mean error by which a forecast is raised. Errors go both
+	// ways, and a request that finds no free slot waits for an item to stop.
+	marginFactor = 2
 )
 
-// score compares what was forecast with what came. The zero value is ready for use.
+// score compares predictions with the observed demand. The zero value is ready for use.
 type score struct {
-	// forecast holds what was forecast for the bins to come, plain the need when that was
-	// done, both by the bin's number.
-	forecast [scoredAhead + 1]guess
-	scored   int
-	// meanError and plainError are the mean differences of the forecast, and of the need when
-	// it was made, from what came, in slots.
-	meanError  float64
-	plainError float64
-	// deviations is meanError in standard deviations of a count: the root of the need.
-	deviations float64
-	// last is by how much the last bins differed from what is usual; covariance and variance
-	// are the means of the products of such differences scoredAhead bins apart, and of their
-	// squares.
-	last       [scoredAhead]float64
-	covariance float64
-	variance   float64
+	// predictions holds the predictions for the bins to come, indexed by bin number. scored counts
+	// those compared.
+	predictions [scoreHorizon + 1]prediction
+	scored      int
+	// meanError is the mean absolute error of the predictions, in slots; baselineError is that of
+	// assuming that the demand stays as it was at the time of the prediction.
+	meanError     float64
+	baselineError float64
+	// errorDeviations is meanError in standard deviations of a count, that is, relative to the
+	// square root of the demand.
+	errorDeviations float64
+	// lastDifferences holds by how much the last bins differed from the profile. covariance is the
+	// mean product of such differences scoreHorizon bins apart, variance the mean of their squares.
+	lastDifferences [scoreHorizon]float64
+	covariance      float64
+	variance        float64
 }
 
-// guess is a forecast for the bin of a number, and the need when it was made.
-type guess struct {
-	number int
-	need   float64
-	plain  float64
+// prediction is the predicted demand in a bin, and as a baseline the demand at the time of the
+// prediction.
+type prediction struct {
+	number   int
+	demand   float64
+	baseline float64
 }
 
-// note keeps what is forecast after a bin was closed.
-func (s *score) note(f *Forecast, number int) {
-	if !f.pattern.sure {
+// recordPrediction keeps the prediction made after a bin was closed.
+func (s *score) recordPrediction(f *Forecast, number int) {
+	if !f.pattern.confident {
 		return
 	}
-	target := number + scoredAhead
-	need, known := f.expect(target)
+	target := number + scoreHorizon
+	demand, known := f.predict(target)
 	if !known {
 		return
 	}
-	s.forecast[target%len(s.forecast)] = guess{number: target, need: need, plain: f.present}
+	s.predictions[target%len(s.predictions)] = prediction{number: target, demand: demand, baseline: f.current}
 }
 
-// compare takes in what came in a bin.
+// compare updates the errors with the observed demand in a bin.
 func (s *score) compare(f *Forecast, number int, value float64) {
-	if !f.pattern.sure {
+	if !f.pattern.confident {
 		return
 	}
-	guess := &s.forecast[number%len(s.forecast)]
-	if guess.number == number && number > 0 {
-		miss := math.Abs(guess.need - value)
+	predicted := &s.predictions[number%len(s.predictions)]
+	if predicted.number == number && number > 0 {
+		predictionError := math.Abs(predicted.demand - value)
 		s.scored++
-		part := 1 / float64(min(s.scored, scoreParts))
-		s.meanError += part * (miss - s.meanError)
-		s.deviations += part * (miss/math.Sqrt(max(guess.need, 1)) - s.deviations)
-		s.plainError += part * (math.Abs(guess.plain-value) - s.plainError)
+		weight := 1 / float64(min(s.scored, scoreWindow))
+		s.meanError += weight * (predictionError - s.meanError)
+		s.errorDeviations += weight * (predictionError/math.Sqrt(max(predicted.demand, 1)) - s.errorDeviations)
+		s.baselineError += weight * (math.Abs(predicted.baseline-value) - s.baselineError)
 	}
-	if usual, known := f.usual(number); known {
-		s.learnLasting(number, value-usual)
+	if usual, known := f.profileMean(number); known {
+		s.updatePersistence(number, value-usual)
 	}
 }
 
-// learnLasting takes in by how much a bin differs from what is usual.
-func (s *score) learnLasting(number int, difference float64) {
-	at := number % scoredAhead
-	s.covariance += (difference*s.last[at] - s.covariance) / scoreParts
-	s.variance += (difference*difference - s.variance) / scoreParts
-	s.last[at] = difference
+// updatePersistence updates the covariance and variance with a bin's difference from the profile.
+func (s *score) updatePersistence(number int, difference float64) {
+	at := number % scoreHorizon
+	s.covariance += (difference*s.lastDifferences[at] - s.covariance) / scoreWindow
+	s.variance += (difference*difference - s.variance) / scoreWindow
+	s.lastDifferences[at] = difference
 }
 
-// lasting returns which part of a difference from what is usual is left so many bins later.
-func (s *score) lasting(bins int) float64 {
+// persistence returns the fraction of a difference from the profile that is left after the given
+// number of bins.
+func (s *score) persistence(bins int) float64 {
 	if s.variance <= 0 || s.covariance <= 0 {
 		return 0
 	}
-	return math.Pow(min(s.covariance/s.variance, 1), float64(bins)/scoredAhead)
+	return math.Pow(min(s.covariance/s.variance, 1), float64(bins)/scoreHorizon)
 }
 
-// margin returns what is added to a forecast of so much.
-func (s *score) margin(need float64) float64 {
-	return marginTimes * s.deviations * math.Sqrt(max(need, 1))
+// margin returns what is added to a predicted demand.
+func (s *score) margin(demand float64) float64 {
+	return marginFactor * s.errorDeviations * math.Sqrt(max(demand, 1))
 }
 
-// Score is how good forecasts were of late, in slots.
+// Score is the accuracy of recent forecasts, in slots.
 type Score struct {
-	// MeanError is by how much they differ from what came in the mean, PlainError by how much
-	// the need at their time did.
+	// MeanError is the mean absolute error of the forecasts. BaselineError is that of assuming that
+	// the demand stays as it is.
 	MeanError     float64
 	BaselineError float64
 }
 
-// Score returns how good forecasts were, zeros without a pattern.
+// Score returns the accuracy of recent forecasts, zero without a pattern.
 func (f *Forecast) Score() Score {
-	return Score{MeanError: f.score.meanError, BaselineError: f.score.plainError}
+	return Score{MeanError: f.score.meanError, BaselineError: f.score.baselineError}
 }
 
-// Change is what has changed in what is learnt.
+// Change is a pattern that was learned or abandoned.
 type Change struct {
 	Learned   bool
 	Abandoned bool
-	// Period is the time after which so many waves recur.
+	// Period is the length of a cycle, and Waves the number of waves in it.
 	Period time.Duration
 	Waves  int
-	// Duration and Height are those of a wave, in time and slots.
+	// Duration is the mean length of a wave, and Amplitude the mean demand in it, in slots.
 	Duration  time.Duration
 	Amplitude float64
 }
 
-// Changes returns what has changed since it was asked last.
+// Changes returns the last change since the previous call, zero if there was none.
 func (f *Forecast) Changes() Change {
-	news := f.news
-	f.news = Change{}
-	return news
+	change := f.change
+	f.change = Change{}
+	return change
 }
