--- a/internal/loadshare/hub.go
+++ b/internal/loadshare/hub.go
@@ -392,8 +392,8 @@
 }
 
 const (
-	// workersPerRequest limits the staleness between two reports of a hub: at most one request per
-	// this many workers arrives meanwhile.
+	// workersPerRequest sets the interval of hubs: as far as Interval and MaxInterval allow, one
+	// request per this many workers may arrive between two reports.
 	workersPerRequest = 100
 	// minRequestRate is the lowest request rate, in requests per second, used to compute the
 	// interval: a burst of requests starts within one report.
