--- a/internal/balance/answers.go
+++ b/internal/balance/answers.go
@@ -6,38 +6,39 @@
 	"github.com/sedgemast/sedgemast/internal/capacity"
 )
 
-// noiseParts is the part of a worker's slots, one in so many, by which what it
-// tells and what is known of it may differ by chance: requests on their way,
-// reports a moment old.
-const noiseParts = 8
+// noiseDivisor sets the tolerated difference between what a worker reports and what is known of
+// it: 1/noiseDivisor of its slots. Requests in transit and reports a moment old cause such
+// differences.
+const noiseDivisor = 8
 
-// ApplyReport takes in what the worker says that it has, in the head of an answer. It is
-// passed on with the next report of loads.
+// ApplyReport applies what the worker reported about itself in the head of an answer. Loads
+// passes the report on.
 func (l *Lease) ApplyReport(told capacity.Report) {
 	l.table.mutex.Lock()
 	defer l.table.mutex.Unlock()
-	l.table.occupy(l.worker)
-	l.worker.claimed = told.Running + told.Waiting + 1
-	l.table.takeReport(l.worker, told)
+	l.table.markBusy(l.worker)
+	l.worker.reportedRequests = told.Running + told.Waiting + 1
+	l.table.applyReport(l.worker, told)
 }
 
-// orphaned returns how many requests the worker has that no living process answers
-// for, as far as the hub knows.
-func (t *Table) orphaned(now time.Time, w *worker) int {
-	others, known := t.toldByOthers(now, w)
-	if !known || int(others.Orphans) <= max(w.listed.Slots/noiseParts, 1) {
+// orphansAt returns the number of requests at the worker that no living process accounts for, as
+// far as the hub knows. It returns 0 for a number within the tolerance (noiseDivisor).
+func (t *Table) orphansAt(now time.Time, w *worker) int {
+	others, known := t.peerLoadOf(now, w)
+	if !known || int(others.Orphans) <= max(w.listed.Slots/noiseDivisor, 1) {
 		return 0
 	}
 	return int(others.Orphans)
 }
 
-// RecordAnswer takes in how a request at the worker was answered by the head of the answer: well,
-// or by a failure of the worker itself. Refusals that ran nothing are neither. A probe counts
-// as answered well once it has brought content, because a head alone proves nothing.
+// RecordAnswer records the outcome of a request by the head of the answer: success, or a failure
+// of the worker itself. Callers must not record rejections that ran nothing. The success of a
+// probe counts only once content has arrived (RecordContent), because a head alone proves
+// nothing.
 func (l *Lease) RecordAnswer(now time.Time, well bool) {
 	l.table.mutex.Lock()
 	defer l.table.mutex.Unlock()
-	l.table.occupy(l.worker)
+	l.table.markBusy(l.worker)
 	if well {
 		if !l.probe {
 			l.worker.answered++
@@ -48,20 +49,20 @@
 	l.table.suspect(now, l.worker)
 }
 
-// failing reports whether other processes, too, find that the worker fails.
+// failing reports whether the hub marks the worker as failing, according to a fresh peer load.
 func (t *Table) failing(now time.Time, w *worker) bool {
-	others, known := t.toldByOthers(now, w)
+	others, known := t.peerLoadOf(now, w)
 	return known && others.Failing
 }
 
-// mostFail reports whether more than half of the pool's workers fail. Then none is
-// avoided: the cause lies elsewhere, or there is nowhere better.
-func (t *Table) mostFail(now time.Time, pool string) bool {
+// mostFailing reports whether more than half of the pool's workers are failing. Then no worker is
+// avoided: the cause lies elsewhere, or there is no better worker.
+func (t *Table) mostFailing(now time.Time, pool string) bool {
 	failing := 0
-	for _, candidate := range t.told {
-		if candidate.entered && candidate.listed.Pool == pool && t.failing(now, candidate) {
+	for _, candidate := range t.peerLoaded {
+		if candidate.inGroup && candidate.listed.Pool == pool && t.failing(now, candidate) {
 			failing++
 		}
 	}
-	return 2*failing > t.pools[pool].usable()
+	return 2*failing > t.pools[pool].usableCount()
 }
--- a/internal/balance/answers_test.go
+++ b/internal/balance/answers_test.go
@@ -8,11 +8,10 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// TestOrphansTakeSlots checks that neither requests nor items go to a worker whose
-// slots are taken by what nobody answers for, and that a small difference counts
-// for nothing.
+// TestOrphansTakeSlots checks that neither requests nor items go to a worker whose slots are held
+// by orphaned requests, and that a small number of orphans is tolerated.
 func TestOrphansTakeSlots(t *testing.T) {
-	table := tableOf(listed("a", "z1"), listed("b", "z2"))
+	table := tableOf(poolWorker("a", "z1"), poolWorker("b", "z2"))
 	onlyA := &Request{Pool: "p", Batch: true, Exclude: map[string]bool{"b": true}}
 	table.SetPeerLoads(start, []wire.WorkerLoad{{Worker: loadshare.Hash("a"), Orphans: 1, Start: 1}}, ScopeAll)
 	lease := table.Acquire(start, onlyA)
@@ -29,11 +28,11 @@
 	}
 }
 
-// TestFailingWorkersAreAvoided checks that no request goes to a worker that the
-// hub calls failing while others are there, unless most of the pool fails; and
-// that a failure seen here counts at once.
+// TestFailingWorkersAreAvoided checks that no request goes to a worker that the hub marks as
+// failing while others are available, unless most of the pool is failing; and that a failure
+// observed by this process counts at once.
 func TestFailingWorkersAreAvoided(t *testing.T) {
-	table := tableOf(listed("a", "z1"), listed("b", "z2"), listed("c", "z2"))
+	table := tableOf(poolWorker("a", "z1"), poolWorker("b", "z2"), poolWorker("c", "z2"))
 	say := func(failing ...string) {
 		var loads []wire.WorkerLoad
 		for _, id := range failing {
@@ -70,10 +69,10 @@
 	}
 }
 
-// TestToldIsPassedOnOnce checks that what a worker says of itself is in the next
-// report, and only there.
+// TestReportIsPassedOnOnce checks that what a worker reports about itself is in the next result
+// of Loads, and only there.
 func TestToldIsPassedOnOnce(t *testing.T) {
-	table := tableOf(listed("a", "z1"))
+	table := tableOf(poolWorker("a", "z1"))
 	lease := table.Acquire(start, &Request{Pool: "p"})
 	lease.ApplyReport(capacity.Report{Running: 3, Waiting: 2})
 	lease.Release()
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -24,48 +24,48 @@
 	return table
 }
 
-func listed(id, zone string) wire.PoolWorker {
+func poolWorker(id, zone string) wire.PoolWorker {
 	return wire.PoolWorker{ID: id, Pool: "p", Zone: zone, Slots: 4}
 }
 
 func TestLeavingIsFinal(t *testing.T) {
-	table := tableOf(listed("a", "z1"))
-	leaving := listed("a", "z1")
+	table := tableOf(poolWorker("a", "z1"))
+	leaving := poolWorker("a", "z1")
 	leaving.Leaving = true
 	table.Update(workerset.Of([]wire.PoolWorker{leaving}), nil)
-	table.Update(workerset.Of([]wire.PoolWorker{listed("a", "z1")}), nil)
+	table.Update(workerset.Of([]wire.PoolWorker{poolWorker("a", "z1")}), nil)
 	if lease := table.Acquire(start, &Request{Pool: "p"}); lease != nil || table.Usable("p") {
 		t.Error("a worker that leaves got a request")
 	}
 }
 
 func TestRefusedIncarnationIsNotAskedAgain(t *testing.T) {
-	table := tableOf(listed("a", "z1"))
+	table := tableOf(poolWorker("a", "z1"))
 	lease := table.Acquire(start, &Request{Pool: "p"})
 	lease.RecordWrongWorker(start)
 	lease.Release()
 	if table.Acquire(start, &Request{Pool: "p"}) != nil {
 		t.Error("an incarnation that is gone got a request")
 	}
-	table.Update(workerset.Of([]wire.PoolWorker{listed("b", "z1")}), nil)
+	table.Update(workerset.Of([]wire.PoolWorker{poolWorker("b", "z1")}), nil)
 	if table.Acquire(start, &Request{Pool: "p"}) == nil {
 		t.Error("its successor got none")
 	}
 }
 
-// TestRefusedWorkerIsAskedAgainLater: a worker may start again under its id at the address
-// where another one answered; before, it was never asked again.
+// TestBlockedWorkerReturns guards against a worker that is blocked forever: it may start again
+// under its id at the address where another one answered.
 func TestRefusedWorkerIsAskedAgainLater(t *testing.T) {
-	table := tableOf(listed("a", "z1"))
+	table := tableOf(poolWorker("a", "z1"))
 	for round := range 3 {
-		now := start.Add(time.Duration(round) * refusedTime)
+		now := start.Add(time.Duration(round) * blockTime)
 		lease := table.Acquire(now, &Request{Pool: "p"})
 		if lease == nil {
-			t.Fatalf("round %d: it is not asked after %s", round, refusedTime)
+			t.Fatalf("round %d: it is not asked after %s", round, blockTime)
 		}
 		lease.RecordWrongWorker(now)
 		lease.Release()
-		if table.Acquire(now.Add(refusedTime-time.Millisecond), &Request{Pool: "p"}) != nil || table.Usable("p") {
+		if table.Acquire(now.Add(blockTime-time.Millisecond), &Request{Pool: "p"}) != nil || table.Usable("p") {
 			t.Errorf("round %d: it is asked before", round)
 		}
 	}
@@ -75,10 +75,10 @@
 	}
 }
 
-// TestNewLifeIsAnotherWorker lets a worker that leaves start again under its id: the new
-// life is asked at once, and holds nothing of what was known of the old one.
+// TestNewLifeIsAnotherWorker restarts a leaving worker under its id. The new incarnation gets
+// requests at once, and the state of the old one doesn't apply to it.
 func TestNewLifeIsAnotherWorker(t *testing.T) {
-	old, again := listed(incarnation.Name("a", 1), "z1"), listed(incarnation.Name("a", 2), "z1")
+	old, again := poolWorker(incarnation.Name("a", 1), "z1"), poolWorker(incarnation.Name("a", 2), "z1")
 	table := tableOf(old)
 	demand := &Request{Pool: "p", Parts: []httpheader.Part{{ID: "x", Tokens: 500}, {ID: "own", Tokens: 5}}}
 	lease := table.Acquire(start, demand)
@@ -99,7 +99,7 @@
 }
 
 func TestSuspectsComeLast(t *testing.T) {
-	table := tableOf(listed("a", "z1"), listed("b", "z2"))
+	table := tableOf(poolWorker("a", "z1"), poolWorker("b", "z2"))
 	first := table.Acquire(start, &Request{Pool: "p"})
 	if first.Endpoint.ID != "a" {
 		t.Fatalf("the worker of the zone was not taken but %s", first.Endpoint.ID)
@@ -115,7 +115,7 @@
 }
 
 func TestLongPromptsHoldOthersOff(t *testing.T) {
-	table := tableOf(listed("a", "z1"), listed("b", "z1"))
+	table := tableOf(poolWorker("a", "z1"), poolWorker("b", "z1"))
 	long := table.Acquire(start, &Request{Pool: "p", PromptTokens: 9000})
 	next := table.Acquire(start, &Request{Pool: "p", PromptTokens: 500})
 	if long.Endpoint.ID == next.Endpoint.ID {
@@ -124,7 +124,7 @@
 }
 
 func TestSharedPartsMeet(t *testing.T) {
-	table := tableOf(listed("a", "z1"), listed("b", "z1"), listed("c", "z1"))
+	table := tableOf(poolWorker("a", "z1"), poolWorker("b", "z1"), poolWorker("c", "z1"))
 	parts := []httpheader.Part{{ID: "s", Tokens: 800}, {ID: "own", Tokens: 200}}
 	first := table.Acquire(start, &Request{Pool: "p", PromptTokens: 1000, Parts: parts})
 	first.Release()
@@ -138,12 +138,11 @@
 	}
 }
 
-// TestBatchStaysWithinItsShare checks with random traffic that batch items never
-// take more than their share of any worker's slots, and that all counts return
-// to zero.
+// TestBatchStaysWithinItsShare checks with random traffic that batch items never use more than
+// their share of any worker's slots, and that all counts return to zero.
 func TestBatchStaysWithinItsShare(t *testing.T) {
 	proptest.Run(t, "batch share", func(random *rand.Rand) error {
-		table := tableOf(listed("a", "z1"), listed("b", "z2"), listed("c", "z3"))
+		table := tableOf(poolWorker("a", "z1"), poolWorker("b", "z2"), poolWorker("c", "z3"))
 		var leases []*Lease
 		for step := 0; step < 100; step++ {
 			demand := &Request{Pool: "p", Batch: random.Intn(2) == 0, BatchShare: 50, PromptTokens: int64(random.Intn(5000))}
@@ -166,7 +165,7 @@
 			lease.Release()
 		}
 		for id, worker := range table.workers {
-			if worker.inFlight != 0 || worker.unread != 0 || worker.batch != 0 {
+			if worker.inFlight != 0 || worker.pendingTokens != 0 || worker.batch != 0 {
 				return errors.Newf("%s ends with %+v", id, worker)
 			}
 		}
--- a/internal/balance/cold_test.go
+++ b/internal/balance/cold_test.go
@@ -11,9 +11,10 @@
 	"github.com/sedgemast/sedgemast/internal/workerset"
 )
 
-// TestChoiceWithoutNewsSpreads lets many edges choose that have just begun and heard no news:
-// requests that share the beginning of their prompt don't crowd its home. Once there is news,
-// or none for long, they meet there.
+// TestColdStartSpreadsRequests lets many edges choose that have just started and received no peer
+// loads: requests with a shared beginning of the prompt must not overload its affinity workers.
+// Once there are peer loads, or there have been none for long, these requests go to the affinity
+// workers.
 func TestChoiceWithoutNewsSpreads(t *testing.T) {
 	const slots = 8
 	parts := []httpheader.Part{{ID: "shared", Tokens: 300}, {ID: "own", Tokens: 50}}
@@ -26,7 +27,7 @@
 	}{
 		{"nothing shared", nil, 0, false, true},
 		{"all share a beginning", parts, 0, false, true},
-		{"the same, later", parts, coldTime, false, false},
+		{"the same, later", parts, coldStartTime, false, false},
 		{"the same, with news", parts, 0, true, false},
 	} {
 		busiest := busiestOf(slots, test.parts, test.after, test.news)
@@ -37,8 +38,8 @@
 	}
 }
 
-// busiestOf lets edges choose workers for a third of their slots, some time after they
-// began, and returns how many requests the busiest worker has.
+// busiestOf lets edges choose workers for a third of all slots, some time after their start, and
+// returns the number of requests at the busiest worker.
 func busiestOf(slots int, parts []httpheader.Part, after time.Duration, news bool) int {
 	const edges, workers = 24, 30
 	var rows []wire.PoolWorker
--- a/internal/balance/cost.go
+++ b/internal/balance/cost.go
@@ -8,45 +8,46 @@
 )
 
 const (
-	// tieMargin is the difference below which two costs count as equal.
+	// tieMargin is the difference below which two costs, or two scores, count as equal.
 	tieMargin = 1e-9
-	// unreadShare is the part of a worker's memory that, as prompt tokens still
-	// to be read, weighs as much as all its slots taken: a long prompt holds
-	// back the first events of others.
-	unreadShare = 1.0 / 16
-	// defaultMemory stands in where a pool does not tell its memory.
+	// pendingTokensShare is the share of a worker's memory at which pending prompt tokens cost as
+	// much as all of its slots in use: a long prompt delays the first events of other requests.
+	pendingTokensShare = 1.0 / 16
+	// defaultMemory is the number of tokens assumed for a worker if its pool has no configured
+	// memory.
 	defaultMemory = 100_000
-	// zoneCost is what another zone costs, in parts of a slot: enough to decide
-	// between workers of equal load, and no more.
-	zoneCost = 2.0
-	// batchCost is what an item of a job costs an online request, in slots: it
-	// gives way, but not at once and not for nothing.
+	// zoneSlotPenalty is the cost of a worker in another zone, in slots: enough to decide between
+	// workers of equal load, and no more.
+	zoneSlotPenalty = 2.0
+	// batchCost is the cost of a batch item to an online request, in slots. It is below 1 because
+	// items are preempted, but preemption takes time and is not free.
 	batchCost = 0.9
 )
 
-// cost rates a worker for a demand: the lower the better, in slots.
+// cost rates a worker for a request, in slots; lower is better.
 func (t *Table) cost(now time.Time, candidate *worker, demand *Request) float64 {
 	slots := float64(max(candidate.listed.Slots, 1))
 	memory := t.memoryOf(demand.Pool)
 	cost := float64(candidate.inFlight)
-	unread := float64(candidate.unread)
-	if others, known := t.toldByOthers(now, candidate); known {
+	unread := float64(candidate.pendingTokens)
+	if others, known := t.peerLoadOf(now, candidate); known {
 		cost += float64(others.Online) + batchCost*float64(others.Batch)
 		unread += float64(others.Unread)
 	}
-	cost += float64(t.orphaned(now, candidate))
-	cost += slots * unread / (float64(memory) * unreadShare)
-	// All that is there takes so many times as long, and so does the request.
-	slow := candidate.slowness(now)
+	cost += float64(t.orphansAt(now, candidate))
+	cost += slots * unread / (float64(memory) * pendingTokensShare)
+	// On a slow worker everything takes longer by this factor, the requests already there and the
+	// new one.
+	slow := candidate.thresholdedSlowness(now)
 	cost = slow*(cost+slots) - slots
 	if candidate.listed.Zone != t.zone {
-		cost += zoneCost
+		cost += zoneSlotPenalty
 	}
-	// What the worker need not read again is saved like a prompt that nobody waits for.
-	return cost - slots*float64(t.cachedTokens(candidate, demand))/(float64(memory)*unreadShare)
+	// A cached token saves what a pending token costs.
+	return cost - slots*float64(t.cachedTokens(candidate, demand))/(float64(memory)*pendingTokensShare)
 }
 
-// memoryOf returns how many tokens a worker of the pool holds.
+// memoryOf returns the number of tokens that a worker of the pool holds.
 func (t *Table) memoryOf(pool string) int64 {
 	if memory := t.memory[pool]; memory > 0 {
 		return memory
@@ -54,9 +55,9 @@
 	return defaultMemory
 }
 
-// shared returns the ids of the parts that other requests may have too: all but
-// the last.
-func shared(parts []httpheader.Part) []string {
+// sharedPartIDs returns the ids of the prompt parts that other requests may share: all but the
+// last.
+func sharedPartIDs(parts []httpheader.Part) []string {
 	ids := make([]string, 0, len(parts))
 	for i := 0; i+1 < len(parts); i++ {
 		ids = append(ids, parts[i].ID)
@@ -64,19 +65,20 @@
 	return ids
 }
 
-// coldTime is how long after it began to choose a process that has heard no news of loads
-// may still be about to hear some. One that hears none for longer has no hub.
-const coldTime = 2 * time.Second
+// coldStartTime is how long after Start a process without any peer loads may still be about to
+// receive some. A process that receives none for longer has no hub.
+const coldStartTime = 2 * time.Second
 
-// isCold reports whether this process has just begun and knows nothing of what others send.
-// All that began with it are as blind, and would crowd the homes of prompts.
-func (t *Table) isCold(now time.Time) bool {
-	return t.allAt.IsZero() && t.nearAt.IsZero() && len(t.told) == 0 && now.Sub(t.beganAt) < coldTime
+// isColdStart reports whether this process has just started and has no peer loads yet. All
+// processes that started with it know as little, and would overload the affinity workers of
+// prompts.
+func (t *Table) isColdStart(now time.Time) bool {
+	return t.allLoadsAt.IsZero() && t.zoneLoadsAt.IsZero() && len(t.peerLoaded) == 0 && now.Sub(t.startedAt) < coldStartTime
 }
 
-// cachedTokens returns how many tokens of the prompt's beginning the worker has
-// probably read before: what this process sent there, or what all send there because
-// it is the prompt's home.
+// cachedTokens estimates how many tokens of the prompt's beginning the worker has cached: those
+// that this process sent there, or those that all processes send there because the worker is an
+// affinity worker of the prompt.
 func (t *Table) cachedTokens(candidate *worker, demand *Request) int64 {
 	var sent, sharedTokens int64
 	broken := false
@@ -90,8 +92,9 @@
 			sharedTokens += part.Tokens
 		}
 	}
-	// The second home has read them where the first one was busy: perhaps.
-	if home := slices.Index(t.homes, candidate); home >= 0 && !t.cold {
+	// The first affinity worker is assumed to have cached all shared tokens. The second gets only
+	// the requests that found the first one busy, so half of the tokens are assumed.
+	if home := slices.Index(t.affinity, candidate); home >= 0 && !t.coldStart {
 		return max(sent, sharedTokens>>home)
 	}
 	return sent
--- a/internal/balance/free_test.go
+++ b/internal/balance/free_test.go
@@ -16,11 +16,12 @@
 	"github.com/sedgemast/sedgemast/internal/workerset"
 )
 
-// freeSlots is how many slots a worker of these tests has.
+// freeSlots is the number of slots of a worker in these tests.
 const freeSlots = 8
 
-// zonesOf returns the table of a process in zone z0 before so many workers in so many zones.
-func zonesOf(workers, zones int) *Table {
+// tableOfZones returns the table of a process in zone z0 with workers spread over a number of
+// zones.
+func tableOfZones(workers, zones int) *Table {
 	var rows []wire.PoolWorker
 	for number := range workers {
 		rows = append(rows, wire.PoolWorker{ID: fmt.Sprintf("w%d", number), Pool: "p", Zone: fmt.Sprintf("z%d", number%zones), Slots: freeSlots})
@@ -30,8 +31,8 @@
 	return t
 }
 
-// tellOnline tells the table how many online requests others have at each worker.
-func tellOnline(t *Table, online []int) {
+// setPeerOnline sets the number of online requests that peers have at each worker.
+func setPeerOnline(t *Table, online []int) {
 	loads := make([]wire.WorkerLoad, 0, len(online))
 	for number, count := range online {
 		loads = append(loads, wire.WorkerLoad{Worker: loadshare.WorkerHash(fmt.Sprintf("w%d", number)), Online: uint16(count), Rate: 100})
@@ -39,8 +40,8 @@
 	t.SetPeerLoads(start, loads, ScopeAll)
 }
 
-// TestLookFindsFreeSlots looks for room in random pools of one zone: a worker with a slot free
-// is found whenever there is one, and nothing is taken by looking.
+// TestLookFindsFreeSlots calls FindCandidate on random pools of one zone: it finds a worker with
+// a free slot whenever there is one, and acquires nothing.
 func TestLookFindsFreeSlots(t *testing.T) {
 	proptest.Run(t, "free slots", func(random *rand.Rand) error {
 		online := make([]int, 1+random.Intn(60))
@@ -51,8 +52,8 @@
 				free++
 			}
 		}
-		table := zonesOf(len(online), 1)
-		tellOnline(table, online)
+		table := tableOfZones(len(online), 1)
+		setPeerOnline(table, online)
 		demand := &Request{Pool: "p"}
 		place := table.FindCandidate(start, demand, SearchOptions{Peers: 1})
 		if place.Full != (free == 0) || place.LeftToPeers || place.Full != (place.Wait > 0) || place.MaxWait < place.Wait {
@@ -70,13 +71,14 @@
 	})
 }
 
-// TestFewFreeSlotsAreDrawnFor lets many processes see the same free slot: each leaves it to
-// others as a rule. The one that has given it back takes it, and so does a process alone.
+// TestFewFreeSlotsAreSharedAtRandom lets many processes see the same free slot: each of them
+// usually leaves it to the others. The process that released the slot takes it, and so does one
+// without peers.
 func TestFewFreeSlotsAreDrawnFor(t *testing.T) {
 	const looks = 1000
 	online := []int{freeSlots, freeSlots - 1, freeSlots}
-	table := zonesOf(len(online), 1)
-	tellOnline(table, online)
+	table := tableOfZones(len(online), 1)
+	setPeerOnline(table, online)
 	taken := func(search SearchOptions) (count int) {
 		for range looks {
 			if place := table.FindCandidate(start, &Request{Pool: "p"}, search); !place.LeftToPeers && !place.Full {
@@ -96,21 +98,21 @@
 	}
 }
 
-// poolOf returns the table of a process in zone z0 before workers of the zones with so many slots
-// each, of which others have some.
-func poolOf(slots int, online []int, zones ...string) *Table {
+// tableOfSlots returns the table of a process in zone z0, with one worker per given zone, each
+// with the given number of slots and the given online requests of peers.
+func tableOfSlots(slots int, online []int, zones ...string) *Table {
 	var rows []wire.PoolWorker
 	for number, zone := range zones {
 		rows = append(rows, wire.PoolWorker{ID: fmt.Sprintf("w%d", number), Pool: "p", Zone: zone, Slots: slots})
 	}
 	t := NewTable("z0", randv2.New(randv2.NewPCG(1, 2)))
 	t.Update(workerset.Of(rows), nil)
-	tellOnline(t, online)
+	setPeerOnline(t, online)
 	return t
 }
 
-// TestNobodyWaitsBesideIdleSlots looks for room in small pools: while more than half of the
-// slots are free, or nobody tells how many there are, nobody leaves one to others.
+// TestMostlyFreeSlotsAreTaken calls FindCandidate on small pools: while more than half of the
+// slots are free, or their number is unknown, no process leaves a slot to its peers.
 func TestNobodyWaitsBesideIdleSlots(t *testing.T) {
 	const looks, peers = 1000, 51
 	for _, test := range []struct {
@@ -118,7 +120,7 @@
 		slots  int
 		online []int
 		zones  []string
-		// least and most are how many looks may find a place.
+		// least and most bound how many of the polls find a slot.
 		least, most int
 	}{
 		{"four slots", 4, []int{0}, []string{"z0"}, looks, looks},
@@ -134,7 +136,7 @@
 		{"slots not told", 0, []int{1, 5}, []string{"z0", "z0"}, looks, looks},
 		{"slots not told, elsewhere", 0, []int{1}, []string{"z1"}, looks, looks},
 	} {
-		table := poolOf(test.slots, test.online, test.zones...)
+		table := tableOfSlots(test.slots, test.online, test.zones...)
 		found := 0
 		for look := range looks {
 			place := table.FindCandidate(start.Add(time.Duration(look)*time.Microsecond), &Request{Pool: "p"}, SearchOptions{Peers: peers})
@@ -151,12 +153,12 @@
 	}
 }
 
-// TestAnEighthIsReservedAtMost answers many requests a second at workers, as where slots are held
-// for a moment: more than an eighth of the slots free is room to spare, here and elsewhere.
+// TestReserveIsBounded sets a high request rate, as with short requests. Slots count as spare as
+// soon as more than an eighth of them is free, in this zone and in another.
 func TestAnEighthIsReservedAtMost(t *testing.T) {
 	for _, zone := range []string{"z0", "z1"} {
 		for free := 1; free <= freeSlots; free++ {
-			table := poolOf(freeSlots, nil, zone, zone)
+			table := tableOfSlots(freeSlots, nil, zone, zone)
 			var loads []wire.WorkerLoad
 			for number := range 2 {
 				held := freeSlots
@@ -167,19 +169,19 @@
 			}
 			table.SetPeerLoads(start, loads, ScopeAll)
 			place := table.FindCandidate(start, &Request{Pool: "p"}, SearchOptions{Peers: 1})
-			if want := free > 2*freeSlots/reservedParts; place.Spare != want {
+			if want := free > 2*freeSlots/reservedDivisor; place.Spare != want {
 				t.Errorf("%d of %d free in %s: %+v", free, 2*freeSlots, zone, place)
 			}
 		}
 	}
 }
 
-// TestProbesAreKeptUntilTaken looks at an avoided worker that the hub lets a request probe: the
-// word lasts until the place is taken, and the place is left to nobody.
+// TestProbeGrantLastsUntilAcquired finds an avoided worker that the hub granted as a probe: the
+// grant lasts until the candidate is acquired, and the slot is never left to peers.
 func TestProbesAreKeptUntilTaken(t *testing.T) {
 	const looks = 100
-	table := zonesOf(3, 1)
-	loads := []wire.WorkerLoad{failing("w1", 0)}
+	table := tableOfZones(3, 1)
+	loads := []wire.WorkerLoad{failingLoad("w1", 0)}
 	for _, id := range []string{"w0", "w2"} {
 		loads = append(loads, wire.WorkerLoad{Worker: loadshare.WorkerHash(id), Online: freeSlots})
 	}
@@ -203,8 +205,8 @@
 	}
 }
 
-// TestRoomElsewhereIsUsed fills the zone while another has much room: it is gone to, by as many
-// as there is room for.
+// TestFreeSlotsInOtherZonesAreUsed fills this zone while another one has many free slots:
+// requests go there, as many as fit.
 func TestRoomElsewhereIsUsed(t *testing.T) {
 	const workers, peers = 20, 10
 	online := make([]int, workers)
@@ -213,17 +215,17 @@
 			online[number] = freeSlots
 		}
 	}
-	table := zonesOf(workers, 2)
-	tellOnline(table, online)
+	table := tableOfZones(workers, 2)
+	setPeerOnline(table, online)
 	if place := table.FindCandidate(start, &Request{Pool: "p"}, SearchOptions{Peers: peers}); place.Full {
 		t.Errorf("%+v beside an idle zone", place)
 	}
-	// All but one slot is taken there: a tenth of the peers may go.
+	// All slots but one are in use there: a tenth of the peers may go.
 	for number := range online {
 		online[number] = freeSlots
 	}
 	online[1]--
-	tellOnline(table, online)
+	setPeerOnline(table, online)
 	count := 0
 	const looks = 1000
 	for look := range looks {
@@ -236,15 +238,15 @@
 	}
 }
 
-// TestWaitsAtMost works out by how much the bound of a wait lies above its mean, for a worker
-// of eight slots that are held for 0.75 s.
+// TestWaitsAtMost checks how many simulated waits exceed MaxWait, for a worker with eight slots
+// that are held for 0.75 s.
 func TestWaitsAtMost(t *testing.T) {
 	const hold = 750 * time.Millisecond
-	table := zonesOf(1, 1)
+	table := tableOfZones(1, 1)
 	random := rand.New(rand.NewSource(1))
 	for over := 1; over <= 3; over++ {
-		tellOnline(table, []int{freeSlots + over - 1})
-		table.pools["p"].hold = hold
+		setPeerOnline(table, []int{freeSlots + over - 1})
+		table.pools["p"].holdTime = hold
 		place := table.FindCandidate(start, &Request{Pool: "p"}, SearchOptions{Peers: 1})
 		late := 0
 		const draws = 10000
@@ -265,7 +267,7 @@
 	}
 }
 
-// BenchmarkLook looks for room in a pool whose slots are all held.
+// BenchmarkLook measures FindCandidate in a pool whose slots are all in use.
 func BenchmarkLook(b *testing.B) {
 	for _, workers := range []int{72, 2000} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
@@ -273,8 +275,8 @@
 			for i := range online {
 				online[i] = freeSlots
 			}
-			table := zonesOf(workers, 4)
-			tellOnline(table, online)
+			table := tableOfZones(workers, 4)
+			setPeerOnline(table, online)
 			b.ReportAllocs()
 			for b.Loop() {
 				if place := table.FindCandidate(start, &Request{Pool: "p"}, SearchOptions{Peers: 51}); !place.Full {
--- a/internal/balance/homes_test.go
+++ b/internal/balance/homes_test.go
@@ -10,18 +10,18 @@
 	"github.com/sedgemast/sedgemast/internal/workerset"
 )
 
-// longPrompt is a prompt of which two thirds are shared.
+// longPrompt returns a request of whose prompt two thirds are shared.
 func longPrompt(part string) *Request {
 	return &Request{Pool: "p", PromptTokens: 9000, Parts: []httpheader.Part{{ID: "all", Tokens: 2000}, {ID: part, Tokens: 4000}, {ID: "own", Tokens: 3000}}}
 }
 
-// TestSharedPartsMeetAcrossProcesses lets a hundred processes send one prompt each, all
-// with the same shared parts, to forty idle workers: they meet at two of them. Before,
-// each process knew only what it had sent itself, and they met nowhere.
+// TestSharedPartsUseAffinityWorkers lets a hundred processes send one prompt each, all with the
+// same shared parts, to forty idle workers: they use only the two affinity workers. Without
+// affinity each process knows only its own requests, and the prompts spread over all workers.
 func TestSharedPartsMeetAcrossProcesses(t *testing.T) {
 	var list []wire.PoolWorker
 	for i := range 40 {
-		list = append(list, listed(fmt.Sprintf("w%d", i), "z1"))
+		list = append(list, poolWorker(fmt.Sprintf("w%d", i), "z1"))
 	}
 	got := map[string]int{}
 	for process := range 100 {
@@ -29,24 +29,24 @@
 		table.Update(workerset.Of(list), nil)
 		got[table.Acquire(start, longPrompt("part")).Endpoint.ID]++
 	}
-	if len(got) > homesOf {
+	if len(got) > affinityCount {
 		t.Errorf("the prompts went to %d workers: %v", len(got), got)
 	}
 }
 
-// TestHomesAreLeftWhereTheyAreBusy checks that a prompt goes elsewhere once its homes
-// have more to read than it saves.
+// TestBusyAffinityWorkersAreAvoided checks that a prompt goes elsewhere once its affinity workers
+// have more pending tokens than the cache saves.
 func TestHomesAreLeftWhereTheyAreBusy(t *testing.T) {
 	var list []wire.PoolWorker
 	for i := range 10 {
-		list = append(list, listed(fmt.Sprintf("w%d", i), "z1"))
+		list = append(list, poolWorker(fmt.Sprintf("w%d", i), "z1"))
 	}
 	table := tableOf(list...)
 	home := table.Acquire(start, longPrompt("part"))
 	home.RecordPrefill()
 	home.Release()
 	var rows []wire.WorkerLoad
-	for _, busy := range table.homes {
+	for _, busy := range table.affinity {
 		rows = append(rows, wire.WorkerLoad{Worker: busy.hash, Online: 4, Unread: 20_000})
 	}
 	table.SetPeerLoads(start, rows, ScopeAll)
@@ -55,20 +55,20 @@
 	}
 }
 
-// TestHomesStay checks that the loss of a worker moves only the prompts at home there,
-// and that homes spread over the workers.
+// TestAffinityIsStable checks that the loss of a worker moves only prompts with affinity to it,
+// and that affinity is spread over the workers.
 func TestHomesStay(t *testing.T) {
 	var list []wire.PoolWorker
 	for i := range 20 {
-		list = append(list, listed(fmt.Sprintf("w%d", i), "z1"))
+		list = append(list, poolWorker(fmt.Sprintf("w%d", i), "z1"))
 	}
 	homesIn := func(list []wire.PoolWorker) map[string][]string {
 		homes := map[string][]string{}
 		table := tableOf(list...)
 		for part := range 200 {
 			id := fmt.Sprintf("part%d", part)
-			table.findHomes(longPrompt(id), (*worker).usable)
-			for _, home := range table.homes {
+			table.findAffinity(longPrompt(id), (*worker).usable)
+			for _, home := range table.affinity {
 				homes[id] = append(homes[id], home.listed.ID)
 			}
 		}
@@ -85,7 +85,7 @@
 		}
 	}
 	for id, parts := range count {
-		if parts > 3*200*homesOf/20 {
+		if parts > 3*200*affinityCount/20 {
 			t.Errorf("%s is the home of %d parts", id, parts)
 		}
 	}
--- a/internal/balance/others.go
+++ b/internal/balance/others.go
@@ -8,123 +8,124 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// Scope says of which workers news tell that are not named in them.
+// Scope says what peer loads imply about the workers that they don't name.
 type Scope uint8
 
 const (
-	// ScopeAll means that workers that are not named have nothing.
+	// ScopeAll means that workers that are not named have no requests.
 	ScopeAll Scope = iota
-	// ScopeZone means that those of the zone have nothing, and of others nothing is said.
+	// ScopeZone means that workers of this zone that are not named have no requests; nothing is
+	// implied about other zones.
 	ScopeZone
-	// ScopeNamed means that nothing is said of workers that are not named. Such news take the
-	// place of the last ones: drawn anew for each choice, those of earlier choices would be
-	// many more than those of now (met a full worker: 19 of 100 requests of a wave, in place
-	// of one; TestWavesSpread).
+	// ScopeNamed means that nothing is implied about workers that are not named. Such loads
+	// replace the previous ones: they are sampled anew for each choice, and without the
+	// replacement the outdated samples would far outnumber the current ones. Keeping the old ones
+	// raised the requests of a wave that met a full worker from 1 to 19 in 100 (TestWavesSpread).
 	ScopeNamed
 )
 
-// SetUnlistedRate takes in how many online requests workers that news leave out answer in ten
-// seconds, together. It counts from the next news on.
+// SetUnlistedRate sets the rate of online requests, per rateSeconds, that all workers without a
+// listed peer load answer together. It takes effect with the next SetPeerLoads.
 func (t *Table) SetUnlistedRate(rate int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.rest = rate
+	t.unlistedRate = rate
 }
 
-// SetPeerLoads takes in what other processes have at the workers. It costs as much as there
-// are rows in this news and the last ones.
+// SetPeerLoads replaces what is known of other processes' requests at the workers. The cost is
+// proportional to the number of rows in these loads and the previous ones.
 func (t *Table) SetPeerLoads(now time.Time, loads []wire.WorkerLoad, scope Scope) {
 	if scope == ScopeNamed && len(loads) == 0 {
-		// It answers a report that was not about a choice, and says nothing.
+		// This answers a report that was not about a choice, and carries no information.
 		return
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.see(now)
-	t.dropTold(now, scope)
+	t.advanceClock(now)
+	t.dropPeerLoads(now, scope)
 	switch scope {
 	case ScopeAll:
-		t.allAt = now
+		t.allLoadsAt = now
 	case ScopeZone:
-		t.nearAt = now
+		t.zoneLoadsAt = now
 	}
 	for i := range loads {
 		known := t.byHash[loads[i].Worker]
 		if known == nil {
 			continue
 		}
-		t.tell(known)
-		known.others, known.othersAt = loads[i], now
-		t.order(known, int(loads[i].Start), int(loads[i].Stop))
+		t.markPeerLoaded(known)
+		known.peerLoad, known.peerLoadAt = loads[i], now
+		t.setOrder(known, int(loads[i].Start), int(loads[i].Stop))
 	}
-	t.learn(now)
+	t.updatePools(now)
 }
 
-// tell keeps the worker among those that something was told of.
-func (t *Table) tell(w *worker) {
-	if !w.told {
-		w.told = true
-		t.told = append(t.told, w)
+// markPeerLoaded adds the worker to the list of those with a peer load.
+func (t *Table) markPeerLoaded(w *worker) {
+	if !w.hasPeerLoad {
+		w.hasPeerLoad = true
+		t.peerLoaded = append(t.peerLoaded, w)
 	}
 }
 
-// dropTold forgets what was told before and is told anew by news of the scope, and what
-// is too old.
-func (t *Table) dropTold(now time.Time, scope Scope) {
-	kept := t.told[:0]
-	for _, known := range t.told {
-		covered := scope != ScopeZone || t.away(known) == 0
-		if !covered && now.Sub(known.othersAt) <= loadshare.ReportTTL {
+// dropPeerLoads removes the peer loads that loads of the given scope replace, and those that have
+// expired.
+func (t *Table) dropPeerLoads(now time.Time, scope Scope) {
+	kept := t.peerLoaded[:0]
+	for _, known := range t.peerLoaded {
+		covered := scope != ScopeZone || t.zoneDistance(known) == 0
+		if !covered && now.Sub(known.peerLoadAt) <= loadshare.ReportTTL {
 			kept = append(kept, known)
 			continue
 		}
-		known.told = false
-		known.others, known.othersAt = wire.WorkerLoad{}, time.Time{}
-		known.starts, known.stops = 0, 0
+		known.hasPeerLoad = false
+		known.peerLoad, known.peerLoadAt = wire.WorkerLoad{}, time.Time{}
+		known.startGrants, known.pendingStops = 0, 0
 	}
-	clear(t.told[len(kept):])
-	t.told = kept
+	clear(t.peerLoaded[len(kept):])
+	t.peerLoaded = kept
 	if scope == ScopeAll {
 		t.dropOrders()
 	}
 }
 
-// order takes in what the planner of all items wants at a worker.
-func (t *Table) order(w *worker, starts, stops int) {
-	w.starts, w.stops = starts, stops
-	if starts+stops > 0 && !w.ordered {
-		w.ordered = true
-		t.ordered = append(t.ordered, w)
+// setOrder sets how many items the batch planner wants started and stopped at a worker.
+func (t *Table) setOrder(w *worker, starts, stops int) {
+	w.startGrants, w.pendingStops = starts, stops
+	if starts+stops > 0 && !w.hasOrder {
+		w.hasOrder = true
+		t.withOrders = append(t.withOrders, w)
 	}
 }
 
 func (t *Table) dropOrders() {
-	for _, known := range t.ordered {
-		known.ordered = false
-		known.starts, known.stops = 0, 0
+	for _, known := range t.withOrders {
+		known.hasOrder = false
+		known.startGrants, known.pendingStops = 0, 0
 	}
-	clear(t.ordered)
-	t.ordered = t.ordered[:0]
+	clear(t.withOrders)
+	t.withOrders = t.withOrders[:0]
 }
 
-// SetOrders takes in the orders of the planner of all items, by the workers' short
-// names, in place of those that came with the loads of others.
+// SetOrders replaces the orders of the batch planner, keyed by the workers' short names,
+// including those that came with peer loads.
 func (t *Table) SetOrders(orders map[uint32]batchroom.Order) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.dropOrders()
 	for hash, order := range orders {
 		if known := t.byHash[hash]; known != nil {
-			t.order(known, order.Start, order.Stop)
+			t.setOrder(known, order.Start, order.Stop)
 		}
 	}
 }
 
-// othersAt returns when it was last told what others have at the worker.
-func (t *Table) othersAt(w *worker) time.Time {
-	at := later(w.othersAt, t.allAt)
-	if t.away(w) == 0 {
-		at = later(at, t.nearAt)
+// peerLoadTime returns when the peer load of the worker was last updated.
+func (t *Table) peerLoadTime(w *worker) time.Time {
+	at := later(w.peerLoadAt, t.allLoadsAt)
+	if t.zoneDistance(w) == 0 {
+		at = later(at, t.zoneLoadsAt)
 	}
 	return at
 }
@@ -136,12 +137,14 @@
 	return a
 }
 
-// fresh reports whether what others have at the worker is known.
-func (t *Table) fresh(now time.Time, w *worker) bool { return freshAt(now, t.othersAt(w)) }
+// hasFreshPeerLoad reports whether the load of other processes at the worker is known.
+func (t *Table) hasFreshPeerLoad(now time.Time, w *worker) bool {
+	return isFresh(now, t.peerLoadTime(w))
+}
 
-func freshAt(now, at time.Time) bool { return !at.IsZero() && now.Sub(at) <= loadshare.ReportTTL }
+func isFresh(now, at time.Time) bool { return !at.IsZero() && now.Sub(at) <= loadshare.ReportTTL }
 
-// toldByOthers returns what others have at the worker, if that is known.
-func (t *Table) toldByOthers(now time.Time, w *worker) (wire.WorkerLoad, bool) {
-	return w.others, t.fresh(now, w)
+// peerLoadOf returns the load of other processes at the worker, and whether it is known.
+func (t *Table) peerLoadOf(now time.Time, w *worker) (wire.WorkerLoad, bool) {
+	return w.peerLoad, t.hasFreshPeerLoad(now, w)
 }
--- a/internal/balance/outlook.go
+++ b/internal/balance/outlook.go
@@ -15,10 +15,10 @@
 	return slices.Sorted(maps.Keys(t.pools))
 }
 
-// Forecasts returns what is known of the present of the pools: their slots, and the need of
-// online requests. Those that wait count as need, because each will hold a slot; the need
-// ends at the slots of the pool, because no more room could be made for it. Who forecasts
-// adds what is to come.
+// Forecasts returns the current state of the pools as a base for forecasts: their slots and their
+// online demand. Waiting requests count as demand, because each will hold a slot. Demand is
+// capped at the slots of the pool, because no more capacity could be freed for it. The caller
+// adds the expected change.
 func (t *Table) Forecasts(places *batchroom.Workers, pools []string) []batchroom.Forecast {
 	if len(pools) == 0 {
 		return nil
@@ -34,14 +34,14 @@
 			continue
 		}
 		numbers[name] = len(outlooks)
-		slots, byZone := t.slotsOfPool(known, name)
+		slots, byZone := t.poolSlots(known, name)
 		most[len(outlooks)] = slots
 		outlooks = append(outlooks, batchroom.Forecast{Pool: name, Slots: slots, IdleSlots: slots, ZoneSlots: byZone})
 	}
 	for i := range places.Busy {
 		place := &places.Busy[i]
 		if number, wanted := numbers[place.Pool]; wanted {
-			most[number] += t.addTo(&outlooks[number], place)
+			most[number] += t.addToForecast(&outlooks[number], place)
 		}
 	}
 	for i := range outlooks {
@@ -50,12 +50,12 @@
 	return outlooks
 }
 
-// addTo adds a place to its pool's outlook, and returns how many slots it has that are not
-// among the pool's: a worker that is leaving has some.
-func (t *Table) addTo(outlook *batchroom.Forecast, place *batchroom.Worker) int {
+// addToForecast adds a worker to the forecast of its pool. It returns the number of slots that
+// the pool's total doesn't include, such as those of a worker that is leaving.
+func (t *Table) addToForecast(outlook *batchroom.Forecast, place *batchroom.Worker) int {
 	outlook.Online += place.Online
 	known := t.byHash[place.ShortName]
-	if known == nil || !known.entered {
+	if known == nil || !known.inGroup {
 		return place.Slots
 	}
 	outlook.IdleSlots -= place.Slots
@@ -73,13 +73,13 @@
 	if known == nil {
 		return false
 	}
-	others, _ := t.toldByOthers(now, known)
-	return known.inFlight+int(others.Online)+int(others.Batch)+t.orphaned(now, known) > t.slotsOf(known)
+	others, _ := t.peerLoadOf(now, known)
+	return known.inFlight+int(others.Online)+int(others.Batch)+t.orphansAt(now, known) > t.effectiveSlots(known)
 }
 
-// lastOf returns the worker that an item ran at before, if it may start there again: its
-// prompt need not be read again then.
-func (t *Table) lastOf(now time.Time, demand *Request) *worker {
+// previousWorker returns the worker at which an item ran before, if it may start there again. Its
+// prompt may still be cached there.
+func (t *Table) previousWorker(now time.Time, demand *Request) *worker {
 	known := t.workers[demand.LastWorker]
 	if known == nil || known.listed.Pool != demand.Pool || !t.admits(now, known, demand, false) || t.failing(now, known) {
 		return nil
--- a/internal/balance/outlook_test.go
+++ b/internal/balance/outlook_test.go
@@ -12,9 +12,9 @@
 	"github.com/sedgemast/sedgemast/internal/workerset"
 )
 
-// outlookTable holds two pools: three workers of four slots, the last of which is leaving,
-// and one worker of another pool.
-func outlookTable() *Table {
+// forecastTable holds two pools: one of three workers with four slots each, the last of which is
+// leaving, and one of a single worker.
+func forecastTable() *Table {
 	table := NewTable("z", rand.New(rand.NewPCG(1, 1)))
 	table.Update(workerset.Of([]wire.PoolWorker{
 		{ID: "a", Pool: "p", Zone: "z", Slots: 4},
@@ -25,12 +25,12 @@
 	return table
 }
 
-func noPatience(string) time.Duration { return 0 }
+func noWait(string) time.Duration { return 0 }
 
-// TestOutlooksCountByPool checks need and slots of pools: what waits counts, what runs at a
-// leaving worker too, and the need ends at the slots there are.
+// TestForecastsCountByPool checks demand and slots of pools: waiting requests count, requests at
+// a leaving worker too, and demand is capped at the number of slots.
 func TestOutlooksCountByPool(t *testing.T) {
-	table := outlookTable()
+	table := forecastTable()
 	online := func(id string, count int) wire.WorkerLoad {
 		return wire.WorkerLoad{Worker: loadshare.WorkerHash(id), Online: uint16(count)}
 	}
@@ -46,7 +46,7 @@
 		{"too much", []wire.WorkerLoad{online("a", 20), online("b", 20)}, 8, 0},
 	} {
 		table.SetPeerLoads(start, test.loads, ScopeAll)
-		places := table.Workers(start, noPatience)
+		places := table.Workers(start, noWait)
 		outlooks := table.Forecasts(&places, table.Pools())
 		if len(outlooks) != 2 || outlooks[0].Pool != "p" || outlooks[1].Pool != "q" {
 			t.Fatalf("%s: %+v", test.name, outlooks)
@@ -60,24 +60,24 @@
 	}
 }
 
-// TestClosedWorkersAreNoRoom checks that the slots of a worker that gave no answer don't
+// TestSuspectSlotsAreNotForecast checks that the slots of a worker that gave no answer don't
 // count while it is avoided.
 func TestClosedWorkersAreNoRoom(t *testing.T) {
-	table := outlookTable()
+	table := forecastTable()
 	table.SetPeerLoads(start, nil, ScopeAll)
 	table.Acquire(start, &Request{Pool: "p"}).RecordNoAnswer(start)
-	places := table.Workers(start, noPatience)
+	places := table.Workers(start, noWait)
 	if got := table.Forecasts(&places, table.Pools())[0]; got.Slots != 4 {
 		t.Errorf("%d slots beside a worker that gave no answer", got.Slots)
 	}
 }
 
-// TestItemsReturn lets an item start where it ran before: there if that is granted, and
+// TestItemsReturn checks that an item starts at its previous worker if that is granted, and
 // elsewhere if not.
 func TestItemsReturn(t *testing.T) {
 	for _, last := range []string{"a", "b"} {
 		for _, granted := range []bool{true, false} {
-			table := outlookTable()
+			table := forecastTable()
 			table.SetPeerLoads(start, nil, ScopeAll)
 			orders := map[uint32]batchroom.Order{}
 			for _, id := range []string{"a", "b"} {
@@ -92,15 +92,15 @@
 			}
 		}
 	}
-	table := outlookTable()
+	table := forecastTable()
 	if lease := table.Acquire(start, &Request{Pool: "p", Batch: true, BatchShare: 100, LastWorker: "d"}); lease.Endpoint.ID == "d" {
 		t.Error("an item went to another pool")
 	}
 }
 
-// TestOverfull checks who is taken to wait.
+// TestOverloaded checks from how many requests on a worker counts as overloaded.
 func TestOverfull(t *testing.T) {
-	table := outlookTable()
+	table := forecastTable()
 	for count, want := range map[uint16]bool{4: false, 5: true} {
 		table.SetPeerLoads(start, []wire.WorkerLoad{{Worker: loadshare.WorkerHash("a"), Online: count - 2, Batch: 2}}, ScopeAll)
 		if got := table.Overloaded(start, "a"); got != want {
@@ -112,18 +112,18 @@
 	}
 }
 
-// TestOutlooksCountToldSlots lets a worker tell fewer slots than it is listed with: all of the
-// outlook goes by what places go by, whether it is idle or not, and by the list again once it
-// is listed with as many as it told.
+// TestForecastsUseReportedSlots has a worker report fewer slots than listed: the whole forecast
+// uses the same number as the planner's workers, whether the worker is idle or not, and the
+// listed one again once that equals the reported one.
 func TestOutlooksCountToldSlots(t *testing.T) {
-	table := outlookTable()
+	table := forecastTable()
 	lease := table.Acquire(start, &Request{Pool: "p", Exclude: map[string]bool{"b": true}})
 	lease.ApplyReport(capacity.Report{Running: 1, Slots: 3, Pace: 100})
 	if table.Overloaded(start, "a") {
 		t.Error("somebody waits at a worker with two slots left")
 	}
 	table.SetPeerLoads(start, []wire.WorkerLoad{{Worker: loadshare.WorkerHash("a"), Online: 3}}, ScopeAll)
-	places := table.Workers(start, noPatience)
+	places := table.Workers(start, noWait)
 	if got := table.Forecasts(&places, []string{"p"})[0]; got.Slots != 7 || got.IdleSlots != 4 || got.ZoneSlots["z"] != 7 || got.Online != 4 {
 		t.Errorf("while it is busy: %+v", got)
 	}
@@ -131,7 +131,7 @@
 		t.Error("nobody waits at a worker with a request too many")
 	}
 	table.SetPeerLoads(start, []wire.WorkerLoad{{Worker: loadshare.WorkerHash("a"), Online: 30}}, ScopeAll)
-	places = table.Workers(start, noPatience)
+	places = table.Workers(start, noWait)
 	if got := table.Forecasts(&places, []string{"p"})[0]; got.Online != 7 {
 		t.Errorf("need beyond the slots: %+v", got)
 	}
@@ -139,7 +139,7 @@
 	table.Loads()
 	table.Loads()
 	table.SetPeerLoads(start, nil, ScopeAll)
-	places = table.Workers(start, noPatience)
+	places = table.Workers(start, noWait)
 	if got := table.Forecasts(&places, []string{"p"})[0]; got.Slots != 7 || got.IdleSlots != 7 || places.IdleSlots != 9 {
 		t.Errorf("while it is idle: %+v, %d idle slots", got, places.IdleSlots)
 	}
@@ -151,16 +151,16 @@
 		t.Errorf("%d slots drawn", drawn)
 	}
 	table.Update(workerset.Of([]wire.PoolWorker{{ID: "a", Pool: "p", Zone: "z", Slots: 3}}), nil)
-	places = table.Workers(start, noPatience)
+	places = table.Workers(start, noWait)
 	if got := table.Forecasts(&places, []string{"p"})[0]; got.Slots != 3 || got.IdleSlots != 3 {
 		t.Errorf("listed with as many as it told: %+v", got)
 	}
 }
 
-// BenchmarkOutlooks is what a plan with an outlook takes more than one without.
+// BenchmarkOutlooks measures what forecasts add to the cost of a plan.
 func BenchmarkOutlooks(b *testing.B) {
 	benchmark(b, func(b *testing.B, table *Table, _ int) {
-		places := table.Workers(start, noPatience)
+		places := table.Workers(start, noWait)
 		for b.Loop() {
 			table.Forecasts(&places, table.Pools())
 		}
--- a/internal/balance/pace.go
+++ b/internal/balance/pace.go
@@ -7,61 +7,63 @@
 )
 
 const (
-	// slowFrom is how many times as long as in the middle of its pool a worker's
-	// events take before that counts: a full worker is somewhat slower than an
-	// idle one, and so is one that reads a long prompt.
-	slowFrom = 1.6
-	// slowMemory is how long a slow worker is remembered as one when nothing is
-	// heard of it: one that is avoided makes no events.
-	slowMemory = 3 * time.Second
-	// rateSeconds is the span of time that rates are told for.
+	// slownessThreshold is the factor over the median event interval of the pool from which a
+	// worker counts as slow. A full worker, or one that processes a long prompt, is somewhat
+	// slower than an idle one without being faulty.
+	slownessThreshold = 1.6
+	// slownessTTL is how long a slow worker stays marked without new measurements: a worker that
+	// is avoided produces no events to measure.
+	slownessTTL = 3 * time.Second
+	// rateSeconds is the period, in seconds, that reported request rates refer to.
 	rateSeconds = 10
-	// leastRate is how many online requests a pool must answer in ten seconds for
-	// its hold to be known.
-	leastRate = 10
-	// maxHold bounds what is taken for the time that a request holds a slot.
-	maxHold = 10 * time.Second
+	// minRate is the number of online requests that a pool must answer per rateSeconds before its
+	// hold time is estimated.
+	minRate = 10
+	// maxHoldTime bounds the estimate of how long a request holds a slot.
+	maxHoldTime = 10 * time.Second
 )
 
-// RecordPace takes in that the worker took so long for so many events.
+// RecordPace records that the worker took the given time for the given number of events.
 func (l *Lease) RecordPace(events int, took time.Duration) {
 	l.table.mutex.Lock()
 	defer l.table.mutex.Unlock()
-	l.table.occupy(l.worker)
-	l.worker.steps += events
-	l.worker.stepTime += took
+	l.table.markBusy(l.worker)
+	l.worker.intervals += events
+	l.worker.intervalSum += took
 }
 
-// learn finds the slow workers and the hold of each pool from what was told.
-func (t *Table) learn(now time.Time) {
+// updatePools updates slow workers, rates, hold time and capacity of each pool from the peer
+// loads.
+func (t *Table) updatePools(now time.Time) {
 	all := 0
 	for _, known := range t.pools {
-		all += known.usable()
+		all += known.usableCount()
 	}
 	for name, known := range t.pools {
-		active := t.active(name)
-		// What workers answer that nothing was told of counts to the pools by their sizes.
+		active := t.activeWorkers(name)
+		// The rate of workers without a listed load is split among the pools by their sizes.
 		rest := 0
 		if all > 0 {
-			rest = t.rest * known.usable() / all
+			rest = t.unlistedRate * known.usableCount() / all
 		}
-		known.hold = holdOf(active, rest)
+		known.holdTime = estimateHoldTime(active, rest)
 		known.nearRate, known.farRate = 0, rest
 		for _, candidate := range active {
-			if t.away(candidate) == 0 {
-				known.nearRate += int(candidate.others.Rate)
+			if t.zoneDistance(candidate) == 0 {
+				known.nearRate += int(candidate.peerLoad.Rate)
 			} else {
-				known.farRate += int(candidate.others.Rate)
+				known.farRate += int(candidate.peerLoad.Rate)
 			}
 		}
-		middle := t.middleStep(active)
-		learnSlow(now, active, middle)
-		known.takeSteps(now, active, middle)
-		t.sumUp(now, known, active)
+		middle := t.medianInterval(active)
+		updateSlowFactors(now, active, middle)
+		known.updateIntervalRatios(now, active, middle)
+		t.updateCapacity(now, known, active)
 	}
 }
 
-// RequestRate returns how many online requests the workers answer, as far as others told.
+// RequestRate returns the rate of online requests that all workers answer, per second, from peer
+// loads.
 func (t *Table) RequestRate() float64 {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -72,125 +74,129 @@
 	return float64(rate) / rateSeconds
 }
 
-// active returns the pool's workers at which this process or others have anything.
-func (t *Table) active(pool string) []*worker {
-	active := make([]*worker, 0, len(t.told)+len(t.busy))
-	for _, candidate := range t.told {
+// activeWorkers returns the pool's workers at which this process or a peer has requests or
+// something to report.
+func (t *Table) activeWorkers(pool string) []*worker {
+	active := make([]*worker, 0, len(t.peerLoaded)+len(t.busy))
+	for _, candidate := range t.peerLoaded {
 		if candidate.listed.Pool == pool {
 			active = append(active, candidate)
 		}
 	}
 	for _, candidate := range t.busy {
-		if !candidate.told && candidate.listed.Pool == pool {
+		if !candidate.hasPeerLoad && candidate.listed.Pool == pool {
 			active = append(active, candidate)
 		}
 	}
 	return active
 }
 
-// middleStep returns the workers' time between events in the middle, zero where none is known.
-func (t *Table) middleStep(workers []*worker) uint32 {
-	t.steps = t.steps[:0]
+// medianInterval returns the median event interval of the workers in microseconds, zero if none
+// is known.
+func (t *Table) medianInterval(workers []*worker) uint32 {
+	t.intervalScratch = t.intervalScratch[:0]
 	for _, candidate := range workers {
-		if candidate.others.Step > 0 {
-			t.steps = append(t.steps, candidate.others.Step)
+		if candidate.peerLoad.Step > 0 {
+			t.intervalScratch = append(t.intervalScratch, candidate.peerLoad.Step)
 		}
 	}
-	if len(t.steps) == 0 {
+	if len(t.intervalScratch) == 0 {
 		return 0
 	}
-	slices.Sort(t.steps)
-	return t.steps[(len(t.steps)-1)/2]
+	slices.Sort(t.intervalScratch)
+	return t.intervalScratch[(len(t.intervalScratch)-1)/2]
 }
 
-// learnSlow compares each worker's time between events with the middle of all.
-func learnSlow(now time.Time, workers []*worker, middle uint32) {
+// updateSlowFactors compares the event interval of each worker with the median.
+func updateSlowFactors(now time.Time, workers []*worker, middle uint32) {
 	if middle == 0 {
 		return
 	}
 	for _, candidate := range workers {
-		switch ratio := float64(candidate.others.Step) / float64(middle); {
-		case candidate.others.Step == 0:
-		case ratio >= slowFrom:
-			candidate.slow, candidate.slowAt = ratio, now
+		switch ratio := float64(candidate.peerLoad.Step) / float64(middle); {
+		case candidate.peerLoad.Step == 0:
+		case ratio >= slownessThreshold:
+			candidate.slowFactor, candidate.slowFactorAt = ratio, now
 		default:
-			candidate.slow = 1
+			candidate.slowFactor = 1
 		}
 	}
 }
 
-// slowness returns how many times as long as elsewhere an event takes here.
-func (w *worker) slowness(now time.Time) float64 {
-	if w.slow <= 1 || now.Sub(w.slowAt) > slowMemory {
+// thresholdedSlowness returns the worker's event interval relative to the median of its pool. It
+// returns 1 if the worker is below slownessThreshold or the measurement has expired.
+func (w *worker) thresholdedSlowness(now time.Time) float64 {
+	if w.slowFactor <= 1 || now.Sub(w.slowFactorAt) > slownessTTL {
 		return 1
 	}
-	return w.slow
+	return w.slowFactor
 }
 
-// holdOf returns how long an online request holds a slot in the worker's pool.
-func (t *Table) holdOf(w *worker) time.Duration {
+// holdTimeOf returns how long an online request holds a slot in the worker's pool.
+func (t *Table) holdTimeOf(w *worker) time.Duration {
 	if known := t.pools[w.listed.Pool]; known != nil {
-		return known.hold
+		return known.holdTime
 	}
 	return 0
 }
 
-// holdOf returns how long an online request holds a slot, zero if unknown: by
-// Little's law, what is in flight over what is answered in a time.
-// rest is what else is answered in ten seconds.
-func holdOf(workers []*worker, rest int) time.Duration {
+// estimateHoldTime returns how long an online request holds a slot, zero if unknown. By Little's
+// law it is the number of requests in flight divided by the request rate. unlistedRate is the
+// rate of workers without a listed load, per rateSeconds.
+func estimateHoldTime(workers []*worker, rest int) time.Duration {
 	online, rate := 0, rest
 	for _, candidate := range workers {
-		rate += int(candidate.others.Rate)
-		here := candidate.inFlight - candidate.batch + int(candidate.others.Online)
-		// Those that wait for a slot hold none.
+		rate += int(candidate.peerLoad.Rate)
+		here := candidate.inFlight - candidate.batch + int(candidate.peerLoad.Online)
+		// Requests that wait for a slot hold none.
 		online += min(here, max(candidate.listed.Slots, 1))
 	}
-	if rate < leastRate {
+	if rate < minRate {
 		return 0
 	}
-	return min(time.Duration(float64(online)/float64(rate)*float64(rateSeconds*time.Second)), maxHold)
+	return min(time.Duration(float64(online)/float64(rate)*float64(rateSeconds*time.Second)), maxHoldTime)
 }
 
-// waitAt predicts how long one more online request would wait for a slot at the
-// worker. Items of jobs don't count: they give way.
-func (t *Table) waitAt(now time.Time, candidate *worker) time.Duration {
-	slots, over := t.overAt(now, candidate)
+// predictWait predicts the mean time until one more online request gets a slot at the worker.
+// Batch items don't count, because they are preempted.
+func (t *Table) predictWait(now time.Time, candidate *worker) time.Duration {
+	slots, over := t.slotDeficit(now, candidate)
 	if over <= 0 {
 		return 0
 	}
-	// Slots are given back evenly over the time that one is held: the k-th of n after k
-	// of n + 1 parts of it.
-	return time.Duration(float64(t.holdAt(now, candidate)) * float64(over) / float64(slots+1))
+	// Releases are assumed to be spread evenly over the hold time: the k-th of n slots is
+	// released after k/(n+1) of it.
+	return time.Duration(float64(t.holdTimeAt(now, candidate)) * float64(over) / float64(slots+1))
 }
 
-// mostDeviations is by how many standard deviations waitMostAt lies above the mean: 19 of 20 waits end
-// below it (TestWaitsAtMost).
-const mostDeviations = 2.05
+// maxWaitDeviations is the number of standard deviations from the mean to the predicted maximum:
+// 19 of 20 waits stay below it (TestWaitsAtMost).
+const maxWaitDeviations = 2.05
 
-// waitMostAt predicts how long one more online request would wait for a slot at the worker
-// in nearly all cases: when the k-th of n evenly spread ends comes spreads by itself.
-func (t *Table) waitMostAt(now time.Time, candidate *worker) time.Duration {
-	slots, over := t.overAt(now, candidate)
+// predictMaxWait predicts a bound that nearly all waits for a slot at the worker stay below. The
+// releases of n slots are taken as independent and uniform over the hold time, so the k-th one
+// follows a beta distribution.
+func (t *Table) predictMaxWait(now time.Time, candidate *worker) time.Duration {
+	slots, over := t.slotDeficit(now, candidate)
 	if over <= 0 {
 		return 0
 	}
 	k, n := float64(over), float64(slots)
 	variance := max(k*(n+1-k), n) / ((n + 1) * (n + 1) * (n + 2))
-	return time.Duration(float64(t.holdAt(now, candidate)) * (k/(n+1) + mostDeviations*math.Sqrt(variance)))
+	return time.Duration(float64(t.holdTimeAt(now, candidate)) * (k/(n+1) + maxWaitDeviations*math.Sqrt(variance)))
 }
 
-// overAt returns the worker's slots, and how many must be given back before one more online
-// request begins.
-func (t *Table) overAt(now time.Time, candidate *worker) (slots, over int) {
-	slots = max(t.slotsOf(candidate), 1)
+// slotDeficit returns the worker's slots, and how many must be released before one more online
+// request can start.
+func (t *Table) slotDeficit(now time.Time, candidate *worker) (slots, over int) {
+	slots = max(t.effectiveSlots(candidate), 1)
 	return slots, t.onlineAt(now, candidate) + 1 - slots
 }
 
-// onlineAt returns how many online requests are at the worker, as far as is known.
+// onlineAt returns the number of online requests at the worker, as far as is known.
 func (t *Table) onlineAt(now time.Time, candidate *worker) int {
-	online := candidate.inFlight - candidate.batch + t.orphaned(now, candidate)
-	if others, known := t.toldByOthers(now, candidate); known {
+	online := candidate.inFlight - candidate.batch + t.orphansAt(now, candidate)
+	if others, known := t.peerLoadOf(now, candidate); known {
 		online += int(others.Online)
 	}
 	return online
--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -8,44 +8,44 @@
 	"github.com/sedgemast/sedgemast/internal/capacity"
 )
 
-// pool holds the usable workers of one pool, so that a choice need not look at all: in
-// two groups to draw from, and those of the zone on a ring to find homes on.
+// pool holds the usable workers of one pool: in two groups to sample from, so that a choice need
+// not visit all of them, and those of this zone on a hash ring for prompt affinity.
 type pool struct {
-	// near and far are the workers of this process's zone and of the others.
+	// near holds the workers of this process's zone, far those of all other zones.
 	near group
 	far  group
 	ring ring
-	// slots is how many slots all its workers have together, zoneSlots those by zone.
+	// slots is the total number of slots of the workers, zoneSlots the same by zone.
 	slots     int
 	zoneSlots map[string]int
-	// nearSlots are those of the zone's.
+	// nearSlots is the number of slots in this process's zone.
 	nearSlots int
-	// middle is the time between events in the middle of its workers. nearSum and farSum are
-	// what these can carry.
-	middle  time.Duration
-	nearSum capacity.Sum
-	farSum  capacity.Sum
-	// hold is how long an online request holds a slot, as learnt. nearRate and farRate are
-	// how many online requests are answered in ten seconds there, as told.
-	hold     time.Duration
+	// medianInterval is the median time between events of the pool's workers. nearSum and farSum
+	// are the capacities of the near and far workers.
+	medianInterval time.Duration
+	nearSum        capacity.Sum
+	farSum         capacity.Sum
+	// holdTime is how long an online request holds a slot, as estimated. nearRate and farRate are
+	// the reported rates of online requests, per rateSeconds.
+	holdTime time.Duration
 	nearRate int
 	farRate  int
-	// farDrawn is when a request drew last whether it may go to another zone.
-	farDrawn time.Time
+	// lastFarDraw is when mayUseFar was last called.
+	lastFarDraw time.Time
 }
 
-// group is a set of workers in no special order. A worker stands in one group at most and
-// knows its place there.
+// group is an unordered set of workers. A worker is in at most one group and stores its index
+// there.
 type group []*worker
 
 func (g *group) add(w *worker) {
-	w.place = len(*g)
+	w.groupIndex = len(*g)
 	*g = append(*g, w)
 }
 
 func (g *group) remove(w *worker) {
 	last := len(*g) - 1
-	g.swap(w.place, last)
+	g.swap(w.groupIndex, last)
 	(*g)[last] = nil
 	*g = (*g)[:last]
 }
@@ -53,54 +53,54 @@
 func (g *group) swap(a, b int) {
 	workers := *g
 	workers[a], workers[b] = workers[b], workers[a]
-	workers[a].place, workers[b].place = a, b
+	workers[a].groupIndex, workers[b].groupIndex = a, b
 }
 
-// groupOf returns the group that the worker stands in while it is usable.
+// groupOf returns the group that the worker belongs to while it is usable.
 func (p *pool) groupOf(t *Table, w *worker) *group {
-	if t.away(w) == 0 {
+	if t.zoneDistance(w) == 0 {
 		return &p.near
 	}
 	return &p.far
 }
 
-// enter makes the worker one to choose from.
-func (p *pool) enter(t *Table, w *worker) {
-	w.entered = true
+// add makes the worker available for new requests.
+func (p *pool) add(t *Table, w *worker) {
+	w.inGroup = true
 	p.groupOf(t, w).add(w)
 	p.slots += w.listed.Slots
 	p.addSlots(w.listed.Zone, w.listed.Slots)
-	if t.away(w) == 0 {
+	if t.zoneDistance(w) == 0 {
 		p.nearSlots += w.listed.Slots
 		p.ring.add(w)
 	}
 }
 
-// leave takes the worker out.
-func (p *pool) leave(t *Table, w *worker) {
-	if !w.entered {
+// remove takes the worker out of the choice for new requests.
+func (p *pool) remove(t *Table, w *worker) {
+	if !w.inGroup {
 		return
 	}
-	w.entered = false
+	w.inGroup = false
 	p.groupOf(t, w).remove(w)
 	p.slots -= w.listed.Slots
 	p.addSlots(w.listed.Zone, -w.listed.Slots)
-	if t.away(w) == 0 {
+	if t.zoneDistance(w) == 0 {
 		p.nearSlots -= w.listed.Slots
 		p.ring.remove(w)
 	}
 }
 
-// slotsOfPool returns how many slots all the pool's workers have together, and those by zone: by
-// the list, and by what they told where that counts.
-func (t *Table) slotsOfPool(p *pool, name string) (slots int, byZone map[string]int) {
+// poolSlots returns the number of slots of all the pool's workers, in total and by zone. Workers
+// that reported fewer slots than listed count with those if the pool reports its pace.
+func (t *Table) poolSlots(p *pool, name string) (slots int, byZone map[string]int) {
 	slots, byZone = p.slots, maps.Clone(p.zoneSlots)
-	if !t.tellsPace(name) {
+	if !t.poolReportsPace(name) {
 		return slots, byZone
 	}
-	for w := range t.fewer {
-		if w.entered && w.listed.Pool == name {
-			less := w.listed.Slots - t.slotsOf(w)
+	for w := range t.fewerSlots {
+		if w.inGroup && w.listed.Pool == name {
+			less := w.listed.Slots - t.effectiveSlots(w)
 			slots -= less
 			byZone[w.listed.Zone] -= less
 		}
@@ -108,7 +108,7 @@
 	return slots, byZone
 }
 
-// addSlots changes how many slots there are in a zone.
+// addSlots changes the number of slots in a zone.
 func (p *pool) addSlots(zone string, change int) {
 	if p.zoneSlots == nil {
 		p.zoneSlots = map[string]int{}
@@ -119,15 +119,15 @@
 	}
 }
 
-// usable counts the workers for new requests.
-func (p *pool) usable() int {
+// usableCount returns the number of workers available for new requests.
+func (p *pool) usableCount() int {
 	if p == nil {
 		return 0
 	}
 	return len(p.near) + len(p.far)
 }
 
-// at returns one of the usable workers by its number.
+// at returns a usable worker by its index over both groups.
 func (p *pool) at(number int) *worker {
 	if number < len(p.near) {
 		return p.near[number]
@@ -135,7 +135,7 @@
 	return p.far[number-len(p.near)]
 }
 
-// ring orders workers by a hash of their names.
+// ring holds workers ordered by a hash of their ids.
 type ring []*worker
 
 func (r ring) find(point uint64) int {
--- a/internal/balance/probe.go
+++ b/internal/balance/probe.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	// probesFresh is how long the hub's word that a request may probe a worker counts: until
-	// the request that asked has chosen.
-	probesFresh = 50 * time.Millisecond
-	// mostSilentDoublings bounds how often the patience with a silent probe is doubled, so
-	// that the shift in Patience can't overflow.
-	mostSilentDoublings = 10
+	// probeGrantTTL is how long a probe grant of the hub counts: until the request that asked for
+	// it has chosen a worker.
+	probeGrantTTL = 50 * time.Millisecond
+	// maxTimeoutDoublings bounds how often the timeout of unanswered probes is doubled, so that
+	// the shift in ProbeTimeout can't overflow.
+	maxTimeoutDoublings = 10
 )
 
-// SetProbes takes in the avoided workers to one of which a repeatable request may go now.
+// SetProbes sets the avoided workers that a repeatable request may probe now.
 func (t *Table) SetProbes(now time.Time, workers []uint32) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if len(workers) > 0 {
-		t.probes, t.probesAt = workers, now
+		t.probeWorkers, t.probesAt = workers, now
 	}
 }
 
-// takeProbe returns an avoided worker that the request is to probe, or nil. Each word of the
-// hub serves one request.
+// takeProbe returns an avoided worker for the request to probe, or nil. Each grant of the hub
+// serves one request.
 func (t *Table) takeProbe(now time.Time, demand *Request) *worker {
 	probed := t.findProbe(now, demand)
 	if probed != nil {
@@ -35,16 +35,16 @@
 	return probed
 }
 
-// findProbe returns what takeProbe does, and leaves the hub's word to whoever takes it.
+// findProbe returns the same as takeProbe, but leaves the grant in place.
 func (t *Table) findProbe(now time.Time, demand *Request) *worker {
-	if demand.Batch || !demand.Repeatable || len(t.probes) == 0 {
+	if demand.Batch || !demand.Repeatable || len(t.probeWorkers) == 0 {
 		return nil
 	}
-	if now.Sub(t.probesAt) > probesFresh {
-		t.probes = nil
+	if now.Sub(t.probesAt) > probeGrantTTL {
+		t.probeWorkers = nil
 		return nil
 	}
-	for _, hash := range t.probes {
+	for _, hash := range t.probeWorkers {
 		probed := t.byHash[hash]
 		if probed != nil && probed.listed.Pool == demand.Pool && t.mayProbe(now, probed, demand) {
 			return probed
@@ -53,109 +53,110 @@
 	return nil
 }
 
-// removeProbe takes in that the hub's word to probe the worker is used.
+// removeProbe removes the grant to probe the worker.
 func (t *Table) removeProbe(w *worker) {
-	if i := slices.Index(t.probes, w.hash); i >= 0 {
-		t.probes = slices.Delete(slices.Clone(t.probes), i, i+1)
+	if i := slices.Index(t.probeWorkers, w.hash); i >= 0 {
+		t.probeWorkers = slices.Delete(slices.Clone(t.probeWorkers), i, i+1)
 	}
 }
 
-// mayProbe reports whether the request would run at once at an avoided worker.
+// mayProbe reports whether the request would run at once at an avoided worker, and no other probe
+// runs there.
 func (t *Table) mayProbe(now time.Time, w *worker, demand *Request) bool {
-	return t.failing(now, w) && w.probing == 0 && t.admits(now, w, demand, false) && t.waitAt(now, w) == 0
+	return t.failing(now, w) && w.activeProbes == 0 && t.admits(now, w, demand, false) && t.predictWait(now, w) == 0
 }
 
-// grantedProbe reports whether the planner of items let one start at the worker though it is
-// avoided.
-func (w *worker) grantedProbe(demand *Request) bool {
-	return demand.Batch && !demand.NoProbe && w.starts > 0 && w.probing == 0
+// hasProbeGrant reports whether the batch planner granted an item start at the worker although it
+// is avoided.
+func (w *worker) hasProbeGrant(demand *Request) bool {
+	return demand.Batch && !demand.NoProbe && w.startGrants > 0 && w.activeProbes == 0
 }
 
 // IsProbe reports whether the worker was avoided when it was chosen, so that this request shows
-// whether it is well.
+// whether the worker has recovered.
 func (l *Lease) IsProbe() bool { return l.probe }
 
-// ProbeTimeout returns how long the answer to a probe is waited for: least where the last one was
-// answered, and twice as long after each that was not, up to most, because a worker that is
-// well may need longer than what is usual.
+// ProbeTimeout returns how long to wait for the answer to a probe: least after an answered probe,
+// and twice as long after each one that was not, up to most, because a healthy worker may need
+// longer than usual.
 func (l *Lease) ProbeTimeout(least, most time.Duration) time.Duration {
 	l.table.mutex.Lock()
 	defer l.table.mutex.Unlock()
-	return min(least<<min(l.worker.silent, mostSilentDoublings), most)
+	return min(least<<min(l.worker.unansweredProbes, maxTimeoutDoublings), most)
 }
 
-// RecordItemStart takes in how an item at the worker began. Items count for nothing but as probes: what
-// online requests saw says more of the others.
+// RecordItemStart records whether an item started well at the worker. Only probes count: online
+// requests say more about workers that are not avoided.
 func (l *Lease) RecordItemStart(now time.Time, well bool) {
 	if !l.probe {
 		return
 	}
 	l.table.mutex.Lock()
 	defer l.table.mutex.Unlock()
-	l.table.occupy(l.worker)
+	l.table.markBusy(l.worker)
 	if well {
-		l.prove()
+		l.recordProbeSuccess()
 		return
 	}
 	l.worker.failed++
 }
 
-// RecordContent takes in that content of the answer to an online request has come, which proves that
-// the worker is well if this is a probe.
+// RecordContent records that content of the answer to an online request has arrived. For a probe
+// this proves that the worker is healthy.
 func (l *Lease) RecordContent() {
 	if !l.probe {
 		return
 	}
 	l.table.mutex.Lock()
 	defer l.table.mutex.Unlock()
-	l.table.occupy(l.worker)
-	if l.prove() {
+	l.table.markBusy(l.worker)
+	if l.recordProbeSuccess() {
 		l.worker.answered++
 	}
 }
 
-// RecordDisconnect takes in that the worker broke its answer off, which counts against it if this is a
-// probe.
+// RecordDisconnect records that the worker broke off its answer, which counts as a failure if
+// this is a probe.
 func (l *Lease) RecordDisconnect() {
 	if !l.probe {
 		return
 	}
 	l.table.mutex.Lock()
 	defer l.table.mutex.Unlock()
-	l.table.occupy(l.worker)
+	l.table.markBusy(l.worker)
 	l.worker.failed++
 }
 
-// prove takes in that the probe was answered well, and reports whether that is news: a lease
-// proves once. The lock of the table is held.
-func (l *Lease) prove() bool {
-	if !l.probe || l.proven {
+// recordProbeSuccess records that the probe was answered well, and reports whether this is the
+// first success of the lease. The table's lock must be held.
+func (l *Lease) recordProbeSuccess() bool {
+	if !l.probe || l.probeSucceeded {
 		return false
 	}
-	l.proven = true
-	l.worker.proofs++
-	l.worker.silent = 0
+	l.probeSucceeded = true
+	l.worker.probeSuccesses++
+	l.worker.unansweredProbes = 0
 	return true
 }
 
-// ProbeResults returns what probes have shown since the last call. It is called before Loads.
+// ProbeResults returns the successful probes since the last call. Call it before Loads.
 func (t *Table) ProbeResults() []wire.WorkerProof {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	var proofs []wire.WorkerProof
 	for _, known := range t.busy {
-		if known.proofs == 0 {
+		if known.probeSuccesses == 0 {
 			continue
 		}
-		if !known.gone(t) {
-			proofs = append(proofs, wire.WorkerProof{Worker: known.hash, Well: uint16(known.proofs)})
+		if !known.unlisted(t) {
+			proofs = append(proofs, wire.WorkerProof{Worker: known.hash, Well: uint16(known.probeSuccesses)})
 		}
-		known.proofs = 0
+		known.probeSuccesses = 0
 	}
 	return proofs
 }
 
-// WorkerID returns the worker's id by its short name, empty where it is not listed.
+// WorkerID returns the id of the worker with the given short name, empty if it is not listed.
 func (t *Table) WorkerID(worker uint32) string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/balance/probe_test.go
+++ b/internal/balance/probe_test.go
@@ -8,21 +8,21 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-func failing(id string, starts uint16) wire.WorkerLoad {
+func failingLoad(id string, starts uint16) wire.WorkerLoad {
 	return wire.WorkerLoad{Worker: loadshare.Hash(id), Failing: true, Start: starts}
 }
 
-// TestItemsProbeWhereTheyAreLet checks that an item starts at an avoided worker where the
-// planner lets it, one at a time, and that its good answer is told once, as a proof and not
-// as the answer of an online request.
+// TestItemsProbeWithGrant checks that an item starts at an avoided worker if the planner grants
+// it, one at a time, and that its success is reported once, as a probe result and not as the
+// answer to an online request.
 func TestItemsProbeWhereTheyAreLet(t *testing.T) {
-	table := tableOf(listed("a", "z1"), listed("b", "z2"), listed("c", "z2"))
+	table := tableOf(poolWorker("a", "z1"), poolWorker("b", "z2"), poolWorker("c", "z2"))
 	item := &Request{Pool: "p", Batch: true, BatchShare: 50}
-	table.SetPeerLoads(start, []wire.WorkerLoad{failing("a", 0)}, ScopeAll)
+	table.SetPeerLoads(start, []wire.WorkerLoad{failingLoad("a", 0)}, ScopeAll)
 	if table.Acquire(start, item) != nil {
 		t.Fatal("an item started without a grant")
 	}
-	table.SetPeerLoads(start, []wire.WorkerLoad{failing("a", 2)}, ScopeAll)
+	table.SetPeerLoads(start, []wire.WorkerLoad{failingLoad("a", 2)}, ScopeAll)
 	lease := table.Acquire(start, item)
 	if lease == nil || !lease.IsProbe() || lease.Endpoint.ID != "a" {
 		t.Fatalf("no probe: %+v", lease)
@@ -44,11 +44,11 @@
 	}
 }
 
-// TestSilentProbesAreWaitedForLonger checks that the patience with probes doubles with each
-// that got no answer, and starts anew after an answer.
+// TestProbeTimeoutDoubles checks that the timeout doubles with each unanswered probe, and is
+// reset by an answer.
 func TestSilentProbesAreWaitedForLonger(t *testing.T) {
-	table := tableOf(listed("a", "z1"), listed("b", "z1"), listed("c", "z1"))
-	table.SetPeerLoads(start, []wire.WorkerLoad{failing("a", 1)}, ScopeAll)
+	table := tableOf(poolWorker("a", "z1"), poolWorker("b", "z1"), poolWorker("c", "z1"))
+	table.SetPeerLoads(start, []wire.WorkerLoad{failingLoad("a", 1)}, ScopeAll)
 	lease := table.Acquire(start, &Request{Pool: "p", Batch: true})
 	for _, want := range []time.Duration{1, 2, 4, 6, 6} {
 		if got := lease.ProbeTimeout(time.Second, 6*time.Second); got != want*time.Second {
@@ -62,11 +62,11 @@
 	}
 }
 
-// TestRepeatableRequestsProbe checks that one repeatable request goes to an avoided worker
-// that the hub named, and no other request does.
+// TestRepeatableRequestsProbe checks that one repeatable request goes to an avoided worker that
+// the hub named, and no other request does.
 func TestRepeatableRequestsProbe(t *testing.T) {
-	table := tableOf(listed("a", "z1"), listed("b", "z1"), listed("c", "z1"))
-	table.SetPeerLoads(start, []wire.WorkerLoad{failing("a", 0)}, ScopeAll)
+	table := tableOf(poolWorker("a", "z1"), poolWorker("b", "z1"), poolWorker("c", "z1"))
+	table.SetPeerLoads(start, []wire.WorkerLoad{failingLoad("a", 0)}, ScopeAll)
 	named := []uint32{loadshare.Hash("a")}
 	takes := func(now time.Time, repeatable bool) bool {
 		lease := table.Acquire(now, &Request{Pool: "p", Repeatable: repeatable})
@@ -84,7 +84,7 @@
 		t.Error("not one repeatable request was the probe")
 	}
 	table.SetProbes(start, named)
-	if takes(start.Add(probesFresh+1), true) {
+	if takes(start.Add(probeGrantTTL+1), true) {
 		t.Error("an old word of the hub counts")
 	}
 	table.SetPeerLoads(start, nil, ScopeAll)
--- a/internal/balance/sample.go
+++ b/internal/balance/sample.go
@@ -9,188 +9,191 @@
 )
 
 const (
-	// unseenParts is how many unseen requests halve the workers that are compared,
-	// leastCompared how many are compared at least.
-	unseenParts   = 4.0
-	leastCompared = 2
-	// mostCompared is how many workers of the zone, and how many others, are compared at
-	// most. The best of 64 drawn by lot is among the best twentieth of any number of
-	// workers in 96 of 100 choices, and the whole choice takes 53 us at 10,000 workers
-	// (BenchmarkChooseOnline, beside a running day).
-	mostCompared = 64
-	// leastLag is how old news are at least when they come: a choice is told at once,
-	// and the answer that another one rests on takes as long.
-	leastLag = 5 * time.Millisecond
+	// unseenHalving is the number of unseen requests that halves the number of workers compared.
+	// minCandidates is the minimum number compared.
+	unseenHalving = 4.0
+	minCandidates = 2
+	// maxCandidates is the maximum number of workers compared in this zone, and the maximum in
+	// all others. The best of 64 random workers is among the best twentieth of any number of
+	// workers in 96 of 100 choices, and a choice takes 53 us at 10,000 workers
+	// (BenchmarkChooseOnline).
+	maxCandidates = 64
+	// minLag is the minimum age of peer loads on arrival: a choice is reported at once, and the
+	// answer that another process relies on takes as long.
+	minLag = 5 * time.Millisecond
 )
 
-// choose takes the best of some workers; suspects count only if allowed.
+// choose returns the best of some sampled workers. Suspects, and workers marked as failing, are
+// considered only if suspects is set.
 func (t *Table) choose(now time.Time, demand *Request, suspects bool) *worker {
 	known := t.pools[demand.Pool]
 	if known == nil {
 		return nil
 	}
-	avoid := (!suspects || demand.NoProbe) && !t.mostFail(now, demand.Pool)
+	avoid := (!suspects || demand.NoProbe) && !t.mostFailing(now, demand.Pool)
 	fit := func(w *worker) bool {
-		return t.admits(now, w, demand, suspects) && !(avoid && t.failing(now, w) && !w.grantedProbe(demand))
+		return t.admits(now, w, demand, suspects) && !(avoid && t.failing(now, w) && !w.hasProbeGrant(demand))
 	}
-	t.findHomes(demand, fit)
-	t.compared = t.compared[:0]
+	t.findAffinity(demand, fit)
+	t.candidates = t.candidates[:0]
 	if demand.Batch {
-		t.drawGranted(now, known, fit)
+		t.sampleGranted(now, known, fit)
 	} else {
-		t.drawOnline(now, demand.Pool, known, fit)
+		t.sampleOnline(now, demand.Pool, known, fit)
 	}
 	return t.pick(now, known, demand)
 }
 
-// pick takes the best of the workers to compare.
+// pick returns the best of the candidates.
 func (t *Table) pick(now time.Time, known *pool, demand *Request) *worker {
-	if !demand.Batch && t.byTimes(demand.Pool) {
-		return t.soonest(now, known, demand, t.compared)
+	if !demand.Batch && t.comparesByTime(demand.Pool) {
+		return t.bestByTime(now, known, demand, t.candidates)
 	}
-	return t.best(now, demand, t.compared)
+	return t.bestByCost(now, demand, t.candidates)
 }
 
-// drawGranted takes the workers where an item may start: those that the planner of all
-// items named, or while it is not heard some of all.
-func (t *Table) drawGranted(now time.Time, known *pool, fit func(w *worker) bool) {
-	for _, candidate := range t.ordered {
-		if t.pools[candidate.listed.Pool] == known && candidate.entered && fit(candidate) {
-			t.compared = append(t.compared, candidate)
+// sampleGranted collects the workers at which an item may start: those that the batch planner
+// named, or a sample of all workers if the loads have expired (the planner is unreachable).
+func (t *Table) sampleGranted(now time.Time, known *pool, fit func(w *worker) bool) {
+	for _, candidate := range t.withOrders {
+		if t.pools[candidate.listed.Pool] == known && candidate.inGroup && fit(candidate) {
+			t.candidates = append(t.candidates, candidate)
 		}
 	}
-	if len(t.compared) > 0 || freshAt(now, t.allAt) {
+	if len(t.candidates) > 0 || isFresh(now, t.allLoadsAt) {
 		return
 	}
-	t.drawGroup(known.near, mostCompared, fit)
-	t.drawGroup(known.far, mostCompared, fit)
+	t.sampleGroup(known.near, maxCandidates, fit)
+	t.sampleGroup(known.far, maxCandidates, fit)
 }
 
-// drawOnline takes the workers to compare: some of the zone's and some of the others,
-// drawn by lot, and the homes of the prompt. Where many requests of other processes have
-// come since these told their loads, the worker that looks best looks so to all of them:
-// if each took the best of all, they would crowd it. The more may have come, the fewer
-// are compared. The zone's workers are drawn apart, because those who see them as this
-// process does are those of the zone, and they are enough to choose among in a large
-// fleet.
-func (t *Table) drawOnline(now time.Time, name string, known *pool, fit func(w *worker) bool) {
-	nearKnown := t.drawNear(now, name, known, fit)
-	near := len(t.compared)
+// sampleOnline collects the candidates for an online request: samples of the near and of the far
+// workers, and the affinity workers of the prompt. If other processes have sent many requests
+// since they reported their loads, the worker that looks best to one process looks best to all,
+// and would be overloaded if each of them took it. So the more requests may be unseen, the fewer
+// workers are compared. Near workers are sampled separately, because the processes with the same
+// view of them are those of the same zone, and because in a large fleet they are enough to choose
+// among.
+func (t *Table) sampleOnline(now time.Time, name string, known *pool, fit func(w *worker) bool) {
+	nearKnown := t.sampleNear(now, name, known, fit)
+	near := len(t.candidates)
 	if !t.nearOnly {
-		t.drawFar(now, name, known, fit, near > 0 && nearKnown)
+		t.sampleFar(now, name, known, fit, near > 0 && nearKnown)
 	}
-	for _, home := range t.homes {
-		if !slices.Contains(t.compared, home) {
-			t.compared = append(t.compared, home)
+	for _, home := range t.affinity {
+		if !slices.Contains(t.candidates, home) {
+			t.candidates = append(t.candidates, home)
 		}
 	}
 }
 
-// drawNear draws workers of the zone, and reports whether it is known what they have.
-func (t *Table) drawNear(now time.Time, name string, known *pool, fit func(w *worker) bool) bool {
-	at := later(t.allAt, t.nearAt)
-	if freshAt(now, at) {
-		t.drawGroup(known.near, countOf(len(known.near), unseen(known.nearRate, now.Sub(at), 0)), fit)
+// sampleNear samples workers of this zone, and reports whether their loads are known.
+func (t *Table) sampleNear(now time.Time, name string, known *pool, fit func(w *worker) bool) bool {
+	at := later(t.allLoadsAt, t.zoneLoadsAt)
+	if isFresh(now, at) {
+		t.sampleGroup(known.near, candidateCount(len(known.near), unseenRequests(known.nearRate, now.Sub(at), 0)), fit)
 		return true
 	}
-	if t.drawTold(now, name, 0, 0, fit) > 0 {
+	if t.samplePeerLoaded(now, name, 0, 0, fit) > 0 {
 		return true
 	}
-	t.drawGroup(known.near, len(known.near), fit)
+	t.sampleGroup(known.near, len(known.near), fit)
 	return false
 }
 
-// drawFar draws workers of other zones: of those of which something is known, if that is
-// so of any worker, because one of which nothing is known would look idle beside them.
-// The sums of other zones come by a report more.
-func (t *Table) drawFar(now time.Time, name string, known *pool, fit func(w *worker) bool, nearKnown bool) {
-	if freshAt(now, t.allAt) {
-		t.drawGroup(known.far, countOf(len(known.far), unseen(known.farRate, now.Sub(t.allAt), loadshare.Interval)), fit)
+// sampleFar samples workers of other zones. If the load of any of them is known, it takes only
+// those with a known load, because one without would look idle beside them. Sums of other zones
+// pass through one more report, which adds an interval to their age.
+func (t *Table) sampleFar(now time.Time, name string, known *pool, fit func(w *worker) bool, nearKnown bool) {
+	if isFresh(now, t.allLoadsAt) {
+		t.sampleGroup(known.far, candidateCount(len(known.far), unseenRequests(known.farRate, now.Sub(t.allLoadsAt), loadshare.Interval)), fit)
 		return
 	}
-	if t.drawTold(now, name, 1, loadshare.Interval, fit) == 0 && !nearKnown {
-		t.drawGroup(known.far, len(known.far), fit)
+	if t.samplePeerLoaded(now, name, 1, loadshare.Interval, fit) == 0 && !nearKnown {
+		t.sampleGroup(known.far, len(known.far), fit)
 	}
 }
 
-// drawTold draws of the workers, of the zone or of others, that news named. It returns how
-// many of them are fit. more is what the news of them took longer than those of the zone.
-func (t *Table) drawTold(now time.Time, name string, away int, more time.Duration, fit func(w *worker) bool) int {
+// samplePeerLoaded samples the workers with a fresh peer load, of this zone (distance 0) or of
+// others (1). It returns how many of them fit. extraLag is the additional delay of their loads
+// over those of this zone.
+func (t *Table) samplePeerLoaded(now time.Time, name string, away int, more time.Duration, fit func(w *worker) bool) int {
 	var told group
 	rate, age := 0, time.Duration(0)
-	for _, candidate := range t.told {
-		if candidate.listed.Pool == name && t.away(candidate) == away && t.fresh(now, candidate) && fit(candidate) {
+	for _, candidate := range t.peerLoaded {
+		if candidate.listed.Pool == name && t.zoneDistance(candidate) == away && t.hasFreshPeerLoad(now, candidate) && fit(candidate) {
 			told = append(told, candidate)
-			rate += int(candidate.others.Rate)
-			age = max(age, now.Sub(t.othersAt(candidate)))
+			rate += int(candidate.peerLoad.Rate)
+			age = max(age, now.Sub(t.peerLoadTime(candidate)))
 		}
 	}
-	t.drawList(told, countOf(len(told), unseen(rate, age, more)))
+	t.sampleList(told, candidateCount(len(told), unseenRequests(rate, age, more)))
 	return len(told)
 }
 
-// drawGroup draws so many of the fit workers of a group, mostCompared at most.
-func (t *Table) drawGroup(workers group, count int, fit func(w *worker) bool) {
-	if len(workers) > mostCompared {
-		t.drawSome(workers, min(count, mostCompared), fit)
+// sampleGroup samples count of the group's workers that fit, at most maxCandidates.
+func (t *Table) sampleGroup(workers group, count int, fit func(w *worker) bool) {
+	if len(workers) > maxCandidates {
+		t.sampleLargeGroup(workers, min(count, maxCandidates), fit)
 		return
 	}
-	fitting := make([]*worker, 0, mostCompared)
+	fitting := make([]*worker, 0, maxCandidates)
 	for _, candidate := range workers {
 		if fit(candidate) {
 			fitting = append(fitting, candidate)
 		}
 	}
-	// As large a part of the fit ones is drawn as of all.
+	// The sample is the same fraction of the fitting workers as count is of all.
 	if len(workers) > 0 {
 		count = int(math.Ceil(float64(count) * float64(len(fitting)) / float64(len(workers))))
 	}
-	t.drawList(fitting, count)
+	t.sampleList(fitting, count)
 }
 
-// drawSome draws so many fit ones of many workers. It changes their order.
-func (t *Table) drawSome(workers group, count int, fit func(w *worker) bool) {
+// sampleLargeGroup samples up to count fitting workers of a group without visiting all of it. It
+// changes the order of the group.
+func (t *Table) sampleLargeGroup(workers group, count int, fit func(w *worker) bool) {
 	for i := 0; i < len(workers) && count > 0; i++ {
 		workers.swap(i, i+t.random.IntN(len(workers)-i))
 		if fit(workers[i]) {
-			t.compared = append(t.compared, workers[i])
+			t.candidates = append(t.candidates, workers[i])
 			count--
 		}
 	}
 }
 
-// drawList draws so many of the workers. It changes their order in the list.
-func (t *Table) drawList(workers []*worker, count int) {
+// sampleList samples count of the workers. It changes the order of the list.
+func (t *Table) sampleList(workers []*worker, count int) {
 	if count < len(workers) {
-		count = min(max(count, leastCompared), len(workers))
+		count = min(max(count, minCandidates), len(workers))
 		for i := range count {
 			other := i + t.random.IntN(len(workers)-i)
 			workers[i], workers[other] = workers[other], workers[i]
 		}
 		workers = workers[:count]
 	}
-	t.compared = append(t.compared, workers...)
+	t.candidates = append(t.candidates, workers...)
 }
 
-// away is 1 for a worker of another zone.
-func (t *Table) away(candidate *worker) int {
+// zoneDistance returns 0 for a worker of this zone, 1 for one of another zone.
+func (t *Table) zoneDistance(candidate *worker) int {
 	if candidate.listed.Zone == t.zone {
 		return 0
 	}
 	return 1
 }
 
-// countOf returns how many of the workers to compare when so many requests are unseen.
-func countOf(workers int, unseen float64) int {
-	return max(int(math.Ceil(float64(workers)/(1+unseen/unseenParts))), leastCompared)
+// candidateCount returns how many of the workers to compare, given the number of unseen requests.
+func candidateCount(workers int, unseen float64) int {
+	return max(int(math.Ceil(float64(workers)/(1+unseen/unseenHalving))), minCandidates)
 }
 
-// unseen estimates how many requests have come to workers that others have not told of
-// yet, from the rate at which they answer in ten seconds: those since the last news, which
-// were of some age by then. Where news are asked for before each choice they are fresh,
-// and so is what others told the hub; where they are old, the hub did not answer, or not
-// to others either. more is what the news took longer than those of the zone.
-func unseen(rate int, age, more time.Duration) float64 {
-	lag := min(max(age, leastLag), loadshare.Interval)
+// unseenRequests estimates how many requests workers have received that peers have not reported
+// yet, from the rate of requests per rateSeconds: those since the last update, and those that
+// were unreported when it arrived. A process that queries the hub before each choice has fresh
+// loads, and so do the others; if the loads are old, the hub didn't answer, perhaps not to others
+// either. extraLag is the additional delay of the loads over those of this zone.
+func unseenRequests(rate int, age, more time.Duration) float64 {
+	lag := min(max(age, minLag), loadshare.Interval)
 	return float64(rate) / rateSeconds * (age + lag + more).Seconds()
 }
--- a/internal/balance/sample_test.go
+++ b/internal/balance/sample_test.go
@@ -11,9 +11,9 @@
 	"github.com/sedgemast/sedgemast/internal/workerset"
 )
 
-// TestManyProcessesDoNotCrowdOneWorker lets forty processes choose by the same news,
-// each once and unseen by the others: no worker may get a large part of the requests,
-// though one of them looks idle to all.
+// TestManyProcessesDoNotCrowdOneWorker lets forty processes choose once each by the same peer
+// loads, without seeing each other's choices: no worker may get a large part of the requests,
+// although one of them looks idle to all.
 func TestManyProcessesDoNotCrowdOneWorker(t *testing.T) {
 	const processes, workers = 40, 40
 	var rows []wire.WorkerLoad
@@ -37,11 +37,11 @@
 	}
 }
 
-// TestFewUnseenRequestsCompareAll checks that the best of all workers is taken where
-// next to nothing can have come unseen.
+// TestFewUnseenRequestsCompareAll checks that the best of all workers is chosen if next to no
+// requests can be unseen.
 func TestFewUnseenRequestsCompareAll(t *testing.T) {
-	table := tableOf(listed("a", "z1"), listed("b", "z1"), listed("c", "z1"), listed("d", "z1"))
-	table.SetPeerLoads(start, []wire.WorkerLoad{told("a", 2, 0, 10), told("b", 2, 0, 10), told("d", 2, 0, 10)}, ScopeAll)
+	table := tableOf(poolWorker("a", "z1"), poolWorker("b", "z1"), poolWorker("c", "z1"), poolWorker("d", "z1"))
+	table.SetPeerLoads(start, []wire.WorkerLoad{peerLoad("a", 2, 0, 10), peerLoad("b", 2, 0, 10), peerLoad("d", 2, 0, 10)}, ScopeAll)
 	for range 50 {
 		lease := table.Acquire(start, &Request{Pool: "p"})
 		if lease.Endpoint.ID != "c" {
@@ -51,10 +51,9 @@
 	}
 }
 
-// TestTheZoneIsComparedApart lets five hundred processes of one zone choose among many
-// workers of all zones, each once and unseen by the others: nearly all requests stay
-// in the zone, where there is room, without crowding a worker of it; where the zone is
-// full they go elsewhere.
+// TestZoneIsSampledSeparately lets five hundred processes of one zone choose once each among many
+// workers of all zones, without seeing each other's choices: nearly all requests stay in the zone
+// if it has free slots, and overload no worker there; if the zone is full, they go elsewhere.
 func TestTheZoneIsComparedApart(t *testing.T) {
 	const processes, zones, perZone = 500, 5, 20
 	for name, test := range map[string]struct {
@@ -101,10 +100,10 @@
 	}
 }
 
-// TestWorkersThatNothingIsKnownOfComeLast names some far workers only: others of which
-// nothing was told are not taken for idle, and are taken where there is nothing else.
+// TestUnknownLoadsComeLast names some workers of other zones only: the others, whose load is
+// unknown, must not count as idle, but are chosen if there is nothing else.
 func TestWorkersThatNothingIsKnownOfComeLast(t *testing.T) {
-	table := tableOf(listed("a", "z1"), listed("b", "z2"), listed("c", "z2"))
+	table := tableOf(poolWorker("a", "z1"), poolWorker("b", "z2"), poolWorker("c", "z2"))
 	full := func(id string) wire.WorkerLoad { return wire.WorkerLoad{Worker: loadshare.Hash(id), Online: 8} }
 	table.SetPeerLoads(start, []wire.WorkerLoad{full("a"), full("b")}, ScopeZone)
 	for range 20 {
@@ -118,16 +117,16 @@
 	if lease := table.Acquire(start, &Request{Pool: "p", Exclude: both}); lease == nil || lease.Endpoint.ID != "c" {
 		t.Error("it was not taken where there is nothing else")
 	}
-	// A worker of the zone that is not named has nothing.
+	// With ScopeZone, a worker of the zone that is not named is idle.
 	table.SetPeerLoads(start, []wire.WorkerLoad{full("b")}, ScopeZone)
 	if lease := table.Acquire(start, &Request{Pool: "p"}); lease.Endpoint.ID != "a" {
 		t.Errorf("%s was taken, a is idle", lease.Endpoint.ID)
 	}
 }
 
-// TestFreshNewsCompareNearlyAll lets processes choose one after the other, each by news of
-// just now that tell of all before it: the requests spread evenly, because nearly all
-// workers are compared.
+// TestFreshLoadsCompareNearlyAll lets processes choose one after the other, each with fresh loads
+// that include all earlier choices: the requests spread evenly, because nearly all workers are
+// compared.
 func TestFreshNewsCompareNearlyAll(t *testing.T) {
 	const workers, requests = 20, 80
 	var list []wire.PoolWorker
--- a/internal/balance/size_test.go
+++ b/internal/balance/size_test.go
@@ -13,7 +13,7 @@
 	"github.com/sedgemast/sedgemast/internal/workerset"
 )
 
-// fleetRows lists so many workers in five zones.
+// fleetRows returns count workers in five zones.
 func fleetRows(count int) []wire.PoolWorker {
 	rows := make([]wire.PoolWorker, 0, count)
 	for number := range count {
@@ -28,8 +28,8 @@
 	return table
 }
 
-// someLoads tells of so many workers with an online request each.
-func someLoads(rows []wire.PoolWorker, count int) []wire.WorkerLoad {
+// peerLoads returns loads of one online request each for count workers.
+func peerLoads(rows []wire.PoolWorker, count int) []wire.WorkerLoad {
 	loads := make([]wire.WorkerLoad, 0, count)
 	for i := range count {
 		loads = append(loads, wire.WorkerLoad{Worker: loadshare.Hash(rows[i*len(rows)/count].ID), Online: 1, Rate: 10, Step: 20_000})
@@ -37,18 +37,18 @@
 	return loads
 }
 
-// TestAChoiceLooksAtAFew counts the workers that one choice compares, and those that a plan
-// of items is told one by one, at two sizes of the fleet and with the same load.
+// TestAChoiceLooksAtAFew checks how many workers a choice compares, and how many the batch
+// planner gets one by one, at two sizes of the fleet with the same load.
 func TestAChoiceLooksAtAFew(t *testing.T) {
 	for _, count := range []int{10_000, 20_000} {
 		table := fleetTable(count)
-		if table.Acquire(start, &Request{Pool: "p"}); len(table.compared) > 2*mostCompared+homesOf {
-			t.Errorf("%d workers: %d are compared without news", count, len(table.compared))
+		if table.Acquire(start, &Request{Pool: "p"}); len(table.candidates) > 2*maxCandidates+affinityCount {
+			t.Errorf("%d workers: %d are compared without news", count, len(table.candidates))
 		}
-		table.SetPeerLoads(start, someLoads(fleetRows(count), 300), ScopeAll)
+		table.SetPeerLoads(start, peerLoads(fleetRows(count), 300), ScopeAll)
 		lease := table.Acquire(start, longPrompt("part"))
-		if lease == nil || len(table.compared) > 2*mostCompared+homesOf {
-			t.Errorf("%d workers: %d are compared", count, len(table.compared))
+		if lease == nil || len(table.candidates) > 2*maxCandidates+affinityCount {
+			t.Errorf("%d workers: %d are compared", count, len(table.candidates))
 		}
 		places := table.Workers(start, func(string) time.Duration { return time.Second })
 		if len(places.Busy) > 302 || len(places.Busy)+places.IdleWorkers != count {
@@ -60,16 +60,16 @@
 	}
 }
 
-// TestLeftWorkersAreNotChosen takes workers away by a tenth of the fleet, of all kinds: those
-// that nothing is known of, those that others told of, suspects and busy ones. None of
-// them is chosen, drawn or told of any more, and the counts are those of the list.
+// TestLeftWorkersAreNotChosen removes a tenth of the original fleet per round: idle workers,
+// workers with peer loads, suspects and busy ones. None of them may be chosen, sampled or passed
+// to the planner any more, and the counts must match the list.
 func TestLeftWorkersAreNotChosen(t *testing.T) {
 	random := rand.New(rand.NewPCG(9, 9))
 	rows := fleetRows(1000)
 	table := fleetTable(1000)
 	var leases []*Lease
 	for round := range 9 {
-		table.SetPeerLoads(start, someLoads(rows, 50), ScopeAll)
+		table.SetPeerLoads(start, peerLoads(rows, 50), ScopeAll)
 		for range 30 {
 			lease := table.Acquire(start, &Request{Pool: "p"})
 			if random.IntN(3) == 0 {
@@ -95,8 +95,8 @@
 				t.Fatalf("round %d: a worker that left is chosen", round)
 			}
 		}
-		if known := table.pools["p"]; known.usable() != len(rows) || known.slots != 8*len(rows) || len(known.ring) != len(known.near) {
-			t.Fatalf("round %d: %d workers with %d slots, %d on the ring, want %d", round, known.usable(), known.slots, len(known.ring), len(rows))
+		if known := table.pools["p"]; known.usableCount() != len(rows) || known.slots != 8*len(rows) || len(known.ring) != len(known.near) {
+			t.Fatalf("round %d: %d workers with %d slots, %d on the ring, want %d", round, known.usableCount(), known.slots, len(known.ring), len(rows))
 		}
 	}
 	for _, lease := range leases {
@@ -104,8 +104,8 @@
 	}
 }
 
-// TestItemsFindTheirGrants lets the planner grant a few of 10,000 workers: items start there,
-// as many as were granted, and nowhere else.
+// TestItemsStartWhereGranted has the planner grant items at a few of 10,000 workers: they start
+// there, as many as granted, and nowhere else.
 func TestItemsFindTheirGrants(t *testing.T) {
 	table := fleetTable(10_000)
 	planner := batchroom.New()
@@ -127,14 +127,14 @@
 	}
 }
 
-// The benchmarks state what one process pays at 100, 10,000 and 20,000 workers, with 300 of
-// them loaded where there are as many. Before, by the figures, a choice took 0.026,
-// 3.26 and 9.46 ms, one for an item 0.024, 1.98 and 3.90 ms.
+// benchmark runs action at 100, 10,000 and 20,000 workers, with up to 300 of them loaded.
+// Visiting every worker for a choice took 0.026, 3.26 and 9.46 ms, for an item 0.024, 1.98 and
+// 3.90 ms.
 func benchmark(b *testing.B, action func(b *testing.B, table *Table, count int)) {
 	for _, count := range []int{100, 10_000, 20_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			table := fleetTable(count)
-			table.SetPeerLoads(start, someLoads(fleetRows(count), min(count, 300)), ScopeAll)
+			table.SetPeerLoads(start, peerLoads(fleetRows(count), min(count, 300)), ScopeAll)
 			b.ReportAllocs()
 			b.ResetTimer()
 			action(b, table, count)
@@ -142,7 +142,7 @@
 	}
 }
 
-// BenchmarkChooseOnline is a choice for an online request with shared parts.
+// BenchmarkChooseOnline measures a choice for an online request with shared parts.
 func BenchmarkChooseOnline(b *testing.B) {
 	benchmark(b, func(b *testing.B, table *Table, _ int) {
 		demand := &Request{Pool: "p", PromptTokens: 450, Parts: []httpheader.Part{{ID: "s", Tokens: 200}, {ID: "o", Tokens: 250}}}
@@ -152,10 +152,10 @@
 	})
 }
 
-// BenchmarkChooseByTimes is the same choice by predicted times.
+// BenchmarkChooseByPredictedTime measures the same choice by predicted times.
 func BenchmarkChooseByTimes(b *testing.B) {
 	benchmark(b, func(b *testing.B, table *Table, _ int) {
-		table.scoring = byTimes
+		table.scoring = scoringPredictedTime
 		demand := &Request{Pool: "p", PromptTokens: 450, Parts: []httpheader.Part{{ID: "s", Tokens: 200}, {ID: "o", Tokens: 250}}}
 		for b.Loop() {
 			table.Acquire(start, demand).Release()
@@ -163,8 +163,7 @@
 	})
 }
 
-// BenchmarkChooseItem is a plan of the top hub for a runner with 20 items that wait, and a
-// choice by it.
+// BenchmarkChooseItem measures a plan for a runner with 20 waiting items, and one choice by it.
 func BenchmarkChooseItem(b *testing.B) {
 	benchmark(b, func(b *testing.B, table *Table, _ int) {
 		planner := batchroom.New()
@@ -176,17 +175,17 @@
 	})
 }
 
-// BenchmarkNews takes in an answer of the zone's hub with 34 rows.
+// BenchmarkNews measures SetPeerLoads with 34 rows.
 func BenchmarkNews(b *testing.B) {
 	benchmark(b, func(b *testing.B, table *Table, count int) {
-		loads := someLoads(fleetRows(count), 34)
+		loads := peerLoads(fleetRows(count), 34)
 		for b.Loop() {
 			table.SetPeerLoads(start, loads, ScopeNamed)
 		}
 	})
 }
 
-// BenchmarkUpdate takes in a list in which one worker has changed.
+// BenchmarkUpdate measures the update of a list in which one worker has changed.
 func BenchmarkUpdate(b *testing.B) {
 	benchmark(b, func(b *testing.B, table *Table, count int) {
 		set := workerset.Of(fleetRows(count))
--- a/internal/balance/table.go
+++ b/internal/balance/table.go
@@ -13,129 +13,133 @@
 	"github.com/sedgemast/sedgemast/internal/workerset"
 )
 
-// Table holds the workers of all pools. What it does for a choice, for news of loads and
-// for a change of the list grows with what these name, not with the list.
+// Table holds the workers of all pools. The cost of a choice, of peer loads and of a change of
+// the worker list depends on the number of workers that these name, not on the size of the list.
 type Table struct {
 	mutex  sync.Mutex
 	random *rand.Rand
 	zone   string
-	// set is the list taken in last.
+	// set is the worker list applied last.
 	set     *workerset.Set
 	workers map[string]*worker
 	byHash  map[uint32]*worker
 	pools   map[string]*pool
-	// memory is how many tokens a worker of a pool holds.
+	// memory is the number of tokens that a worker of each pool holds.
 	memory map[string]int64
-	// allAt and nearAt are when news last told of all workers, or of all of the zone.
-	allAt  time.Time
-	nearAt time.Time
-	// busy lists the workers that this process has something at or something to tell of,
-	// told those that others told of, ordered those with orders of the planner of items.
-	busy    []*worker
-	told    []*worker
-	ordered []*worker
-	// rest is how many online requests workers that nothing was told of answer in ten seconds.
-	rest int
-	// suspects lists those that gave this process no answer, until their time is over.
+	// allLoadsAt and zoneLoadsAt are when peer loads last covered all workers, or all of this
+	// zone.
+	allLoadsAt  time.Time
+	zoneLoadsAt time.Time
+	// busy lists the workers at which this process has requests or something to report,
+	// peerLoaded those with a peer load, withOrders those with orders of the batch planner.
+	busy       []*worker
+	peerLoaded []*worker
+	withOrders []*worker
+	// unlistedRate is the rate of online requests, per rateSeconds, of workers without a listed
+	// peer load.
+	unlistedRate int
+	// suspects lists the workers that gave this process no answer, until suspectTime has passed.
 	suspects []*worker
-	// refusals lists those at whose address another worker answered, until their time is over.
-	refusals []*worker
-	// probes holds the avoided workers to which a request may go to learn whether they are
-	// well, as the hub told at probesAt.
-	probes   []uint32
-	probesAt time.Time
-	// steps is scratch space of middleStep.
-	steps []uint32
-	// compared is scratch space of choose.
-	compared []*worker
-	// homes are the homes of the prompt that is being placed. cold is set while they count
-	// for nothing.
-	homes []*worker
-	cold  bool
-	// telling holds when a worker of a pool told its pace last, newest is the newest time that
-	// a caller has told.
-	telling map[string]time.Time
-	newest  time.Time
-	// fewer holds the listed workers that told fewer slots than the list says.
-	fewer map[*worker]bool
-	// doubts holds workers that tell other slots than the list says, until they are taken.
-	doubts []SlotMismatch
-	// scoring is how workers are compared.
+	// blocked lists the workers at whose address another worker answered, until blockTime has
+	// passed.
+	blocked []*worker
+	// probeWorkers lists the avoided workers that a request may probe, as the hub granted at
+	// probesAt.
+	probeWorkers []uint32
+	probesAt     time.Time
+	// intervalScratch is scratch space of medianInterval.
+	intervalScratch []uint32
+	// candidates are the workers that the current choice compares.
+	candidates []*worker
+	// affinity holds the affinity workers of the request being placed. coldStart is set if they
+	// must not be preferred (isColdStart).
+	affinity  []*worker
+	coldStart bool
+	// paceReportedAt is when a worker of each pool last reported its pace. latestTime is the
+	// latest time passed by a caller.
+	paceReportedAt map[string]time.Time
+	latestTime     time.Time
+	// fewerSlots is the set of listed workers that reported fewer slots than the list says.
+	fewerSlots map[*worker]bool
+	// slotMismatches holds the workers that reported other slots than the list says, until
+	// SlotMismatches returns them.
+	slotMismatches []SlotMismatch
+	// scoring selects how workers are compared.
 	scoring scoring
-	// nearOnly is set while the workers of other zones are left out of a choice.
+	// nearOnly is set while a choice excludes workers of other zones.
 	nearOnly bool
-	// acquired counts the leases ever given.
+	// acquired counts all leases given.
 	acquired uint64
-	// beganAt is when a process began to choose that may have begun with many others.
-	beganAt time.Time
+	// startedAt is when this process began to choose workers, perhaps together with many others.
+	startedAt time.Time
 }
 
-// NewTable returns an empty table of a process in the zone.
+// NewTable returns an empty table for a process in the zone.
 func NewTable(zone string, random *rand.Rand) *Table {
-	return &Table{zone: zone, random: random, workers: map[string]*worker{}, byHash: map[uint32]*worker{}, pools: map[string]*pool{}, memory: map[string]int64{}, telling: map[string]time.Time{}, fewer: map[*worker]bool{}}
+	return &Table{zone: zone, random: random, workers: map[string]*worker{}, byHash: map[uint32]*worker{}, pools: map[string]*pool{}, memory: map[string]int64{}, paceReportedAt: map[string]time.Time{}, fewerSlots: map[*worker]bool{}}
 }
 
-// Update takes in the list of workers and how many tokens the workers of each pool hold.
-// A worker that is gone from the list takes no new requests; what runs there goes on.
+// Update applies the list of workers, and the number of tokens that a worker of each pool holds.
+// A worker that is no longer listed gets no new requests; running ones continue.
 func (t *Table) Update(set *workerset.Set, memory map[string]int64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.memory = memory
-	set.Diff(t.set, t.join, t.drop)
+	set.Diff(t.set, t.addWorker, t.removeWorker)
 	t.set = set
 }
 
-// join takes in a worker that is new in the list, or listed otherwise than before.
-func (t *Table) join(row *wire.PoolWorker) {
+// addWorker applies a new or changed row of the list.
+func (t *Table) addWorker(row *wire.PoolWorker) {
 	known := t.workers[row.ID]
 	if known == nil {
 		hash := loadshare.WorkerHash(row.ID)
-		known = &worker{hash: hash, point: mix(uint64(hash))}
+		known = &worker{hash: hash, point: splitMix64(uint64(hash))}
 		t.workers[row.ID], t.byHash[hash] = known, known
 	} else {
-		t.pools[known.listed.Pool].leave(t, known)
+		t.pools[known.listed.Pool].remove(t, known)
 	}
-	if known.listed.Address != row.Address && !known.refusedUntil.IsZero() {
-		// It was another address at which another worker answered.
-		known.refused = false
+	if known.listed.Address != row.Address && !known.blockedUntil.IsZero() {
+		// Another worker answered at the old address; this one may be right.
+		known.blocked = false
 	}
-	// Leaving is final in a life: a list that lags may contradict it.
+	// Leaving is final for an incarnation, even if an outdated list says otherwise.
 	leaving := row.Leaving || known.listed.Leaving
 	known.listed = *row
 	known.listed.Leaving = leaving
-	t.noteFewer(known)
+	t.updateFewerSlots(known)
 	if t.pools[row.Pool] == nil {
 		t.pools[row.Pool] = &pool{}
 	}
 	if known.usable() {
-		t.pools[row.Pool].enter(t, known)
+		t.pools[row.Pool].add(t, known)
 	}
 }
 
-// drop takes out a worker that left the list.
-func (t *Table) drop(row *wire.PoolWorker) {
+// removeWorker removes a worker that is no longer listed.
+func (t *Table) removeWorker(row *wire.PoolWorker) {
 	known := t.workers[row.ID]
 	if known == nil {
 		return
 	}
-	t.pools[known.listed.Pool].leave(t, known)
+	t.pools[known.listed.Pool].remove(t, known)
 	delete(t.workers, row.ID)
-	delete(t.fewer, known)
+	delete(t.fewerSlots, known)
 	if t.byHash[known.hash] == known {
 		delete(t.byHash, known.hash)
 	}
-	known.refused = true
+	known.blocked = true
 }
 
-// Start takes in that this process begins to choose, as perhaps many others do that know no
-// more than it does.
+// Start records that this process begins to choose workers, perhaps together with many others
+// that have no peer loads either.
 func (t *Table) Start(now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.beganAt = now
+	t.startedAt = now
 }
 
-// AcquiredCount returns how many leases have been given so far.
+// AcquiredCount returns the number of leases given so far.
 func (t *Table) AcquiredCount() uint64 {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -153,66 +157,66 @@
 func (t *Table) Usable(pool string) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.pools[pool].usable() > 0
+	return t.pools[pool].usableCount() > 0
 }
 
-// Request describes a request to the choice.
+// Request describes a request for the choice of a worker.
 type Request struct {
 	Pool string
-	// Exclude names workers that were tried already.
+	// Exclude holds the ids of workers that were tried already.
 	Exclude map[string]bool
 	Parts   []httpheader.Part
 	// PromptTokens is the length of the prompt.
 	PromptTokens int64
-	// Batch is set for items of jobs. They start where the planner of all items
-	// lets them; while it is not heard, they take at most BatchShare hundredths of
-	// the slots.
+	// Batch is set for batch items. They start where the batch planner grants it; while the
+	// planner is unreachable they use at most BatchShare hundredths of a worker's slots.
 	Batch      bool
 	BatchShare int
-	// Repeatable is set for an online request that may run more than once. It may be sent to
-	// an avoided worker to learn whether that is well again.
+	// Repeatable is set for an online request that may run more than once. It may be sent to an
+	// avoided worker as a probe.
 	Repeatable bool
-	// NoProbe is set for an item that has failed as a probe: it may be what the workers fail at.
+	// NoProbe is set for an item that has failed as a probe: the item itself may make workers
+	// fail.
 	NoProbe bool
-	// LastWorker names the worker that an item ran at before, which it returns to if it may.
+	// LastWorker is the id of the worker at which an item ran before. It is preferred if the item
+	// may start there.
 	LastWorker string
 }
 
-// Lease is a place of a request at a worker; it must be released.
+// Lease holds a slot at a worker for a request. It must be released.
 type Lease struct {
 	Endpoint upstream.Endpoint
 	Zone     string
-	// Wait is how long the request is predicted to wait for a slot, Slow how many
-	// times as long as elsewhere the worker takes.
+	// Wait is the predicted time until the request gets a slot. Slowness is the factor by which
+	// the worker takes longer than the median of its pool.
 	Wait     time.Duration
 	Slowness float64
-	// ByPredictedTime is set where workers were compared by predicted times. Slow then is what the
-	// worker was seen to take, however near to that of the others; without it Slow is 1 below
-	// slowFrom.
+	// ByPredictedTime is set if workers were compared by predicted times. Slowness is then the
+	// measured value, however close to 1; otherwise it is 1 below slownessThreshold.
 	ByPredictedTime bool
 	table           *Table
 	worker          *worker
-	unread          int64
+	pendingTokens   int64
 	batch           bool
-	begun           bool
+	pendingCleared  bool
 	stopping        bool
 	released        bool
-	// probe is set where the worker was avoided when it was chosen, proven once it has shown
-	// that it is well.
-	probe  bool
-	proven bool
+	// probe is set if the worker was avoided when it was chosen, probeSucceeded once the request
+	// has shown that it has recovered.
+	probe          bool
+	probeSucceeded bool
 }
 
-// Acquire chooses a worker, or returns nil if there is none.
+// Acquire chooses a worker and leases a slot there. It returns nil if there is no worker.
 func (t *Table) Acquire(now time.Time, demand *Request) *Lease {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.see(now)
-	t.readmit(now)
-	t.cold = t.isCold(now)
+	t.advanceClock(now)
+	t.unblockExpired(now)
+	t.coldStart = t.isColdStart(now)
 	chosen := t.takeProbe(now, demand)
 	if chosen == nil {
-		chosen = t.lastOf(now, demand)
+		chosen = t.previousWorker(now, demand)
 	}
 	if chosen == nil {
 		chosen = t.choose(now, demand, false)
@@ -226,37 +230,37 @@
 	return t.lease(now, chosen, demand)
 }
 
-// lease gives a place at the worker to the request.
+// lease gives the request a slot at the worker.
 func (t *Table) lease(now time.Time, chosen *worker, demand *Request) *Lease {
 	lease := &Lease{
-		Wait:            t.waitAt(now, chosen),
+		Wait:            t.predictWait(now, chosen),
 		Slowness:        t.slownessOf(now, chosen),
-		ByPredictedTime: t.byTimes(chosen.listed.Pool),
+		ByPredictedTime: t.comparesByTime(chosen.listed.Pool),
 		Endpoint:        upstream.Endpoint{ID: chosen.listed.ID, Address: chosen.listed.Address},
 		Zone:            chosen.listed.Zone,
 		table:           t,
 		worker:          chosen,
 		batch:           demand.Batch,
-		unread:          demand.PromptTokens - t.cachedTokens(chosen, demand),
+		pendingTokens:   demand.PromptTokens - t.cachedTokens(chosen, demand),
 		probe:           t.failing(now, chosen),
 	}
 	if lease.probe {
-		chosen.probing++
+		chosen.activeProbes++
 	}
 	t.acquired++
-	t.occupy(chosen)
+	t.markBusy(chosen)
 	chosen.inFlight++
-	chosen.unread += lease.unread
+	chosen.pendingTokens += lease.pendingTokens
 	if demand.Batch {
 		chosen.batch++
-		chosen.starts = max(chosen.starts-1, 0)
+		chosen.startGrants = max(chosen.startGrants-1, 0)
 	}
-	chosen.remember(shared(demand.Parts))
+	chosen.recordParts(sharedPartIDs(demand.Parts))
 	return lease
 }
 
-// best returns the worker of the least cost, by lot among equals.
-func (t *Table) best(now time.Time, demand *Request, fit []*worker) *worker {
+// bestByCost returns the worker of the lowest cost, a random one among equals.
+func (t *Table) bestByCost(now time.Time, demand *Request, fit []*worker) *worker {
 	var best *worker
 	bestCost, equals := 0.0, 0
 	for _, candidate := range fit {
@@ -284,68 +288,69 @@
 	return !demand.Batch || t.admitsBatch(now, candidate, demand.BatchShare)
 }
 
-// occupy keeps the worker among those that this process has something at.
-func (t *Table) occupy(w *worker) {
+// markBusy adds the worker to the list of those at which this process has requests or something
+// to report.
+func (t *Table) markBusy(w *worker) {
 	if !w.busy {
 		w.busy = true
 		t.busy = append(t.busy, w)
 	}
 }
 
-// suspect takes in that the worker gave no answer.
+// suspect records that the worker gave no answer.
 func (t *Table) suspect(now time.Time, w *worker) {
-	t.suspected(now)
+	t.currentSuspects(now)
 	if w.suspectUntil.IsZero() {
 		t.suspects = append(t.suspects, w)
 	}
 	w.suspectUntil = now.Add(suspectTime)
 }
 
-// refuse takes in that another worker is at the address.
-func (t *Table) refuse(now time.Time, w *worker) {
-	if !w.refused {
-		t.refusals = append(t.refusals, w)
+// block excludes the worker from new requests, because another worker answered at its address.
+func (t *Table) block(now time.Time, w *worker) {
+	if !w.blocked {
+		t.blocked = append(t.blocked, w)
 	}
-	w.refused, w.refusedUntil = true, now.Add(refusedTime)
+	w.blocked, w.blockedUntil = true, now.Add(blockTime)
 	if known := t.pools[w.listed.Pool]; known != nil {
-		known.leave(t, w)
+		known.remove(t, w)
 	}
 }
 
-// readmit lets those that were refused a while ago be chosen again.
-func (t *Table) readmit(now time.Time) {
-	if len(t.refusals) == 0 {
+// unblockExpired makes workers available again once their blocking time has passed.
+func (t *Table) unblockExpired(now time.Time) {
+	if len(t.blocked) == 0 {
 		return
 	}
-	t.refusals = slices.DeleteFunc(t.refusals, func(w *worker) bool {
-		if now.Before(w.refusedUntil) {
+	t.blocked = slices.DeleteFunc(t.blocked, func(w *worker) bool {
+		if now.Before(w.blockedUntil) {
 			return false
 		}
-		if !w.gone(t) {
-			w.refused = false
-			if w.usable() && !w.entered {
-				t.pools[w.listed.Pool].enter(t, w)
+		if !w.unlisted(t) {
+			w.blocked = false
+			if w.usable() && !w.inGroup {
+				t.pools[w.listed.Pool].add(t, w)
 			}
 		}
 		return true
 	})
 }
 
-// RecordPrefill takes in that the worker has read the prompt.
+// RecordPrefill records that the worker has processed the prompt.
 func (l *Lease) RecordPrefill() {
 	l.table.mutex.Lock()
 	defer l.table.mutex.Unlock()
-	l.begin()
+	l.clearPending()
 }
 
-func (l *Lease) begin() {
-	if !l.begun {
-		l.begun = true
-		l.worker.unread -= l.unread
+func (l *Lease) clearPending() {
+	if !l.pendingCleared {
+		l.pendingCleared = true
+		l.worker.pendingTokens -= l.pendingTokens
 	}
 }
 
-// Release gives the place back.
+// Release gives the slot back.
 func (l *Lease) Release() {
 	l.table.mutex.Lock()
 	defer l.table.mutex.Unlock()
@@ -353,7 +358,7 @@
 		return
 	}
 	l.released = true
-	l.begin()
+	l.clearPending()
 	l.worker.inFlight--
 	if l.batch {
 		l.worker.batch--
@@ -362,39 +367,39 @@
 		l.worker.stopping--
 	}
 	if l.probe {
-		l.worker.probing--
+		l.worker.activeProbes--
 	}
 }
 
-// ShouldStop reports whether the item is to stop as one of those that the planner of all
-// items wants stopped. It is about to give its place back then.
+// ShouldStop reports whether the item is to stop to meet the batch planner's order. If so, the
+// caller must stop it and release the lease.
 func (l *Lease) ShouldStop() bool {
 	l.table.mutex.Lock()
 	defer l.table.mutex.Unlock()
-	if l.released || l.stopping || l.worker.stops == 0 {
+	if l.released || l.stopping || l.worker.pendingStops == 0 {
 		return false
 	}
 	l.stopping = true
 	l.worker.stopping++
-	l.worker.stops--
+	l.worker.pendingStops--
 	return true
 }
 
-// RecordNoAnswer takes in that the worker gave no answer.
+// RecordNoAnswer records that the worker gave no answer.
 func (l *Lease) RecordNoAnswer(now time.Time) {
 	l.table.mutex.Lock()
 	defer l.table.mutex.Unlock()
 	l.table.suspect(now, l.worker)
-	l.table.occupy(l.worker)
+	l.table.markBusy(l.worker)
 	l.worker.failed++
 	if l.probe {
-		l.worker.silent++
+		l.worker.unansweredProbes++
 	}
 }
 
-// RecordWrongWorker takes in that another worker is at the address.
+// RecordWrongWorker records that another worker answered at the address.
 func (l *Lease) RecordWrongWorker(now time.Time) {
 	l.table.mutex.Lock()
 	defer l.table.mutex.Unlock()
-	l.table.refuse(now, l.worker)
+	l.table.block(now, l.worker)
 }
--- a/internal/balance/times.go
+++ b/internal/balance/times.go
@@ -8,85 +8,86 @@
 	"github.com/sedgemast/sedgemast/internal/loadshare"
 )
 
-// scoring is how workers are compared.
+// scoring selects how workers are compared.
 type scoring uint8
 
 const (
-	// byCostUnlessTold compares by cost, and by predicted times where the workers tell their
-	// pace. All processes do. The others are what tests compare it with.
-	byCostUnlessTold scoring = iota
-	byCost
-	byTimes
-	// byFreeAt compares by the time to a slot alone.
-	byFreeAt
+	// scoringAuto compares by cost, or by predicted times if the workers of the pool report their
+	// pace. All processes use it; tests compare it with the others.
+	scoringAuto scoring = iota
+	scoringCost
+	scoringPredictedTime
+	// scoringWait compares only by the time until a slot is free.
+	scoringWait
 )
 
 const (
-	// giveWay is how long an item takes to give way: until the next report of its runner and
-	// its next look.
-	giveWay = 3 * loadshare.Interval / 2
-	// holdWeight is what the slot-time that a request takes weighs against the time that its
-	// caller waits: a slower worker is taken before the last slot of a faster one.
+	// preemptionTime is how long the preemption of an item takes: until the next report of its
+	// runner and the runner's next poll.
+	preemptionTime = 3 * loadshare.Interval / 2
+	// holdWeight is the weight of the slot time that a request uses, relative to the waiting time
+	// of its caller. It is high enough that a slower worker is chosen before the last slot of a
+	// faster one.
 	holdWeight = 0.05
-	// waitWeight is what a predicted wait weighs against a time that is known: it is a mean, of
-	// waits from nothing to several times as much.
+	// waitWeight is the weight of a predicted wait relative to a known time. The prediction is
+	// the mean of waits from zero to several times its value.
 	waitWeight = 3
-	// leastSpare is how many slots some worker of a zone must have left beside the request for
-	// the zone to have one to spare: its last one may be taken by a request that nobody has told
-	// of yet. Workers of one slot have none to leave. A zone without one sends to one with
-	// it, so two never send to each other.
-	leastSpare = 1
-	// unknownHold stands in for how long a request holds a slot until that is known, so that
-	// counts are compared meanwhile.
-	unknownHold = time.Second
-	// thousand is the number of tokens that the time to read them is told for.
-	thousand = 1000
-	// zonePrice is what another zone costs, in time. It counts only where the own zone has no
-	// slot to spare, and then says that a little waiting is better than the bytes.
-	zonePrice = 20 * time.Millisecond
+	// minSpareSlots is the number of slots that some worker of a zone must have left after the
+	// request for the zone to have spare slots: the last one may be taken by a request that is
+	// not reported yet. Workers with one slot need none left. Only a zone without spare slots
+	// sends requests to one with them, so no two zones send to each other.
+	minSpareSlots = 1
+	// defaultHoldTime is assumed until a pool's hold time is known, so that workers are compared
+	// by request counts meanwhile.
+	defaultHoldTime = time.Second
+	// prefillUnit is the number of tokens that capacity.Pool.PrefillTime refers to.
+	prefillUnit = 1000
+	// zoneTimePenalty is the cost of a worker in another zone. It applies only if this zone has
+	// no spare slots, where a short wait is still better than traffic between zones.
+	zoneTimePenalty = 20 * time.Millisecond
 )
 
-// soonest returns the worker of the least score, by lot among equals: one of the zone where
-// any of these has a slot to spare, whatever idles elsewhere.
-func (t *Table) soonest(now time.Time, known *pool, demand *Request, fit []*worker) *worker {
-	usual := t.usualOf(known, demand)
-	near := t.bestOf(now, demand, usual, fit, 0)
+// bestByTime returns the worker of the lowest score, a random one among equals. It is a worker of
+// this zone if any of these has a spare slot, even if other zones have idle workers.
+func (t *Table) bestByTime(now time.Time, known *pool, demand *Request, fit []*worker) *worker {
+	usual := t.poolModel(known, demand)
+	near := t.bestInZones(now, demand, usual, fit, 0)
 	if near.spare {
 		return near.best
 	}
-	far := t.bestOf(now, demand, usual, fit, 1)
+	far := t.bestInZones(now, demand, usual, fit, 1)
 	switch {
 	case near.best == nil:
 		return far.best
-	case far.spare && far.score+zonePrice.Seconds() < near.score:
+	case far.spare && far.score+zoneTimePenalty.Seconds() < near.score:
 		return far.best
 	}
 	return near.best
 }
 
-// bestOf returns the best worker of the zone, or of the others.
-func (t *Table) bestOf(now time.Time, demand *Request, usual capacity.Pool, fit []*worker, away int) scored {
-	var best scored
+// bestInZones returns the best worker of this zone (distance 0) or of the others (distance 1).
+func (t *Table) bestInZones(now time.Time, demand *Request, usual capacity.Pool, fit []*worker, away int) bestWorker {
+	var best bestWorker
 	for _, candidate := range fit {
-		if t.away(candidate) != away {
+		if t.zoneDistance(candidate) != away {
 			continue
 		}
 		prediction, score := t.score(now, candidate, usual, demand)
-		best.take(t, candidate, score, prediction.FreeSlots >= min(leastSpare, max(t.slotsOf(candidate), 1)-1))
+		best.consider(t, candidate, score, prediction.FreeSlots >= min(minSpareSlots, max(t.effectiveSlots(candidate), 1)-1))
 	}
 	return best
 }
 
-// scored is the best worker of some.
-type scored struct {
+// bestWorker accumulates the best of a series of workers.
+type bestWorker struct {
 	best   *worker
 	score  float64
 	equals int
-	// spare is set where any of them has a slot to spare (leastSpare).
+	// spare is set if any of the workers has a spare slot (minSpareSlots).
 	spare bool
 }
 
-func (s *scored) take(t *Table, candidate *worker, score float64, spare bool) {
+func (s *bestWorker) consider(t *Table, candidate *worker, score float64, spare bool) {
 	s.spare = s.spare || spare
 	switch {
 	case s.best == nil || score < s.score-tieMargin:
@@ -99,11 +100,11 @@
 	}
 }
 
-// score rates a worker, the lower the better, in seconds.
+// score rates a worker, in seconds; lower is better.
 func (t *Table) score(now time.Time, candidate *worker, usual capacity.Pool, demand *Request) (capacity.Prediction, float64) {
-	model := t.modelOf(now, candidate)
+	model := t.workerModel(now, candidate)
 	prediction := model.Predict(usual, demand.PromptTokens-t.cachedTokens(candidate, demand))
-	if t.scoring == byFreeAt {
+	if t.scoring == scoringWait {
 		return prediction, prediction.Wait.Seconds()
 	}
 	score := (prediction.FirstEvent - prediction.Wait).Seconds() + waitWeight*max(prediction.Wait, prediction.RiskAdjustedWait).Seconds()
@@ -111,32 +112,32 @@
 	return prediction, score
 }
 
-// usualOf returns what requests of the pool take at a worker of the middle speed.
-func (t *Table) usualOf(known *pool, demand *Request) capacity.Pool {
-	hold := known.usualHold()
+// poolModel returns what a request of the pool takes at a worker of median speed.
+func (t *Table) poolModel(known *pool, demand *Request) capacity.Pool {
+	hold := known.normalHoldTime()
 	if hold == 0 {
-		hold = unknownHold
+		hold = defaultHoldTime
 	}
-	read := float64(hold) * thousand / (float64(t.memoryOf(demand.Pool)) * unreadShare)
-	return capacity.Pool{HoldTime: hold, EventInterval: known.middle, PrefillTime: time.Duration(math.Min(read, float64(time.Second))), PreemptionTime: giveWay}
+	read := float64(hold) * prefillUnit / (float64(t.memoryOf(demand.Pool)) * pendingTokensShare)
+	return capacity.Pool{HoldTime: hold, EventInterval: known.medianInterval, PrefillTime: time.Duration(math.Min(read, float64(time.Second))), PreemptionTime: preemptionTime}
 }
 
-// usualHold returns how long an online request holds a slot at a worker of the middle speed,
-// zero if unknown. What is learnt is the hold at the mean of those that run them.
-func (p *pool) usualHold() time.Duration {
-	return time.Duration(float64(p.hold) * p.nearSum.Plus(p.farSum).Speed())
+// normalHoldTime returns how long an online request holds a slot at a worker of median speed,
+// zero if unknown. The measured hold time is that at the mean speed of the workers.
+func (p *pool) normalHoldTime() time.Duration {
+	return time.Duration(float64(p.holdTime) * p.nearSum.Plus(p.farSum).Speed())
 }
 
-// modelOf returns what is known of a worker.
-func (t *Table) modelOf(now time.Time, w *worker) capacity.Worker {
+// workerModel returns what is known of a worker.
+func (t *Table) workerModel(now time.Time, w *worker) capacity.Worker {
 	model := capacity.Worker{
-		Slots:               t.slotsOf(w),
-		Online:              w.inFlight - w.batch + t.orphaned(now, w),
+		Slots:               t.effectiveSlots(w),
+		Online:              w.inFlight - w.batch + t.orphansAt(now, w),
 		Items:               w.batch,
-		PendingPromptTokens: w.unread,
-		Slowness:            w.slownessNow(now),
+		PendingPromptTokens: w.pendingTokens,
+		Slowness:            w.decayedSlowness(now),
 	}
-	if others, known := t.toldByOthers(now, w); known {
+	if others, known := t.peerLoadOf(now, w); known {
 		model.Online += int(others.Online)
 		model.Items += int(others.Batch)
 		model.PendingPromptTokens += int64(others.Unread)
@@ -144,58 +145,57 @@
 	return model
 }
 
-// slotsOf returns how many requests a worker runs at once: by the list, and by what it told
-// where its pool tells its pace.
-func (t *Table) slotsOf(w *worker) int {
-	if !t.tellsPace(w.listed.Pool) {
+// effectiveSlots returns how many requests a worker runs at once: the listed slots, limited to
+// the reported ones if workers of its pool report their pace.
+func (t *Table) effectiveSlots(w *worker) int {
+	if !t.poolReportsPace(w.listed.Pool) {
 		return w.listed.Slots
 	}
-	return capacity.EffectiveSlots(w.listed.Slots, w.toldSlots)
+	return capacity.EffectiveSlots(w.listed.Slots, w.reportedSlots)
 }
 
-// slownessOf returns how many times as long as elsewhere an event takes at the worker, as the
-// scoring of its pool sees it.
+// slownessOf returns the worker's slowness as the scoring of its pool uses it.
 func (t *Table) slownessOf(now time.Time, w *worker) float64 {
-	if t.byTimes(w.listed.Pool) {
-		return capacity.ClampSlowness(w.slownessNow(now))
+	if t.comparesByTime(w.listed.Pool) {
+		return capacity.ClampSlowness(w.decayedSlowness(now))
 	}
-	return w.slowness(now)
+	return w.thresholdedSlowness(now)
 }
 
-// holdAt returns how long an online request holds a slot at the worker, zero if unknown.
-func (t *Table) holdAt(now time.Time, w *worker) time.Duration {
-	hold := t.holdOf(w)
-	if t.byTimes(w.listed.Pool) {
-		hold = t.pools[w.listed.Pool].usualHold()
+// holdTimeAt returns how long an online request holds a slot at the worker, zero if unknown.
+func (t *Table) holdTimeAt(now time.Time, w *worker) time.Duration {
+	hold := t.holdTimeOf(w)
+	if t.comparesByTime(w.listed.Pool) {
+		hold = t.pools[w.listed.Pool].normalHoldTime()
 	}
 	return time.Duration(float64(hold) * t.slownessOf(now, w))
 }
 
-// sumUp adds up what the pool's workers can carry. Those that nothing is known of are of the
-// middle speed.
-func (t *Table) sumUp(now time.Time, known *pool, active []*worker) {
+// updateCapacity sums up the capacity of the pool's workers. Workers without measurements count
+// with median speed.
+func (t *Table) updateCapacity(now time.Time, known *pool, active []*worker) {
 	known.nearSum = capacity.Sum{Slots: known.nearSlots, NormalizedSlots: float64(known.nearSlots), AsOf: now}
 	far := known.slots - known.nearSlots
 	known.farSum = capacity.Sum{Slots: far, NormalizedSlots: float64(far), AsOf: now}
 	for _, candidate := range active {
-		if !candidate.entered {
+		if !candidate.inGroup {
 			continue
 		}
 		sum := &known.farSum
-		if t.away(candidate) == 0 {
+		if t.zoneDistance(candidate) == 0 {
 			sum = &known.nearSum
 		}
 		slots := candidate.listed.Slots
 		sum.Slots -= slots
 		sum.NormalizedSlots -= float64(slots)
-		if !candidate.others.Failing && !now.Before(candidate.suspectUntil) {
-			sum.Add(t.slotsOf(candidate), candidate.slownessNow(now))
+		if !candidate.peerLoad.Failing && !now.Before(candidate.suspectUntil) {
+			sum.Add(t.effectiveSlots(candidate), candidate.decayedSlowness(now))
 		}
 	}
 }
 
-// Capacity returns what the usable workers of the pool can carry, those of this process's zone
-// and those of the others.
+// Capacity returns the capacity of the pool's usable workers in this process's zone and in all
+// other zones.
 func (t *Table) Capacity(pool string) (near, far capacity.Sum) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/balance/told.go
+++ b/internal/balance/told.go
@@ -2,59 +2,60 @@
 
 import "github.com/sedgemast/sedgemast/internal/capacity"
 
-// SlotMismatch is a worker that tells other slots than the list says.
+// SlotMismatch is a worker that reports another number of slots than the list says.
 type SlotMismatch struct {
 	Worker   string
 	Listed   int
 	Reported int
 }
 
-// mostDoubts bounds the doubts that are kept for who writes them down.
-const mostDoubts = 64
+// maxSlotMismatches bounds the mismatches kept until the caller logs them.
+const maxSlotMismatches = 64
 
-// takeReport takes in what a worker told of itself. Of its slots the smaller count is believed:
-// one that promises more than the list says would queue what it can't run.
-func (t *Table) takeReport(w *worker, told capacity.Report) {
+// applyReport applies what a worker reported about itself. The smaller of listed and reported
+// slots is used: a worker that reports more than it is listed with would queue what it can't run.
+func (t *Table) applyReport(w *worker, told capacity.Report) {
 	if told.Pace > 0 {
-		t.telling[w.listed.Pool] = t.newest
+		t.paceReportedAt[w.listed.Pool] = t.latestTime
 	}
-	if told.Slots <= 0 || told.Slots == w.toldSlots || told.Running > told.Slots {
-		// It tells none, nothing new, or fewer than it runs.
+	if told.Slots <= 0 || told.Slots == w.reportedSlots || told.Running > told.Slots {
+		// The report has no slots, nothing new, or fewer slots than running requests.
 		return
 	}
-	w.toldSlots = told.Slots
-	if !w.gone(t) {
-		t.noteFewer(w)
+	w.reportedSlots = told.Slots
+	if !w.unlisted(t) {
+		t.updateFewerSlots(w)
 	}
-	if told.Slots != w.listed.Slots && !w.doubted && len(t.doubts) < mostDoubts {
-		w.doubted = true
-		t.doubts = append(t.doubts, SlotMismatch{Worker: w.listed.ID, Listed: w.listed.Slots, Reported: told.Slots})
+	if told.Slots != w.listed.Slots && !w.mismatchReported && len(t.slotMismatches) < maxSlotMismatches {
+		w.mismatchReported = true
+		t.slotMismatches = append(t.slotMismatches, SlotMismatch{Worker: w.listed.ID, Listed: w.listed.Slots, Reported: told.Slots})
 	}
 }
 
-// noteFewer keeps the worker among those that told fewer slots than the list says, or drops it.
-func (t *Table) noteFewer(w *worker) {
-	if w.toldSlots > 0 && w.toldSlots < w.listed.Slots {
-		t.fewer[w] = true
+// updateFewerSlots updates whether the worker is in the set of those with fewer reported than
+// listed slots.
+func (t *Table) updateFewerSlots(w *worker) {
+	if w.reportedSlots > 0 && w.reportedSlots < w.listed.Slots {
+		t.fewerSlots[w] = true
 		return
 	}
-	delete(t.fewer, w)
+	delete(t.fewerSlots, w)
 }
 
-// SlotMismatches returns the workers found since the last call to tell other slots than the list says,
-// each once.
+// SlotMismatches returns the workers found since the last call to report another number of slots
+// than the list says, each worker once.
 func (t *Table) SlotMismatches() []SlotMismatch {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	doubts := t.doubts
-	t.doubts = nil
+	doubts := t.slotMismatches
+	t.slotMismatches = nil
 	return doubts
 }
 
-// ReportsPace reports whether workers of the pool tell their pace: one did within the last
-// minute, as far as the table has been told the time.
+// ReportsPace reports whether workers of the pool report their pace: one did within paceTTL
+// before the latest time that the table was given.
 func (t *Table) ReportsPace(pool string) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.tellsPace(pool)
+	return t.poolReportsPace(pool)
 }
--- a/internal/balance/uneven_test.go
+++ b/internal/balance/uneven_test.go
@@ -14,126 +14,125 @@
 	"github.com/sedgemast/sedgemast/internal/workerset"
 )
 
-// The fleet that the tests of uneven workers play: what a request takes at a worker of speed
-// one, and by when its first event is in time.
+// Costs of a request in the simulated fleet, at a worker of speed 1, and the limit for its first
+// event to count as in time.
 const (
-	unevenRead   = 20 * time.Millisecond
-	unevenEvent  = 36 * time.Millisecond
-	unevenEvents = 20
-	unevenGoal   = 250 * time.Millisecond
-	unevenStep   = 2 * time.Millisecond
-	// inZone is what a message takes within a zone, across what one takes to another zone.
+	unevenPrefill = 20 * time.Millisecond
+	unevenEvent   = 36 * time.Millisecond
+	unevenEvents  = 20
+	unevenGoal    = 250 * time.Millisecond
+	unevenStep    = 2 * time.Millisecond
+	// inZone is the transit time of a message within a zone, across that between zones.
 	inZone = time.Millisecond
 	across = 25 * time.Millisecond
-	// spellFrom and spellTo bound a spell, spellTimes is how much slower the worker is then.
-	spellFrom  = 90 * time.Millisecond
-	spellTo    = 600 * time.Millisecond
-	spellTimes = 2.5
-	// unevenPatience is how long a silent worker is waited for.
-	unevenPatience = 3 * unevenGoal
+	// minSpell and maxSpell bound the duration of a slow spell of a worker, spellSlowdown is the
+	// factor by which the worker is slower in it.
+	minSpell      = 90 * time.Millisecond
+	maxSpell      = 600 * time.Millisecond
+	spellSlowdown = 2.5
+	// unevenTimeout is how long to wait for the first event of a request.
+	unevenTimeout = 3 * unevenGoal
 )
 
-// unevenPlan is a play.
-type unevenPlan struct {
+// unevenScenario describes a simulation run.
+type unevenScenario struct {
 	workers, slots int
-	// slowPart is the part of the workers, one in so many, of slowSpeed; zero for none.
+	// One of slowPart workers has slowSpeed; zero means none.
 	slowPart  int
 	slowSpeed float64
-	// spellPart is the part of the time that a worker spends in spells.
+	// spellPart is the fraction of time that a worker spends in slow spells.
 	spellPart float64
 	edges     int
-	// demand is how many requests come a second in each zone in the mean, waves how many
-	// waves come.
+	// demand is the mean number of requests per second in each zone, waves the number of waves.
 	demand []float64
 	waves  int
-	// tells is set where workers tell their slots and pace, pace changes what they tell.
-	tells bool
-	pace  func(f *unevenFleet, w *unevenWorker) int
-	// items is set where items of jobs fill the slots that idle, and give way where requests
-	// queue.
+	// reportPace is set if workers report their slots and pace. pace overrides the reported pace.
+	reportPace bool
+	pace       func(f *unevenFleet, w *unevenWorker) int
+	// items is set if batch items fill idle slots, and are preempted where requests queue.
 	items bool
-	// at holds what befalls the fleet.
-	at map[time.Duration]func(f *unevenFleet)
-	// scoring is how workers are compared.
+	// faults are changes to the fleet by the time of their occurrence.
+	faults map[time.Duration]func(f *unevenFleet)
+	// scoring selects how workers are compared.
 	scoring scoring
 }
 
-// fourZones is the play of the standing goals.
-func fourZones() unevenPlan {
-	return unevenPlan{workers: 72, slots: 8, slowPart: 4, slowSpeed: 0.55, spellPart: 0.15, edges: 67, demand: []float64{92, 82, 64, 63}, waves: 3}
+// fourZones returns the scenario of the project's goals.
+func fourZones() unevenScenario {
+	return unevenScenario{workers: 72, slots: 8, slowPart: 4, slowSpeed: 0.55, spellPart: 0.15, edges: 67, demand: []float64{92, 82, 64, 63}, waves: 3}
 }
 
-// unevenRequest is a request, from its coming to its last event.
+// unevenRequest is a request from its arrival to its last event.
 type unevenRequest struct {
-	edge  int
-	came  time.Duration
-	lease *Lease
-	// left is the work that is left, in time at a worker of speed one, events the events
-	// that came, lastAt when the last one came.
-	left   time.Duration
-	events int
-	lastAt time.Duration
-	// waited is how long it queued at the worker.
-	waited time.Duration
-	at     time.Duration
-	// tried names the workers that kept silent.
+	edge      int
+	arrivedAt time.Duration
+	lease     *Lease
+	// remainingWork is the remaining time at a worker of speed 1, events the number of events so
+	// far, lastAt the time of the last one.
+	remainingWork time.Duration
+	events        int
+	lastAt        time.Duration
+	// waited is how long the request queued at the worker, which it reached at queuedAt.
+	waited   time.Duration
+	queuedAt time.Duration
+	// tried holds the ids of the workers that timed out.
 	tried map[string]bool
 }
 
 type unevenWorker struct {
-	id     string
-	zone   int
-	speed  float64
-	frozen bool
-	slow   bool
-	turns  time.Duration
-	// items counts those that run, stopping those of them that are about to stop.
+	id            string
+	zone          int
+	speed         float64
+	frozen        bool
+	slow          bool
+	spellChangeAt time.Duration
+	// items counts the running batch items, stopping those of them that are about to stop.
 	items, stopping int
 	running         []*unevenRequest
 	queue           []*unevenRequest
-	// got counts the requests that came in waves, and room is the work that a slot could do in
-	// these, in seconds.
-	got  int
-	room float64
+	// got counts the requests received during waves. potentialWork is the work that one slot
+	// could do during waves, in seconds.
+	got           int
+	potentialWork float64
 }
 
-// unevenFleet is edges, hubs and workers in virtual time.
+// unevenFleet simulates edges, hubs and workers in virtual time.
 type unevenFleet struct {
-	plan    unevenPlan
-	arrival *rand.Rand
-	random  *rand.Rand
-	now     time.Duration
-	events  waveEvents
-	number  int
-	tables  []*Table
-	zones   []int
-	hubs    []*loadshare.Hub
-	top     *loadshare.Hub
-	zoneOf  map[uint32]string
-	rows    []wire.PoolWorker
-	workers []*unevenWorker
-	byID    map[string]*unevenWorker
-	// newsStop is set while no news go anywhere, cut names a zone that hears nothing of the
-	// others.
-	newsStop bool
-	cut      int
-	// counts of the play; stopped counts the items that gave way.
-	stopped                     int
-	came, inTime, crossed, lost int
-	byZone, inTimeByZone        []int
-	// idled is the sum over the moments of waves of the slots that idled while as many
-	// requests queued elsewhere, moments counts these.
+	scenario unevenScenario
+	arrival  *rand.Rand
+	random   *rand.Rand
+	now      time.Duration
+	events   waveEvents
+	number   int
+	tables   []*Table
+	zones    []int
+	hubs     []*loadshare.Hub
+	top      *loadshare.Hub
+	zoneOf   map[uint32]string
+	rows     []wire.PoolWorker
+	workers  []*unevenWorker
+	byID     map[string]*unevenWorker
+	// updatesStopped is set while no reports or updates are delivered. cutOffZone is a zone
+	// without connection to the others, -1 for none.
+	updatesStopped bool
+	cutOffZone     int
+	// Counts of the run; stopped counts preempted items.
+	stopped                         int
+	requests, inTime, crossed, lost int
+	byZone, inTimeByZone            []int
+	// idled sums up, over all steps in waves, the idle slots for which as many requests queued at
+	// other workers. queued sums up the queued requests, and moments counts the steps.
 	idled, queued, moments int
-	// sent counts requests from zone to zone.
+	// sent counts requests by zone of origin and zone of the worker.
 	sent map[[2]int]int
-	// whole is the sum of the times to the last events.
-	whole time.Duration
-	// log is told of each choice.
-	log func(f *unevenFleet, w *unevenWorker, r *unevenRequest)
+	// totalTime is the sum of the times from arrival to last event.
+	totalTime time.Duration
+	// onChoice is called for each choice.
+	onChoice func(f *unevenFleet, w *unevenWorker, r *unevenRequest)
 }
 
-func newUnevenFleet(plan unevenPlan, seed uint64) *unevenFleet {
-	f := &unevenFleet{plan: plan, arrival: rand.New(rand.NewPCG(seed, 2)), random: rand.New(rand.NewPCG(seed, 1)), top: loadshare.NewHub(), zoneOf: map[uint32]string{}, byID: map[string]*unevenWorker{}, cut: -1, sent: map[[2]int]int{}}
+func newUnevenFleet(plan unevenScenario, seed uint64) *unevenFleet {
+	f := &unevenFleet{scenario: plan, arrival: rand.New(rand.NewPCG(seed, 2)), random: rand.New(rand.NewPCG(seed, 1)), top: loadshare.NewHub(), zoneOf: map[uint32]string{}, byID: map[string]*unevenWorker{}, cutOffZone: -1, sent: map[[2]int]int{}}
 	zones := len(plan.demand)
 	f.byZone, f.inTimeByZone = make([]int, zones), make([]int, zones)
 	var rows []wire.PoolWorker
@@ -169,11 +168,12 @@
 
 func (f *unevenFleet) clock() time.Time { return start.Add(f.now) }
 
-// tell is an edge's report; answer is set where it is answered.
-func (f *unevenFleet) tell(edge int, answer bool, then func()) {
+// report sends an edge's load report. If answer is set, the hub's answer is applied before then
+// is called.
+func (f *unevenFleet) report(edge int, answer bool, then func()) {
 	zone, table := f.zones[edge], f.tables[edge]
 	report := &wire.LoadReport{Source: uint32(edge + 1), Proofs: table.ProbeResults(), Workers: table.Loads()}
-	if f.newsStop {
+	if f.updatesStopped {
 		f.after(2*inZone, then)
 		return
 	}
@@ -195,10 +195,10 @@
 	})
 }
 
-// sum tells the top hub the sums over a zone, and the zone what the others have.
-func (f *unevenFleet) sum(zone int) {
-	f.after(loadshare.Interval, func() { f.sum(zone) })
-	if f.newsStop || f.cut == zone {
+// exchangeSums sends a zone's sums to the top hub, and the loads of the other zones back.
+func (f *unevenFleet) exchangeSums(zone int) {
+	f.after(loadshare.Interval, func() { f.exchangeSums(zone) })
+	if f.updatesStopped || f.cutOffZone == zone {
 		return
 	}
 	name := uint32(1000 + zone)
@@ -214,36 +214,36 @@
 	})
 }
 
-// request lets a request come to an edge.
+// request simulates the arrival of a request at an edge.
 func (f *unevenFleet) request(edge int) {
-	r := &unevenRequest{edge: edge, came: f.now, left: unevenRead + unevenEvents*unevenEvent}
-	f.came++
+	r := &unevenRequest{edge: edge, arrivedAt: f.now, remainingWork: unevenPrefill + unevenEvents*unevenEvent}
+	f.requests++
 	f.byZone[f.zones[edge]]++
-	f.tell(edge, true, func() { f.place(r) })
+	f.report(edge, true, func() { f.place(r) })
 }
 
 func (f *unevenFleet) place(r *unevenRequest) {
 	r.lease = f.tables[r.edge].Acquire(f.clock(), &Request{Pool: "p", PromptTokens: 200, Exclude: r.tried})
-	f.tell(r.edge, false, nil)
+	f.report(r.edge, false, nil)
 	w, trip := f.byID[r.lease.Endpoint.ID], inZone
 	f.sent[[2]int{f.zones[r.edge], w.zone}]++
 	if w.zone != f.zones[r.edge] {
 		f.crossed++
 		trip = across
 	}
-	if f.log != nil {
-		f.log(f, w, r)
+	if f.onChoice != nil {
+		f.onChoice(f, w, r)
 	}
 	lease := r.lease
-	f.after(unevenPatience, func() { f.giveUp(w, r, lease) })
+	f.after(unevenTimeout, func() { f.retryElsewhere(w, r, lease) })
 	f.after(trip, func() {
 		w.queue = append(w.queue, r)
-		r.at = f.now
+		r.queuedAt = f.now
 		running, waiting := len(w.running), len(w.queue)
-		if f.plan.tells {
+		if f.scenario.reportPace {
 			pace := f.paceOf(w)
 			f.after(trip, func() {
-				r.lease.ApplyReport(capacity.Report{Running: running, Waiting: waiting, Slots: f.plan.slots, Pace: pace})
+				r.lease.ApplyReport(capacity.Report{Running: running, Waiting: waiting, Slots: f.scenario.slots, Pace: pace})
 			})
 		}
 		if f.wave() {
@@ -252,8 +252,8 @@
 	})
 }
 
-// giveUp tries a request elsewhere that brought no event.
-func (f *unevenFleet) giveUp(w *unevenWorker, r *unevenRequest, lease *Lease) {
+// retryElsewhere moves a request without any event to another worker after the timeout.
+func (f *unevenFleet) retryElsewhere(w *unevenWorker, r *unevenRequest, lease *Lease) {
 	if r.events > 0 || r.lease != lease {
 		return
 	}
@@ -266,12 +266,12 @@
 		r.tried = map[string]bool{}
 	}
 	r.tried[w.id] = true
-	r.left = unevenRead + unevenEvents*unevenEvent
+	r.remainingWork = unevenPrefill + unevenEvents*unevenEvent
 	f.place(r)
 }
 
-// leave lets every third worker of the zone leave.
-func (f *unevenFleet) leave(zone int) {
+// removeThird marks every third worker of the zone as leaving.
+func (f *unevenFleet) removeThird(zone int) {
 	rows, seen := slices.Clone(f.rows), 0
 	for i, w := range f.workers {
 		if w.zone == zone {
@@ -285,58 +285,58 @@
 	}
 }
 
-// paceOf is what a worker tells of its pace.
+// paceOf returns the pace that a worker reports.
 func (f *unevenFleet) paceOf(w *unevenWorker) int {
-	if f.plan.pace != nil {
-		return f.plan.pace(f, w)
+	if f.scenario.pace != nil {
+		return f.scenario.pace(f, w)
 	}
 	if w.slow {
-		return int(100 * spellTimes)
+		return int(100 * spellSlowdown)
 	}
 	return 100
 }
 
-// wave reports whether a wave is under way.
-func (f *unevenFleet) wave() bool { return f.now%wavePeriod > wavePeriod-waveLength }
+// wave reports whether a wave is in progress.
+func (f *unevenFleet) wave() bool { return f.now%wavePeriod > wavePeriod-waveDuration }
 
 func (f *unevenFleet) arrivals(zone int) {
-	times := calmTimes
+	times := lowFactor
 	if f.wave() {
-		times = waveTimes
+		times = waveFactor
 	}
-	f.after(time.Duration(f.arrival.ExpFloat64()/(f.plan.demand[zone]*times)*float64(time.Second)), func() {
-		zones := len(f.plan.demand)
-		here := (f.plan.edges - zone + zones - 1) / zones
+	f.after(time.Duration(f.arrival.ExpFloat64()/(f.scenario.demand[zone]*times)*float64(time.Second)), func() {
+		zones := len(f.scenario.demand)
+		here := (f.scenario.edges - zone + zones - 1) / zones
 		f.request(zone + zones*f.arrival.IntN(here))
 		f.arrivals(zone)
 	})
 }
 
-// work lets all workers work for one step.
+// work simulates one step of all workers.
 func (f *unevenFleet) work() {
 	queued, idle := 0, 0
 	for _, w := range f.workers {
-		f.turn(w)
-		for len(w.queue) > 0 && len(w.running)+w.items < f.plan.slots {
+		f.updateSpell(w)
+		for len(w.queue) > 0 && len(w.running)+w.items < f.scenario.slots {
 			r := w.queue[0]
-			r.waited = (f.now - r.at) / unevenStep * unevenStep
+			r.waited = (f.now - r.queuedAt) / unevenStep * unevenStep
 			w.running, w.queue = append(w.running, r), w.queue[1:]
 		}
 		queued += len(w.queue)
-		idle += f.plan.slots - len(w.running) - w.items
+		idle += f.scenario.slots - len(w.running) - w.items
 		rate := w.speed
 		if w.slow {
-			rate /= spellTimes
+			rate /= spellSlowdown
 		}
 		if w.frozen {
 			rate = 0
 		}
 		if f.wave() {
-			w.room += rate * unevenStep.Seconds()
+			w.potentialWork += rate * unevenStep.Seconds()
 		}
 		kept := w.running[:0]
 		for _, r := range w.running {
-			if f.progress(w, r, time.Duration(rate*float64(unevenStep))); r.left > 0 {
+			if f.progress(w, r, time.Duration(rate*float64(unevenStep))); r.remainingWork > 0 {
 				kept = append(kept, r)
 			}
 		}
@@ -350,46 +350,46 @@
 	f.after(unevenStep, f.work)
 }
 
-// planItems lets items fill the slots that idle, and stop where requests queue, and tells the
-// top hub of them.
+// planItems starts items in idle slots, stops them where requests queue, and reports both to the
+// top hub.
 func (f *unevenFleet) planItems() {
 	f.after(loadshare.Interval, f.planItems)
 	report := &wire.LoadReport{Source: 2000}
 	for _, w := range f.workers {
-		if free := f.plan.slots - len(w.running) - len(w.queue) - w.items; free > 0 {
+		if free := f.scenario.slots - len(w.running) - len(w.queue) - w.items; free > 0 {
 			w.items += free
 		}
 		stops := min(len(w.queue), w.items) - w.stopping
 		if stops > 0 {
 			w.stopping += stops
 			f.stopped += stops
-			f.after(giveWay, func() { w.items, w.stopping = w.items-stops, w.stopping-stops })
+			f.after(preemptionTime, func() { w.items, w.stopping = w.items-stops, w.stopping-stops })
 		}
 		report.Workers = append(report.Workers, wire.WorkerLoad{Worker: loadshare.Hash(w.id), Batch: uint16(w.items - w.stopping)})
 	}
 	f.after(across, func() { f.top.ApplyReport(f.clock(), report) })
 }
 
-// turn begins or ends a spell.
-func (f *unevenFleet) turn(w *unevenWorker) {
-	if f.plan.spellPart == 0 || f.now < w.turns {
+// updateSpell starts or ends a slow spell.
+func (f *unevenFleet) updateSpell(w *unevenWorker) {
+	if f.scenario.spellPart == 0 || f.now < w.spellChangeAt {
 		return
 	}
-	if w.turns > 0 {
+	if w.spellChangeAt > 0 {
 		w.slow = !w.slow
 	}
-	length := time.Duration(f.random.Int64N(int64(spellTo-spellFrom))) + spellFrom
+	length := time.Duration(f.random.Int64N(int64(maxSpell-minSpell))) + minSpell
 	if !w.slow {
-		length = time.Duration(f.random.ExpFloat64() * float64(spellTo+spellFrom) / 2 * (1 - f.plan.spellPart) / f.plan.spellPart)
+		length = time.Duration(f.random.ExpFloat64() * float64(maxSpell+minSpell) / 2 * (1 - f.scenario.spellPart) / f.scenario.spellPart)
 	}
-	w.turns = f.now + length
+	w.spellChangeAt = f.now + length
 }
 
-// progress lets a request go on.
+// progress applies work done to a request, and records the events that result.
 func (f *unevenFleet) progress(w *unevenWorker, r *unevenRequest, done time.Duration) {
-	r.left -= done
-	events := int((unevenEvents*unevenEvent - r.left) / unevenEvent)
-	if r.left <= 0 {
+	r.remainingWork -= done
+	events := int((unevenEvents*unevenEvent - r.remainingWork) / unevenEvent)
+	if r.remainingWork <= 0 {
 		events = unevenEvents
 	}
 	if events <= r.events || events <= 0 {
@@ -402,7 +402,7 @@
 	if r.events == 0 {
 		r.lease.RecordPrefill()
 		r.lease.RecordAnswer(f.clock(), true)
-		if f.now+trip-r.came <= unevenGoal {
+		if f.now+trip-r.arrivedAt <= unevenGoal {
 			f.inTime++
 			f.inTimeByZone[f.zones[r.edge]]++
 		}
@@ -410,34 +410,34 @@
 		r.lease.RecordPace(events-r.events, f.now-r.lastAt)
 	}
 	r.events, r.lastAt = events, f.now
-	if r.left <= 0 {
-		f.whole += f.now - r.came
+	if r.remainingWork <= 0 {
+		f.totalTime += f.now - r.arrivedAt
 		r.lease.Release()
 	}
 }
 
-// play plays the waves.
-func (f *unevenFleet) play() *unevenFleet {
-	for zone := range f.plan.demand {
-		f.sum(zone)
+// run simulates the waves.
+func (f *unevenFleet) run() *unevenFleet {
+	for zone := range f.scenario.demand {
+		f.exchangeSums(zone)
 		f.arrivals(zone)
 	}
 	for edge := range f.tables {
 		var again func()
 		again = func() {
-			f.tell(edge, true, func() {})
+			f.report(edge, true, func() {})
 			f.after(loadshare.MaxInterval, again)
 		}
 		f.after(time.Duration(edge)*time.Millisecond, again)
 	}
-	for at, action := range f.plan.at {
+	for at, action := range f.scenario.faults {
 		f.after(at, func() { action(f) })
 	}
-	if f.plan.items {
+	if f.scenario.items {
 		f.planItems()
 	}
 	f.after(unevenStep, f.work)
-	for f.now < time.Duration(f.plan.waves)*wavePeriod {
+	for f.now < time.Duration(f.scenario.waves)*wavePeriod {
 		event := heap.Pop(&f.events).(waveEvent)
 		f.now = event.at
 		if event.action != nil {
@@ -447,34 +447,35 @@
 	return f
 }
 
-// late is the part of the requests that are not in time.
-func (f *unevenFleet) late() float64 { return 1 - float64(f.inTime)/float64(f.came) }
+// lateShare returns the fraction of requests that were not in time.
+func (f *unevenFleet) lateShare() float64 { return 1 - float64(f.inTime)/float64(f.requests) }
 
-// busiest is the most requests that a worker got in waves, for its slots times the pace that
-// it had then, over the mean of all.
+// busiest returns the highest load of a worker in waves, as requests per potential work, relative
+// to the mean of all workers.
 func (f *unevenFleet) busiest() float64 {
 	got, room, most := 0, 0.0, 0.0
 	for _, w := range f.workers {
 		got += w.got
-		room += w.room
-		most = max(most, float64(w.got)/w.room)
+		room += w.potentialWork
+		most = max(most, float64(w.got)/w.potentialWork)
 	}
 	return most / (float64(got) / room)
 }
 
-// addWorkers adds what another play's workers did in waves, and returns the fleet.
+// addWorkers adds the counts of another run's workers, and returns the fleet.
 func (f *unevenFleet) addWorkers(other *unevenFleet) *unevenFleet {
 	if other == nil {
 		return f
 	}
 	for i, w := range other.workers {
 		f.workers[i].got += w.got
-		f.workers[i].room += w.room
+		f.workers[i].potentialWork += w.potentialWork
 	}
 	return f
 }
 
-// unevenness is the greatest over the least late part of the zones.
+// unevenness returns the ratio of the highest to the lowest fraction of late requests among the
+// zones.
 func (f *unevenFleet) unevenness() float64 {
 	least, most := math.Inf(1), 0.0
 	for zone := range f.byZone {
@@ -485,5 +486,5 @@
 }
 
 func (f *unevenFleet) String() string {
-	return fmt.Sprintf("%d stops, %d requests, %.3f late, zones %.2f apart, crossed %.3f, queued %.1f, idle while queued %.1f, busiest %.2f, whole %v", f.stopped, f.came, f.late(), f.unevenness(), float64(f.crossed)/float64(f.came), float64(f.queued)/float64(f.moments), float64(f.idled)/float64(f.moments), f.busiest(), (f.whole / time.Duration(f.came)).Round(time.Millisecond))
+	return fmt.Sprintf("%d stops, %d requests, %.3f late, zones %.2f apart, crossed %.3f, queued %.1f, idle while queued %.1f, busiest %.2f, whole %v", f.stopped, f.requests, f.lateShare(), f.unevenness(), float64(f.crossed)/float64(f.requests), float64(f.queued)/float64(f.moments), float64(f.idled)/float64(f.moments), f.busiest(), (f.totalTime / time.Duration(f.requests)).Round(time.Millisecond))
 }
--- a/internal/balance/wave_test.go
+++ b/internal/balance/wave_test.go
@@ -12,7 +12,7 @@
 	"github.com/sedgemast/sedgemast/internal/workerset"
 )
 
-// The wave that TestWavesSpread plays: 1.85 times the mean for 2.2 s of each 5.2 s.
+// Parameters of TestWavesSpread: a wave has 1.85 times the mean rate for 2.2 s of each 5.2 s.
 const (
 	waveZones     = 5
 	zoneWorkers   = 200
@@ -20,13 +20,13 @@
 	waveSlots     = 2
 	waveHold      = 400 * time.Millisecond
 	wavePeriod    = 5200 * time.Millisecond
-	waveLength    = 2200 * time.Millisecond
-	waveTimes     = 1.85
-	calmTimes     = 0.378
+	waveDuration  = 2200 * time.Millisecond
+	waveFactor    = 1.85
+	lowFactor     = 0.378
 	meanPerSecond = 2400
 )
 
-// waveEvent is something that happens at a moment.
+// waveEvent is a scheduled action.
 type waveEvent struct {
 	at     time.Duration
 	number int
@@ -56,10 +56,10 @@
 	return last
 }
 
-// waveFleet is edges and hubs of zones in virtual time, before workers that take two
-// requests at once.
+// waveFleet simulates the edges and hubs of several zones in virtual time, with workers of two
+// slots.
 type waveFleet struct {
-	// arrival is the luck of arrivals, random that of draws.
+	// arrival draws the arrivals, random everything else.
 	arrival *rand.Rand
 	random  *rand.Rand
 	now     time.Duration
@@ -72,13 +72,13 @@
 	far     []loadshare.Set
 	running map[string]int
 	got     map[string]int
-	// asked and full count, by zone of the edge, the requests and those whose worker had no
-	// slot left when they came.
-	asked [waveZones]int
-	full  [waveZones]int
-	// whole is set where edges are told of all loaded workers of their zone.
-	whole  bool
-	zoneOf map[uint32]string
+	// requests and full count, by zone of the edge, all requests and those whose worker had no
+	// free slot on arrival.
+	requests [waveZones]int
+	full     [waveZones]int
+	// fullUpdates is set if edges receive the loads of all loaded workers of their zone.
+	fullUpdates bool
+	zoneOf      map[uint32]string
 }
 
 func newWaveFleet(seed uint64) *waveFleet {
@@ -118,13 +118,13 @@
 
 func zoneOfEdge(edge int) int { return edge / zoneEdges }
 
-// report is an edge's report, and the answer where it is about to choose.
+// report sends an edge's load report, and applies the answer if the edge is about to choose.
 func (f *waveFleet) report(edge int, choosing bool) {
 	zone, table := zoneOfEdge(edge), f.tables[edge]
 	f.hubs[zone].ApplyReport(f.clock(), &wire.LoadReport{Source: uint32(edge + 1), Workers: table.Loads()})
 	switch {
 	case !choosing:
-	case f.whole:
+	case f.fullUpdates:
 		rows, part := loadshare.Subset(f.hubs[zone].PeerLoads(f.clock(), uint32(edge+1)), table.zone, func(worker uint32) string { return f.zoneOf[worker] }, f.random)
 		scope := ScopeAll
 		if part {
@@ -137,15 +137,15 @@
 	}
 }
 
-// sum tells the top hub the sums over a zone, and the zone what the others have.
-func (f *waveFleet) sum(zone int) {
+// exchangeSums sends a zone's sums to the top hub, and the loads of the other zones back.
+func (f *waveFleet) exchangeSums(zone int) {
 	name := uint32(1000 + zone)
 	if sums := f.hubs[zone].Sums(f.clock(), name); sums != nil {
 		f.top.ApplyReport(f.clock(), sums)
 	}
 	told := f.top.UpdateFor(f.clock(), name)
 	f.hubs[zone].SetParentLoads(f.clock(), told.Rows, told.UnlistedRate, told.Omitted > 0)
-	f.after(loadshare.Interval, func() { f.sum(zone) })
+	f.after(loadshare.Interval, func() { f.exchangeSums(zone) })
 }
 
 func (f *waveFleet) request(edge int) {
@@ -153,7 +153,7 @@
 	lease := f.tables[edge].Acquire(f.clock(), &Request{Pool: "p"})
 	f.report(edge, false)
 	id, zone := lease.Endpoint.ID, zoneOfEdge(edge)
-	f.asked[zone]++
+	f.requests[zone]++
 	if f.running[id] >= waveSlots {
 		f.full[zone]++
 	}
@@ -166,11 +166,11 @@
 	})
 }
 
-// arrivals lets requests come by the wave.
+// arrivals schedules the next request at the rate of the current phase of the wave.
 func (f *waveFleet) arrivals() {
-	times := calmTimes
-	if f.now%wavePeriod > wavePeriod-waveLength {
-		times = waveTimes
+	times := lowFactor
+	if f.now%wavePeriod > wavePeriod-waveDuration {
+		times = waveFactor
 	}
 	f.after(time.Duration(f.arrival.ExpFloat64()/(meanPerSecond*times)*float64(time.Second)), func() {
 		f.request(f.arrival.IntN(len(f.tables)))
@@ -178,10 +178,10 @@
 	})
 }
 
-// play plays a wave and returns the requests, and those that met a full worker.
-func (f *waveFleet) play() {
+// run simulates one wave.
+func (f *waveFleet) run() {
 	for zone := range waveZones {
-		f.sum(zone)
+		f.exchangeSums(zone)
 	}
 	for edge := range f.tables {
 		var again func()
@@ -199,10 +199,10 @@
 	}
 }
 
-// TestWavesSpread plays a wave at whose height 89 of 100 slots are taken, in zones so
-// large that edges are told of some workers only, and the same with edges that are told
-// of all loaded ones. In no zone do more requests meet a full worker, but for one of 100, and
-// no worker gets twice the mean.
+// TestWavesSpread simulates a wave with 89% of the slots in use at its peak, in zones so large
+// that edges receive the loads of some workers only, and again with edges that receive those of
+// all loaded workers. In no zone may the first meet a full worker in more requests, apart from
+// 1%, and no worker may get more than twice the mean.
 func TestWavesSpread(t *testing.T) {
 	sum := func(counts [waveZones]int) (all int) {
 		for _, count := range counts {
@@ -211,21 +211,21 @@
 		return all
 	}
 	whole, drawn := newWaveFleet(5), newWaveFleet(5)
-	whole.whole = true
-	whole.play()
-	drawn.play()
-	t.Logf("met a full worker: %d of %d told of all, %d of %d told of some", sum(whole.full), sum(whole.asked), sum(drawn.full), sum(drawn.asked))
+	whole.fullUpdates = true
+	whole.run()
+	drawn.run()
+	t.Logf("met a full worker: %d of %d told of all, %d of %d told of some", sum(whole.full), sum(whole.requests), sum(drawn.full), sum(drawn.requests))
 	for zone := range waveZones {
-		t.Logf("zone %d: %d told of all, %d told of some, of %d", zone, whole.full[zone], drawn.full[zone], drawn.asked[zone])
-		if drawn.full[zone] > whole.full[zone]+drawn.asked[zone]/100 {
-			t.Errorf("zone %d: %d of %d requests met a full worker, %d where edges are told of all", zone, drawn.full[zone], drawn.asked[zone], whole.full[zone])
+		t.Logf("zone %d: %d told of all, %d told of some, of %d", zone, whole.full[zone], drawn.full[zone], drawn.requests[zone])
+		if drawn.full[zone] > whole.full[zone]+drawn.requests[zone]/100 {
+			t.Errorf("zone %d: %d of %d requests met a full worker, %d where edges are told of all", zone, drawn.full[zone], drawn.requests[zone], whole.full[zone])
 		}
 	}
 	most := 0
 	for _, count := range drawn.got {
 		most = max(most, count)
 	}
-	if mean := sum(drawn.asked) / (waveZones * zoneWorkers); most > 2*mean {
+	if mean := sum(drawn.requests) / (waveZones * zoneWorkers); most > 2*mean {
 		t.Errorf("a worker got %d requests, the mean is %d", most, mean)
 	}
 }
--- a/internal/balance/worker.go
+++ b/internal/balance/worker.go
@@ -1,6 +1,6 @@
-// Package balance chooses workers for opaque requests by what this process has
-// sent to each: requests in flight, and prompt tokens that are still to be read.
-// It is pure but for a lock: time and randomness come from the caller.
+// Package balance chooses workers for opaque requests by the load that this process and its peers
+// have reported at each: requests in flight and pending prompt tokens. It has no side effects and
+// takes its time and randomness from the caller; a lock makes it safe for concurrent use.
 package balance
 
 import (
@@ -10,93 +10,97 @@
 )
 
 const (
-	// maxParts bounds the prompt parts remembered of one worker.
+	// maxParts is the number of prompt parts remembered for one worker above which old ones are
+	// dropped.
 	maxParts = 4096
-	// refusedTime is how long a worker is not asked after another one answered at its
-	// address. The list has it right by then, as a rule; and one that starts again under its
-	// id at that address is found, at the price of a request that is sent on.
-	refusedTime = 5 * time.Second
+	// blockTime is how long a worker gets no requests after another one answered at its address.
+	// The list is usually correct by then. A worker that restarts under its id at that address is
+	// found again, at the price of one request that has to be sent elsewhere.
+	blockTime = 5 * time.Second
 	// suspectTime is how long a worker is avoided after it gave no answer.
 	suspectTime = time.Second
 )
 
-// worker is a worker and what this process knows of it.
+// worker holds what this process knows of one worker.
 type worker struct {
 	listed wire.PoolWorker
-	// hash is the worker's short name, point its place on the ring.
+	// hash is the worker's short name, point its position on the ring.
 	hash  uint32
 	point uint64
-	// place is the worker's place in its group, entered set while it stands in one.
-	place   int
-	entered bool
-	// busy, told and ordered are set while the table keeps the worker in these lists.
-	busy    bool
-	told    bool
-	ordered bool
-	// inFlight counts this process's requests, unread the prompt tokens of
-	// those without a first event.
-	inFlight int
-	batch    int
-	unread   int64
-	// stopping counts the requests that are about to end.
+	// groupIndex is the worker's index in its group, valid while inGroup is set.
+	groupIndex int
+	inGroup    bool
+	// busy, hasPeerLoad and hasOrder are set while the worker is in the table's lists busy,
+	// peerLoaded and withOrders.
+	busy        bool
+	hasPeerLoad bool
+	hasOrder    bool
+	// inFlight counts this process's requests, batch those of them that are batch items.
+	// pendingTokens counts the prompt tokens of requests without a first event.
+	inFlight      int
+	batch         int
+	pendingTokens int64
+	// stopping counts the items that are about to stop.
 	stopping int
-	// starts and stops are how many items the planner of all items lets start
-	// here, and how many it wants stopped.
-	starts int
-	stops  int
-	// refused is set once another worker answered at the address, until refusedUntil, and
-	// for good once the worker has left the list.
-	refused      bool
-	refusedUntil time.Time
-	// others is what other processes have here, as they told at othersAt.
-	others       wire.WorkerLoad
-	othersAt     time.Time
+	// startGrants and pendingStops are how many items the batch planner lets start here, and how
+	// many it wants stopped.
+	startGrants  int
+	pendingStops int
+	// blocked is set after another worker answered at the address, until blockedUntil, and for
+	// good once the worker is no longer listed.
+	blocked      bool
+	blockedUntil time.Time
+	// peerLoad is the load of other processes here, as received at peerLoadAt.
+	peerLoad     wire.WorkerLoad
+	peerLoadAt   time.Time
 	suspectUntil time.Time
-	// parts holds the prompt parts read here, with the number of the last use.
+	// parts maps the ids of prompt parts processed here to the count of uses at their last use.
 	parts map[string]uint64
 	uses  uint64
-	// claimed is one more than the requests that the worker said it has, until
-	// that has been passed on.
-	claimed int
-	// answered and failed count answers until they have been passed on.
+	// reportedRequests is one more than the number of requests that the worker reported, 0 if
+	// there is nothing to pass on.
+	reportedRequests int
+	// answered and failed count answers since the last call of Loads.
 	answered int
 	failed   int
-	// steps counts times between events, and stepTime is their sum, until they
-	// have been passed on.
-	steps    int
-	stepTime time.Duration
-	// slow is how many times as long as in the middle of its pool an event takes
-	// here, 1 where that makes no difference; slowAt is when that was known.
-	slow   float64
-	slowAt time.Time
-	// proofs counts the probes that were answered well until they have been passed on.
-	// probing counts those under way, silent those in a row that got no answer.
-	proofs  int
-	probing int
-	silent  int
-	// ratio is how many times as long as in the middle an event takes here, as learnt at
-	// ratioAt; zero where nothing was learnt.
-	ratio   float64
-	ratioAt time.Time
-	// toldSlots is how many slots the worker told, zero where it did not.
-	toldSlots int
-	// doubted is set once that was found to differ from the list.
-	doubted bool
+	// intervals counts the measured times between events since the last call of Loads;
+	// intervalSum is their sum.
+	intervals   int
+	intervalSum time.Duration
+	// slowFactor is the event interval here relative to the median of the pool, 1 if below
+	// slownessThreshold, as measured at slowFactorAt.
+	slowFactor   float64
+	slowFactorAt time.Time
+	// probeSuccesses counts the probes answered well since the last call of ProbeResults.
+	// activeProbes counts those in progress, unansweredProbes the consecutive ones without an
+	// answer.
+	probeSuccesses   int
+	activeProbes     int
+	unansweredProbes int
+	// intervalRatio is the event interval here relative to the median of the pool, as measured at
+	// intervalRatioAt; zero if unknown.
+	intervalRatio   float64
+	intervalRatioAt time.Time
+	// reportedSlots is the number of slots that the worker reported, zero if none.
+	reportedSlots int
+	// mismatchReported is set once reportedSlots was found to differ from the list.
+	mismatchReported bool
 }
 
-// usable reports whether new requests may go to the worker.
-func (w *worker) usable() bool { return !w.listed.Leaving && !w.refused }
+// usable reports whether the worker may get new requests.
+func (w *worker) usable() bool { return !w.listed.Leaving && !w.blocked }
 
-// gone reports whether the worker has left the list.
-func (w *worker) gone(t *Table) bool { return t.workers[w.listed.ID] != w }
+// unlisted reports whether the worker is no longer in the list.
+func (w *worker) unlisted(t *Table) bool { return t.workers[w.listed.ID] != w }
 
-// quiet reports whether this process has nothing at the worker and nothing to tell of it.
-func (w *worker) quiet() bool {
-	return w.inFlight == 0 && w.claimed == 0 && w.answered == 0 && w.failed == 0 && w.steps == 0 && w.proofs == 0
+// nothingToReport reports whether this process has no requests at the worker and nothing to
+// report about it.
+func (w *worker) nothingToReport() bool {
+	return w.inFlight == 0 && w.reportedRequests == 0 && w.answered == 0 && w.failed == 0 && w.intervals == 0 && w.probeSuccesses == 0
 }
 
-// remember takes in that the worker reads the parts now.
-func (w *worker) remember(parts []string) {
+// recordParts records that the worker now processes the parts.
+func (w *worker) recordParts(parts []string) {
 	w.uses++
 	if w.parts == nil && len(parts) > 0 {
 		w.parts = map[string]uint64{}
