--- a/internal/balance/answers_test.go
+++ b/internal/balance/answers_test.go
@@ -16,15 +16,15 @@
 	table.SetPeerLoads(start, []wire.WorkerLoad{{Worker: loadshare.Hash("a"), Orphans: 1, Start: 1}}, ScopeAll)
 	lease := table.Acquire(start, onlyA)
 	if lease == nil {
-		t.Fatal("a difference of one kept an item away")
+		t.Fatal("one orphan, within the tolerance, kept an item from its worker")
 	}
 	lease.Release()
 	table.SetPeerLoads(start, []wire.WorkerLoad{{Worker: loadshare.Hash("a"), Orphans: 4, Start: 1}}, ScopeAll)
 	if table.Acquire(start, onlyA) != nil {
-		t.Error("an item went to a worker full of orphans")
+		t.Error("an item went to a worker whose slots are held by orphans")
 	}
 	if lease := table.Acquire(start, &Request{Pool: "p"}); lease.Endpoint.ID != "b" {
-		t.Error("a request went to a worker full of orphans")
+		t.Error("a request went to a worker whose slots are held by orphans")
 	}
 }
 
@@ -33,35 +33,35 @@
 // observed by this process counts at once.
 func TestFailingWorkersAreAvoided(t *testing.T) {
 	table := tableOf(poolWorker("a", "z1"), poolWorker("b", "z2"), poolWorker("c", "z2"))
-	say := func(failing ...string) {
+	setFailing := func(failing ...string) {
 		var loads []wire.WorkerLoad
 		for _, id := range failing {
 			loads = append(loads, wire.WorkerLoad{Worker: loadshare.Hash(id), Failing: true})
 		}
 		table.SetPeerLoads(start, loads, ScopeAll)
 	}
-	takes := func() string {
+	acquire := func() string {
 		lease := table.Acquire(start, &Request{Pool: "p"})
 		defer lease.Release()
 		return lease.Endpoint.ID
 	}
-	say()
-	if takes() != "a" {
-		t.Fatal("the worker of the zone is not taken")
+	setFailing()
+	if acquire() != "a" {
+		t.Fatal("the worker of this zone was not chosen")
 	}
-	say("a")
-	if takes() == "a" {
+	setFailing("a")
+	if acquire() == "a" {
 		t.Error("a failing worker got a request")
 	}
-	say("a", "b")
-	if takes() != "a" {
-		t.Error("most of the pool fails, and still some are avoided")
+	setFailing("a", "b")
+	if acquire() != "a" {
+		t.Error("failing workers are avoided although most of the pool is failing")
 	}
-	say()
+	setFailing()
 	lease := table.Acquire(start, &Request{Pool: "p"})
 	lease.RecordAnswer(start, false)
 	lease.Release()
-	if takes() == "a" {
+	if acquire() == "a" {
 		t.Error("a worker that has just failed got the next request")
 	}
 	if loads := table.Loads(); len(loads) != 1 || loads[0].Failed != 1 || loads[0].Answered != 0 {
@@ -71,7 +71,7 @@
 
 // TestReportIsPassedOnOnce checks that what a worker reports about itself is in the next result
 // of Loads, and only there.
-func TestToldIsPassedOnOnce(t *testing.T) {
+func TestReportIsPassedOnOnce(t *testing.T) {
 	table := tableOf(poolWorker("a", "z1"))
 	lease := table.Acquire(start, &Request{Pool: "p"})
 	lease.ApplyReport(capacity.Report{Running: 3, Waiting: 2})
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -35,43 +35,43 @@
 	table.Update(workerset.Of([]wire.PoolWorker{leaving}), nil)
 	table.Update(workerset.Of([]wire.PoolWorker{poolWorker("a", "z1")}), nil)
 	if lease := table.Acquire(start, &Request{Pool: "p"}); lease != nil || table.Usable("p") {
-		t.Error("a worker that leaves got a request")
+		t.Error("a worker that is leaving got a request")
 	}
 }
 
-func TestRefusedIncarnationIsNotAskedAgain(t *testing.T) {
+func TestWrongWorkerIsBlocked(t *testing.T) {
 	table := tableOf(poolWorker("a", "z1"))
 	lease := table.Acquire(start, &Request{Pool: "p"})
 	lease.RecordWrongWorker(start)
 	lease.Release()
 	if table.Acquire(start, &Request{Pool: "p"}) != nil {
-		t.Error("an incarnation that is gone got a request")
+		t.Error("a blocked worker got a request")
 	}
 	table.Update(workerset.Of([]wire.PoolWorker{poolWorker("b", "z1")}), nil)
 	if table.Acquire(start, &Request{Pool: "p"}) == nil {
-		t.Error("its successor got none")
+		t.Error("the worker that replaced it got no request")
 	}
 }
 
 // TestBlockedWorkerReturns guards against a worker that is blocked forever: it may start again
 // under its id at the address where another one answered.
-func TestRefusedWorkerIsAskedAgainLater(t *testing.T) {
+func TestBlockedWorkerReturns(t *testing.T) {
 	table := tableOf(poolWorker("a", "z1"))
 	for round := range 3 {
 		now := start.Add(time.Duration(round) * blockTime)
 		lease := table.Acquire(now, &Request{Pool: "p"})
 		if lease == nil {
-			t.Fatalf("round %d: it is not asked after %s", round, blockTime)
+			t.Fatalf("round %d: the worker gets no request after %s", round, blockTime)
 		}
 		lease.RecordWrongWorker(now)
 		lease.Release()
 		if table.Acquire(now.Add(blockTime-time.Millisecond), &Request{Pool: "p"}) != nil || table.Usable("p") {
-			t.Errorf("round %d: it is asked before", round)
+			t.Errorf("round %d: the worker gets a request before its blocking time has passed", round)
 		}
 	}
 	table.Update(workerset.Of(nil), nil)
 	if table.Acquire(start.Add(time.Hour), &Request{Pool: "p"}) != nil {
-		t.Error("one that left the list is asked")
+		t.Error("a worker that is no longer listed got a request")
 	}
 }
 
@@ -80,21 +80,21 @@
 func TestNewLifeIsAnotherWorker(t *testing.T) {
 	old, again := poolWorker(incarnation.Name("a", 1), "z1"), poolWorker(incarnation.Name("a", 2), "z1")
 	table := tableOf(old)
-	demand := &Request{Pool: "p", Parts: []httpheader.Part{{ID: "x", Tokens: 500}, {ID: "own", Tokens: 5}}}
-	lease := table.Acquire(start, demand)
+	request := &Request{Pool: "p", Parts: []httpheader.Part{{ID: "x", Tokens: 500}, {ID: "own", Tokens: 5}}}
+	lease := table.Acquire(start, request)
 	old.Leaving = true
 	table.Update(workerset.Of([]wire.PoolWorker{old}), nil)
 	if table.Usable("p") {
-		t.Fatal("a worker that leaves is asked")
+		t.Fatal("a worker that is leaving is usable")
 	}
 	table.Update(workerset.Of([]wire.PoolWorker{again}), nil)
-	next := table.Acquire(start, demand)
+	next := table.Acquire(start, request)
 	if next == nil || next.Endpoint.ID != again.ID || len(next.worker.parts) != 1 || next.worker.inFlight != 1 {
-		t.Fatalf("the new life: %+v", next)
+		t.Fatalf("lease at the new incarnation: %+v", next)
 	}
 	lease.Release()
 	if next.worker.inFlight != 1 || table.byHash[next.worker.hash] != next.worker {
-		t.Error("the end of a request of the old life counts for the new one")
+		t.Error("releasing a lease of the old incarnation changed the new one")
 	}
 }
 
@@ -102,28 +102,28 @@
 	table := tableOf(poolWorker("a", "z1"), poolWorker("b", "z2"))
 	first := table.Acquire(start, &Request{Pool: "p"})
 	if first.Endpoint.ID != "a" {
-		t.Fatalf("the worker of the zone was not taken but %s", first.Endpoint.ID)
+		t.Fatalf("%s was chosen, not the worker of this zone", first.Endpoint.ID)
 	}
 	first.RecordNoAnswer(start)
 	first.Release()
 	if next := table.Acquire(start, &Request{Pool: "p"}); next.Endpoint.ID != "b" {
-		t.Errorf("the suspect %s was taken", next.Endpoint.ID)
+		t.Errorf("the suspect %s was chosen", next.Endpoint.ID)
 	}
 	if last := table.Acquire(start, &Request{Pool: "p", Exclude: map[string]bool{"b": true}}); last == nil || last.Endpoint.ID != "a" {
-		t.Error("the suspect was not taken where there is no other")
+		t.Error("the suspect was not chosen although there is no other worker")
 	}
 }
 
-func TestLongPromptsHoldOthersOff(t *testing.T) {
+func TestPendingPromptsCountAsLoad(t *testing.T) {
 	table := tableOf(poolWorker("a", "z1"), poolWorker("b", "z1"))
 	long := table.Acquire(start, &Request{Pool: "p", PromptTokens: 9000})
 	next := table.Acquire(start, &Request{Pool: "p", PromptTokens: 500})
 	if long.Endpoint.ID == next.Endpoint.ID {
-		t.Error("a short prompt went behind a long one that is still to be read")
+		t.Error("a short prompt was sent to a worker with a long pending prompt")
 	}
 }
 
-func TestSharedPartsMeet(t *testing.T) {
+func TestSharedPartsUseOneWorker(t *testing.T) {
 	table := tableOf(poolWorker("a", "z1"), poolWorker("b", "z1"), poolWorker("c", "z1"))
 	parts := []httpheader.Part{{ID: "s", Tokens: 800}, {ID: "own", Tokens: 200}}
 	first := table.Acquire(start, &Request{Pool: "p", PromptTokens: 1000, Parts: parts})
@@ -145,8 +145,8 @@
 		table := tableOf(poolWorker("a", "z1"), poolWorker("b", "z2"), poolWorker("c", "z3"))
 		var leases []*Lease
 		for step := 0; step < 100; step++ {
-			demand := &Request{Pool: "p", Batch: random.Intn(2) == 0, BatchShare: 50, PromptTokens: int64(random.Intn(5000))}
-			if lease := table.Acquire(start, demand); lease != nil {
+			request := &Request{Pool: "p", Batch: random.Intn(2) == 0, BatchShare: 50, PromptTokens: int64(random.Intn(5000))}
+			if lease := table.Acquire(start, request); lease != nil {
 				leases = append(leases, lease)
 			}
 			if len(leases) > 0 && random.Intn(2) == 0 {
--- a/internal/balance/cold_test.go
+++ b/internal/balance/cold_test.go
@@ -15,22 +15,22 @@
 // loads: requests with a shared beginning of the prompt must not overload its affinity workers.
 // Once there are peer loads, or there have been none for long, these requests go to the affinity
 // workers.
-func TestChoiceWithoutNewsSpreads(t *testing.T) {
+func TestColdStartSpreadsRequests(t *testing.T) {
 	const slots = 8
 	parts := []httpheader.Part{{ID: "shared", Tokens: 300}, {ID: "own", Tokens: 50}}
 	for _, test := range []struct {
-		name   string
-		parts  []httpheader.Part
-		after  time.Duration
-		news   bool
-		spread bool
+		name     string
+		parts    []httpheader.Part
+		after    time.Duration
+		hasLoads bool
+		spread   bool
 	}{
 		{"nothing shared", nil, 0, false, true},
 		{"all share a beginning", parts, 0, false, true},
 		{"the same, later", parts, coldStartTime, false, false},
 		{"the same, with news", parts, 0, true, false},
 	} {
-		busiest := busiestOf(slots, test.parts, test.after, test.news)
+		busiest := busiestOf(slots, test.parts, test.after, test.hasLoads)
 		t.Logf("%s: %d requests at the busiest worker", test.name, busiest)
 		if (busiest <= 2*slots) != test.spread {
 			t.Errorf("%s: the busiest worker of %d slots has %d requests", test.name, slots, busiest)
@@ -40,7 +40,7 @@
 
 // busiestOf lets edges choose workers for a third of all slots, some time after their start, and
 // returns the number of requests at the busiest worker.
-func busiestOf(slots int, parts []httpheader.Part, after time.Duration, news bool) int {
+func busiestOf(slots int, parts []httpheader.Part, after time.Duration, hasLoads bool) int {
 	const edges, workers = 24, 30
 	var rows []wire.PoolWorker
 	for i := range workers {
@@ -54,7 +54,7 @@
 		table := NewTable("a", rand.New(rand.NewPCG(uint64(i), 1)))
 		table.Update(set, map[string]int64{"p": 20_000})
 		table.Start(began)
-		if news {
+		if hasLoads {
 			table.SetPeerLoads(began, nil, ScopeAll)
 		}
 		for range workers * slots / 3 / edges {
--- a/internal/balance/cost.go
+++ b/internal/balance/cost.go
@@ -25,26 +25,26 @@
 )
 
 // cost rates a worker for a request, in slots; lower is better.
-func (t *Table) cost(now time.Time, candidate *worker, demand *Request) float64 {
+func (t *Table) cost(now time.Time, candidate *worker, request *Request) float64 {
 	slots := float64(max(candidate.listed.Slots, 1))
-	memory := t.memoryOf(demand.Pool)
+	memory := t.memoryOf(request.Pool)
 	cost := float64(candidate.inFlight)
-	unread := float64(candidate.pendingTokens)
-	if others, known := t.peerLoadOf(now, candidate); known {
-		cost += float64(others.Online) + batchCost*float64(others.Batch)
-		unread += float64(others.Unread)
+	pending := float64(candidate.pendingTokens)
+	if load, ok := t.peerLoadOf(now, candidate); ok {
+		cost += float64(load.Online) + batchCost*float64(load.Batch)
+		pending += float64(load.Unread)
 	}
 	cost += float64(t.orphansAt(now, candidate))
-	cost += slots * unread / (float64(memory) * pendingTokensShare)
+	cost += slots * pending / (float64(memory) * pendingTokensShare)
 	// On a slow worker everything takes longer by this factor, the requests already there and the
 	// new one.
-	slow := candidate.thresholdedSlowness(now)
-	cost = slow*(cost+slots) - slots
+	slowness := candidate.thresholdedSlowness(now)
+	cost = slowness*(cost+slots) - slots
 	if candidate.listed.Zone != t.zone {
 		cost += zoneSlotPenalty
 	}
 	// A cached token saves what a pending token costs.
-	return cost - slots*float64(t.cachedTokens(candidate, demand))/(float64(memory)*pendingTokensShare)
+	return cost - slots*float64(t.cachedTokens(candidate, request))/(float64(memory)*pendingTokensShare)
 }
 
 // memoryOf returns the number of tokens that a worker of the pool holds.
@@ -79,16 +79,16 @@
 // cachedTokens estimates how many tokens of the prompt's beginning the worker has cached: those
 // that this process sent there, or those that all processes send there because the worker is an
 // affinity worker of the prompt.
-func (t *Table) cachedTokens(candidate *worker, demand *Request) int64 {
+func (t *Table) cachedTokens(candidate *worker, request *Request) int64 {
 	var sent, sharedTokens int64
-	broken := false
-	for i, part := range demand.Parts {
-		_, known := candidate.parts[part.ID]
-		broken = broken || !known
-		if !broken {
+	missed := false
+	for i, part := range request.Parts {
+		_, cached := candidate.parts[part.ID]
+		missed = missed || !cached
+		if !missed {
 			sent += part.Tokens
 		}
-		if i < len(demand.Parts)-1 {
+		if i < len(request.Parts)-1 {
 			sharedTokens += part.Tokens
 		}
 	}
--- a/internal/balance/free.go
+++ b/internal/balance/free.go
@@ -64,28 +64,28 @@
 // all processes see the same ones; a request then takes one with some probability and leaves it
 // to peers otherwise. Slots in other zones are known from older reports and are drawn for in the
 // same way. It returns nil if there is no worker.
-func (t *Table) FindCandidate(now time.Time, demand *Request, search SearchOptions) *Candidate {
+func (t *Table) FindCandidate(now time.Time, request *Request, search SearchOptions) *Candidate {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.advanceClock(now)
 	t.unblockExpired(now)
-	known := t.pools[demand.Pool]
-	if known == nil {
+	p := t.pools[request.Pool]
+	if p == nil {
 		return nil
 	}
 	t.coldStart = t.isColdStart(now)
-	chosen := t.freeProbe(now, demand)
+	chosen := t.freeProbe(now, request)
 	probe := chosen != nil
 	if chosen == nil {
-		chosen = t.chooseReleased(now, demand, search.ReleasedWorker)
+		chosen = t.chooseReleased(now, request, search.ReleasedWorker)
 	}
 	if chosen == nil {
-		chosen = t.chooseBySlots(now, demand, known, search.Peers)
+		chosen = t.chooseBySlots(now, request, p, search.Peers)
 	}
 	if chosen == nil {
 		return nil
 	}
-	choice := &Candidate{
+	candidate := &Candidate{
 		Worker:      chosen.listed.ID,
 		Slowness:    t.slownessOf(now, chosen),
 		Full:        !t.hasFreeSlot(now, chosen),
@@ -98,28 +98,28 @@
 	switch {
 	case probe:
 		// The hub granted the probe to a single request, so no peer is about to take the slot.
-		choice.Spare = true
-	case !choice.Full:
-		t.assessFreeSlot(now, demand, known, choice, search)
+		candidate.Spare = true
+	case !candidate.Full:
+		t.assessFreeSlot(now, request, p, candidate, search)
 	}
-	return choice
+	return candidate
 }
 
 // assessFreeSlot sets Spare and LeftToPeers for a candidate with a free slot.
-func (t *Table) assessFreeSlot(now time.Time, demand *Request, known *pool, choice *Candidate, search SearchOptions) {
-	if t.effectiveSlots(choice.worker) <= 0 {
+func (t *Table) assessFreeSlot(now time.Time, request *Request, p *pool, candidate *Candidate, search SearchOptions) {
+	if t.effectiveSlots(candidate.worker) <= 0 {
 		// The number of slots is unknown, so there is nothing to wait for.
-		choice.Spare = true
+		candidate.Spare = true
 		return
 	}
-	if t.zoneDistance(choice.worker) > 0 {
-		choice.Spare = t.farSlots(now, demand, known) > reservedSlots(known.farRate, known.slots-known.nearSlots)
-		choice.LeftToPeers = len(known.near) == 0 && !t.mayUseFar(now, demand, known, search.Peers)
+	if t.zoneDistance(candidate.worker) > 0 {
+		candidate.Spare = t.farSlots(now, request, p) > reservedSlots(p.farRate, p.slots-p.nearSlots)
+		candidate.LeftToPeers = len(p.near) == 0 && !t.mayUseFar(now, request, p, search.Peers)
 		return
 	}
-	near := t.nearSlots(now, demand, known)
-	choice.Spare = near > reservedSlots(known.nearRate, known.nearSlots)
-	choice.LeftToPeers = choice.Worker != search.ReleasedWorker && !mostlyFree(near, known.nearSlots) && t.leavesToPeers(near, known.nearPeers(search.Peers))
+	near := t.nearSlots(now, request, p)
+	candidate.Spare = near > reservedSlots(p.nearRate, p.nearSlots)
+	candidate.LeftToPeers = candidate.Worker != search.ReleasedWorker && !mostlyFree(near, p.nearSlots) && t.leavesToPeers(near, p.nearPeers(search.Peers))
 }
 
 // mostlyFree reports whether more than half of the slots are free. Then no request waits, and one
@@ -144,18 +144,18 @@
 }
 
 // AcquireCandidate gives the request a lease of the worker that FindCandidate has just chosen.
-func (t *Table) AcquireCandidate(now time.Time, demand *Request, choice *Candidate) *Lease {
+func (t *Table) AcquireCandidate(now time.Time, request *Request, candidate *Candidate) *Lease {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if choice.probe {
-		t.removeProbe(choice.worker)
+	if candidate.probe {
+		t.removeProbe(candidate.worker)
 	}
-	return t.lease(now, choice.worker, demand)
+	return t.lease(now, candidate.worker, request)
 }
 
 // freeProbe returns an avoided worker for the request to probe, if it has a free slot.
-func (t *Table) freeProbe(now time.Time, demand *Request) *worker {
-	probed := t.findProbe(now, demand)
+func (t *Table) freeProbe(now time.Time, request *Request) *worker {
+	probed := t.findProbe(now, request)
 	if probed == nil || !t.hasFreeSlot(now, probed) {
 		return nil
 	}
@@ -164,34 +164,34 @@
 
 // chooseReleased returns the worker at which this process released a slot, if the request may use
 // it.
-func (t *Table) chooseReleased(now time.Time, demand *Request, id string) *worker {
-	given := t.workers[id]
-	if given == nil || given.listed.Pool != demand.Pool || !t.hasSlotFor(now, demand, given) {
+func (t *Table) chooseReleased(now time.Time, request *Request, id string) *worker {
+	released := t.workers[id]
+	if released == nil || released.listed.Pool != request.Pool || !t.hasSlotFor(now, request, released) {
 		return nil
 	}
-	return given
+	return released
 }
 
 // hasSlotFor reports whether the request may take a free slot of the worker.
-func (t *Table) hasSlotFor(now time.Time, demand *Request, w *worker) bool {
-	return t.hasFreeSlot(now, w) && t.admits(now, w, demand, false) && !t.failing(now, w)
+func (t *Table) hasSlotFor(now time.Time, request *Request, w *worker) bool {
+	return t.hasFreeSlot(now, w) && t.admits(now, w, request, false) && !t.failing(now, w)
 }
 
 // chooseBySlots chooses a worker, one with a free slot if there is any.
-func (t *Table) chooseBySlots(now time.Time, demand *Request, known *pool, peers int) *worker {
-	t.nearOnly = len(known.near) > 0 && !t.mayUseFar(now, demand, known, peers)
-	chosen := t.choose(now, demand, false)
+func (t *Table) chooseBySlots(now time.Time, request *Request, p *pool, peers int) *worker {
+	t.nearOnly = len(p.near) > 0 && !t.mayUseFar(now, request, p, peers)
+	chosen := t.choose(now, request, false)
 	if chosen == nil || !t.hasFreeSlot(now, chosen) {
-		if free := t.chooseFree(now, demand, known); free != nil {
+		if free := t.chooseFree(now, request, p); free != nil {
 			chosen = free
 		}
 	}
 	t.nearOnly = false
 	if chosen == nil {
-		chosen = t.choose(now, demand, false)
+		chosen = t.choose(now, request, false)
 	}
 	if chosen == nil {
-		chosen = t.choose(now, demand, true)
+		chosen = t.choose(now, request, true)
 	}
 	return chosen
 }
@@ -200,83 +200,83 @@
 // invisible, a part of the peers polls too; if these may outnumber the free slots, each takes one
 // with the probability slots / pollers.
 func (t *Table) leavesToPeers(slots, peers float64) bool {
-	looking := 1 + (peers-1)*float64(visibilityDelay)/float64(PollInterval)
-	return t.random.Float64()*looking > slots
+	pollers := 1 + (peers-1)*float64(visibilityDelay)/float64(PollInterval)
+	return t.random.Float64()*pollers > slots
 }
 
 // mayUseFar decides at random whether the request may go to another zone. It always may while
 // most slots there are free, or while nothing is known of them. Otherwise the probability is such
 // that all peers together take about as many slots per reporting interval as are spare.
-func (t *Table) mayUseFar(now time.Time, demand *Request, known *pool, peers int) bool {
-	passed := min(now.Sub(known.lastFarDraw), loadshare.Interval)
-	known.lastFarDraw = now
-	free := t.farSlots(now, demand, known)
-	if math.IsInf(free, 1) || mostlyFree(free, known.slots-known.nearSlots) {
+func (t *Table) mayUseFar(now time.Time, request *Request, p *pool, peers int) bool {
+	elapsed := min(now.Sub(p.lastFarDraw), loadshare.Interval)
+	p.lastFarDraw = now
+	free := t.farSlots(now, request, p)
+	if math.IsInf(free, 1) || mostlyFree(free, p.slots-p.nearSlots) {
 		return true
 	}
-	slots := free - reservedSlots(known.farRate, known.slots-known.nearSlots)
-	chance := slots / float64(max(peers, 1)) * float64(passed) / float64(loadshare.Interval)
+	slots := free - reservedSlots(p.farRate, p.slots-p.nearSlots)
+	chance := slots / float64(max(peers, 1)) * float64(elapsed) / float64(loadshare.Interval)
 	return t.random.Float64() < chance
 }
 
 // nearSlots estimates the number of free slots in this zone. It returns infinity if no peer loads
 // are known.
-func (t *Table) nearSlots(now time.Time, demand *Request, known *pool) float64 {
+func (t *Table) nearSlots(now time.Time, request *Request, p *pool) float64 {
 	t.candidates = t.candidates[:0]
 	if isFresh(now, later(t.allLoadsAt, t.zoneLoadsAt)) {
-		t.sampleGroup(known.near, maxCandidates, anyWorker)
-	} else if t.samplePeerLoaded(now, demand.Pool, 0, 0, anyWorker) == 0 {
+		t.sampleGroup(p.near, maxCandidates, anyWorker)
+	} else if t.samplePeerLoaded(now, request.Pool, 0, 0, anyWorker) == 0 {
 		return math.Inf(1)
 	}
-	return t.freeSlots(now, demand, len(known.near))
+	return t.freeSlots(now, request, len(p.near))
 }
 
 // farSlots estimates the number of free slots in other zones. It returns infinity if no peer
 // loads are known.
-func (t *Table) farSlots(now time.Time, demand *Request, known *pool) float64 {
+func (t *Table) farSlots(now time.Time, request *Request, p *pool) float64 {
 	t.candidates = t.candidates[:0]
 	if isFresh(now, t.allLoadsAt) {
-		t.sampleGroup(known.far, maxCandidates, anyWorker)
-	} else if t.samplePeerLoaded(now, demand.Pool, 1, 0, anyWorker) == 0 {
+		t.sampleGroup(p.far, maxCandidates, anyWorker)
+	} else if t.samplePeerLoaded(now, request.Pool, 1, 0, anyWorker) == 0 {
 		return math.Inf(1)
 	}
-	return t.freeSlots(now, demand, len(known.far))
+	return t.freeSlots(now, request, len(p.far))
 }
 
 func anyWorker(*worker) bool { return true }
 
 // freeSlots extrapolates the free slots of the sampled workers to a group of the given size.
-func (t *Table) freeSlots(now time.Time, demand *Request, all int) float64 {
+func (t *Table) freeSlots(now time.Time, request *Request, groupSize int) float64 {
 	if len(t.candidates) == 0 {
 		return 0
 	}
 	slots := 0
 	for _, w := range t.candidates {
-		if t.hasSlotFor(now, demand, w) {
+		if t.hasSlotFor(now, request, w) {
 			own := t.effectiveSlots(w)
 			slots += max(own, 1) - min(t.onlineAt(now, w), own)
 		}
 	}
-	return float64(slots) * float64(all) / float64(len(t.candidates))
+	return float64(slots) * float64(groupSize) / float64(len(t.candidates))
 }
 
 // chooseFree chooses among the workers with a free slot. Unlike choose, it considers every worker
 // of a pool of up to maxCandidates, so that no request waits beside a free slot because of
 // sampling alone.
-func (t *Table) chooseFree(now time.Time, demand *Request, known *pool) *worker {
-	fit := func(w *worker) bool { return t.hasSlotFor(now, demand, w) }
-	t.findAffinity(demand, fit)
+func (t *Table) chooseFree(now time.Time, request *Request, p *pool) *worker {
+	fit := func(w *worker) bool { return t.hasSlotFor(now, request, w) }
+	t.findAffinity(request, fit)
 	t.candidates = t.candidates[:0]
-	t.sampleFree(now, demand.Pool, known, fit)
-	return t.pick(now, known, demand)
+	t.sampleFree(now, request.Pool, p, fit)
+	return t.pick(now, p, request)
 }
 
 // sampleFree samples the workers that fit. If the peer loads name only some workers, the others
 // would look idle and are left out, unless nothing is known of any.
-func (t *Table) sampleFree(now time.Time, name string, known *pool, fit func(w *worker) bool) {
+func (t *Table) sampleFree(now time.Time, name string, p *pool, fit func(w *worker) bool) {
 	nearKnown := isFresh(now, later(t.allLoadsAt, t.zoneLoadsAt))
 	if nearKnown {
-		t.sampleGroup(known.near, maxCandidates, fit)
+		t.sampleGroup(p.near, maxCandidates, fit)
 	} else {
 		t.samplePeerLoaded(now, name, 0, 0, fit)
 	}
@@ -284,13 +284,13 @@
 		return
 	}
 	if isFresh(now, t.allLoadsAt) {
-		t.sampleGroup(known.far, maxCandidates, fit)
+		t.sampleGroup(p.far, maxCandidates, fit)
 		return
 	}
 	t.samplePeerLoaded(now, name, 1, 0, fit)
 	if !nearKnown && !t.poolHasFreshLoad(now, name) {
-		t.sampleGroup(known.near, maxCandidates, fit)
-		t.sampleGroup(known.far, maxCandidates, fit)
+		t.sampleGroup(p.near, maxCandidates, fit)
+		t.sampleGroup(p.far, maxCandidates, fit)
 	}
 }
 
@@ -325,8 +325,8 @@
 func (t *Table) Throughput(pool string, peers int) float64 {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	known := t.pools[pool]
-	if known == nil || known.holdTime <= 0 {
+	p := t.pools[pool]
+	if p == nil || p.holdTime <= 0 {
 		return 0
 	}
 	own := 0
@@ -335,6 +335,6 @@
 			own += w.inFlight - w.batch
 		}
 	}
-	slots := max(float64(known.slots)/float64(max(peers, 1)), float64(min(own, known.slots)))
-	return slots / known.holdTime.Seconds()
+	slots := max(float64(p.slots)/float64(max(peers, 1)), float64(min(own, p.slots)))
+	return slots / p.holdTime.Seconds()
 }
--- a/internal/balance/free_test.go
+++ b/internal/balance/free_test.go
@@ -54,17 +54,17 @@
 		}
 		table := tableOfZones(len(online), 1)
 		setPeerOnline(table, online)
-		demand := &Request{Pool: "p"}
-		place := table.FindCandidate(start, demand, SearchOptions{Peers: 1})
-		if place.Full != (free == 0) || place.LeftToPeers || place.Full != (place.Wait > 0) || place.MaxWait < place.Wait {
-			return errors.Newf("%d workers have a slot free: %+v", free, place)
+		request := &Request{Pool: "p"}
+		candidate := table.FindCandidate(start, request, SearchOptions{Peers: 1})
+		if candidate.Full != (free == 0) || candidate.LeftToPeers || candidate.Full != (candidate.Wait > 0) || candidate.MaxWait < candidate.Wait {
+			return errors.Newf("%d workers have a free slot: %+v", free, candidate)
 		}
 		if loads := table.Loads(); len(loads) > 0 || table.AcquiredCount() > 0 {
-			return errors.Newf("by looking: %+v", loads)
+			return errors.Newf("FindCandidate acquired something: %+v", loads)
 		}
-		lease := table.AcquireCandidate(start, demand, place)
-		if loads := table.Loads(); lease.Endpoint.ID != place.Worker || len(loads) != 1 {
-			return errors.Newf("%+v was taken, not %+v", loads, place)
+		lease := table.AcquireCandidate(start, request, candidate)
+		if loads := table.Loads(); lease.Endpoint.ID != candidate.Worker || len(loads) != 1 {
+			return errors.Newf("acquired %+v, want %+v", loads, candidate)
 		}
 		lease.Release()
 		return nil
@@ -74,27 +74,27 @@
 // TestFewFreeSlotsAreSharedAtRandom lets many processes see the same free slot: each of them
 // usually leaves it to the others. The process that released the slot takes it, and so does one
 // without peers.
-func TestFewFreeSlotsAreDrawnFor(t *testing.T) {
-	const looks = 1000
+func TestFewFreeSlotsAreSharedAtRandom(t *testing.T) {
+	const polls = 1000
 	online := []int{freeSlots, freeSlots - 1, freeSlots}
 	table := tableOfZones(len(online), 1)
 	setPeerOnline(table, online)
 	taken := func(search SearchOptions) (count int) {
-		for range looks {
-			if place := table.FindCandidate(start, &Request{Pool: "p"}, search); !place.LeftToPeers && !place.Full {
+		for range polls {
+			if candidate := table.FindCandidate(start, &Request{Pool: "p"}, search); !candidate.LeftToPeers && !candidate.Full {
 				count++
 			}
 		}
 		return count
 	}
-	if count := taken(SearchOptions{Peers: 1}); count != looks {
-		t.Errorf("alone: %d of %d", count, looks)
+	if count := taken(SearchOptions{Peers: 1}); count != polls {
+		t.Errorf("without peers: %d of %d", count, polls)
 	}
-	if count := taken(SearchOptions{Peers: 51, ReleasedWorker: "w1"}); count != looks {
-		t.Errorf("who gave it back: %d of %d", count, looks)
+	if count := taken(SearchOptions{Peers: 51, ReleasedWorker: "w1"}); count != polls {
+		t.Errorf("with the released slot: %d of %d", count, polls)
 	}
-	if count := taken(SearchOptions{Peers: 51}); count < looks/20 || count > looks/4 {
-		t.Errorf("one of 51: %d of %d", count, looks)
+	if count := taken(SearchOptions{Peers: 51}); count < polls/20 || count > polls/4 {
+		t.Errorf("with 50 peers: %d of %d", count, polls)
 	}
 }
 
@@ -113,8 +113,8 @@
 
 // TestMostlyFreeSlotsAreTaken calls FindCandidate on small pools: while more than half of the
 // slots are free, or their number is unknown, no process leaves a slot to its peers.
-func TestNobodyWaitsBesideIdleSlots(t *testing.T) {
-	const looks, peers = 1000, 51
+func TestMostlyFreeSlotsAreTaken(t *testing.T) {
+	const polls, peers = 1000, 51
 	for _, test := range []struct {
 		name   string
 		slots  int
@@ -123,39 +123,39 @@
 		// least and most bound how many of the polls find a slot.
 		least, most int
 	}{
-		{"four slots", 4, []int{0}, []string{"z0"}, looks, looks},
-		{"one of four held", 4, []int{1}, []string{"z0"}, looks, looks},
-		{"three of four held", 4, []int{3}, []string{"z0"}, looks / 20, looks / 4},
-		{"eight slots", 8, []int{0}, []string{"z0"}, looks, looks},
-		{"three of eight held", 4, []int{2, 1}, []string{"z0", "z0"}, looks, looks},
-		{"seven of eight held", 4, []int{3, 4}, []string{"z0", "z0"}, looks / 20, looks / 4},
-		{"one slot free here, none in two more zones", 8, []int{7, 8, 8}, []string{"z0", "z1", "z2"}, looks / 5, looks / 2},
-		{"a zone without workers", 8, []int{0}, []string{"z1"}, looks, looks},
-		{"a zone without workers, three of eight held there", 8, []int{3}, []string{"z1"}, looks, looks},
-		{"a zone without workers, seven of eight held there", 8, []int{7}, []string{"z1"}, 0, looks / 20},
-		{"slots not told", 0, []int{1, 5}, []string{"z0", "z0"}, looks, looks},
-		{"slots not told, elsewhere", 0, []int{1}, []string{"z1"}, looks, looks},
+		{"four slots", 4, []int{0}, []string{"z0"}, polls, polls},
+		{"one of four held", 4, []int{1}, []string{"z0"}, polls, polls},
+		{"three of four held", 4, []int{3}, []string{"z0"}, polls / 20, polls / 4},
+		{"eight slots", 8, []int{0}, []string{"z0"}, polls, polls},
+		{"three of eight held", 4, []int{2, 1}, []string{"z0", "z0"}, polls, polls},
+		{"seven of eight held", 4, []int{3, 4}, []string{"z0", "z0"}, polls / 20, polls / 4},
+		{"one slot free here, none in two more zones", 8, []int{7, 8, 8}, []string{"z0", "z1", "z2"}, polls / 5, polls / 2},
+		{"a zone without workers", 8, []int{0}, []string{"z1"}, polls, polls},
+		{"a zone without workers, three of eight held there", 8, []int{3}, []string{"z1"}, polls, polls},
+		{"a zone without workers, seven of eight held there", 8, []int{7}, []string{"z1"}, 0, polls / 20},
+		{"number of slots unknown", 0, []int{1, 5}, []string{"z0", "z0"}, polls, polls},
+		{"number of slots unknown, in another zone", 0, []int{1}, []string{"z1"}, polls, polls},
 	} {
 		table := tableOfSlots(test.slots, test.online, test.zones...)
 		found := 0
-		for look := range looks {
-			place := table.FindCandidate(start.Add(time.Duration(look)*time.Microsecond), &Request{Pool: "p"}, SearchOptions{Peers: peers})
-			if !place.Full && !place.LeftToPeers {
+		for poll := range polls {
+			candidate := table.FindCandidate(start.Add(time.Duration(poll)*time.Microsecond), &Request{Pool: "p"}, SearchOptions{Peers: peers})
+			if !candidate.Full && !candidate.LeftToPeers {
 				found++
 			}
-			if test.slots == 0 && !place.Spare {
-				t.Fatalf("%s: %+v", test.name, place)
+			if test.slots == 0 && !candidate.Spare {
+				t.Fatalf("%s: %+v", test.name, candidate)
 			}
 		}
 		if found < test.least || found > test.most {
-			t.Errorf("%s: %d of %d looks find a place", test.name, found, looks)
+			t.Errorf("%s: %d of %d polls find a slot", test.name, found, polls)
 		}
 	}
 }
 
 // TestReserveIsBounded sets a high request rate, as with short requests. Slots count as spare as
 // soon as more than an eighth of them is free, in this zone and in another.
-func TestAnEighthIsReservedAtMost(t *testing.T) {
+func TestReserveIsBounded(t *testing.T) {
 	for _, zone := range []string{"z0", "z1"} {
 		for free := 1; free <= freeSlots; free++ {
 			table := tableOfSlots(freeSlots, nil, zone, zone)
@@ -168,9 +168,9 @@
 				loads = append(loads, wire.WorkerLoad{Worker: loadshare.WorkerHash(fmt.Sprintf("w%d", number)), Online: uint16(held), Rate: 20000})
 			}
 			table.SetPeerLoads(start, loads, ScopeAll)
-			place := table.FindCandidate(start, &Request{Pool: "p"}, SearchOptions{Peers: 1})
-			if want := free > 2*freeSlots/reservedDivisor; place.Spare != want {
-				t.Errorf("%d of %d free in %s: %+v", free, 2*freeSlots, zone, place)
+			candidate := table.FindCandidate(start, &Request{Pool: "p"}, SearchOptions{Peers: 1})
+			if want := free > 2*freeSlots/reservedDivisor; candidate.Spare != want {
+				t.Errorf("%d of %d free in %s: %+v", free, 2*freeSlots, zone, candidate)
 			}
 		}
 	}
@@ -178,8 +178,8 @@
 
 // TestProbeGrantLastsUntilAcquired finds an avoided worker that the hub granted as a probe: the
 // grant lasts until the candidate is acquired, and the slot is never left to peers.
-func TestProbesAreKeptUntilTaken(t *testing.T) {
-	const looks = 100
+func TestProbeGrantLastsUntilAcquired(t *testing.T) {
+	const polls = 100
 	table := tableOfZones(3, 1)
 	loads := []wire.WorkerLoad{failingLoad("w1", 0)}
 	for _, id := range []string{"w0", "w2"} {
@@ -187,27 +187,27 @@
 	}
 	table.SetPeerLoads(start, loads, ScopeAll)
 	table.SetProbes(start, []uint32{loadshare.WorkerHash("w1")})
-	demand := &Request{Pool: "p", Repeatable: true}
-	var place *Candidate
-	for look := range looks {
-		place = table.FindCandidate(start, demand, SearchOptions{Peers: 51})
-		if place.Worker != "w1" || !place.Spare || place.LeftToPeers || place.Full {
-			t.Fatalf("look %d: %+v", look, place)
+	request := &Request{Pool: "p", Repeatable: true}
+	var candidate *Candidate
+	for poll := range polls {
+		candidate = table.FindCandidate(start, request, SearchOptions{Peers: 51})
+		if candidate.Worker != "w1" || !candidate.Spare || candidate.LeftToPeers || candidate.Full {
+			t.Fatalf("poll %d: %+v", poll, candidate)
 		}
 	}
-	lease := table.AcquireCandidate(start, demand, place)
+	lease := table.AcquireCandidate(start, request, candidate)
 	if !lease.IsProbe() {
-		t.Error("the lease is no probe")
+		t.Error("the lease is not a probe")
 	}
 	lease.Release()
-	if place := table.FindCandidate(start, demand, SearchOptions{Peers: 51}); place.Worker == "w1" && place.Spare {
-		t.Errorf("a second probe by one word: %+v", place)
+	if candidate := table.FindCandidate(start, request, SearchOptions{Peers: 51}); candidate.Worker == "w1" && candidate.Spare {
+		t.Errorf("a second probe for one grant: %+v", candidate)
 	}
 }
 
 // TestFreeSlotsInOtherZonesAreUsed fills this zone while another one has many free slots:
 // requests go there, as many as fit.
-func TestRoomElsewhereIsUsed(t *testing.T) {
+func TestFreeSlotsInOtherZonesAreUsed(t *testing.T) {
 	const workers, peers = 20, 10
 	online := make([]int, workers)
 	for number := range online {
@@ -217,8 +217,8 @@
 	}
 	table := tableOfZones(workers, 2)
 	setPeerOnline(table, online)
-	if place := table.FindCandidate(start, &Request{Pool: "p"}, SearchOptions{Peers: peers}); place.Full {
-		t.Errorf("%+v beside an idle zone", place)
+	if candidate := table.FindCandidate(start, &Request{Pool: "p"}, SearchOptions{Peers: peers}); candidate.Full {
+		t.Errorf("%+v although another zone is idle", candidate)
 	}
 	// All slots but one are in use there: a tenth of the peers may go.
 	for number := range online {
@@ -227,14 +227,14 @@
 	online[1]--
 	setPeerOnline(table, online)
 	count := 0
-	const looks = 1000
-	for look := range looks {
-		if place := table.FindCandidate(start.Add(time.Duration(look)*time.Microsecond), &Request{Pool: "p"}, SearchOptions{Peers: peers}); !place.Full {
+	const polls = 1000
+	for poll := range polls {
+		if candidate := table.FindCandidate(start.Add(time.Duration(poll)*time.Microsecond), &Request{Pool: "p"}, SearchOptions{Peers: peers}); !candidate.Full {
 			count++
 		}
 	}
-	if count > looks/peers {
-		t.Errorf("%d of %d go to the only slot elsewhere", count, looks)
+	if count > polls/peers {
+		t.Errorf("%d of %d requests go to the only free slot in another zone", count, polls)
 	}
 }
 
@@ -247,7 +247,7 @@
 	for over := 1; over <= 3; over++ {
 		setPeerOnline(table, []int{freeSlots + over - 1})
 		table.pools["p"].holdTime = hold
-		place := table.FindCandidate(start, &Request{Pool: "p"}, SearchOptions{Peers: 1})
+		candidate := table.FindCandidate(start, &Request{Pool: "p"}, SearchOptions{Peers: 1})
 		late := 0
 		const draws = 10000
 		for range draws {
@@ -256,13 +256,13 @@
 				ends[i] = random.Float64()
 			}
 			slices.Sort(ends)
-			if time.Duration(ends[over-1]*float64(hold)) > place.MaxWait {
+			if time.Duration(ends[over-1]*float64(hold)) > candidate.MaxWait {
 				late++
 			}
 		}
-		t.Logf("%d before it: %s in the mean, %s at most, %d of %d wait longer", over, place.Wait, place.MaxWait, late, draws)
+		t.Logf("deficit %d: mean wait %s, maximum %s, %d of %d wait longer", over, candidate.Wait, candidate.MaxWait, late, draws)
 		if late > draws/15 {
-			t.Errorf("%d before it: %d of %d wait longer than %s", over, late, draws, place.MaxWait)
+			t.Errorf("deficit %d: %d of %d wait longer than %s", over, late, draws, candidate.MaxWait)
 		}
 	}
 }
@@ -279,8 +279,8 @@
 			setPeerOnline(table, online)
 			b.ReportAllocs()
 			for b.Loop() {
-				if place := table.FindCandidate(start, &Request{Pool: "p"}, SearchOptions{Peers: 51}); !place.Full {
-					b.Fatalf("%+v", place)
+				if candidate := table.FindCandidate(start, &Request{Pool: "p"}, SearchOptions{Peers: 51}); !candidate.Full {
+					b.Fatalf("%+v", candidate)
 				}
 			}
 		})
--- a/internal/balance/homes.go
+++ b/internal/balance/homes.go
@@ -31,17 +31,17 @@
 // and of the workers' ids: processes need not coordinate, and a worker that joins or leaves moves
 // only the prompts it has affinity with. Apart from the binary search on the ring, the cost
 // doesn't depend on the number of workers.
-func (t *Table) findAffinity(demand *Request, fit func(w *worker) bool) {
+func (t *Table) findAffinity(request *Request, fit func(w *worker) bool) {
 	t.affinity = t.affinity[:0]
-	known := t.pools[demand.Pool]
-	if len(demand.Parts) < 2 || known == nil || len(known.ring) == 0 {
+	p := t.pools[request.Pool]
+	if len(request.Parts) < 2 || p == nil || len(p.ring) == 0 {
 		return
 	}
 	var best [affinityCount]ringMatch
-	point := xxhash.Sum64String(demand.Parts[len(demand.Parts)-2].ID)
+	point := xxhash.Sum64String(request.Parts[len(request.Parts)-2].ID)
 	for range ringProbes {
 		point = splitMix64(point)
-		if found := known.ring.firstAfter(point, fit); found.worker != nil {
+		if found := p.ring.firstAfter(point, fit); found.worker != nil {
 			keepClosest(&best, found)
 		}
 	}
@@ -54,10 +54,10 @@
 
 // AffinityWorkers returns the short names of the zone's affinity workers for the prompt's shared
 // parts.
-func (t *Table) AffinityWorkers(demand *Request) []uint32 {
+func (t *Table) AffinityWorkers(request *Request) []uint32 {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.findAffinity(demand, func(w *worker) bool { return w.usable() && !demand.Exclude[w.listed.ID] })
+	t.findAffinity(request, func(w *worker) bool { return w.usable() && !request.Exclude[w.listed.ID] })
 	var names []uint32
 	for _, home := range t.affinity {
 		names = append(names, home.hash)
@@ -67,9 +67,9 @@
 
 // firstAfter returns the first worker after the point that fits.
 func (r ring) firstAfter(point uint64, fit func(w *worker) bool) ringMatch {
-	at := r.find(point)
+	index := r.find(point)
 	for step := range min(maxRingSteps, len(r)) {
-		candidate := r[(at+step)%len(r)]
+		candidate := r[(index+step)%len(r)]
 		if fit(candidate) {
 			return ringMatch{candidate, candidate.point - point}
 		}
--- a/internal/balance/homes_test.go
+++ b/internal/balance/homes_test.go
@@ -18,7 +18,7 @@
 // TestSharedPartsUseAffinityWorkers lets a hundred processes send one prompt each, all with the
 // same shared parts, to forty idle workers: they use only the two affinity workers. Without
 // affinity each process knows only its own requests, and the prompts spread over all workers.
-func TestSharedPartsMeetAcrossProcesses(t *testing.T) {
+func TestSharedPartsUseAffinityWorkers(t *testing.T) {
 	var list []wire.PoolWorker
 	for i := range 40 {
 		list = append(list, poolWorker(fmt.Sprintf("w%d", i), "z1"))
@@ -36,7 +36,7 @@
 
 // TestBusyAffinityWorkersAreAvoided checks that a prompt goes elsewhere once its affinity workers
 // have more pending tokens than the cache saves.
-func TestHomesAreLeftWhereTheyAreBusy(t *testing.T) {
+func TestBusyAffinityWorkersAreAvoided(t *testing.T) {
 	var list []wire.PoolWorker
 	for i := range 10 {
 		list = append(list, poolWorker(fmt.Sprintf("w%d", i), "z1"))
@@ -51,45 +51,45 @@
 	}
 	table.SetPeerLoads(start, rows, ScopeAll)
 	if lease := table.Acquire(start, longPrompt("part")); lease.Endpoint.ID == home.Endpoint.ID {
-		t.Error("a prompt waits at its busy home")
+		t.Error("a prompt was sent to its busy affinity worker")
 	}
 }
 
 // TestAffinityIsStable checks that the loss of a worker moves only prompts with affinity to it,
 // and that affinity is spread over the workers.
-func TestHomesStay(t *testing.T) {
+func TestAffinityIsStable(t *testing.T) {
 	var list []wire.PoolWorker
 	for i := range 20 {
 		list = append(list, poolWorker(fmt.Sprintf("w%d", i), "z1"))
 	}
-	homesIn := func(list []wire.PoolWorker) map[string][]string {
-		homes := map[string][]string{}
+	affinityOf := func(list []wire.PoolWorker) map[string][]string {
+		affinity := map[string][]string{}
 		table := tableOf(list...)
 		for part := range 200 {
 			id := fmt.Sprintf("part%d", part)
 			table.findAffinity(longPrompt(id), (*worker).usable)
-			for _, home := range table.affinity {
-				homes[id] = append(homes[id], home.listed.ID)
+			for _, worker := range table.affinity {
+				affinity[id] = append(affinity[id], worker.listed.ID)
 			}
 		}
-		return homes
+		return affinity
 	}
-	before, after := homesIn(list), homesIn(list[1:])
+	before, after := affinityOf(list), affinityOf(list[1:])
 	count := map[string]int{}
-	for part, homes := range before {
-		for _, home := range homes {
-			count[home]++
-			if home != "w0" && after[part][0] != home && after[part][1] != home {
-				t.Errorf("%s was at home at %v, and is at %v", part, homes, after[part])
+	for part, affinity := range before {
+		for _, worker := range affinity {
+			count[worker]++
+			if worker != "w0" && after[part][0] != worker && after[part][1] != worker {
+				t.Errorf("%s had affinity to %v, and now to %v", part, affinity, after[part])
 			}
 		}
 	}
 	for id, parts := range count {
 		if parts > 3*200*affinityCount/20 {
-			t.Errorf("%s is the home of %d parts", id, parts)
+			t.Errorf("%s is an affinity worker of %d parts", id, parts)
 		}
 	}
 	if len(count) != len(list) {
-		t.Errorf("%d of %d workers are homes", len(count), len(list))
+		t.Errorf("%d of %d workers are affinity workers", len(count), len(list))
 	}
 }
--- a/internal/balance/others.go
+++ b/internal/balance/others.go
@@ -50,13 +50,13 @@
 		t.zoneLoadsAt = now
 	}
 	for i := range loads {
-		known := t.byHash[loads[i].Worker]
-		if known == nil {
+		w := t.byHash[loads[i].Worker]
+		if w == nil {
 			continue
 		}
-		t.markPeerLoaded(known)
-		known.peerLoad, known.peerLoadAt = loads[i], now
-		t.setOrder(known, int(loads[i].Start), int(loads[i].Stop))
+		t.markPeerLoaded(w)
+		w.peerLoad, w.peerLoadAt = loads[i], now
+		t.setOrder(w, int(loads[i].Start), int(loads[i].Stop))
 	}
 	t.updatePools(now)
 }
@@ -73,15 +73,15 @@
 // expired.
 func (t *Table) dropPeerLoads(now time.Time, scope Scope) {
 	kept := t.peerLoaded[:0]
-	for _, known := range t.peerLoaded {
-		covered := scope != ScopeZone || t.zoneDistance(known) == 0
-		if !covered && now.Sub(known.peerLoadAt) <= loadshare.ReportTTL {
-			kept = append(kept, known)
+	for _, w := range t.peerLoaded {
+		covered := scope != ScopeZone || t.zoneDistance(w) == 0
+		if !covered && now.Sub(w.peerLoadAt) <= loadshare.ReportTTL {
+			kept = append(kept, w)
 			continue
 		}
-		known.hasPeerLoad = false
-		known.peerLoad, known.peerLoadAt = wire.WorkerLoad{}, time.Time{}
-		known.startGrants, known.pendingStops = 0, 0
+		w.hasPeerLoad = false
+		w.peerLoad, w.peerLoadAt = wire.WorkerLoad{}, time.Time{}
+		w.startGrants, w.pendingStops = 0, 0
 	}
 	clear(t.peerLoaded[len(kept):])
 	t.peerLoaded = kept
@@ -100,9 +100,9 @@
 }
 
 func (t *Table) dropOrders() {
-	for _, known := range t.withOrders {
-		known.hasOrder = false
-		known.startGrants, known.pendingStops = 0, 0
+	for _, w := range t.withOrders {
+		w.hasOrder = false
+		w.startGrants, w.pendingStops = 0, 0
 	}
 	clear(t.withOrders)
 	t.withOrders = t.withOrders[:0]
@@ -115,8 +115,8 @@
 	defer t.mutex.Unlock()
 	t.dropOrders()
 	for hash, order := range orders {
-		if known := t.byHash[hash]; known != nil {
-			t.setOrder(known, order.Start, order.Stop)
+		if w := t.byHash[hash]; w != nil {
+			t.setOrder(w, order.Start, order.Stop)
 		}
 	}
 }
--- a/internal/balance/outlook.go
+++ b/internal/balance/outlook.go
@@ -19,48 +19,48 @@
 // online demand. Waiting requests count as demand, because each will hold a slot. Demand is
 // capped at the slots of the pool, because no more capacity could be freed for it. The caller
 // adds the expected change.
-func (t *Table) Forecasts(places *batchroom.Workers, pools []string) []batchroom.Forecast {
+func (t *Table) Forecasts(workers *batchroom.Workers, pools []string) []batchroom.Forecast {
 	if len(pools) == 0 {
 		return nil
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	outlooks := make([]batchroom.Forecast, 0, len(pools))
-	numbers := make(map[string]int, len(pools))
-	most := make([]int, len(pools))
+	forecasts := make([]batchroom.Forecast, 0, len(pools))
+	indexes := make(map[string]int, len(pools))
+	caps := make([]int, len(pools))
 	for _, name := range pools {
-		known := t.pools[name]
-		if known == nil {
+		p := t.pools[name]
+		if p == nil {
 			continue
 		}
-		numbers[name] = len(outlooks)
-		slots, byZone := t.poolSlots(known, name)
-		most[len(outlooks)] = slots
-		outlooks = append(outlooks, batchroom.Forecast{Pool: name, Slots: slots, IdleSlots: slots, ZoneSlots: byZone})
+		indexes[name] = len(forecasts)
+		slots, byZone := t.poolSlots(p, name)
+		caps[len(forecasts)] = slots
+		forecasts = append(forecasts, batchroom.Forecast{Pool: name, Slots: slots, IdleSlots: slots, ZoneSlots: byZone})
 	}
-	for i := range places.Busy {
-		place := &places.Busy[i]
-		if number, wanted := numbers[place.Pool]; wanted {
-			most[number] += t.addToForecast(&outlooks[number], place)
+	for i := range workers.Busy {
+		w := &workers.Busy[i]
+		if index, ok := indexes[w.Pool]; ok {
+			caps[index] += t.addToForecast(&forecasts[index], w)
 		}
 	}
-	for i := range outlooks {
-		outlooks[i].Online = min(outlooks[i].Online, most[i])
+	for i := range forecasts {
+		forecasts[i].Online = min(forecasts[i].Online, caps[i])
 	}
-	return outlooks
+	return forecasts
 }
 
 // addToForecast adds a worker to the forecast of its pool. It returns the number of slots that
 // the pool's total doesn't include, such as those of a worker that is leaving.
-func (t *Table) addToForecast(outlook *batchroom.Forecast, place *batchroom.Worker) int {
-	outlook.Online += place.Online
-	known := t.byHash[place.ShortName]
-	if known == nil || !known.inGroup {
-		return place.Slots
+func (t *Table) addToForecast(forecast *batchroom.Forecast, row *batchroom.Worker) int {
+	forecast.Online += row.Online
+	w := t.byHash[row.ShortName]
+	if w == nil || !w.inGroup {
+		return row.Slots
 	}
-	outlook.IdleSlots -= place.Slots
-	if place.Closed {
-		outlook.Slots -= place.Slots
+	forecast.IdleSlots -= row.Slots
+	if row.Closed {
+		forecast.Slots -= row.Slots
 	}
 	return 0
 }
@@ -69,20 +69,20 @@
 func (t *Table) Overloaded(now time.Time, id string) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	known := t.workers[id]
-	if known == nil {
+	w := t.workers[id]
+	if w == nil {
 		return false
 	}
-	others, _ := t.peerLoadOf(now, known)
-	return known.inFlight+int(others.Online)+int(others.Batch)+t.orphansAt(now, known) > t.effectiveSlots(known)
+	load, _ := t.peerLoadOf(now, w)
+	return w.inFlight+int(load.Online)+int(load.Batch)+t.orphansAt(now, w) > t.effectiveSlots(w)
 }
 
 // previousWorker returns the worker at which an item ran before, if it may start there again. Its
 // prompt may still be cached there.
-func (t *Table) previousWorker(now time.Time, demand *Request) *worker {
-	known := t.workers[demand.LastWorker]
-	if known == nil || known.listed.Pool != demand.Pool || !t.admits(now, known, demand, false) || t.failing(now, known) {
+func (t *Table) previousWorker(now time.Time, request *Request) *worker {
+	w := t.workers[request.LastWorker]
+	if w == nil || w.listed.Pool != request.Pool || !t.admits(now, w, request, false) || t.failing(now, w) {
 		return nil
 	}
-	return known
+	return w
 }
--- a/internal/balance/outlook_test.go
+++ b/internal/balance/outlook_test.go
@@ -29,7 +29,7 @@
 
 // TestForecastsCountByPool checks demand and slots of pools: waiting requests count, requests at
 // a leaving worker too, and demand is capped at the number of slots.
-func TestOutlooksCountByPool(t *testing.T) {
+func TestForecastsCountByPool(t *testing.T) {
 	table := forecastTable()
 	online := func(id string, count int) wire.WorkerLoad {
 		return wire.WorkerLoad{Worker: loadshare.WorkerHash(id), Online: uint16(count)}
@@ -46,15 +46,15 @@
 		{"too much", []wire.WorkerLoad{online("a", 20), online("b", 20)}, 8, 0},
 	} {
 		table.SetPeerLoads(start, test.loads, ScopeAll)
-		places := table.Workers(start, noWait)
-		outlooks := table.Forecasts(&places, table.Pools())
-		if len(outlooks) != 2 || outlooks[0].Pool != "p" || outlooks[1].Pool != "q" {
-			t.Fatalf("%s: %+v", test.name, outlooks)
+		workers := table.Workers(start, noWait)
+		forecasts := table.Forecasts(&workers, table.Pools())
+		if len(forecasts) != 2 || forecasts[0].Pool != "p" || forecasts[1].Pool != "q" {
+			t.Fatalf("%s: %+v", test.name, forecasts)
 		}
-		if got := outlooks[0]; got.Online != test.online || got.IdleSlots != test.idle || got.Slots != 8 || got.ZoneSlots["z"] != 8 {
+		if got := forecasts[0]; got.Online != test.online || got.IdleSlots != test.idle || got.Slots != 8 || got.ZoneSlots["z"] != 8 {
 			t.Errorf("%s: %+v", test.name, got)
 		}
-		if got := outlooks[1]; got.Online != 0 || got.Slots != 2 || got.IdleSlots != 2 {
+		if got := forecasts[1]; got.Online != 0 || got.Slots != 2 || got.IdleSlots != 2 {
 			t.Errorf("%s: the other pool: %+v", test.name, got)
 		}
 	}
@@ -62,13 +62,13 @@
 
 // TestSuspectSlotsAreNotForecast checks that the slots of a worker that gave no answer don't
 // count while it is avoided.
-func TestClosedWorkersAreNoRoom(t *testing.T) {
+func TestSuspectSlotsAreNotForecast(t *testing.T) {
 	table := forecastTable()
 	table.SetPeerLoads(start, nil, ScopeAll)
 	table.Acquire(start, &Request{Pool: "p"}).RecordNoAnswer(start)
-	places := table.Workers(start, noWait)
-	if got := table.Forecasts(&places, table.Pools())[0]; got.Slots != 4 {
-		t.Errorf("%d slots beside a worker that gave no answer", got.Slots)
+	workers := table.Workers(start, noWait)
+	if got := table.Forecasts(&workers, table.Pools())[0]; got.Slots != 4 {
+		t.Errorf("%d slots although one worker gave no answer", got.Slots)
 	}
 }
 
@@ -88,7 +88,7 @@
 			table.SetOrders(orders)
 			lease := table.Acquire(start, &Request{Pool: "p", Batch: true, LastWorker: last})
 			if lease == nil || (lease.Endpoint.ID == last) != granted {
-				t.Errorf("last at %s, granted there %t: %+v", last, granted, lease)
+				t.Errorf("previous worker %s, granted there %t: %+v", last, granted, lease)
 			}
 		}
 	}
@@ -99,7 +99,7 @@
 }
 
 // TestOverloaded checks from how many requests on a worker counts as overloaded.
-func TestOverfull(t *testing.T) {
+func TestOverloaded(t *testing.T) {
 	table := forecastTable()
 	for count, want := range map[uint16]bool{4: false, 5: true} {
 		table.SetPeerLoads(start, []wire.WorkerLoad{{Worker: loadshare.WorkerHash("a"), Online: count - 2, Batch: 2}}, ScopeAll)
@@ -108,61 +108,61 @@
 		}
 	}
 	if table.Overloaded(start, "unknown") {
-		t.Error("somebody waits at a worker that is not listed")
+		t.Error("a worker that is not listed is overloaded")
 	}
 }
 
 // TestForecastsUseReportedSlots has a worker report fewer slots than listed: the whole forecast
 // uses the same number as the planner's workers, whether the worker is idle or not, and the
 // listed one again once that equals the reported one.
-func TestOutlooksCountToldSlots(t *testing.T) {
+func TestForecastsUseReportedSlots(t *testing.T) {
 	table := forecastTable()
 	lease := table.Acquire(start, &Request{Pool: "p", Exclude: map[string]bool{"b": true}})
 	lease.ApplyReport(capacity.Report{Running: 1, Slots: 3, Pace: 100})
 	if table.Overloaded(start, "a") {
-		t.Error("somebody waits at a worker with two slots left")
+		t.Error("a worker with two free slots is overloaded")
 	}
 	table.SetPeerLoads(start, []wire.WorkerLoad{{Worker: loadshare.WorkerHash("a"), Online: 3}}, ScopeAll)
-	places := table.Workers(start, noWait)
-	if got := table.Forecasts(&places, []string{"p"})[0]; got.Slots != 7 || got.IdleSlots != 4 || got.ZoneSlots["z"] != 7 || got.Online != 4 {
+	workers := table.Workers(start, noWait)
+	if got := table.Forecasts(&workers, []string{"p"})[0]; got.Slots != 7 || got.IdleSlots != 4 || got.ZoneSlots["z"] != 7 || got.Online != 4 {
 		t.Errorf("while it is busy: %+v", got)
 	}
 	if !table.Overloaded(start, "a") {
-		t.Error("nobody waits at a worker with a request too many")
+		t.Error("a worker with one request too many is not overloaded")
 	}
 	table.SetPeerLoads(start, []wire.WorkerLoad{{Worker: loadshare.WorkerHash("a"), Online: 30}}, ScopeAll)
-	places = table.Workers(start, noWait)
-	if got := table.Forecasts(&places, []string{"p"})[0]; got.Online != 7 {
-		t.Errorf("need beyond the slots: %+v", got)
+	workers = table.Workers(start, noWait)
+	if got := table.Forecasts(&workers, []string{"p"})[0]; got.Online != 7 {
+		t.Errorf("demand exceeds the slots: %+v", got)
 	}
 	lease.Release()
 	table.Loads()
 	table.Loads()
 	table.SetPeerLoads(start, nil, ScopeAll)
-	places = table.Workers(start, noWait)
-	if got := table.Forecasts(&places, []string{"p"})[0]; got.Slots != 7 || got.IdleSlots != 7 || places.IdleSlots != 9 {
-		t.Errorf("while it is idle: %+v, %d idle slots", got, places.IdleSlots)
+	workers = table.Workers(start, noWait)
+	if got := table.Forecasts(&workers, []string{"p"})[0]; got.Slots != 7 || got.IdleSlots != 7 || workers.IdleSlots != 9 {
+		t.Errorf("while it is idle: %+v, %d idle slots", got, workers.IdleSlots)
 	}
-	drawn := 0
-	for _, place := range places.Sample(3) {
-		drawn += place.Slots
+	sampled := 0
+	for _, w := range workers.Sample(3) {
+		sampled += w.Slots
 	}
-	if drawn != 9 {
-		t.Errorf("%d slots drawn", drawn)
+	if sampled != 9 {
+		t.Errorf("%d slots sampled", sampled)
 	}
 	table.Update(workerset.Of([]wire.PoolWorker{{ID: "a", Pool: "p", Zone: "z", Slots: 3}}), nil)
-	places = table.Workers(start, noWait)
-	if got := table.Forecasts(&places, []string{"p"})[0]; got.Slots != 3 || got.IdleSlots != 3 {
-		t.Errorf("listed with as many as it told: %+v", got)
+	workers = table.Workers(start, noWait)
+	if got := table.Forecasts(&workers, []string{"p"})[0]; got.Slots != 3 || got.IdleSlots != 3 {
+		t.Errorf("listed with the reported number of slots: %+v", got)
 	}
 }
 
 // BenchmarkOutlooks measures what forecasts add to the cost of a plan.
 func BenchmarkOutlooks(b *testing.B) {
 	benchmark(b, func(b *testing.B, table *Table, _ int) {
-		places := table.Workers(start, noWait)
+		workers := table.Workers(start, noWait)
 		for b.Loop() {
-			table.Forecasts(&places, table.Pools())
+			table.Forecasts(&workers, table.Pools())
 		}
 	})
 }
--- a/internal/balance/pace.go
+++ b/internal/balance/pace.go
@@ -35,30 +35,30 @@
 // updatePools updates slow workers, rates, hold time and capacity of each pool from the peer
 // loads.
 func (t *Table) updatePools(now time.Time) {
-	all := 0
-	for _, known := range t.pools {
-		all += known.usableCount()
+	total := 0
+	for _, p := range t.pools {
+		total += p.usableCount()
 	}
-	for name, known := range t.pools {
+	for name, p := range t.pools {
 		active := t.activeWorkers(name)
 		// The rate of workers without a listed load is split among the pools by their sizes.
-		rest := 0
-		if all > 0 {
-			rest = t.unlistedRate * known.usableCount() / all
+		unlisted := 0
+		if total > 0 {
+			unlisted = t.unlistedRate * p.usableCount() / total
 		}
-		known.holdTime = estimateHoldTime(active, rest)
-		known.nearRate, known.farRate = 0, rest
+		p.holdTime = estimateHoldTime(active, unlisted)
+		p.nearRate, p.farRate = 0, unlisted
 		for _, candidate := range active {
 			if t.zoneDistance(candidate) == 0 {
-				known.nearRate += int(candidate.peerLoad.Rate)
+				p.nearRate += int(candidate.peerLoad.Rate)
 			} else {
-				known.farRate += int(candidate.peerLoad.Rate)
+				p.farRate += int(candidate.peerLoad.Rate)
 			}
 		}
-		middle := t.medianInterval(active)
-		updateSlowFactors(now, active, middle)
-		known.updateIntervalRatios(now, active, middle)
-		t.updateCapacity(now, known, active)
+		median := t.medianInterval(active)
+		updateSlowFactors(now, active, median)
+		p.updateIntervalRatios(now, active, median)
+		t.updateCapacity(now, p, active)
 	}
 }
 
@@ -68,8 +68,8 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	rate := 0
-	for _, known := range t.pools {
-		rate += known.nearRate + known.farRate
+	for _, p := range t.pools {
+		rate += p.nearRate + p.farRate
 	}
 	return float64(rate) / rateSeconds
 }
@@ -108,12 +108,12 @@
 }
 
 // updateSlowFactors compares the event interval of each worker with the median.
-func updateSlowFactors(now time.Time, workers []*worker, middle uint32) {
-	if middle == 0 {
+func updateSlowFactors(now time.Time, workers []*worker, median uint32) {
+	if median == 0 {
 		return
 	}
 	for _, candidate := range workers {
-		switch ratio := float64(candidate.peerLoad.Step) / float64(middle); {
+		switch ratio := float64(candidate.peerLoad.Step) / float64(median); {
 		case candidate.peerLoad.Step == 0:
 		case ratio >= slownessThreshold:
 			candidate.slowFactor, candidate.slowFactorAt = ratio, now
@@ -134,8 +134,8 @@
 
 // holdTimeOf returns how long an online request holds a slot in the worker's pool.
 func (t *Table) holdTimeOf(w *worker) time.Duration {
-	if known := t.pools[w.listed.Pool]; known != nil {
-		return known.holdTime
+	if p := t.pools[w.listed.Pool]; p != nil {
+		return p.holdTime
 	}
 	return 0
 }
@@ -143,13 +143,13 @@
 // estimateHoldTime returns how long an online request holds a slot, zero if unknown. By Little's
 // law it is the number of requests in flight divided by the request rate. unlistedRate is the
 // rate of workers without a listed load, per rateSeconds.
-func estimateHoldTime(workers []*worker, rest int) time.Duration {
-	online, rate := 0, rest
+func estimateHoldTime(workers []*worker, unlistedRate int) time.Duration {
+	online, rate := 0, unlistedRate
 	for _, candidate := range workers {
 		rate += int(candidate.peerLoad.Rate)
-		here := candidate.inFlight - candidate.batch + int(candidate.peerLoad.Online)
+		load := candidate.inFlight - candidate.batch + int(candidate.peerLoad.Online)
 		// Requests that wait for a slot hold none.
-		online += min(here, max(candidate.listed.Slots, 1))
+		online += min(load, max(candidate.listed.Slots, 1))
 	}
 	if rate < minRate {
 		return 0
@@ -160,13 +160,13 @@
 // predictWait predicts the mean time until one more online request gets a slot at the worker.
 // Batch items don't count, because they are preempted.
 func (t *Table) predictWait(now time.Time, candidate *worker) time.Duration {
-	slots, over := t.slotDeficit(now, candidate)
-	if over <= 0 {
+	slots, deficit := t.slotDeficit(now, candidate)
+	if deficit <= 0 {
 		return 0
 	}
 	// Releases are assumed to be spread evenly over the hold time: the k-th of n slots is
 	// released after k/(n+1) of it.
-	return time.Duration(float64(t.holdTimeAt(now, candidate)) * float64(over) / float64(slots+1))
+	return time.Duration(float64(t.holdTimeAt(now, candidate)) * float64(deficit) / float64(slots+1))
 }
 
 // maxWaitDeviations is the number of standard deviations from the mean to the predicted maximum:
@@ -177,18 +177,18 @@
 // releases of n slots are taken as independent and uniform over the hold time, so the k-th one
 // follows a beta distribution.
 func (t *Table) predictMaxWait(now time.Time, candidate *worker) time.Duration {
-	slots, over := t.slotDeficit(now, candidate)
-	if over <= 0 {
+	slots, deficit := t.slotDeficit(now, candidate)
+	if deficit <= 0 {
 		return 0
 	}
-	k, n := float64(over), float64(slots)
+	k, n := float64(deficit), float64(slots)
 	variance := max(k*(n+1-k), n) / ((n + 1) * (n + 1) * (n + 2))
 	return time.Duration(float64(t.holdTimeAt(now, candidate)) * (k/(n+1) + maxWaitDeviations*math.Sqrt(variance)))
 }
 
 // slotDeficit returns the worker's slots, and how many must be released before one more online
 // request can start.
-func (t *Table) slotDeficit(now time.Time, candidate *worker) (slots, over int) {
+func (t *Table) slotDeficit(now time.Time, candidate *worker) (slots, deficit int) {
 	slots = max(t.effectiveSlots(candidate), 1)
 	return slots, t.onlineAt(now, candidate) + 1 - slots
 }
@@ -196,8 +196,8 @@
 // onlineAt returns the number of online requests at the worker, as far as is known.
 func (t *Table) onlineAt(now time.Time, candidate *worker) int {
 	online := candidate.inFlight - candidate.batch + t.orphansAt(now, candidate)
-	if others, known := t.peerLoadOf(now, candidate); known {
-		online += int(others.Online)
+	if load, ok := t.peerLoadOf(now, candidate); ok {
+		online += int(load.Online)
 	}
 	return online
 }
--- a/internal/balance/pace_test.go
+++ b/internal/balance/pace_test.go
@@ -19,43 +19,43 @@
 // measurement.
 func TestSlowWorkersComeLast(t *testing.T) {
 	table := tableOf(poolWorker("slow", "z1"), poolWorker("b", "z2"), poolWorker("c", "z2"))
-	demand := &Request{Pool: "p"}
-	take := func(now time.Time) string {
-		lease := table.Acquire(now, demand)
+	request := &Request{Pool: "p"}
+	acquire := func(now time.Time) string {
+		lease := table.Acquire(now, request)
 		defer lease.Release()
 		return lease.Endpoint.ID
 	}
-	if got := take(start); got != "slow" {
-		t.Fatalf("before anything was heard %s was taken", got)
+	if got := acquire(start); got != "slow" {
+		t.Fatalf("%s was chosen before any peer loads", got)
 	}
 	table.SetPeerLoads(start, []wire.WorkerLoad{peerLoad("slow", 0, 140_000, 0), peerLoad("b", 3, 24_000, 10), peerLoad("c", 3, 22_000, 10)}, ScopeAll)
-	if got := take(start); got == "slow" {
-		t.Error("a worker six times slower was taken")
+	if got := acquire(start); got == "slow" {
+		t.Error("a worker six times slower was chosen")
 	}
 	table.SetPeerLoads(start, []wire.WorkerLoad{peerLoad("slow", 0, 140_000, 0), peerLoad("b", 40, 24_000, 10), peerLoad("c", 40, 22_000, 10)}, ScopeAll)
-	if got := take(start); got != "slow" {
-		t.Errorf("%s was taken, which is crowded", got)
+	if got := acquire(start); got != "slow" {
+		t.Errorf("%s was chosen although it is overloaded", got)
 	}
 	later := start.Add(slownessTTL)
 	table.SetPeerLoads(later, []wire.WorkerLoad{peerLoad("b", 3, 24_000, 10), peerLoad("c", 3, 22_000, 10)}, ScopeAll)
-	if got := take(later); got == "slow" {
-		t.Error("a slow worker was forgotten too soon")
+	if got := acquire(later); got == "slow" {
+		t.Error("a slow worker was chosen before slownessTTL")
 	}
 	later = later.Add(1)
 	table.SetPeerLoads(later, []wire.WorkerLoad{peerLoad("b", 3, 24_000, 10), peerLoad("c", 3, 22_000, 10)}, ScopeAll)
-	if got := take(later); got != "slow" {
+	if got := acquire(later); got != "slow" {
 		t.Error("a slow worker is never tried again")
 	}
 }
 
 // TestSlownessThreshold checks that a worker that is only somewhat slower than the others, as a
 // full one is, doesn't count as slow.
-func TestSmallDifferencesAreNoSlowness(t *testing.T) {
+func TestSlownessThreshold(t *testing.T) {
 	table := tableOf(poolWorker("a", "z1"), poolWorker("b", "z2"), poolWorker("c", "z2"))
 	table.SetPeerLoads(start, []wire.WorkerLoad{peerLoad("a", 0, 33_000, 0), peerLoad("b", 0, 24_000, 0), peerLoad("c", 0, 22_000, 0)}, ScopeAll)
 	lease := table.Acquire(start, &Request{Pool: "p"})
 	if lease.Endpoint.ID != "a" || lease.Slowness != 1 {
-		t.Errorf("%s was taken, slowness %f", lease.Endpoint.ID, lease.Slowness)
+		t.Errorf("%s was chosen, slowness %f", lease.Endpoint.ID, lease.Slowness)
 	}
 }
 
@@ -67,7 +67,7 @@
 	table := tableOf(poolWorker("a", "z1"))
 	table.SetPeerLoads(start, []wire.WorkerLoad{peerLoad("a", 3, 0, 400)}, ScopeAll)
 	if lease := table.Acquire(start, &Request{Pool: "p"}); lease.Wait != 0 {
-		t.Errorf("%s with a slot free", lease.Wait)
+		t.Errorf("wait %s although a slot is free", lease.Wait)
 	}
 	table = tableOf(poolWorker("a", "z1"))
 	table.SetPeerLoads(start, []wire.WorkerLoad{peerLoad("a", 6, 0, 80)}, ScopeAll)
@@ -77,6 +77,6 @@
 	}
 	table.SetPeerLoads(start, []wire.WorkerLoad{peerLoad("a", 6, 0, 0)}, ScopeAll)
 	if lease := table.Acquire(start, &Request{Pool: "p"}); lease.Wait != 0 {
-		t.Errorf("wait %s though nothing is known of how long requests take", lease.Wait)
+		t.Errorf("wait %s although the hold time is unknown", lease.Wait)
 	}
 }
--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -128,18 +128,18 @@
 }
 
 // at returns a usable worker by its index over both groups.
-func (p *pool) at(number int) *worker {
-	if number < len(p.near) {
-		return p.near[number]
+func (p *pool) at(index int) *worker {
+	if index < len(p.near) {
+		return p.near[index]
 	}
-	return p.far[number-len(p.near)]
+	return p.far[index-len(p.near)]
 }
 
 // ring holds workers ordered by a hash of their ids.
 type ring []*worker
 
 func (r ring) find(point uint64) int {
-	at, _ := slices.BinarySearchFunc(r, point, func(w *worker, point uint64) int {
+	index, _ := slices.BinarySearchFunc(r, point, func(w *worker, point uint64) int {
 		switch {
 		case w.point < point:
 			return -1
@@ -148,15 +148,15 @@
 		}
 		return 0
 	})
-	return at
+	return index
 }
 
 func (r *ring) add(w *worker) { *r = slices.Insert(*r, r.find(w.point), w) }
 
 func (r *ring) remove(w *worker) {
-	for at := r.find(w.point); at < len(*r); at++ {
-		if (*r)[at] == w {
-			*r = slices.Delete(*r, at, at+1)
+	for index := r.find(w.point); index < len(*r); index++ {
+		if (*r)[index] == w {
+			*r = slices.Delete(*r, index, index+1)
 			return
 		}
 	}
--- a/internal/balance/probe.go
+++ b/internal/balance/probe.go
@@ -27,8 +27,8 @@
 
 // takeProbe returns an avoided worker for the request to probe, or nil. Each grant of the hub
 // serves one request.
-func (t *Table) takeProbe(now time.Time, demand *Request) *worker {
-	probed := t.findProbe(now, demand)
+func (t *Table) takeProbe(now time.Time, request *Request) *worker {
+	probed := t.findProbe(now, request)
 	if probed != nil {
 		t.removeProbe(probed)
 	}
@@ -36,8 +36,8 @@
 }
 
 // findProbe returns the same as takeProbe, but leaves the grant in place.
-func (t *Table) findProbe(now time.Time, demand *Request) *worker {
-	if demand.Batch || !demand.Repeatable || len(t.probeWorkers) == 0 {
+func (t *Table) findProbe(now time.Time, request *Request) *worker {
+	if request.Batch || !request.Repeatable || len(t.probeWorkers) == 0 {
 		return nil
 	}
 	if now.Sub(t.probesAt) > probeGrantTTL {
@@ -46,7 +46,7 @@
 	}
 	for _, hash := range t.probeWorkers {
 		probed := t.byHash[hash]
-		if probed != nil && probed.listed.Pool == demand.Pool && t.mayProbe(now, probed, demand) {
+		if probed != nil && probed.listed.Pool == request.Pool && t.mayProbe(now, probed, request) {
 			return probed
 		}
 	}
@@ -62,14 +62,14 @@
 
 // mayProbe reports whether the request would run at once at an avoided worker, and no other probe
 // runs there.
-func (t *Table) mayProbe(now time.Time, w *worker, demand *Request) bool {
-	return t.failing(now, w) && w.activeProbes == 0 && t.admits(now, w, demand, false) && t.predictWait(now, w) == 0
+func (t *Table) mayProbe(now time.Time, w *worker, request *Request) bool {
+	return t.failing(now, w) && w.activeProbes == 0 && t.admits(now, w, request, false) && t.predictWait(now, w) == 0
 }
 
 // hasProbeGrant reports whether the batch planner granted an item start at the worker although it
 // is avoided.
-func (w *worker) hasProbeGrant(demand *Request) bool {
-	return demand.Batch && !demand.NoProbe && w.startGrants > 0 && w.activeProbes == 0
+func (w *worker) hasProbeGrant(request *Request) bool {
+	return request.Batch && !request.NoProbe && w.startGrants > 0 && w.activeProbes == 0
 }
 
 // IsProbe reports whether the worker was avoided when it was chosen, so that this request shows
@@ -87,14 +87,14 @@
 
 // RecordItemStart records whether an item started well at the worker. Only probes count: online
 // requests say more about workers that are not avoided.
-func (l *Lease) RecordItemStart(now time.Time, well bool) {
+func (l *Lease) RecordItemStart(now time.Time, success bool) {
 	if !l.probe {
 		return
 	}
 	l.table.mutex.Lock()
 	defer l.table.mutex.Unlock()
 	l.table.markBusy(l.worker)
-	if well {
+	if success {
 		l.recordProbeSuccess()
 		return
 	}
@@ -143,25 +143,25 @@
 func (t *Table) ProbeResults() []wire.WorkerProof {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	var proofs []wire.WorkerProof
-	for _, known := range t.busy {
-		if known.probeSuccesses == 0 {
+	var results []wire.WorkerProof
+	for _, w := range t.busy {
+		if w.probeSuccesses == 0 {
 			continue
 		}
-		if !known.unlisted(t) {
-			proofs = append(proofs, wire.WorkerProof{Worker: known.hash, Well: uint16(known.probeSuccesses)})
+		if !w.unlisted(t) {
+			results = append(results, wire.WorkerProof{Worker: w.hash, Well: uint16(w.probeSuccesses)})
 		}
-		known.probeSuccesses = 0
+		w.probeSuccesses = 0
 	}
-	return proofs
+	return results
 }
 
 // WorkerID returns the id of the worker with the given short name, empty if it is not listed.
 func (t *Table) WorkerID(worker uint32) string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if known := t.byHash[worker]; known != nil {
-		return known.listed.ID
+	if w := t.byHash[worker]; w != nil {
+		return w.listed.ID
 	}
 	return ""
 }
--- a/internal/balance/probe_test.go
+++ b/internal/balance/probe_test.go
@@ -15,7 +15,7 @@
 // TestItemsProbeWithGrant checks that an item starts at an avoided worker if the planner grants
 // it, one at a time, and that its success is reported once, as a probe result and not as the
 // answer to an online request.
-func TestItemsProbeWhereTheyAreLet(t *testing.T) {
+func TestItemsProbeWithGrant(t *testing.T) {
 	table := tableOf(poolWorker("a", "z1"), poolWorker("b", "z2"), poolWorker("c", "z2"))
 	item := &Request{Pool: "p", Batch: true, BatchShare: 50}
 	table.SetPeerLoads(start, []wire.WorkerLoad{failingLoad("a", 0)}, ScopeAll)
@@ -25,17 +25,17 @@
 	table.SetPeerLoads(start, []wire.WorkerLoad{failingLoad("a", 2)}, ScopeAll)
 	lease := table.Acquire(start, item)
 	if lease == nil || !lease.IsProbe() || lease.Endpoint.ID != "a" {
-		t.Fatalf("no probe: %+v", lease)
+		t.Fatalf("the lease is not a probe: %+v", lease)
 	}
 	if again := table.choose(start, item, false); again != nil {
 		t.Error("two probes at once")
 	}
 	lease.RecordItemStart(start, true)
-	if proofs := table.ProbeResults(); len(proofs) != 1 || proofs[0].Well != 1 {
-		t.Errorf("proofs %+v", proofs)
+	if results := table.ProbeResults(); len(results) != 1 || results[0].Well != 1 {
+		t.Errorf("probe results %+v", results)
 	}
-	if proofs := table.ProbeResults(); len(proofs) != 0 {
-		t.Errorf("proofs told twice: %+v", proofs)
+	if results := table.ProbeResults(); len(results) != 0 {
+		t.Errorf("probe results reported twice: %+v", results)
 	}
 	for _, load := range table.Loads() {
 		if load.Answered != 0 {
@@ -46,19 +46,19 @@
 
 // TestProbeTimeoutDoubles checks that the timeout doubles with each unanswered probe, and is
 // reset by an answer.
-func TestSilentProbesAreWaitedForLonger(t *testing.T) {
+func TestProbeTimeoutDoubles(t *testing.T) {
 	table := tableOf(poolWorker("a", "z1"), poolWorker("b", "z1"), poolWorker("c", "z1"))
 	table.SetPeerLoads(start, []wire.WorkerLoad{failingLoad("a", 1)}, ScopeAll)
 	lease := table.Acquire(start, &Request{Pool: "p", Batch: true})
 	for _, want := range []time.Duration{1, 2, 4, 6, 6} {
 		if got := lease.ProbeTimeout(time.Second, 6*time.Second); got != want*time.Second {
-			t.Errorf("patience %v, want %v s", got, int64(want))
+			t.Errorf("timeout %v, want %v s", got, int64(want))
 		}
 		lease.RecordNoAnswer(start)
 	}
 	lease.RecordItemStart(start, true)
 	if got := lease.ProbeTimeout(time.Second, 6*time.Second); got != time.Second {
-		t.Errorf("patience %v after an answer", got)
+		t.Errorf("timeout %v after an answer", got)
 	}
 }
 
@@ -68,28 +68,28 @@
 	table := tableOf(poolWorker("a", "z1"), poolWorker("b", "z1"), poolWorker("c", "z1"))
 	table.SetPeerLoads(start, []wire.WorkerLoad{failingLoad("a", 0)}, ScopeAll)
 	named := []uint32{loadshare.Hash("a")}
-	takes := func(now time.Time, repeatable bool) bool {
+	acquire := func(now time.Time, repeatable bool) bool {
 		lease := table.Acquire(now, &Request{Pool: "p", Repeatable: repeatable})
 		defer lease.Release()
 		return lease.IsProbe()
 	}
-	if takes(start, true) {
-		t.Error("a request went to an avoided worker that nobody named")
+	if acquire(start, true) {
+		t.Error("a request went to an avoided worker without a grant")
 	}
 	table.SetProbes(start, named)
-	if takes(start, false) {
-		t.Error("a request that may run once only was a probe")
+	if acquire(start, false) {
+		t.Error("a request that is not repeatable was a probe")
 	}
-	if !takes(start, true) || takes(start, true) {
-		t.Error("not one repeatable request was the probe")
+	if !acquire(start, true) || acquire(start, true) {
+		t.Error("not exactly one repeatable request was a probe")
 	}
 	table.SetProbes(start, named)
-	if takes(start.Add(probeGrantTTL+1), true) {
-		t.Error("an old word of the hub counts")
+	if acquire(start.Add(probeGrantTTL+1), true) {
+		t.Error("an expired grant was used")
 	}
 	table.SetPeerLoads(start, nil, ScopeAll)
 	table.SetProbes(start, named)
-	if takes(start, true) {
-		t.Error("a worker that is well was probed")
+	if acquire(start, true) {
+		t.Error("a worker that is not avoided was probed")
 	}
 }
--- a/internal/balance/sample.go
+++ b/internal/balance/sample.go
@@ -25,46 +25,46 @@
 
 // choose returns the best of some sampled workers. Suspects, and workers marked as failing, are
 // considered only if suspects is set.
-func (t *Table) choose(now time.Time, demand *Request, suspects bool) *worker {
-	known := t.pools[demand.Pool]
-	if known == nil {
+func (t *Table) choose(now time.Time, request *Request, suspects bool) *worker {
+	p := t.pools[request.Pool]
+	if p == nil {
 		return nil
 	}
-	avoid := (!suspects || demand.NoProbe) && !t.mostFailing(now, demand.Pool)
+	avoid := (!suspects || request.NoProbe) && !t.mostFailing(now, request.Pool)
 	fit := func(w *worker) bool {
-		return t.admits(now, w, demand, suspects) && !(avoid && t.failing(now, w) && !w.hasProbeGrant(demand))
+		return t.admits(now, w, request, suspects) && !(avoid && t.failing(now, w) && !w.hasProbeGrant(request))
 	}
-	t.findAffinity(demand, fit)
+	t.findAffinity(request, fit)
 	t.candidates = t.candidates[:0]
-	if demand.Batch {
-		t.sampleGranted(now, known, fit)
+	if request.Batch {
+		t.sampleGranted(now, p, fit)
 	} else {
-		t.sampleOnline(now, demand.Pool, known, fit)
+		t.sampleOnline(now, request.Pool, p, fit)
 	}
-	return t.pick(now, known, demand)
+	return t.pick(now, p, request)
 }
 
 // pick returns the best of the candidates.
-func (t *Table) pick(now time.Time, known *pool, demand *Request) *worker {
-	if !demand.Batch && t.comparesByTime(demand.Pool) {
-		return t.bestByTime(now, known, demand, t.candidates)
+func (t *Table) pick(now time.Time, p *pool, request *Request) *worker {
+	if !request.Batch && t.comparesByTime(request.Pool) {
+		return t.bestByTime(now, p, request, t.candidates)
 	}
-	return t.bestByCost(now, demand, t.candidates)
+	return t.bestByCost(now, request, t.candidates)
 }
 
 // sampleGranted collects the workers at which an item may start: those that the batch planner
 // named, or a sample of all workers if the loads have expired (the planner is unreachable).
-func (t *Table) sampleGranted(now time.Time, known *pool, fit func(w *worker) bool) {
+func (t *Table) sampleGranted(now time.Time, p *pool, fit func(w *worker) bool) {
 	for _, candidate := range t.withOrders {
-		if t.pools[candidate.listed.Pool] == known && candidate.inGroup && fit(candidate) {
+		if t.pools[candidate.listed.Pool] == p && candidate.inGroup && fit(candidate) {
 			t.candidates = append(t.candidates, candidate)
 		}
 	}
 	if len(t.candidates) > 0 || isFresh(now, t.allLoadsAt) {
 		return
 	}
-	t.sampleGroup(known.near, maxCandidates, fit)
-	t.sampleGroup(known.far, maxCandidates, fit)
+	t.sampleGroup(p.near, maxCandidates, fit)
+	t.sampleGroup(p.far, maxCandidates, fit)
 }
 
 // sampleOnline collects the candidates for an online request: samples of the near and of the far
@@ -74,11 +74,11 @@
 // workers are compared. Near workers are sampled separately, because the processes with the same
 // view of them are those of the same zone, and because in a large fleet they are enough to choose
 // among.
-func (t *Table) sampleOnline(now time.Time, name string, known *pool, fit func(w *worker) bool) {
-	nearKnown := t.sampleNear(now, name, known, fit)
+func (t *Table) sampleOnline(now time.Time, name string, p *pool, fit func(w *worker) bool) {
+	nearKnown := t.sampleNear(now, name, p, fit)
 	near := len(t.candidates)
 	if !t.nearOnly {
-		t.sampleFar(now, name, known, fit, near > 0 && nearKnown)
+		t.sampleFar(now, name, p, fit, near > 0 && nearKnown)
 	}
 	for _, home := range t.affinity {
 		if !slices.Contains(t.candidates, home) {
@@ -88,47 +88,47 @@
 }
 
 // sampleNear samples workers of this zone, and reports whether their loads are known.
-func (t *Table) sampleNear(now time.Time, name string, known *pool, fit func(w *worker) bool) bool {
+func (t *Table) sampleNear(now time.Time, name string, p *pool, fit func(w *worker) bool) bool {
 	at := later(t.allLoadsAt, t.zoneLoadsAt)
 	if isFresh(now, at) {
-		t.sampleGroup(known.near, candidateCount(len(known.near), unseenRequests(known.nearRate, now.Sub(at), 0)), fit)
+		t.sampleGroup(p.near, candidateCount(len(p.near), unseenRequests(p.nearRate, now.Sub(at), 0)), fit)
 		return true
 	}
 	if t.samplePeerLoaded(now, name, 0, 0, fit) > 0 {
 		return true
 	}
-	t.sampleGroup(known.near, len(known.near), fit)
+	t.sampleGroup(p.near, len(p.near), fit)
 	return false
 }
 
 // sampleFar samples workers of other zones. If the load of any of them is known, it takes only
 // those with a known load, because one without would look idle beside them. Sums of other zones
 // pass through one more report, which adds an interval to their age.
-func (t *Table) sampleFar(now time.Time, name string, known *pool, fit func(w *worker) bool, nearKnown bool) {
+func (t *Table) sampleFar(now time.Time, name string, p *pool, fit func(w *worker) bool, nearKnown bool) {
 	if isFresh(now, t.allLoadsAt) {
-		t.sampleGroup(known.far, candidateCount(len(known.far), unseenRequests(known.farRate, now.Sub(t.allLoadsAt), loadshare.Interval)), fit)
+		t.sampleGroup(p.far, candidateCount(len(p.far), unseenRequests(p.farRate, now.Sub(t.allLoadsAt), loadshare.Interval)), fit)
 		return
 	}
 	if t.samplePeerLoaded(now, name, 1, loadshare.Interval, fit) == 0 && !nearKnown {
-		t.sampleGroup(known.far, len(known.far), fit)
+		t.sampleGroup(p.far, len(p.far), fit)
 	}
 }
 
 // samplePeerLoaded samples the workers with a fresh peer load, of this zone (distance 0) or of
 // others (1). It returns how many of them fit. extraLag is the additional delay of their loads
 // over those of this zone.
-func (t *Table) samplePeerLoaded(now time.Time, name string, away int, more time.Duration, fit func(w *worker) bool) int {
-	var told group
+func (t *Table) samplePeerLoaded(now time.Time, name string, distance int, extraLag time.Duration, fit func(w *worker) bool) int {
+	var loaded group
 	rate, age := 0, time.Duration(0)
 	for _, candidate := range t.peerLoaded {
-		if candidate.listed.Pool == name && t.zoneDistance(candidate) == away && t.hasFreshPeerLoad(now, candidate) && fit(candidate) {
-			told = append(told, candidate)
+		if candidate.listed.Pool == name && t.zoneDistance(candidate) == distance && t.hasFreshPeerLoad(now, candidate) && fit(candidate) {
+			loaded = append(loaded, candidate)
 			rate += int(candidate.peerLoad.Rate)
 			age = max(age, now.Sub(t.peerLoadTime(candidate)))
 		}
 	}
-	t.sampleList(told, candidateCount(len(told), unseenRequests(rate, age, more)))
-	return len(told)
+	t.sampleList(loaded, candidateCount(len(loaded), unseenRequests(rate, age, extraLag)))
+	return len(loaded)
 }
 
 // sampleGroup samples count of the group's workers that fit, at most maxCandidates.
@@ -193,7 +193,7 @@
 // were unreported when it arrived. A process that queries the hub before each choice has fresh
 // loads, and so do the others; if the loads are old, the hub didn't answer, perhaps not to others
 // either. extraLag is the additional delay of the loads over those of this zone.
-func unseenRequests(rate int, age, more time.Duration) float64 {
+func unseenRequests(rate int, age, extraLag time.Duration) float64 {
 	lag := min(max(age, minLag), loadshare.Interval)
-	return float64(rate) / rateSeconds * (age + lag + more).Seconds()
+	return float64(rate) / rateSeconds * (age + lag + extraLag).Seconds()
 }
--- a/internal/balance/sample_test.go
+++ b/internal/balance/sample_test.go
@@ -45,7 +45,7 @@
 	for range 50 {
 		lease := table.Acquire(start, &Request{Pool: "p"})
 		if lease.Endpoint.ID != "c" {
-			t.Fatalf("%s was taken, c is idle", lease.Endpoint.ID)
+			t.Fatalf("%s was chosen although c is idle", lease.Endpoint.ID)
 		}
 		lease.Release()
 	}
@@ -54,7 +54,7 @@
 // TestZoneIsSampledSeparately lets five hundred processes of one zone choose once each among many
 // workers of all zones, without seeing each other's choices: nearly all requests stay in the zone
 // if it has free slots, and overload no worker there; if the zone is full, they go elsewhere.
-func TestTheZoneIsComparedApart(t *testing.T) {
+func TestZoneIsSampledSeparately(t *testing.T) {
 	const processes, zones, perZone = 500, 5, 20
 	for name, test := range map[string]struct {
 		ownLoad   uint16
@@ -102,32 +102,32 @@
 
 // TestUnknownLoadsComeLast names some workers of other zones only: the others, whose load is
 // unknown, must not count as idle, but are chosen if there is nothing else.
-func TestWorkersThatNothingIsKnownOfComeLast(t *testing.T) {
+func TestUnknownLoadsComeLast(t *testing.T) {
 	table := tableOf(poolWorker("a", "z1"), poolWorker("b", "z2"), poolWorker("c", "z2"))
 	full := func(id string) wire.WorkerLoad { return wire.WorkerLoad{Worker: loadshare.Hash(id), Online: 8} }
 	table.SetPeerLoads(start, []wire.WorkerLoad{full("a"), full("b")}, ScopeZone)
 	for range 20 {
 		lease := table.Acquire(start, &Request{Pool: "p"})
 		if lease.Endpoint.ID == "c" {
-			t.Fatal("a worker of which nothing is known was taken for idle")
+			t.Fatal("a worker with an unknown load was treated as idle")
 		}
 		lease.Release()
 	}
 	both := map[string]bool{"a": true, "b": true}
 	if lease := table.Acquire(start, &Request{Pool: "p", Exclude: both}); lease == nil || lease.Endpoint.ID != "c" {
-		t.Error("it was not taken where there is nothing else")
+		t.Error("a worker with an unknown load was not chosen although there is no other")
 	}
 	// With ScopeZone, a worker of the zone that is not named is idle.
 	table.SetPeerLoads(start, []wire.WorkerLoad{full("b")}, ScopeZone)
 	if lease := table.Acquire(start, &Request{Pool: "p"}); lease.Endpoint.ID != "a" {
-		t.Errorf("%s was taken, a is idle", lease.Endpoint.ID)
+		t.Errorf("%s was chosen although a is idle", lease.Endpoint.ID)
 	}
 }
 
 // TestFreshLoadsCompareNearlyAll lets processes choose one after the other, each with fresh loads
 // that include all earlier choices: the requests spread evenly, because nearly all workers are
 // compared.
-func TestFreshNewsCompareNearlyAll(t *testing.T) {
+func TestFreshLoadsCompareNearlyAll(t *testing.T) {
 	const workers, requests = 20, 80
 	var list []wire.PoolWorker
 	for i := range workers {
--- a/internal/balance/share.go
+++ b/internal/balance/share.go
@@ -25,30 +25,30 @@
 	defer t.mutex.Unlock()
 	kept := t.busy[:0]
 	var loads []wire.WorkerLoad
-	for _, known := range t.busy {
-		if known.nothingToReport() {
-			known.busy = false
+	for _, w := range t.busy {
+		if w.nothingToReport() {
+			w.busy = false
 			continue
 		}
-		kept = append(kept, known)
-		if known.unlisted(t) {
+		kept = append(kept, w)
+		if w.unlisted(t) {
 			continue
 		}
 		loads = append(loads, wire.WorkerLoad{
-			Worker: known.hash,
-			Online: uint16(min(known.inFlight-known.batch, math.MaxUint16)),
-			Batch:  uint16(min(known.batch-known.stopping, math.MaxUint16)),
-			Unread: uint32(min(max(known.pendingTokens, 0), math.MaxUint32)),
-			Told:   uint16(min(known.reportedRequests, math.MaxUint16)),
+			Worker: w.hash,
+			Online: uint16(min(w.inFlight-w.batch, math.MaxUint16)),
+			Batch:  uint16(min(w.batch-w.stopping, math.MaxUint16)),
+			Unread: uint32(min(max(w.pendingTokens, 0), math.MaxUint32)),
+			Told:   uint16(min(w.reportedRequests, math.MaxUint16)),
 
-			Answered: uint16(min(known.answered, math.MaxUint16)),
-			Failed:   uint16(min(known.failed, math.MaxUint16)),
+			Answered: uint16(min(w.answered, math.MaxUint16)),
+			Failed:   uint16(min(w.failed, math.MaxUint16)),
 
-			Steps:      uint16(min(known.intervals, math.MaxUint16)),
-			StepMicros: uint32(min(known.intervalSum.Microseconds(), math.MaxUint32)),
+			Steps:      uint16(min(w.intervals, math.MaxUint16)),
+			StepMicros: uint32(min(w.intervalSum.Microseconds(), math.MaxUint32)),
 		})
-		known.reportedRequests, known.answered, known.failed = 0, 0, 0
-		known.intervals, known.intervalSum = 0, 0
+		w.reportedRequests, w.answered, w.failed = 0, 0, 0
+		w.intervals, w.intervalSum = 0, 0
 	}
 	clear(t.busy[len(kept):])
 	t.busy = kept
@@ -59,15 +59,15 @@
 // batch planner has granted one. Without fresh loads from the planner, items use at most share
 // hundredths of the slots.
 func (t *Table) admitsBatch(now time.Time, w *worker, share int) bool {
-	others, known := t.peerLoadOf(now, w)
-	if w.pendingTokens+int64(others.Unread) > t.memoryOf(w.listed.Pool)/batchPendingDivisor {
+	load, ok := t.peerLoadOf(now, w)
+	if w.pendingTokens+int64(load.Unread) > t.memoryOf(w.listed.Pool)/batchPendingDivisor {
 		return false
 	}
-	if !known {
+	if !ok {
 		const hundredths = 100
 		return w.batch*hundredths < w.listed.Slots*share
 	}
-	return w.startGrants > 0 && w.inFlight+int(others.Online)+int(others.Batch)+t.orphansAt(now, w) < t.effectiveSlots(w)
+	return w.startGrants > 0 && w.inFlight+int(load.Online)+int(load.Batch)+t.orphansAt(now, w) < t.effectiveSlots(w)
 }
 
 // PendingStops returns, by worker id, how many items of this process the batch planner still
@@ -76,14 +76,14 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	var stops map[string]int
-	for _, known := range t.withOrders {
-		if known.pendingStops == 0 || !t.hasFreshPeerLoad(now, known) {
+	for _, w := range t.withOrders {
+		if w.pendingStops == 0 || !t.hasFreshPeerLoad(now, w) {
 			continue
 		}
 		if stops == nil {
 			stops = map[string]int{}
 		}
-		stops[known.listed.ID] = known.pendingStops
+		stops[w.listed.ID] = w.pendingStops
 	}
 	return stops
 }
@@ -91,49 +91,49 @@
 // Workers returns the batch planner's view of the workers: those with requests one by one, and
 // the idle ones as totals. maxWait returns how long an online request of a pool may wait for
 // items to be preempted.
-func (t *Table) Workers(now time.Time, patience func(pool string) time.Duration) batchroom.Workers {
+func (t *Table) Workers(now time.Time, maxWait func(pool string) time.Duration) batchroom.Workers {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.advanceClock(now)
-	places := batchroom.Workers{Sample: t.sampleIdle}
+	workers := batchroom.Workers{Sample: t.sampleIdle}
 	busy := map[*worker]bool{}
 	for _, list := range [][]*worker{t.peerLoaded, t.busy, t.currentSuspects(now)} {
-		for _, known := range list {
-			if !busy[known] && !known.unlisted(t) {
-				busy[known] = true
-				places.Busy = append(places.Busy, t.plannerWorker(now, known, patience))
+		for _, w := range list {
+			if !busy[w] && !w.unlisted(t) {
+				busy[w] = true
+				workers.Busy = append(workers.Busy, t.plannerWorker(now, w, maxWait))
 			}
 		}
 	}
-	for name, known := range t.pools {
-		slots, _ := t.poolSlots(known, name)
-		places.IdleWorkers += known.usableCount()
-		places.IdleSlots += slots
+	for name, p := range t.pools {
+		slots, _ := t.poolSlots(p, name)
+		workers.IdleWorkers += p.usableCount()
+		workers.IdleSlots += slots
 	}
-	for known := range busy {
-		if known.inGroup {
-			places.IdleWorkers--
-			places.IdleSlots -= t.effectiveSlots(known)
+	for w := range busy {
+		if w.inGroup {
+			workers.IdleWorkers--
+			workers.IdleSlots -= t.effectiveSlots(w)
 		}
 	}
-	slices.SortFunc(places.Busy, func(a, b batchroom.Worker) int { return cmp.Compare(a.ShortName, b.ShortName) })
-	return places
+	slices.SortFunc(workers.Busy, func(a, b batchroom.Worker) int { return cmp.Compare(a.ShortName, b.ShortName) })
+	return workers
 }
 
-func (t *Table) plannerWorker(now time.Time, w *worker, patience func(pool string) time.Duration) batchroom.Worker {
-	others, _ := t.peerLoadOf(now, w)
+func (t *Table) plannerWorker(now time.Time, w *worker, maxWait func(pool string) time.Duration) batchroom.Worker {
+	load, _ := t.peerLoadOf(now, w)
 	orphans := t.orphansAt(now, w)
 	return batchroom.Worker{
 		ShortName: w.hash,
 		Pool:      w.listed.Pool,
 		Zone:      w.listed.Zone,
 		Slots:     t.effectiveSlots(w),
-		Online:    w.inFlight - w.batch + int(others.Online) + orphans,
+		Online:    w.inFlight - w.batch + int(load.Online) + orphans,
 		Orphans:   orphans,
-		Closed:    !w.usable() || others.Failing || now.Before(w.suspectUntil),
-		Probe:     w.usable() && others.Failing && !now.Before(w.suspectUntil),
+		Closed:    !w.usable() || load.Failing || now.Before(w.suspectUntil),
+		Probe:     w.usable() && load.Failing && !now.Before(w.suspectUntil),
 		HoldTime:  t.holdTimeOf(w),
-		MaxWait:   patience(w.listed.Pool),
+		MaxWait:   maxWait(w.listed.Pool),
 	}
 }
 
@@ -159,38 +159,38 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	total := 0
-	for _, known := range t.pools {
-		total += known.usableCount()
+	for _, p := range t.pools {
+		total += p.usableCount()
 	}
 	if total <= maxIdleListed {
 		count = total
 	}
-	var drawn []batchroom.Worker
+	var sampled []batchroom.Worker
 	for _, name := range slices.Sorted(maps.Keys(t.pools)) {
-		known := t.pools[name]
+		p := t.pools[name]
 		share := 0
 		if total > 0 {
-			share = (count*known.usableCount() + total - 1) / total
+			share = (count*p.usableCount() + total - 1) / total
 		}
-		drawn = t.sampleIdleOf(known, share, drawn)
+		sampled = t.sampleIdleOf(p, share, sampled)
 	}
-	return drawn
+	return sampled
 }
 
 // sampleIdleOf appends up to count idle workers of a pool to sampled, starting at a random index.
-func (t *Table) sampleIdleOf(known *pool, count int, drawn []batchroom.Worker) []batchroom.Worker {
-	all := known.usableCount()
-	if all == 0 {
-		return drawn
+func (t *Table) sampleIdleOf(p *pool, count int, sampled []batchroom.Worker) []batchroom.Worker {
+	total := p.usableCount()
+	if total == 0 {
+		return sampled
 	}
-	first := t.random.IntN(all)
-	for i := 0; i < all && count > 0; i++ {
-		if w := known.at((first + i) % all); !w.hasPeerLoad && !w.busy && w.suspectUntil.IsZero() {
-			drawn = append(drawn, batchroom.Worker{ShortName: w.hash, Pool: w.listed.Pool, Zone: w.listed.Zone, Slots: t.effectiveSlots(w)})
+	first := t.random.IntN(total)
+	for i := 0; i < total && count > 0; i++ {
+		if w := p.at((first + i) % total); !w.hasPeerLoad && !w.busy && w.suspectUntil.IsZero() {
+			sampled = append(sampled, batchroom.Worker{ShortName: w.hash, Pool: w.listed.Pool, Zone: w.listed.Zone, Slots: t.effectiveSlots(w)})
 			count--
 		}
 	}
-	return drawn
+	return sampled
 }
 
 // Items returns the number of this process's items at each worker, by short name, without those
@@ -199,9 +199,9 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	items := map[uint32]int{}
-	for _, known := range t.busy {
-		if staying := known.batch - known.stopping; staying > 0 && !known.unlisted(t) {
-			items[known.hash] = staying
+	for _, w := range t.busy {
+		if staying := w.batch - w.stopping; staying > 0 && !w.unlisted(t) {
+			items[w.hash] = staying
 		}
 	}
 	return items
--- a/internal/balance/size_test.go
+++ b/internal/balance/size_test.go
@@ -43,19 +43,19 @@
 	for _, count := range []int{10_000, 20_000} {
 		table := fleetTable(count)
 		if table.Acquire(start, &Request{Pool: "p"}); len(table.candidates) > 2*maxCandidates+affinityCount {
-			t.Errorf("%d workers: %d are compared without news", count, len(table.candidates))
+			t.Errorf("%d workers: %d are compared without peer loads", count, len(table.candidates))
 		}
 		table.SetPeerLoads(start, peerLoads(fleetRows(count), 300), ScopeAll)
 		lease := table.Acquire(start, longPrompt("part"))
 		if lease == nil || len(table.candidates) > 2*maxCandidates+affinityCount {
 			t.Errorf("%d workers: %d are compared", count, len(table.candidates))
 		}
-		places := table.Workers(start, func(string) time.Duration { return time.Second })
-		if len(places.Busy) > 302 || len(places.Busy)+places.IdleWorkers != count {
-			t.Errorf("%d workers: a plan is told of %d and %d idle ones", count, len(places.Busy), places.IdleWorkers)
+		workers := table.Workers(start, func(string) time.Duration { return time.Second })
+		if len(workers.Busy) > 302 || len(workers.Busy)+workers.IdleWorkers != count {
+			t.Errorf("%d workers: the planner gets %d busy and %d idle ones", count, len(workers.Busy), workers.IdleWorkers)
 		}
-		if drawn := places.Sample(40); len(drawn) != 40 {
-			t.Errorf("%d workers: %d are drawn", count, len(drawn))
+		if sampled := workers.Sample(40); len(sampled) != 40 {
+			t.Errorf("%d workers: %d are sampled", count, len(sampled))
 		}
 	}
 }
@@ -84,19 +84,19 @@
 		}
 		rows = rows[100:]
 		table.Update(workerset.Of(rows), nil)
-		places := table.Workers(start, func(string) time.Duration { return 0 })
-		for _, place := range append(places.Busy, places.Sample(1000)...) {
-			if left[place.ShortName] {
-				t.Fatalf("round %d: a worker that left is planned for", round)
+		workers := table.Workers(start, func(string) time.Duration { return 0 })
+		for _, w := range append(workers.Busy, workers.Sample(1000)...) {
+			if left[w.ShortName] {
+				t.Fatalf("round %d: the planner gets a worker that left", round)
 			}
 		}
 		for range 200 {
 			if left[loadshare.Hash(table.Acquire(start, &Request{Pool: "p"}).Endpoint.ID)] {
-				t.Fatalf("round %d: a worker that left is chosen", round)
+				t.Fatalf("round %d: a worker that left was chosen", round)
 			}
 		}
-		if known := table.pools["p"]; known.usableCount() != len(rows) || known.slots != 8*len(rows) || len(known.ring) != len(known.near) {
-			t.Fatalf("round %d: %d workers with %d slots, %d on the ring, want %d", round, known.usableCount(), known.slots, len(known.ring), len(rows))
+		if p := table.pools["p"]; p.usableCount() != len(rows) || p.slots != 8*len(rows) || len(p.ring) != len(p.near) {
+			t.Fatalf("round %d: %d workers with %d slots, %d on the ring, want %d", round, p.usableCount(), p.slots, len(p.ring), len(rows))
 		}
 	}
 	for _, lease := range leases {
@@ -106,7 +106,7 @@
 
 // TestItemsStartWhereGranted has the planner grant items at a few of 10,000 workers: they start
 // there, as many as granted, and nowhere else.
-func TestItemsFindTheirGrants(t *testing.T) {
+func TestItemsStartWhereGranted(t *testing.T) {
 	table := fleetTable(10_000)
 	planner := batchroom.New()
 	planner.ApplyReport(start, 1, 30, nil)
@@ -145,20 +145,20 @@
 // BenchmarkChooseOnline measures a choice for an online request with shared parts.
 func BenchmarkChooseOnline(b *testing.B) {
 	benchmark(b, func(b *testing.B, table *Table, _ int) {
-		demand := &Request{Pool: "p", PromptTokens: 450, Parts: []httpheader.Part{{ID: "s", Tokens: 200}, {ID: "o", Tokens: 250}}}
+		request := &Request{Pool: "p", PromptTokens: 450, Parts: []httpheader.Part{{ID: "s", Tokens: 200}, {ID: "o", Tokens: 250}}}
 		for b.Loop() {
-			table.Acquire(start, demand).Release()
+			table.Acquire(start, request).Release()
 		}
 	})
 }
 
 // BenchmarkChooseByPredictedTime measures the same choice by predicted times.
-func BenchmarkChooseByTimes(b *testing.B) {
+func BenchmarkChooseByPredictedTime(b *testing.B) {
 	benchmark(b, func(b *testing.B, table *Table, _ int) {
 		table.scoring = scoringPredictedTime
-		demand := &Request{Pool: "p", PromptTokens: 450, Parts: []httpheader.Part{{ID: "s", Tokens: 200}, {ID: "o", Tokens: 250}}}
+		request := &Request{Pool: "p", PromptTokens: 450, Parts: []httpheader.Part{{ID: "s", Tokens: 200}, {ID: "o", Tokens: 250}}}
 		for b.Loop() {
-			table.Acquire(start, demand).Release()
+			table.Acquire(start, request).Release()
 		}
 	})
 }
--- a/internal/balance/table.go
+++ b/internal/balance/table.go
@@ -91,44 +91,44 @@
 
 // addWorker applies a new or changed row of the list.
 func (t *Table) addWorker(row *wire.PoolWorker) {
-	known := t.workers[row.ID]
-	if known == nil {
+	w := t.workers[row.ID]
+	if w == nil {
 		hash := loadshare.WorkerHash(row.ID)
-		known = &worker{hash: hash, point: splitMix64(uint64(hash))}
-		t.workers[row.ID], t.byHash[hash] = known, known
+		w = &worker{hash: hash, point: splitMix64(uint64(hash))}
+		t.workers[row.ID], t.byHash[hash] = w, w
 	} else {
-		t.pools[known.listed.Pool].remove(t, known)
+		t.pools[w.listed.Pool].remove(t, w)
 	}
-	if known.listed.Address != row.Address && !known.blockedUntil.IsZero() {
+	if w.listed.Address != row.Address && !w.blockedUntil.IsZero() {
 		// Another worker answered at the old address; this one may be right.
-		known.blocked = false
+		w.blocked = false
 	}
 	// Leaving is final for an incarnation, even if an outdated list says otherwise.
-	leaving := row.Leaving || known.listed.Leaving
-	known.listed = *row
-	known.listed.Leaving = leaving
-	t.updateFewerSlots(known)
+	leaving := row.Leaving || w.listed.Leaving
+	w.listed = *row
+	w.listed.Leaving = leaving
+	t.updateFewerSlots(w)
 	if t.pools[row.Pool] == nil {
 		t.pools[row.Pool] = &pool{}
 	}
-	if known.usable() {
-		t.pools[row.Pool].add(t, known)
+	if w.usable() {
+		t.pools[row.Pool].add(t, w)
 	}
 }
 
 // removeWorker removes a worker that is no longer listed.
 func (t *Table) removeWorker(row *wire.PoolWorker) {
-	known := t.workers[row.ID]
-	if known == nil {
+	w := t.workers[row.ID]
+	if w == nil {
 		return
 	}
-	t.pools[known.listed.Pool].remove(t, known)
+	t.pools[w.listed.Pool].remove(t, w)
 	delete(t.workers, row.ID)
-	delete(t.fewerSlots, known)
-	if t.byHash[known.hash] == known {
-		delete(t.byHash, known.hash)
+	delete(t.fewerSlots, w)
+	if t.byHash[w.hash] == w {
+		delete(t.byHash, w.hash)
 	}
-	known.blocked = true
+	w.blocked = true
 }
 
 // Start records that this process begins to choose workers, perhaps together with many others
@@ -208,30 +208,30 @@
 }
 
 // Acquire chooses a worker and leases a slot there. It returns nil if there is no worker.
-func (t *Table) Acquire(now time.Time, demand *Request) *Lease {
+func (t *Table) Acquire(now time.Time, request *Request) *Lease {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.advanceClock(now)
 	t.unblockExpired(now)
 	t.coldStart = t.isColdStart(now)
-	chosen := t.takeProbe(now, demand)
+	chosen := t.takeProbe(now, request)
 	if chosen == nil {
-		chosen = t.previousWorker(now, demand)
+		chosen = t.previousWorker(now, request)
 	}
 	if chosen == nil {
-		chosen = t.choose(now, demand, false)
+		chosen = t.choose(now, request, false)
 	}
 	if chosen == nil {
-		chosen = t.choose(now, demand, true)
+		chosen = t.choose(now, request, true)
 	}
 	if chosen == nil {
 		return nil
 	}
-	return t.lease(now, chosen, demand)
+	return t.lease(now, chosen, request)
 }
 
 // lease gives the request a slot at the worker.
-func (t *Table) lease(now time.Time, chosen *worker, demand *Request) *Lease {
+func (t *Table) lease(now time.Time, chosen *worker, request *Request) *Lease {
 	lease := &Lease{
 		Wait:            t.predictWait(now, chosen),
 		Slowness:        t.slownessOf(now, chosen),
@@ -240,8 +240,8 @@
 		Zone:            chosen.listed.Zone,
 		table:           t,
 		worker:          chosen,
-		batch:           demand.Batch,
-		pendingTokens:   demand.PromptTokens - t.cachedTokens(chosen, demand),
+		batch:           request.Batch,
+		pendingTokens:   request.PromptTokens - t.cachedTokens(chosen, request),
 		probe:           t.failing(now, chosen),
 	}
 	if lease.probe {
@@ -251,20 +251,20 @@
 	t.markBusy(chosen)
 	chosen.inFlight++
 	chosen.pendingTokens += lease.pendingTokens
-	if demand.Batch {
+	if request.Batch {
 		chosen.batch++
 		chosen.startGrants = max(chosen.startGrants-1, 0)
 	}
-	chosen.recordParts(sharedPartIDs(demand.Parts))
+	chosen.recordParts(sharedPartIDs(request.Parts))
 	return lease
 }
 
 // bestByCost returns the worker of the lowest cost, a random one among equals.
-func (t *Table) bestByCost(now time.Time, demand *Request, fit []*worker) *worker {
+func (t *Table) bestByCost(now time.Time, request *Request, fit []*worker) *worker {
 	var best *worker
 	bestCost, equals := 0.0, 0
 	for _, candidate := range fit {
-		cost := t.cost(now, candidate, demand)
+		cost := t.cost(now, candidate, request)
 		switch {
 		case best == nil || cost < bestCost-tieMargin:
 			best, bestCost, equals = candidate, cost, 1
@@ -278,14 +278,14 @@
 	return best
 }
 
-func (t *Table) admits(now time.Time, candidate *worker, demand *Request, suspects bool) bool {
-	if !candidate.usable() || demand.Exclude[candidate.listed.ID] {
+func (t *Table) admits(now time.Time, candidate *worker, request *Request, suspects bool) bool {
+	if !candidate.usable() || request.Exclude[candidate.listed.ID] {
 		return false
 	}
 	if !suspects && now.Before(candidate.suspectUntil) {
 		return false
 	}
-	return !demand.Batch || t.admitsBatch(now, candidate, demand.BatchShare)
+	return !request.Batch || t.admitsBatch(now, candidate, request.BatchShare)
 }
 
 // markBusy adds the worker to the list of those at which this process has requests or something
@@ -312,8 +312,8 @@
 		t.blocked = append(t.blocked, w)
 	}
 	w.blocked, w.blockedUntil = true, now.Add(blockTime)
-	if known := t.pools[w.listed.Pool]; known != nil {
-		known.remove(t, w)
+	if p := t.pools[w.listed.Pool]; p != nil {
+		p.remove(t, w)
 	}
 }
 
--- a/internal/balance/times.go
+++ b/internal/balance/times.go
@@ -49,13 +49,13 @@
 
 // bestByTime returns the worker of the lowest score, a random one among equals. It is a worker of
 // this zone if any of these has a spare slot, even if other zones have idle workers.
-func (t *Table) bestByTime(now time.Time, known *pool, demand *Request, fit []*worker) *worker {
-	usual := t.poolModel(known, demand)
-	near := t.bestInZones(now, demand, usual, fit, 0)
+func (t *Table) bestByTime(now time.Time, p *pool, request *Request, fit []*worker) *worker {
+	normal := t.poolModel(p, request)
+	near := t.bestInZones(now, request, normal, fit, 0)
 	if near.spare {
 		return near.best
 	}
-	far := t.bestInZones(now, demand, usual, fit, 1)
+	far := t.bestInZones(now, request, normal, fit, 1)
 	switch {
 	case near.best == nil:
 		return far.best
@@ -66,13 +66,13 @@
 }
 
 // bestInZones returns the best worker of this zone (distance 0) or of the others (distance 1).
-func (t *Table) bestInZones(now time.Time, demand *Request, usual capacity.Pool, fit []*worker, away int) bestWorker {
+func (t *Table) bestInZones(now time.Time, request *Request, normal capacity.Pool, fit []*worker, distance int) bestWorker {
 	var best bestWorker
 	for _, candidate := range fit {
-		if t.zoneDistance(candidate) != away {
+		if t.zoneDistance(candidate) != distance {
 			continue
 		}
-		prediction, score := t.score(now, candidate, usual, demand)
+		prediction, score := t.score(now, candidate, normal, request)
 		best.consider(t, candidate, score, prediction.FreeSlots >= min(minSpareSlots, max(t.effectiveSlots(candidate), 1)-1))
 	}
 	return best
@@ -101,9 +101,9 @@
 }
 
 // score rates a worker, in seconds; lower is better.
-func (t *Table) score(now time.Time, candidate *worker, usual capacity.Pool, demand *Request) (capacity.Prediction, float64) {
+func (t *Table) score(now time.Time, candidate *worker, normal capacity.Pool, request *Request) (capacity.Prediction, float64) {
 	model := t.workerModel(now, candidate)
-	prediction := model.Predict(usual, demand.PromptTokens-t.cachedTokens(candidate, demand))
+	prediction := model.Predict(normal, request.PromptTokens-t.cachedTokens(candidate, request))
 	if t.scoring == scoringWait {
 		return prediction, prediction.Wait.Seconds()
 	}
@@ -113,13 +113,13 @@
 }
 
 // poolModel returns what a request of the pool takes at a worker of median speed.
-func (t *Table) poolModel(known *pool, demand *Request) capacity.Pool {
-	hold := known.normalHoldTime()
-	if hold == 0 {
-		hold = defaultHoldTime
+func (t *Table) poolModel(p *pool, request *Request) capacity.Pool {
+	holdTime := p.normalHoldTime()
+	if holdTime == 0 {
+		holdTime = defaultHoldTime
 	}
-	read := float64(hold) * prefillUnit / (float64(t.memoryOf(demand.Pool)) * pendingTokensShare)
-	return capacity.Pool{HoldTime: hold, EventInterval: known.medianInterval, PrefillTime: time.Duration(math.Min(read, float64(time.Second))), PreemptionTime: preemptionTime}
+	prefill := float64(holdTime) * prefillUnit / (float64(t.memoryOf(request.Pool)) * pendingTokensShare)
+	return capacity.Pool{HoldTime: holdTime, EventInterval: p.medianInterval, PrefillTime: time.Duration(math.Min(prefill, float64(time.Second))), PreemptionTime: preemptionTime}
 }
 
 // normalHoldTime returns how long an online request holds a slot at a worker of median speed,
@@ -137,10 +137,10 @@
 		PendingPromptTokens: w.pendingTokens,
 		Slowness:            w.decayedSlowness(now),
 	}
-	if others, known := t.peerLoadOf(now, w); known {
-		model.Online += int(others.Online)
-		model.Items += int(others.Batch)
-		model.PendingPromptTokens += int64(others.Unread)
+	if load, ok := t.peerLoadOf(now, w); ok {
+		model.Online += int(load.Online)
+		model.Items += int(load.Batch)
+		model.PendingPromptTokens += int64(load.Unread)
 	}
 	return model
 }
@@ -164,26 +164,26 @@
 
 // holdTimeAt returns how long an online request holds a slot at the worker, zero if unknown.
 func (t *Table) holdTimeAt(now time.Time, w *worker) time.Duration {
-	hold := t.holdTimeOf(w)
+	holdTime := t.holdTimeOf(w)
 	if t.comparesByTime(w.listed.Pool) {
-		hold = t.pools[w.listed.Pool].normalHoldTime()
+		holdTime = t.pools[w.listed.Pool].normalHoldTime()
 	}
-	return time.Duration(float64(hold) * t.slownessOf(now, w))
+	return time.Duration(float64(holdTime) * t.slownessOf(now, w))
 }
 
 // updateCapacity sums up the capacity of the pool's workers. Workers without measurements count
 // with median speed.
-func (t *Table) updateCapacity(now time.Time, known *pool, active []*worker) {
-	known.nearSum = capacity.Sum{Slots: known.nearSlots, NormalizedSlots: float64(known.nearSlots), AsOf: now}
-	far := known.slots - known.nearSlots
-	known.farSum = capacity.Sum{Slots: far, NormalizedSlots: float64(far), AsOf: now}
+func (t *Table) updateCapacity(now time.Time, p *pool, active []*worker) {
+	p.nearSum = capacity.Sum{Slots: p.nearSlots, NormalizedSlots: float64(p.nearSlots), AsOf: now}
+	far := p.slots - p.nearSlots
+	p.farSum = capacity.Sum{Slots: far, NormalizedSlots: float64(far), AsOf: now}
 	for _, candidate := range active {
 		if !candidate.inGroup {
 			continue
 		}
-		sum := &known.farSum
+		sum := &p.farSum
 		if t.zoneDistance(candidate) == 0 {
-			sum = &known.nearSum
+			sum = &p.nearSum
 		}
 		slots := candidate.listed.Slots
 		sum.Slots -= slots
@@ -199,8 +199,8 @@
 func (t *Table) Capacity(pool string) (near, far capacity.Sum) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if known := t.pools[pool]; known != nil {
-		return known.nearSum, known.farSum
+	if p := t.pools[pool]; p != nil {
+		return p.nearSum, p.farSum
 	}
 	return capacity.Sum{}, capacity.Sum{}
 }
--- a/internal/balance/times_test.go
+++ b/internal/balance/times_test.go
@@ -24,23 +24,23 @@
 	var late, idled [2]float64
 	var last *unevenFleet
 	for seed := range uint64(seeds) {
-		for i, way := range []scoring{scoringCost, scoringAuto} {
-			plan := fourZones()
-			plan.scoring, plan.reportPace, plan.waves = way, true, 4
-			f := newUnevenFleet(plan, seed+1).run()
-			t.Logf("seed %d, way %d: %v", seed+1, way, f)
+		for i, mode := range []scoring{scoringCost, scoringAuto} {
+			scenario := fourZones()
+			scenario.scoring, scenario.reportPace, scenario.waves = mode, true, 4
+			f := newUnevenFleet(scenario, seed+1).run()
+			t.Logf("seed %d, scoring %d: %v", seed+1, mode, f)
 			late[i] += f.lateShare()
 			idled[i] += float64(f.idled) / float64(f.moments)
-			if way == scoringAuto {
+			if mode == scoringAuto {
 				last = f.addWorkers(last)
 			}
 		}
 	}
 	if late[1] > late[0]/2 {
-		t.Errorf("late: %.3f by cost, %.3f now", late[0]/seeds, late[1]/seeds)
+		t.Errorf("late: %.3f by cost, %.3f by scoringAuto", late[0]/seeds, late[1]/seeds)
 	}
 	if idled[1] > idled[0]/2 {
-		t.Errorf("slots that idle while requests queue: %.1f by cost, %.1f now", idled[0]/seeds, idled[1]/seeds)
+		t.Errorf("slots that idle while requests queue: %.1f by cost, %.1f by scoringAuto", idled[0]/seeds, idled[1]/seeds)
 	}
 	t.Logf("over all waves the busiest worker has %.3f of the mean", last.busiest())
 	if last.busiest() > 1.15 {
@@ -50,18 +50,18 @@
 
 // TestScoreBeatsWait simulates the same waves with comparison by score, and by the time to a free
 // slot alone. The score must not be worse in late requests or in the load of the busiest worker.
-func TestWaysOfChoosing(t *testing.T) {
+func TestScoreBeatsWait(t *testing.T) {
 	t.Parallel()
 	var fleets []*unevenFleet
-	for _, way := range []scoring{scoringPredictedTime, scoringWait} {
-		plan := fourZones()
-		plan.scoring = way
-		f := newUnevenFleet(plan, 7).run()
-		t.Logf("way %d: %v", way, f)
+	for _, mode := range []scoring{scoringPredictedTime, scoringWait} {
+		scenario := fourZones()
+		scenario.scoring = mode
+		f := newUnevenFleet(scenario, 7).run()
+		t.Logf("scoring %d: %v", mode, f)
 		fleets = append(fleets, f)
 	}
 	if fleets[0].lateShare() > fleets[1].lateShare() || fleets[0].busiest() > fleets[1].busiest() {
-		t.Errorf("by score %v, by the time to a slot %v", fleets[0], fleets[1])
+		t.Errorf("by score %v, by the time to a free slot %v", fleets[0], fleets[1])
 	}
 }
 
@@ -71,40 +71,40 @@
 func TestItemsLeaveRoomByTimes(t *testing.T) {
 	t.Parallel()
 	var fleets []*unevenFleet
-	for _, way := range []scoring{scoringCost, scoringPredictedTime} {
-		plan := fourZones()
-		plan.items, plan.scoring, plan.waves = true, way, 2
-		f := newUnevenFleet(plan, 13).run()
-		t.Logf("way %d: %v", way, f)
+	for _, mode := range []scoring{scoringCost, scoringPredictedTime} {
+		scenario := fourZones()
+		scenario.items, scenario.scoring, scenario.waves = true, mode, 2
+		f := newUnevenFleet(scenario, 13).run()
+		t.Logf("scoring %d: %v", mode, f)
 		fleets = append(fleets, f)
 	}
 	if fleets[1].lateShare() > fleets[0].lateShare()*2/3 || fleets[1].stopped > fleets[0].stopped*3/2 {
-		t.Errorf("by cost %v, by times %v", fleets[0], fleets[1])
+		t.Errorf("by cost %v, by predicted times %v", fleets[0], fleets[1])
 	}
 }
 
 // TestPoolsWithoutPaceCompareByCost simulates the same waves with workers that don't report their
 // pace, with scoringCost and scoringAuto: each request must go to the same worker, whether the
 // workers are equal, overloaded or very uneven.
-func TestWorkersThatTellNoPaceAreChosenAsBefore(t *testing.T) {
+func TestPoolsWithoutPaceCompareByCost(t *testing.T) {
 	t.Parallel()
-	alike := func(plan *unevenScenario) { plan.slowPart, plan.spellPart = 0, 0 }
-	for name, change := range map[string]func(plan *unevenScenario){
+	alike := func(scenario *unevenScenario) { scenario.slowPart, scenario.spellPart = 0, 0 }
+	for name, change := range map[string]func(scenario *unevenScenario){
 		"alike": alike,
-		"crowded": func(plan *unevenScenario) {
-			alike(plan)
-			plan.demand = []float64{120, 110, 90, 90}
+		"crowded": func(scenario *unevenScenario) {
+			alike(scenario)
+			scenario.demand = []float64{120, 110, 90, 90}
 		},
 		"uneven": func(*unevenScenario) {},
-		"uneven, tell their slots": func(plan *unevenScenario) {
-			plan.reportPace, plan.pace = true, func(*unevenFleet, *unevenWorker) int { return 0 }
+		"uneven, report their slots": func(scenario *unevenScenario) {
+			scenario.reportPace, scenario.pace = true, func(*unevenFleet, *unevenWorker) int { return 0 }
 		},
 	} {
-		choices := func(way scoring) []string {
-			plan := fourZones()
-			plan.waves, plan.scoring = 2, way
-			change(&plan)
-			f := newUnevenFleet(plan, 3)
+		choices := func(mode scoring) []string {
+			scenario := fourZones()
+			scenario.waves, scenario.scoring = 2, mode
+			change(&scenario)
+			f := newUnevenFleet(scenario, 3)
 			var chosen []string
 			f.onChoice = func(f *unevenFleet, w *unevenWorker, r *unevenRequest) {
 				chosen = append(chosen, fmt.Sprint(f.now, w.id, r.lease.Wait, r.lease.Slowness))
@@ -112,7 +112,7 @@
 			f.run()
 			for edge, table := range f.tables {
 				if table.comparesByTime("p") {
-					t.Fatalf("%s, edge %d: the workers are compared by times", name, edge)
+					t.Fatalf("%s, edge %d: the workers are compared by predicted times", name, edge)
 				}
 			}
 			return chosen
@@ -154,12 +154,12 @@
 				t.Errorf("%d edges: %s got %d requests", edges, id, count)
 			}
 		}
-		plan := fourZones()
-		plan.edges, plan.waves, plan.scoring = edges, 1, scoringPredictedTime
-		f := newUnevenFleet(plan, 4).run()
+		scenario := fourZones()
+		scenario.edges, scenario.waves, scenario.scoring = edges, 1, scoringPredictedTime
+		f := newUnevenFleet(scenario, 4).run()
 		t.Logf("%d edges: %v", edges, f)
-		plan.scoring = scoringCost
-		if before := newUnevenFleet(plan, 4).run(); f.busiest() > 1.5 || f.lateShare() > before.lateShare() {
+		scenario.scoring = scoringCost
+		if before := newUnevenFleet(scenario, 4).run(); f.busiest() > 1.5 || f.lateShare() > before.lateShare() {
 			t.Errorf("%d edges: %v; by cost %v", edges, f, before)
 		}
 	}
@@ -170,9 +170,9 @@
 func TestZonesDoNotSwap(t *testing.T) {
 	t.Parallel()
 	const window = 100 * time.Millisecond
-	plan := fourZones()
-	plan.reportPace = true
-	f := newUnevenFleet(plan, 5)
+	scenario := fourZones()
+	scenario.reportPace = true
+	f := newUnevenFleet(scenario, 5)
 	sent := map[[3]int]int{}
 	f.onChoice = func(f *unevenFleet, w *unevenWorker, r *unevenRequest) {
 		sent[[3]int{int(f.now / window), f.zones[r.edge], w.zone}]++
@@ -185,9 +185,9 @@
 			swapped += min(count, sent[[3]int{key[0], key[2], key[1]}])
 		}
 	}
-	t.Logf("%d requests crossed, %d swapped", crossed, swapped)
+	t.Logf("%d requests changed zones, %d were swapped", crossed, swapped)
 	if swapped*20 > crossed {
-		t.Errorf("%d of %d requests that crossed were swapped", swapped, crossed)
+		t.Errorf("%d of %d requests that changed zones were swapped", swapped, crossed)
 	}
 }
 
@@ -195,9 +195,9 @@
 // requests may leave their zone.
 func TestZonesKeepWhatTheyCanCarry(t *testing.T) {
 	t.Parallel()
-	plan := fourZones()
-	plan.reportPace, plan.demand = true, []float64{52, 48, 44, 40}
-	f := newUnevenFleet(plan, 6).run()
+	scenario := fourZones()
+	scenario.reportPace, scenario.demand = true, []float64{52, 48, 44, 40}
+	f := newUnevenFleet(scenario, 6).run()
 	t.Logf("%v", f)
 	if f.crossed*100 > f.requests {
 		t.Errorf("%v", f)
@@ -209,9 +209,9 @@
 func TestLyingPaceChangesNothing(t *testing.T) {
 	t.Parallel()
 	play := func(pace func(f *unevenFleet, w *unevenWorker) int) *unevenFleet {
-		plan := fourZones()
-		plan.reportPace, plan.pace, plan.waves = true, pace, 2
-		return newUnevenFleet(plan, 8).run()
+		scenario := fourZones()
+		scenario.reportPace, scenario.pace, scenario.waves = true, pace, 2
+		return newUnevenFleet(scenario, 8).run()
 	}
 	honest := play(nil)
 	lies := play(func(_ *unevenFleet, w *unevenWorker) int {
@@ -229,9 +229,9 @@
 // long as no worker of the pool reports its pace.
 func TestFalseSlotsAreNotBelieved(t *testing.T) {
 	for _, test := range []struct {
-		told   capacity.Report
-		want   int
-		doubts int
+		report     capacity.Report
+		want       int
+		mismatches int
 	}{
 		{capacity.Report{}, 4, 0},
 		{capacity.Report{Slots: 4}, 4, 0},
@@ -242,24 +242,24 @@
 	} {
 		table := tableOf(poolWorker("a", "z1"))
 		lease := table.Acquire(start, &Request{Pool: "p"})
-		lease.ApplyReport(test.told)
-		lease.ApplyReport(test.told)
-		if got, doubts := table.effectiveSlots(lease.worker), len(table.SlotMismatches()); got != 4 || doubts != test.doubts {
-			t.Errorf("%+v without a pace: %d slots, %d doubts", test.told, got, doubts)
+		lease.ApplyReport(test.report)
+		lease.ApplyReport(test.report)
+		if got, mismatches := table.effectiveSlots(lease.worker), len(table.SlotMismatches()); got != 4 || mismatches != test.mismatches {
+			t.Errorf("%+v without a pace: %d slots, %d mismatches", test.report, got, mismatches)
 		}
 		if table.ReportsPace("p") {
-			t.Errorf("%+v: tells its pace", test.told)
+			t.Errorf("%+v: the pool counts as reporting its pace", test.report)
 		}
 		lease.ApplyReport(capacity.Report{Pace: 100})
 		if got := table.effectiveSlots(lease.worker); got != test.want {
-			t.Errorf("%+v: %d slots", test.told, got)
+			t.Errorf("%+v: %d slots", test.report, got)
 		}
 	}
 }
 
 // TestReportedPaceExpires checks that a pool counts as reporting its pace from the first report
 // of one until a minute after the last.
-func TestTellingAPaceLapses(t *testing.T) {
+func TestReportedPaceExpires(t *testing.T) {
 	table := tableOf(poolWorker("a", "z1"))
 	for _, test := range []struct {
 		after time.Duration
@@ -276,7 +276,7 @@
 		lease := table.Acquire(start.Add(test.after), &Request{Pool: "p"})
 		lease.ApplyReport(capacity.Report{Pace: test.pace})
 		if table.ReportsPace("p") != test.want || table.comparesByTime("p") != test.want || table.ReportsPace("q") {
-			t.Errorf("after %v: tells its pace %t, compared by times %t", test.after, table.ReportsPace("p"), table.comparesByTime("p"))
+			t.Errorf("after %v: reports its pace %t, compared by predicted times %t", test.after, table.ReportsPace("p"), table.comparesByTime("p"))
 		}
 		lease.Release()
 	}
@@ -286,17 +286,17 @@
 // few requests may be lost to each.
 func TestFrozenWorkersAreLeft(t *testing.T) {
 	t.Parallel()
-	plan := fourZones()
-	plan.reportPace, plan.waves = true, 2
-	plan.pace = func(*unevenFleet, *unevenWorker) int { return 100 }
-	plan.faults = map[time.Duration]func(f *unevenFleet){
+	scenario := fourZones()
+	scenario.reportPace, scenario.waves = true, 2
+	scenario.pace = func(*unevenFleet, *unevenWorker) int { return 100 }
+	scenario.faults = map[time.Duration]func(f *unevenFleet){
 		wavePeriod - waveDuration/2: func(f *unevenFleet) {
 			for _, w := range f.workers[8:11] {
 				w.frozen = true
 			}
 		},
 	}
-	f := newUnevenFleet(plan, 9)
+	f := newUnevenFleet(scenario, 9)
 	frozen := 0
 	f.onChoice = func(f *unevenFleet, w *unevenWorker, _ *unevenRequest) {
 		if w.frozen {
@@ -314,21 +314,21 @@
 // requests may be late, and no worker may be overloaded.
 func TestNewsStopInAWave(t *testing.T) {
 	t.Parallel()
-	play := func(way scoring, stop bool) *unevenFleet {
-		plan := fourZones()
-		plan.scoring, plan.waves = way, 1
+	play := func(mode scoring, stop bool) *unevenFleet {
+		scenario := fourZones()
+		scenario.scoring, scenario.waves = mode, 1
 		if stop {
-			plan.faults = map[time.Duration]func(f *unevenFleet){
+			scenario.faults = map[time.Duration]func(f *unevenFleet){
 				wavePeriod - waveDuration/2:                        func(f *unevenFleet) { f.updatesStopped = true },
 				wavePeriod - waveDuration/2 + 400*time.Millisecond: func(f *unevenFleet) { f.updatesStopped = false },
 			}
 		}
-		return newUnevenFleet(plan, 10).run()
+		return newUnevenFleet(scenario, 10).run()
 	}
-	heard, stopped, before := play(scoringPredictedTime, false), play(scoringPredictedTime, true), play(scoringCost, true)
-	t.Logf("heard %v; stopped %v; stopped, by cost %v", heard, stopped, before)
+	connected, stopped, before := play(scoringPredictedTime, false), play(scoringPredictedTime, true), play(scoringCost, true)
+	t.Logf("with updates %v; without %v; without, by cost %v", connected, stopped, before)
 	if stopped.lateShare() > before.lateShare() || stopped.busiest() > 1.6 {
-		t.Errorf("heard %v; stopped %v; stopped, by cost %v", heard, stopped, before)
+		t.Errorf("with updates %v; without %v; without, by cost %v", connected, stopped, before)
 	}
 }
 
@@ -336,16 +336,16 @@
 // be late than with comparison by cost.
 func TestZoneCutOff(t *testing.T) {
 	t.Parallel()
-	play := func(way scoring) *unevenFleet {
-		plan := fourZones()
-		plan.scoring, plan.waves = way, 2
-		plan.faults = map[time.Duration]func(f *unevenFleet){time.Second: func(f *unevenFleet) { f.cutOffZone = 0 }}
-		return newUnevenFleet(plan, 11).run()
+	play := func(mode scoring) *unevenFleet {
+		scenario := fourZones()
+		scenario.scoring, scenario.waves = mode, 2
+		scenario.faults = map[time.Duration]func(f *unevenFleet){time.Second: func(f *unevenFleet) { f.cutOffZone = 0 }}
+		return newUnevenFleet(scenario, 11).run()
 	}
 	now, before := play(scoringPredictedTime), play(scoringCost)
-	t.Logf("now %v; by cost %v", now, before)
+	t.Logf("by predicted times %v; by cost %v", now, before)
 	if now.inTimeByZone[0] < before.inTimeByZone[0] || now.lateShare() > before.lateShare() {
-		t.Errorf("now %v; by cost %v", now, before)
+		t.Errorf("by predicted times %v; by cost %v", now, before)
 	}
 }
 
@@ -353,16 +353,16 @@
 // its demand: fewer requests may be late than with comparison by cost.
 func TestZoneThatLosesRoomSpills(t *testing.T) {
 	t.Parallel()
-	for name, befalls := range map[string]func(f *unevenFleet){
+	for name, change := range map[string]func(f *unevenFleet){
 		"a third leaves":     func(f *unevenFleet) { f.removeThird(0) },
 		"its demand doubles": func(f *unevenFleet) { f.scenario.demand[0] *= 2 },
 	} {
-		play := func(way scoring) *unevenFleet {
-			plan := fourZones()
-			plan.scoring, plan.waves = way, 1
-			plan.demand = []float64{70, 60, 50, 50}
-			plan.faults = map[time.Duration]func(f *unevenFleet){wavePeriod - waveDuration/2: befalls}
-			return newUnevenFleet(plan, 15).run()
+		play := func(mode scoring) *unevenFleet {
+			scenario := fourZones()
+			scenario.scoring, scenario.waves = mode, 1
+			scenario.demand = []float64{70, 60, 50, 50}
+			scenario.faults = map[time.Duration]func(f *unevenFleet){wavePeriod - waveDuration/2: change}
+			return newUnevenFleet(scenario, 15).run()
 		}
 		now, before := play(scoringPredictedTime), play(scoringCost)
 		t.Logf("%s: now %v; by cost %v", name, now, before)
@@ -375,18 +375,18 @@
 // TestAllSlowAtOnce slows all workers: none may be avoided.
 func TestAllSlowAtOnce(t *testing.T) {
 	t.Parallel()
-	plan := fourZones()
-	plan.slowPart, plan.spellPart, plan.waves, plan.scoring = 0, 0, 1, scoringPredictedTime
-	plan.demand = []float64{40, 40, 40, 40}
-	plan.faults = map[time.Duration]func(f *unevenFleet){time.Second: func(f *unevenFleet) {
+	scenario := fourZones()
+	scenario.slowPart, scenario.spellPart, scenario.waves, scenario.scoring = 0, 0, 1, scoringPredictedTime
+	scenario.demand = []float64{40, 40, 40, 40}
+	scenario.faults = map[time.Duration]func(f *unevenFleet){time.Second: func(f *unevenFleet) {
 		for _, w := range f.workers {
 			w.speed = 0.5
 		}
 	}}
-	f := newUnevenFleet(plan, 12).run()
+	f := newUnevenFleet(scenario, 12).run()
 	for _, w := range f.workers {
 		if w.got == 0 {
-			t.Errorf("%s got nothing", w.id)
+			t.Errorf("%s got no request", w.id)
 		}
 	}
 	if f.busiest() > 1.5 {
@@ -427,12 +427,12 @@
 		table := tableOf(poolWorker("a", "z1"), poolWorker("b", "z1"), poolWorker("c", "z1"))
 		table.scoring = scoringPredictedTime
 		table.SetPeerLoads(start, []wire.WorkerLoad{peerLoad("a", 0, test.step, 10), peerLoad("b", 0, 20_000, 10), peerLoad("c", 0, 20_000, 10)}, ScopeAll)
-		demand := &Request{Pool: "p", Exclude: map[string]bool{"b": true, "c": true}}
-		if got := table.Acquire(start, demand).Slowness; got != test.want {
-			t.Errorf("a step of %d µs: slowness %g", test.step, got)
+		request := &Request{Pool: "p", Exclude: map[string]bool{"b": true, "c": true}}
+		if got := table.Acquire(start, request).Slowness; got != test.want {
+			t.Errorf("an event interval of %d µs: slowness %g", test.step, got)
 		}
-		if got := table.FindCandidate(start, demand, SearchOptions{Peers: 1}).Slowness; got != test.want {
-			t.Errorf("a step of %d µs: slowness %g of a place", test.step, got)
+		if got := table.FindCandidate(start, request, SearchOptions{Peers: 1}).Slowness; got != test.want {
+			t.Errorf("an event interval of %d µs: slowness %g of a candidate", test.step, got)
 		}
 	}
 }
--- a/internal/balance/told.go
+++ b/internal/balance/told.go
@@ -14,21 +14,21 @@
 
 // applyReport applies what a worker reported about itself. The smaller of listed and reported
 // slots is used: a worker that reports more than it is listed with would queue what it can't run.
-func (t *Table) applyReport(w *worker, told capacity.Report) {
-	if told.Pace > 0 {
+func (t *Table) applyReport(w *worker, report capacity.Report) {
+	if report.Pace > 0 {
 		t.paceReportedAt[w.listed.Pool] = t.latestTime
 	}
-	if told.Slots <= 0 || told.Slots == w.reportedSlots || told.Running > told.Slots {
+	if report.Slots <= 0 || report.Slots == w.reportedSlots || report.Running > report.Slots {
 		// The report has no slots, nothing new, or fewer slots than running requests.
 		return
 	}
-	w.reportedSlots = told.Slots
+	w.reportedSlots = report.Slots
 	if !w.unlisted(t) {
 		t.updateFewerSlots(w)
 	}
-	if told.Slots != w.listed.Slots && !w.mismatchReported && len(t.slotMismatches) < maxSlotMismatches {
+	if report.Slots != w.listed.Slots && !w.mismatchReported && len(t.slotMismatches) < maxSlotMismatches {
 		w.mismatchReported = true
-		t.slotMismatches = append(t.slotMismatches, SlotMismatch{Worker: w.listed.ID, Listed: w.listed.Slots, Reported: told.Slots})
+		t.slotMismatches = append(t.slotMismatches, SlotMismatch{Worker: w.listed.ID, Listed: w.listed.Slots, Reported: report.Slots})
 	}
 }
 
@@ -47,9 +47,9 @@
 func (t *Table) SlotMismatches() []SlotMismatch {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	doubts := t.slotMismatches
+	mismatches := t.slotMismatches
 	t.slotMismatches = nil
-	return doubts
+	return mismatches
 }
 
 // ReportsPace reports whether workers of the pool report their pace: one did within paceTTL
--- a/internal/balance/uneven.go
+++ b/internal/balance/uneven.go
@@ -16,14 +16,14 @@
 )
 
 // updateIntervalRatios applies the event intervals of the pool's workers and their median.
-func (p *pool) updateIntervalRatios(now time.Time, workers []*worker, middle uint32) {
-	if middle == 0 {
+func (p *pool) updateIntervalRatios(now time.Time, workers []*worker, median uint32) {
+	if median == 0 {
 		return
 	}
-	p.medianInterval = time.Duration(middle) * time.Microsecond
+	p.medianInterval = time.Duration(median) * time.Microsecond
 	for _, candidate := range workers {
 		if step := candidate.peerLoad.Step; step > 0 {
-			candidate.intervalRatio, candidate.intervalRatioAt = float64(step)/float64(middle), now
+			candidate.intervalRatio, candidate.intervalRatioAt = float64(step)/float64(median), now
 		}
 	}
 }
@@ -52,8 +52,8 @@
 
 // poolReportsPace is ReportsPace with the table's lock held.
 func (t *Table) poolReportsPace(pool string) bool {
-	told, found := t.paceReportedAt[pool]
-	return found && t.latestTime.Sub(told) < paceTTL
+	reportedAt, found := t.paceReportedAt[pool]
+	return found && t.latestTime.Sub(reportedAt) < paceTTL
 }
 
 // advanceClock records the time of a call. Reports of workers come without one.
--- a/internal/balance/uneven_test.go
+++ b/internal/balance/uneven_test.go
@@ -131,18 +131,18 @@
 	onChoice func(f *unevenFleet, w *unevenWorker, r *unevenRequest)
 }
 
-func newUnevenFleet(plan unevenScenario, seed uint64) *unevenFleet {
-	f := &unevenFleet{scenario: plan, arrival: rand.New(rand.NewPCG(seed, 2)), random: rand.New(rand.NewPCG(seed, 1)), top: loadshare.NewHub(), zoneOf: map[uint32]string{}, byID: map[string]*unevenWorker{}, cutOffZone: -1, sent: map[[2]int]int{}}
-	zones := len(plan.demand)
+func newUnevenFleet(scenario unevenScenario, seed uint64) *unevenFleet {
+	f := &unevenFleet{scenario: scenario, arrival: rand.New(rand.NewPCG(seed, 2)), random: rand.New(rand.NewPCG(seed, 1)), top: loadshare.NewHub(), zoneOf: map[uint32]string{}, byID: map[string]*unevenWorker{}, cutOffZone: -1, sent: map[[2]int]int{}}
+	zones := len(scenario.demand)
 	f.byZone, f.inTimeByZone = make([]int, zones), make([]int, zones)
 	var rows []wire.PoolWorker
-	for number := range plan.workers {
+	for number := range scenario.workers {
 		w := &unevenWorker{id: fmt.Sprintf("w%d", number), zone: number % zones, speed: 1}
-		if plan.slowPart > 0 && (number/zones)%plan.slowPart == 0 {
-			w.speed = plan.slowSpeed
+		if scenario.slowPart > 0 && (number/zones)%scenario.slowPart == 0 {
+			w.speed = scenario.slowSpeed
 		}
 		f.workers, f.byID[w.id] = append(f.workers, w), w
-		row := wire.PoolWorker{ID: w.id, Pool: "p", Zone: fmt.Sprintf("z%d", w.zone), Slots: plan.slots}
+		row := wire.PoolWorker{ID: w.id, Pool: "p", Zone: fmt.Sprintf("z%d", w.zone), Slots: scenario.slots}
 		rows = append(rows, row)
 		f.zoneOf[loadshare.Hash(row.ID)] = row.Zone
 	}
@@ -151,10 +151,10 @@
 	for range zones {
 		f.hubs = append(f.hubs, loadshare.NewHub())
 	}
-	for edge := range plan.edges {
+	for edge := range scenario.edges {
 		zone := edge % zones
 		table := NewTable(fmt.Sprintf("z%d", zone), rand.New(rand.NewPCG(seed, uint64(edge))))
-		table.scoring = plan.scoring
+		table.scoring = scenario.scoring
 		table.Update(set, map[string]int64{"p": 100_000})
 		f.tables, f.zones = append(f.tables, table), append(f.zones, zone)
 	}
@@ -207,9 +207,9 @@
 		if sums != nil {
 			f.top.ApplyReport(f.clock(), sums)
 		}
-		told := f.top.UpdateFor(f.clock(), name)
+		update := f.top.UpdateFor(f.clock(), name)
 		f.after(across, func() {
-			f.hubs[zone].SetParentLoads(f.clock(), told.Rows, told.UnlistedRate, told.Omitted > 0)
+			f.hubs[zone].SetParentLoads(f.clock(), update.Rows, update.UnlistedRate, update.Omitted > 0)
 		})
 	})
 }
@@ -225,24 +225,24 @@
 func (f *unevenFleet) place(r *unevenRequest) {
 	r.lease = f.tables[r.edge].Acquire(f.clock(), &Request{Pool: "p", PromptTokens: 200, Exclude: r.tried})
 	f.report(r.edge, false, nil)
-	w, trip := f.byID[r.lease.Endpoint.ID], inZone
+	w, transit := f.byID[r.lease.Endpoint.ID], inZone
 	f.sent[[2]int{f.zones[r.edge], w.zone}]++
 	if w.zone != f.zones[r.edge] {
 		f.crossed++
-		trip = across
+		transit = across
 	}
 	if f.onChoice != nil {
 		f.onChoice(f, w, r)
 	}
 	lease := r.lease
 	f.after(unevenTimeout, func() { f.retryElsewhere(w, r, lease) })
-	f.after(trip, func() {
+	f.after(transit, func() {
 		w.queue = append(w.queue, r)
 		r.queuedAt = f.now
 		running, waiting := len(w.running), len(w.queue)
 		if f.scenario.reportPace {
 			pace := f.paceOf(w)
-			f.after(trip, func() {
+			f.after(transit, func() {
 				r.lease.ApplyReport(capacity.Report{Running: running, Waiting: waiting, Slots: f.scenario.slots, Pace: pace})
 			})
 		}
@@ -257,8 +257,8 @@
 	if r.events > 0 || r.lease != lease {
 		return
 	}
-	gone := func(queued *unevenRequest) bool { return queued == r }
-	w.queue, w.running = slices.DeleteFunc(w.queue, gone), slices.DeleteFunc(w.running, gone)
+	isRequest := func(queued *unevenRequest) bool { return queued == r }
+	w.queue, w.running = slices.DeleteFunc(w.queue, isRequest), slices.DeleteFunc(w.running, isRequest)
 	lease.RecordNoAnswer(f.clock())
 	lease.Release()
 	f.lost++
@@ -300,11 +300,11 @@
 func (f *unevenFleet) wave() bool { return f.now%wavePeriod > wavePeriod-waveDuration }
 
 func (f *unevenFleet) arrivals(zone int) {
-	times := lowFactor
+	factor := lowFactor
 	if f.wave() {
-		times = waveFactor
+		factor = waveFactor
 	}
-	f.after(time.Duration(f.arrival.ExpFloat64()/(f.scenario.demand[zone]*times)*float64(time.Second)), func() {
+	f.after(time.Duration(f.arrival.ExpFloat64()/(f.scenario.demand[zone]*factor)*float64(time.Second)), func() {
 		zones := len(f.scenario.demand)
 		here := (f.scenario.edges - zone + zones - 1) / zones
 		f.request(zone + zones*f.arrival.IntN(here))
@@ -378,11 +378,11 @@
 	if w.spellChangeAt > 0 {
 		w.slow = !w.slow
 	}
-	length := time.Duration(f.random.Int64N(int64(maxSpell-minSpell))) + minSpell
+	duration := time.Duration(f.random.Int64N(int64(maxSpell-minSpell))) + minSpell
 	if !w.slow {
-		length = time.Duration(f.random.ExpFloat64() * float64(maxSpell+minSpell) / 2 * (1 - f.scenario.spellPart) / f.scenario.spellPart)
+		duration = time.Duration(f.random.ExpFloat64() * float64(maxSpell+minSpell) / 2 * (1 - f.scenario.spellPart) / f.scenario.spellPart)
 	}
-	w.spellChangeAt = f.now + length
+	w.spellChangeAt = f.now + duration
 }
 
 // progress applies work done to a request, and records the events that result.
@@ -395,14 +395,14 @@
 	if events <= r.events || events <= 0 {
 		return
 	}
-	trip := inZone
+	transit := inZone
 	if w.zone != f.zones[r.edge] {
-		trip = across
+		transit = across
 	}
 	if r.events == 0 {
 		r.lease.RecordPrefill()
 		r.lease.RecordAnswer(f.clock(), true)
-		if f.now+trip-r.arrivedAt <= unevenGoal {
+		if f.now+transit-r.arrivedAt <= unevenGoal {
 			f.inTime++
 			f.inTimeByZone[f.zones[r.edge]]++
 		}
@@ -486,5 +486,5 @@
 }
 
 func (f *unevenFleet) String() string {
-	return fmt.Sprintf("%d stops, %d requests, %.3f late, zones %.2f apart, crossed %.3f, queued %.1f, idle while queued %.1f, busiest %.2f, whole %v", f.stopped, f.requests, f.lateShare(), f.unevenness(), float64(f.crossed)/float64(f.requests), float64(f.queued)/float64(f.moments), float64(f.idled)/float64(f.moments), f.busiest(), (f.totalTime / time.Duration(f.requests)).Round(time.Millisecond))
+	return fmt.Sprintf("%d preempted, %d requests, %.3f late, late ratio of zones %.2f, changed zones %.3f, queued %.1f, idle while queued %.1f, busiest %.2f, mean time %v", f.stopped, f.requests, f.lateShare(), f.unevenness(), float64(f.crossed)/float64(f.requests), float64(f.queued)/float64(f.moments), float64(f.idled)/float64(f.moments), f.busiest(), (f.totalTime / time.Duration(f.requests)).Round(time.Millisecond))
 }
--- a/internal/balance/wave_test.go
+++ b/internal/balance/wave_test.go
@@ -132,8 +132,8 @@
 		}
 		table.SetPeerLoads(f.clock(), rows, scope)
 	default:
-		drawn := loadshare.Sample(f.random, nil, &f.near[zone], &f.far[zone])
-		table.SetPeerLoads(f.clock(), f.hubs[zone].LoadsOf(f.clock(), uint32(edge+1), drawn), ScopeNamed)
+		sampled := loadshare.Sample(f.random, nil, &f.near[zone], &f.far[zone])
+		table.SetPeerLoads(f.clock(), f.hubs[zone].LoadsOf(f.clock(), uint32(edge+1), sampled), ScopeNamed)
 	}
 }
 
@@ -143,8 +143,8 @@
 	if sums := f.hubs[zone].Sums(f.clock(), name); sums != nil {
 		f.top.ApplyReport(f.clock(), sums)
 	}
-	told := f.top.UpdateFor(f.clock(), name)
-	f.hubs[zone].SetParentLoads(f.clock(), told.Rows, told.UnlistedRate, told.Omitted > 0)
+	update := f.top.UpdateFor(f.clock(), name)
+	f.hubs[zone].SetParentLoads(f.clock(), update.Rows, update.UnlistedRate, update.Omitted > 0)
 	f.after(loadshare.Interval, func() { f.exchangeSums(zone) })
 }
 
@@ -168,11 +168,11 @@
 
 // arrivals schedules the next request at the rate of the current phase of the wave.
 func (f *waveFleet) arrivals() {
-	times := lowFactor
+	factor := lowFactor
 	if f.now%wavePeriod > wavePeriod-waveDuration {
-		times = waveFactor
+		factor = waveFactor
 	}
-	f.after(time.Duration(f.arrival.ExpFloat64()/(meanPerSecond*times)*float64(time.Second)), func() {
+	f.after(time.Duration(f.arrival.ExpFloat64()/(meanPerSecond*factor)*float64(time.Second)), func() {
 		f.request(f.arrival.IntN(len(f.tables)))
 		f.arrivals()
 	})
@@ -210,22 +210,22 @@
 		}
 		return all
 	}
-	whole, drawn := newWaveFleet(5), newWaveFleet(5)
-	whole.fullUpdates = true
-	whole.run()
-	drawn.run()
-	t.Logf("met a full worker: %d of %d told of all, %d of %d told of some", sum(whole.full), sum(whole.requests), sum(drawn.full), sum(drawn.requests))
+	all, sampled := newWaveFleet(5), newWaveFleet(5)
+	all.fullUpdates = true
+	all.run()
+	sampled.run()
+	t.Logf("met a full worker: %d of %d with all loads, %d of %d with some", sum(all.full), sum(all.requests), sum(sampled.full), sum(sampled.requests))
 	for zone := range waveZones {
-		t.Logf("zone %d: %d told of all, %d told of some, of %d", zone, whole.full[zone], drawn.full[zone], drawn.requests[zone])
-		if drawn.full[zone] > whole.full[zone]+drawn.requests[zone]/100 {
-			t.Errorf("zone %d: %d of %d requests met a full worker, %d where edges are told of all", zone, drawn.full[zone], drawn.requests[zone], whole.full[zone])
+		t.Logf("zone %d: %d with all loads, %d with some, of %d", zone, all.full[zone], sampled.full[zone], sampled.requests[zone])
+		if sampled.full[zone] > all.full[zone]+sampled.requests[zone]/100 {
+			t.Errorf("zone %d: %d of %d requests met a full worker, %d if edges get all loads", zone, sampled.full[zone], sampled.requests[zone], all.full[zone])
 		}
 	}
 	most := 0
-	for _, count := range drawn.got {
+	for _, count := range sampled.got {
 		most = max(most, count)
 	}
-	if mean := sum(drawn.requests) / (waveZones * zoneWorkers); most > 2*mean {
+	if mean := sum(sampled.requests) / (waveZones * zoneWorkers); most > 2*mean {
 		t.Errorf("a worker got %d requests, the mean is %d", most, mean)
 	}
 }
