--- a/internal/balance/cold_test.go
+++ b/internal/balance/cold_test.go
@@ -28,7 +28,7 @@
 		{"nothing shared", nil, 0, false, true},
 		{"all share a beginning", parts, 0, false, true},
 		{"the same, later", parts, coldStartTime, false, false},
-		{"the same, with news", parts, 0, true, false},
+		{"the same, with peer loads", parts, 0, true, false},
 	} {
 		busiest := busiestOf(slots, test.parts, test.after, test.hasLoads)
 		t.Logf("%s: %d requests at the busiest worker", test.name, busiest)
@@ -48,17 +48,17 @@
 	}
 	set := workerset.Of(rows)
 	running := map[string]int{}
-	began := time.Unix(1000, 0)
+	startTime := time.Unix(1000, 0)
 	busiest := 0
 	for i := range edges {
 		table := NewTable("a", rand.New(rand.NewPCG(uint64(i), 1)))
 		table.Update(set, map[string]int64{"p": 20_000})
-		table.Start(began)
+		table.Start(startTime)
 		if hasLoads {
-			table.SetPeerLoads(began, nil, ScopeAll)
+			table.SetPeerLoads(startTime, nil, ScopeAll)
 		}
 		for range workers * slots / 3 / edges {
-			lease := table.Acquire(began.Add(after), &Request{Pool: "p", Parts: parts, PromptTokens: 350})
+			lease := table.Acquire(startTime.Add(after), &Request{Pool: "p", Parts: parts, PromptTokens: 350})
 			running[lease.Endpoint.ID]++
 			busiest = max(busiest, running[lease.Endpoint.ID])
 		}
--- a/internal/balance/cost.go
+++ b/internal/balance/cost.go
@@ -94,8 +94,8 @@
 	}
 	// The first affinity worker is assumed to have cached all shared tokens. The second gets only
 	// the requests that found the first one busy, so half of the tokens are assumed.
-	if home := slices.Index(t.affinity, candidate); home >= 0 && !t.coldStart {
-		return max(sent, sharedTokens>>home)
+	if rank := slices.Index(t.affinity, candidate); rank >= 0 && !t.coldStart {
+		return max(sent, sharedTokens>>rank)
 	}
 	return sent
 }
--- a/internal/balance/free.go
+++ b/internal/balance/free.go
@@ -62,8 +62,8 @@
 // FindCandidate chooses a worker for a request that can also wait in this process. It chooses as
 // Acquire does, but prefers a worker with a slot free for online requests. If few slots are free,
 // all processes see the same ones; a request then takes one with some probability and leaves it
-// to peers otherwise. Slots in other zones are known from older reports and are drawn for in the
-// same way. It returns nil if there is no worker.
+// to peers otherwise. Slots in other zones are known from older reports, and a random draw
+// decides about them too. It returns nil if there is no worker.
 func (t *Table) FindCandidate(now time.Time, request *Request, search SearchOptions) *Candidate {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/balance/free_test.go
+++ b/internal/balance/free_test.go
@@ -241,12 +241,12 @@
 // TestWaitsAtMost checks how many simulated waits exceed MaxWait, for a worker with eight slots
 // that are held for 0.75 s.
 func TestWaitsAtMost(t *testing.T) {
-	const hold = 750 * time.Millisecond
+	const holdTime = 750 * time.Millisecond
 	table := tableOfZones(1, 1)
 	random := rand.New(rand.NewSource(1))
-	for over := 1; over <= 3; over++ {
-		setPeerOnline(table, []int{freeSlots + over - 1})
-		table.pools["p"].holdTime = hold
+	for deficit := 1; deficit <= 3; deficit++ {
+		setPeerOnline(table, []int{freeSlots + deficit - 1})
+		table.pools["p"].holdTime = holdTime
 		candidate := table.FindCandidate(start, &Request{Pool: "p"}, SearchOptions{Peers: 1})
 		late := 0
 		const draws = 10000
@@ -256,13 +256,13 @@
 				ends[i] = random.Float64()
 			}
 			slices.Sort(ends)
-			if time.Duration(ends[over-1]*float64(hold)) > candidate.MaxWait {
+			if time.Duration(ends[deficit-1]*float64(holdTime)) > candidate.MaxWait {
 				late++
 			}
 		}
-		t.Logf("deficit %d: mean wait %s, maximum %s, %d of %d wait longer", over, candidate.Wait, candidate.MaxWait, late, draws)
+		t.Logf("deficit %d: mean wait %s, maximum %s, %d of %d wait longer", deficit, candidate.Wait, candidate.MaxWait, late, draws)
 		if late > draws/15 {
-			t.Errorf("deficit %d: %d of %d wait longer than %s", over, late, draws, candidate.MaxWait)
+			t.Errorf("deficit %d: %d of %d wait longer than %s", deficit, late, draws, candidate.MaxWait)
 		}
 	}
 }
--- a/internal/balance/homes.go
+++ b/internal/balance/homes.go
@@ -45,9 +45,9 @@
 			keepClosest(&best, found)
 		}
 	}
-	for _, home := range best {
-		if home.worker != nil {
-			t.affinity = append(t.affinity, home.worker)
+	for _, match := range best {
+		if match.worker != nil {
+			t.affinity = append(t.affinity, match.worker)
 		}
 	}
 }
@@ -59,8 +59,8 @@
 	defer t.mutex.Unlock()
 	t.findAffinity(request, func(w *worker) bool { return w.usable() && !request.Exclude[w.listed.ID] })
 	var names []uint32
-	for _, home := range t.affinity {
-		names = append(names, home.hash)
+	for _, w := range t.affinity {
+		names = append(names, w.hash)
 	}
 	return names
 }
--- a/internal/balance/homes_test.go
+++ b/internal/balance/homes_test.go
@@ -42,15 +42,15 @@
 		list = append(list, poolWorker(fmt.Sprintf("w%d", i), "z1"))
 	}
 	table := tableOf(list...)
-	home := table.Acquire(start, longPrompt("part"))
-	home.RecordPrefill()
-	home.Release()
+	first := table.Acquire(start, longPrompt("part"))
+	first.RecordPrefill()
+	first.Release()
 	var rows []wire.WorkerLoad
 	for _, busy := range table.affinity {
 		rows = append(rows, wire.WorkerLoad{Worker: busy.hash, Online: 4, Unread: 20_000})
 	}
 	table.SetPeerLoads(start, rows, ScopeAll)
-	if lease := table.Acquire(start, longPrompt("part")); lease.Endpoint.ID == home.Endpoint.ID {
+	if lease := table.Acquire(start, longPrompt("part")); lease.Endpoint.ID == first.Endpoint.ID {
 		t.Error("a prompt was sent to its busy affinity worker")
 	}
 }
--- a/internal/balance/pace.go
+++ b/internal/balance/pace.go
@@ -141,8 +141,8 @@
 }
 
 // estimateHoldTime returns how long an online request holds a slot, zero if unknown. By Little's
-// law it is the number of requests in flight divided by the request rate. unlistedRate is the
-// rate of workers without a listed load, per rateSeconds.
+// law it is the number of requests that hold a slot divided by the request rate. unlistedRate is
+// the rate of workers without a listed load, per rateSeconds.
 func estimateHoldTime(workers []*worker, unlistedRate int) time.Duration {
 	online, rate := 0, unlistedRate
 	for _, candidate := range workers {
--- a/internal/balance/sample.go
+++ b/internal/balance/sample.go
@@ -23,8 +23,9 @@
 	minLag = 5 * time.Millisecond
 )
 
-// choose returns the best of some sampled workers. Suspects, and workers marked as failing, are
-// considered only if suspects is set.
+// choose returns the best of some sampled workers. Suspects are considered only if suspects is set.
+// Failing workers are avoided, unless suspects is set and the request may probe, most of the pool
+// is failing, or the batch planner granted a probe.
 func (t *Table) choose(now time.Time, request *Request, suspects bool) *worker {
 	p := t.pools[request.Pool]
 	if p == nil {
@@ -80,9 +81,9 @@
 	if !t.nearOnly {
 		t.sampleFar(now, name, p, fit, near > 0 && nearKnown)
 	}
-	for _, home := range t.affinity {
-		if !slices.Contains(t.candidates, home) {
-			t.candidates = append(t.candidates, home)
+	for _, w := range t.affinity {
+		if !slices.Contains(t.candidates, w) {
+			t.candidates = append(t.candidates, w)
 		}
 	}
 }
@@ -101,9 +102,9 @@
 	return false
 }
 
-// sampleFar samples workers of other zones. If the load of any of them is known, it takes only
-// those with a known load, because one without would look idle beside them. Sums of other zones
-// pass through one more report, which adds an interval to their age.
+// sampleFar samples workers of other zones. If the load of any worker, near or far, is known, it
+// takes only those with a known load, because one without would look idle beside the others. Loads
+// of other zones pass through one more report, which adds an interval to their age.
 func (t *Table) sampleFar(now time.Time, name string, p *pool, fit func(w *worker) bool, nearKnown bool) {
 	if isFresh(now, t.allLoadsAt) {
 		t.sampleGroup(p.far, candidateCount(len(p.far), unseenRequests(p.farRate, now.Sub(t.allLoadsAt), loadshare.Interval)), fit)
@@ -150,7 +151,7 @@
 	t.sampleList(fitting, count)
 }
 
-// sampleLargeGroup samples up to count fitting workers of a group without visiting all of it. It
+// sampleLargeGroup visits the group in random order until it has found count workers that fit. It
 // changes the order of the group.
 func (t *Table) sampleLargeGroup(workers group, count int, fit func(w *worker) bool) {
 	for i := 0; i < len(workers) && count > 0; i++ {
--- a/internal/balance/size_test.go
+++ b/internal/balance/size_test.go
@@ -128,7 +128,7 @@
 }
 
 // benchmark runs action at 100, 10,000 and 20,000 workers, with up to 300 of them loaded.
-// Visiting every worker for a choice took 0.026, 3.26 and 9.46 ms, for an item 0.024, 1.98 and
+// A choice that visits every worker took 0.026, 3.26 and 9.46 ms, for an item 0.024, 1.98 and
 // 3.90 ms.
 func benchmark(b *testing.B, action func(b *testing.B, table *Table, count int)) {
 	for _, count := range []int{100, 10_000, 20_000} {
--- a/internal/balance/table.go
+++ b/internal/balance/table.go
@@ -100,7 +100,7 @@
 		t.pools[w.listed.Pool].remove(t, w)
 	}
 	if w.listed.Address != row.Address && !w.blockedUntil.IsZero() {
-		// Another worker answered at the old address; this one may be right.
+		// Another worker answered at the previous address; the new one may be right.
 		w.blocked = false
 	}
 	// Leaving is final for an incarnation, even if an outdated list says otherwise.
@@ -260,10 +260,10 @@
 }
 
 // bestByCost returns the worker of the lowest cost, a random one among equals.
-func (t *Table) bestByCost(now time.Time, request *Request, fit []*worker) *worker {
+func (t *Table) bestByCost(now time.Time, request *Request, candidates []*worker) *worker {
 	var best *worker
 	bestCost, equals := 0.0, 0
-	for _, candidate := range fit {
+	for _, candidate := range candidates {
 		cost := t.cost(now, candidate, request)
 		switch {
 		case best == nil || cost < bestCost-tieMargin:
--- a/internal/balance/times.go
+++ b/internal/balance/times.go
@@ -49,13 +49,13 @@
 
 // bestByTime returns the worker of the lowest score, a random one among equals. It is a worker of
 // this zone if any of these has a spare slot, even if other zones have idle workers.
-func (t *Table) bestByTime(now time.Time, p *pool, request *Request, fit []*worker) *worker {
+func (t *Table) bestByTime(now time.Time, p *pool, request *Request, candidates []*worker) *worker {
 	normal := t.poolModel(p, request)
-	near := t.bestInZones(now, request, normal, fit, 0)
+	near := t.bestInZones(now, request, normal, candidates, 0)
 	if near.spare {
 		return near.best
 	}
-	far := t.bestInZones(now, request, normal, fit, 1)
+	far := t.bestInZones(now, request, normal, candidates, 1)
 	switch {
 	case near.best == nil:
 		return far.best
@@ -66,9 +66,9 @@
 }
 
 // bestInZones returns the best worker of this zone (distance 0) or of the others (distance 1).
-func (t *Table) bestInZones(now time.Time, request *Request, normal capacity.Pool, fit []*worker, distance int) bestWorker {
+func (t *Table) bestInZones(now time.Time, request *Request, normal capacity.Pool, candidates []*worker, distance int) bestWorker {
 	var best bestWorker
-	for _, candidate := range fit {
+	for _, candidate := range candidates {
 		if t.zoneDistance(candidate) != distance {
 			continue
 		}
--- a/internal/balance/times_test.go
+++ b/internal/balance/times_test.go
@@ -30,7 +30,7 @@
 			f := newUnevenFleet(scenario, seed+1).run()
 			t.Logf("seed %d, scoring %d: %v", seed+1, mode, f)
 			late[i] += f.lateShare()
-			idled[i] += float64(f.idled) / float64(f.moments)
+			idled[i] += float64(f.idled) / float64(f.waveSteps)
 			if mode == scoringAuto {
 				last = f.addWorkers(last)
 			}
@@ -88,7 +88,7 @@
 // workers are equal, overloaded or very uneven.
 func TestPoolsWithoutPaceCompareByCost(t *testing.T) {
 	t.Parallel()
-	alike := func(scenario *unevenScenario) { scenario.slowPart, scenario.spellPart = 0, 0 }
+	alike := func(scenario *unevenScenario) { scenario.slowEvery, scenario.spellFraction = 0, 0 }
 	for name, change := range map[string]func(scenario *unevenScenario){
 		"alike": alike,
 		"crowded": func(scenario *unevenScenario) {
@@ -199,7 +199,7 @@
 	scenario.reportPace, scenario.demand = true, []float64{52, 48, 44, 40}
 	f := newUnevenFleet(scenario, 6).run()
 	t.Logf("%v", f)
-	if f.crossed*100 > f.requests {
+	if f.changedZones*100 > f.requests {
 		t.Errorf("%v", f)
 	}
 }
@@ -376,7 +376,7 @@
 func TestAllSlowAtOnce(t *testing.T) {
 	t.Parallel()
 	scenario := fourZones()
-	scenario.slowPart, scenario.spellPart, scenario.waves, scenario.scoring = 0, 0, 1, scoringPredictedTime
+	scenario.slowEvery, scenario.spellFraction, scenario.waves, scenario.scoring = 0, 0, 1, scoringPredictedTime
 	scenario.demand = []float64{40, 40, 40, 40}
 	scenario.faults = map[time.Duration]func(f *unevenFleet){time.Second: func(f *unevenFleet) {
 		for _, w := range f.workers {
--- a/internal/balance/uneven.go
+++ b/internal/balance/uneven.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// slownessHalfLife is the age at which a worker's measured slowness counts half. A worker
-	// that gets no requests is so tried again.
+	// slownessHalfLife is the age at which a worker's measured slowness counts half. The decay
+	// lets a worker that is avoided for its slowness get requests again.
 	slownessHalfLife = 5 * time.Second
 	// paceTTL is how long a pool counts as reporting its pace after a report with one. It is
 	// longer than the time between two answers of a pool in use.
@@ -29,8 +29,8 @@
 }
 
 // decayedSlowness returns the worker's event interval relative to the median of its pool, decayed
-// by its age. It doesn't use the pace that workers report: a report is older on arrival, and says
-// less about a request than these measurements (docs/design/0020).
+// by its age. It doesn't use the pace that workers report: at the age that such a report has on
+// arrival, it says less about a request than these measurements (docs/design/0020).
 func (w *worker) decayedSlowness(now time.Time) float64 {
 	if w.intervalRatio == 0 {
 		return 1
--- a/internal/balance/uneven_test.go
+++ b/internal/balance/uneven_test.go
@@ -37,12 +37,12 @@
 // unevenScenario describes a simulation run.
 type unevenScenario struct {
 	workers, slots int
-	// One of slowPart workers has slowSpeed; zero means none.
-	slowPart  int
+	// One of slowEvery workers has slowSpeed; zero means none.
+	slowEvery int
 	slowSpeed float64
-	// spellPart is the fraction of time that a worker spends in slow spells.
-	spellPart float64
-	edges     int
+	// spellFraction is the fraction of time that a worker spends in slow spells.
+	spellFraction float64
+	edges         int
 	// demand is the mean number of requests per second in each zone, waves the number of waves.
 	demand []float64
 	waves  int
@@ -59,7 +59,7 @@
 
 // fourZones returns the scenario of the project's goals.
 func fourZones() unevenScenario {
-	return unevenScenario{workers: 72, slots: 8, slowPart: 4, slowSpeed: 0.55, spellPart: 0.15, edges: 67, demand: []float64{92, 82, 64, 63}, waves: 3}
+	return unevenScenario{workers: 72, slots: 8, slowEvery: 4, slowSpeed: 0.55, spellFraction: 0.15, edges: 67, demand: []float64{92, 82, 64, 63}, waves: 3}
 }
 
 // unevenRequest is a request from its arrival to its last event.
@@ -117,12 +117,12 @@
 	updatesStopped bool
 	cutOffZone     int
 	// Counts of the run; stopped counts preempted items.
-	stopped                         int
-	requests, inTime, crossed, lost int
-	byZone, inTimeByZone            []int
+	stopped                              int
+	requests, inTime, changedZones, lost int
+	byZone, inTimeByZone                 []int
 	// idled sums up, over all steps in waves, the idle slots for which as many requests queued at
-	// other workers. queued sums up the queued requests, and moments counts the steps.
-	idled, queued, moments int
+	// other workers. queued sums up the queued requests, and waveSteps counts the steps.
+	idled, queued, waveSteps int
 	// sent counts requests by zone of origin and zone of the worker.
 	sent map[[2]int]int
 	// totalTime is the sum of the times from arrival to last event.
@@ -138,7 +138,7 @@
 	var rows []wire.PoolWorker
 	for number := range scenario.workers {
 		w := &unevenWorker{id: fmt.Sprintf("w%d", number), zone: number % zones, speed: 1}
-		if scenario.slowPart > 0 && (number/zones)%scenario.slowPart == 0 {
+		if scenario.slowEvery > 0 && (number/zones)%scenario.slowEvery == 0 {
 			w.speed = scenario.slowSpeed
 		}
 		f.workers, f.byID[w.id] = append(f.workers, w), w
@@ -182,8 +182,8 @@
 		if !answer {
 			return
 		}
-		others := f.hubs[zone].PeerLoads(f.clock(), uint32(edge+1))
-		rows, part := loadshare.Subset(others, table.zone, func(worker uint32) string { return f.zoneOf[worker] }, f.random)
+		loads := f.hubs[zone].PeerLoads(f.clock(), uint32(edge+1))
+		rows, part := loadshare.Subset(loads, table.zone, func(worker uint32) string { return f.zoneOf[worker] }, f.random)
 		f.after(inZone, func() {
 			scope := ScopeAll
 			if part {
@@ -219,16 +219,16 @@
 	r := &unevenRequest{edge: edge, arrivedAt: f.now, remainingWork: unevenPrefill + unevenEvents*unevenEvent}
 	f.requests++
 	f.byZone[f.zones[edge]]++
-	f.report(edge, true, func() { f.place(r) })
+	f.report(edge, true, func() { f.dispatch(r) })
 }
 
-func (f *unevenFleet) place(r *unevenRequest) {
+func (f *unevenFleet) dispatch(r *unevenRequest) {
 	r.lease = f.tables[r.edge].Acquire(f.clock(), &Request{Pool: "p", PromptTokens: 200, Exclude: r.tried})
 	f.report(r.edge, false, nil)
 	w, transit := f.byID[r.lease.Endpoint.ID], inZone
 	f.sent[[2]int{f.zones[r.edge], w.zone}]++
 	if w.zone != f.zones[r.edge] {
-		f.crossed++
+		f.changedZones++
 		transit = across
 	}
 	if f.onChoice != nil {
@@ -241,7 +241,7 @@
 		r.queuedAt = f.now
 		running, waiting := len(w.running), len(w.queue)
 		if f.scenario.reportPace {
-			pace := f.paceOf(w)
+			pace := f.reportedPace(w)
 			f.after(transit, func() {
 				r.lease.ApplyReport(capacity.Report{Running: running, Waiting: waiting, Slots: f.scenario.slots, Pace: pace})
 			})
@@ -267,7 +267,7 @@
 	}
 	r.tried[w.id] = true
 	r.remainingWork = unevenPrefill + unevenEvents*unevenEvent
-	f.place(r)
+	f.dispatch(r)
 }
 
 // removeThird marks every third worker of the zone as leaving.
@@ -285,8 +285,8 @@
 	}
 }
 
-// paceOf returns the pace that a worker reports.
-func (f *unevenFleet) paceOf(w *unevenWorker) int {
+// reportedPace returns the pace that a worker reports.
+func (f *unevenFleet) reportedPace(w *unevenWorker) int {
 	if f.scenario.pace != nil {
 		return f.scenario.pace(f, w)
 	}
@@ -343,7 +343,7 @@
 		w.running = kept
 	}
 	if f.wave() {
-		f.moments++
+		f.waveSteps++
 		f.queued += queued
 		f.idled += min(queued, idle)
 	}
@@ -372,7 +372,7 @@
 
 // updateSpell starts or ends a slow spell.
 func (f *unevenFleet) updateSpell(w *unevenWorker) {
-	if f.scenario.spellPart == 0 || f.now < w.spellChangeAt {
+	if f.scenario.spellFraction == 0 || f.now < w.spellChangeAt {
 		return
 	}
 	if w.spellChangeAt > 0 {
@@ -380,7 +380,7 @@
 	}
 	duration := time.Duration(f.random.Int64N(int64(maxSpell-minSpell))) + minSpell
 	if !w.slow {
-		duration = time.Duration(f.random.ExpFloat64() * float64(maxSpell+minSpell) / 2 * (1 - f.scenario.spellPart) / f.scenario.spellPart)
+		duration = time.Duration(f.random.ExpFloat64() * float64(maxSpell+minSpell) / 2 * (1 - f.scenario.spellFraction) / f.scenario.spellFraction)
 	}
 	w.spellChangeAt = f.now + duration
 }
@@ -423,12 +423,12 @@
 		f.arrivals(zone)
 	}
 	for edge := range f.tables {
-		var again func()
-		again = func() {
+		var reportAgain func()
+		reportAgain = func() {
 			f.report(edge, true, func() {})
-			f.after(loadshare.MaxInterval, again)
+			f.after(loadshare.MaxInterval, reportAgain)
 		}
-		f.after(time.Duration(edge)*time.Millisecond, again)
+		f.after(time.Duration(edge)*time.Millisecond, reportAgain)
 	}
 	for at, action := range f.scenario.faults {
 		f.after(at, func() { action(f) })
@@ -453,13 +453,13 @@
 // busiest returns the highest load of a worker in waves, as requests per potential work, relative
 // to the mean of all workers.
 func (f *unevenFleet) busiest() float64 {
-	got, room, most := 0, 0.0, 0.0
+	got, work, most := 0, 0.0, 0.0
 	for _, w := range f.workers {
 		got += w.got
-		room += w.potentialWork
+		work += w.potentialWork
 		most = max(most, float64(w.got)/w.potentialWork)
 	}
-	return most / (float64(got) / room)
+	return most / (float64(got) / work)
 }
 
 // addWorkers adds the counts of another run's workers, and returns the fleet.
@@ -486,5 +486,5 @@
 }
 
 func (f *unevenFleet) String() string {
-	return fmt.Sprintf("%d preempted, %d requests, %.3f late, late ratio of zones %.2f, changed zones %.3f, queued %.1f, idle while queued %.1f, busiest %.2f, mean time %v", f.stopped, f.requests, f.lateShare(), f.unevenness(), float64(f.crossed)/float64(f.requests), float64(f.queued)/float64(f.moments), float64(f.idled)/float64(f.moments), f.busiest(), (f.totalTime / time.Duration(f.requests)).Round(time.Millisecond))
+	return fmt.Sprintf("%d preempted, %d requests, %.3f late, late ratio of zones %.2f, changed zones %.3f, queued %.1f, idle while queued %.1f, busiest %.2f, mean time %v", f.stopped, f.requests, f.lateShare(), f.unevenness(), float64(f.changedZones)/float64(f.requests), float64(f.queued)/float64(f.waveSteps), float64(f.idled)/float64(f.waveSteps), f.busiest(), (f.totalTime / time.Duration(f.requests)).Round(time.Millisecond))
 }
--- a/internal/balance/wave_test.go
+++ b/internal/balance/wave_test.go
@@ -184,12 +184,12 @@
 		f.exchangeSums(zone)
 	}
 	for edge := range f.tables {
-		var again func()
-		again = func() {
+		var reportAgain func()
+		reportAgain = func() {
 			f.report(edge, false)
-			f.after(loadshare.MaxInterval, again)
+			f.after(loadshare.MaxInterval, reportAgain)
 		}
-		f.after(time.Duration(edge)*time.Millisecond, again)
+		f.after(time.Duration(edge)*time.Millisecond, reportAgain)
 	}
 	f.arrivals()
 	for f.now < wavePeriod {
