--- a/internal/balance/worker.go
+++ b/internal/balance/worker.go
@@ -1,5 +1,5 @@
 // Package balance chooses workers for opaque requests by the load that this process and its peers
-// have reported at each: requests in flight and pending prompt tokens. It has no side effects and
+// have reported at each: requests in flight and pending prompt tokens. It does no I/O and
 // takes its time and randomness from the caller; a lock makes it safe for concurrent use.
 package balance
 
