--- a/internal/balance/cold_test.go
+++ b/internal/balance/cold_test.go
@@ -11,25 +11,26 @@
 	"github.com/sedgemast/sedgemast/internal/workerset"
 )
 
-// TestChoiceWithoutNewsSpreads lets many edges choose that have just begun and heard no news:
-// requests that share the beginning of their prompt don't crowd its home. Once there is news,
-// or none for long, they meet there.
-func TestChoiceWithoutNewsSpreads(t *testing.T) {
+// TestColdStartSpreadsRequests lets many edges choose that have just started and received no peer
+// loads: requests with a shared beginning of the prompt must not overload its affinity workers.
+// Once there are peer loads, or there have been none for long, these requests go to the affinity
+// workers.
+func TestColdStartSpreadsRequests(t *testing.T) {
 	const slots = 8
 	parts := []httpheader.Part{{ID: "shared", Tokens: 300}, {ID: "own", Tokens: 50}}
 	for _, test := range []struct {
-		name   string
-		parts  []httpheader.Part
-		after  time.Duration
-		news   bool
-		spread bool
+		name     string
+		parts    []httpheader.Part
+		after    time.Duration
+		hasLoads bool
+		spread   bool
 	}{
 		{"nothing shared", nil, 0, false, true},
 		{"all share a beginning", parts, 0, false, true},
-		{"the same, later", parts, coldTime, false, false},
-		{"the same, with news", parts, 0, true, false},
+		{"the same, later", parts, coldStartTime, false, false},
+		{"the same, with peer loads", parts, 0, true, false},
 	} {
-		busiest := busiestOf(slots, test.parts, test.after, test.news)
+		busiest := busiestOf(slots, test.parts, test.after, test.hasLoads)
 		t.Logf("%s: %d requests at the busiest worker", test.name, busiest)
 		if (busiest <= 2*slots) != test.spread {
 			t.Errorf("%s: the busiest worker of %d slots has %d requests", test.name, slots, busiest)
@@ -37,9 +38,9 @@
 	}
 }
 
-// busiestOf lets edges choose workers for a third of their slots, some time after they
-// began, and returns how many requests the busiest worker has.
-func busiestOf(slots int, parts []httpheader.Part, after time.Duration, news bool) int {
+// busiestOf lets edges choose workers for a third of all slots, some time after their start, and
+// returns the number of requests at the busiest worker.
+func busiestOf(slots int, parts []httpheader.Part, after time.Duration, hasLoads bool) int {
 	const edges, workers = 24, 30
 	var rows []wire.PoolWorker
 	for i := range workers {
@@ -47,17 +48,17 @@
 	}
 	set := workerset.Of(rows)
 	running := map[string]int{}
-	began := time.Unix(1000, 0)
+	startTime := time.Unix(1000, 0)
 	busiest := 0
 	for i := range edges {
 		table := NewTable("a", rand.New(rand.NewPCG(uint64(i), 1)))
 		table.Update(set, map[string]int64{"p": 20_000})
-		table.Start(began)
-		if news {
-			table.SetPeerLoads(began, nil, ScopeAll)
+		table.Start(startTime)
+		if hasLoads {
+			table.SetPeerLoads(startTime, nil, ScopeAll)
 		}
 		for range workers * slots / 3 / edges {
-			lease := table.Acquire(began.Add(after), &Request{Pool: "p", Parts: parts, PromptTokens: 350})
+			lease := table.Acquire(startTime.Add(after), &Request{Pool: "p", Parts: parts, PromptTokens: 350})
 			running[lease.Endpoint.ID]++
 			busiest = max(busiest, running[lease.Endpoint.ID])
 		}
