--- a/internal/edge/admit.go
+++ b/internal/edge/admit.go
@@ -14,64 +14,65 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// observe calls use with what is known of the route's requests.
-func (e *Edge) observe(route *routetable.Route, use func(known *admission.Route)) {
+// withRouteStats calls use with the statistics of the route's requests, under the lock.
+func (e *Edge) withRouteStats(route *routetable.Route, use func(stats *admission.Route)) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	known := e.observed[route.Name]
-	if known == nil {
-		known = &admission.Route{}
-		e.observed[route.Name] = known
+	stats := e.routeStats[route.Name]
+	if stats == nil {
+		stats = &admission.Route{}
+		e.routeStats[route.Name] = stats
 	}
-	use(known)
+	use(stats)
 }
 
-// overload takes in the wait predicted for a request to the pool, and returns in which time
-// the pool's overload will probably be over, zero if unknown.
-func (e *Edge) overload(pool string, wait, goal time.Duration) time.Duration {
+// overloadTimeLeft records the wait predicted for a request to the pool. It returns how long the
+// pool's overload will probably last, zero if unknown.
+func (e *Edge) overloadTimeLeft(pool string, wait, goal time.Duration) time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	known := e.overloads[pool]
-	if known == nil {
-		known = &admission.Overload{}
-		e.overloads[pool] = known
+	overload := e.overloads[pool]
+	if overload == nil {
+		overload = &admission.Overload{}
+		e.overloads[pool] = overload
 	}
 	now := time.Now()
-	known.Observe(now, wait, goal)
-	return known.TimeLeft(now)
+	overload.Observe(now, wait, goal)
+	return overload.TimeLeft(now)
 }
 
-// arrive takes in a request before its first attempt.
-func (c *call) arrive() {
-	left := c.deadline.Sub(c.arrived)
-	c.edge.observe(c.route, func(known *admission.Route) { known.ObserveArrival(left) })
+// recordArrival records a request before its first attempt.
+func (c *call) recordArrival() {
+	timeLeft := c.deadline.Sub(c.arrived)
+	c.edge.withRouteStats(c.route, func(stats *admission.Route) { stats.ObserveArrival(timeLeft) })
 }
 
-// began takes in that the first event has come, where nothing but the worker itself
-// stood before it.
-func (c *call) began(lease *balance.Lease) {
-	if c.attempts > 1 || c.waited || lease.Wait > 0 || lease.Slowness > 1 && !lease.ByPredictedTime {
+// recordFirstEvent records the time to the first event. It skips requests that were delayed by an
+// earlier attempt, by a queue, by other requests at the worker, or by a slow worker that was not
+// chosen by predicted time.
+func (c *call) recordFirstEvent(lease *balance.Lease) {
+	if c.attempts > 1 || c.wasQueued || lease.Wait > 0 || lease.Slowness > 1 && !lease.ByPredictedTime {
 		return
 	}
-	// At a worker of the middle speed it would have taken so much of that.
-	took := time.Duration(float64(time.Since(c.arrived)) / lease.Slowness)
-	c.edge.observe(c.route, func(known *admission.Route) { known.ObserveFirstEvent(took) })
+	// Scale to a worker of median speed.
+	firstEventTime := time.Duration(float64(time.Since(c.arrived)) / lease.Slowness)
+	c.edge.withRouteStats(c.route, func(stats *admission.Route) { stats.ObserveFirstEvent(firstEventTime) })
 }
 
-// tooLate refuses the request, before it goes to any worker, if its first event
-// would come too late there and its caller can come back.
-func (c *call) tooLate(lease *balance.Lease) bool {
-	if c.attempts > 0 || c.dials > 0 {
+// rejectedByAdmission rejects the request before it goes to any worker, if its first event would
+// come too late there, or its tenant is over its share, and the caller can retry later.
+func (c *call) rejectedByAdmission(lease *balance.Lease) bool {
+	if c.attempts > 0 || c.failedDials > 0 {
 		return false
 	}
 	request := admission.Request{TimeLeft: time.Until(c.deadline), Goal: c.route.Goal(), Wait: lease.Wait, OverShare: c.share.standing.OverShare}
-	request.OverloadTimeLeft = c.edge.overload(c.demand.Pool, request.Wait, request.Goal)
-	c.edge.observe(c.route, func(known *admission.Route) {
-		request.MaxTimeLeft = known.MaxTimeLeft()
-		request.FirstEventTime = time.Duration(float64(known.FirstEventTime()) * lease.Slowness)
+	request.OverloadTimeLeft = c.edge.overloadTimeLeft(c.demand.Pool, request.Wait, request.Goal)
+	c.edge.withRouteStats(c.route, func(stats *admission.Route) {
+		request.MaxTimeLeft = stats.MaxTimeLeft()
+		request.FirstEventTime = time.Duration(float64(stats.FirstEventTime()) * lease.Slowness)
 	})
-	comeback := admission.Decide(&request, rand.Float64())
-	if comeback == 0 {
+	retryAfter := admission.Decide(&request, rand.Float64())
+	if retryAfter == 0 {
 		return false
 	}
 	reason := admission.Evaluate(&request)
@@ -79,68 +80,70 @@
 		c.countByRank("sent_back")
 	}
 	standing := &c.share.standing
-	logging.Info(c.edge.logger, "request_sent_back", "id", c.id, "route", c.route.Name, "tenant", c.tenant.Owner(), "reason", reason, "rank", c.share.party.Rank, "over", standing.OverShare, "told", c.share.told, "asked", standing.Demand, "share", standing.Share, "room", standing.Capacity, "share_age_ms", standing.Age.Milliseconds(), "worker", lease.Endpoint.ID, "slow", lease.Slowness, "wait_ms", request.Wait.Milliseconds(), "begin_ms", request.FirstEventTime.Milliseconds(), "goal_ms", request.Goal.Milliseconds(), "left_ms", request.TimeLeft.Milliseconds(), "longest_ms", request.MaxTimeLeft.Milliseconds(), "ends_ms", request.OverloadTimeLeft.Milliseconds(), "comeback_ms", comeback.Milliseconds())
-	c.refuse(sentBack(reason).WithRetryAfter(comeback))
+	logging.Info(c.edge.logger, "request_sent_back", "id", c.id, "route", c.route.Name, "tenant", c.tenant.Owner(), "reason", reason, "rank", c.share.class.Rank, "over", standing.OverShare, "told", c.share.answered, "asked", standing.Demand, "share", standing.Share, "room", standing.Capacity, "share_age_ms", standing.Age.Milliseconds(), "worker", lease.Endpoint.ID, "slow", lease.Slowness, "wait_ms", request.Wait.Milliseconds(), "begin_ms", request.FirstEventTime.Milliseconds(), "goal_ms", request.Goal.Milliseconds(), "left_ms", request.TimeLeft.Milliseconds(), "longest_ms", request.MaxTimeLeft.Milliseconds(), "ends_ms", request.OverloadTimeLeft.Milliseconds(), "comeback_ms", retryAfter.Milliseconds())
+	c.reject(admissionError(reason).WithRetryAfter(retryAfter))
 	return true
 }
 
-// sentBack returns what a request is told that is to come back.
-func sentBack(reason admission.Reason) *failure.Error {
+// admissionError returns the error for a request that admission control rejected and that may be
+// retried.
+func admissionError(reason admission.Reason) *failure.Error {
 	if reason == admission.OverShare {
 		return failure.New(failure.NotRun, "come back after the time in Retry-After, or ask for a larger share", "there is too little room, and your share of it is used up")
 	}
 	return failure.New(failure.NotRun, "come back after the time in Retry-After", "all workers are busy for longer than the request has")
 }
 
-// limited refuses the request if its tenant sends more than it may. The token is taken from
-// the hub of the zone, which also tells what it knows of the workers. Where no hub answers
-// the edge's reserve decides, and a request that it does not cover may come back at once
-// to another edge.
-func (c *call) limited() bool {
+// rejectedByLimit rejects the request if its tenant exceeds its rate limit. The token comes from
+// the hub of the zone, whose answer also carries its current worker loads. Where no hub answers,
+// this edge's reserve decides, and a request that the reserve does not cover may be retried
+// immediately at another edge.
+func (c *call) rejectedByLimit() bool {
 	if !c.tenant.Limited() {
 		return false
 	}
 	e := c.edge
-	c.token = wire.TokenQuestion{Ticket: c.share.claim.Ticket, Tenant: routetable.ShortName(c.tenant.Name)}
-	verdict, standing, answered := e.loads.AcquireToken(c.context, c.token, c.roomClaim(), c.mayProbe())
-	c.informed = answered
+	c.tokenRequest = wire.TokenQuestion{Ticket: c.share.claim.Ticket, Tenant: routetable.ShortName(c.tenant.Name)}
+	verdict, standing, answered := e.loads.AcquireToken(c.context, c.tokenRequest, c.capacityClaim(), c.canProbe())
+	c.loadsFresh = answered
 	c.setStanding(standing, answered)
 	switch {
 	case answered && verdict.Granted:
 		c.hasToken = true
 	case answered:
-		retry := time.Duration(verdict.RetryMillis) * time.Millisecond
-		c.refuseTenant("over_limit", verdict, failure.New(failure.OverLimit, "come back after the time in Retry-After, or ask for a higher limit", "tenant %q sends more than %g requests a second", c.tenant.Name, c.tenant.RatePerSecond).WithRetryAfter(retry))
+		retryAfter := time.Duration(verdict.RetryMillis) * time.Millisecond
+		c.rejectTenant("over_limit", verdict, failure.New(failure.OverLimit, "come back after the time in Retry-After, or ask for a higher limit", "tenant %q sends more than %g requests a second", c.tenant.Name, c.tenant.RatePerSecond).WithRetryAfter(retryAfter))
 		return true
 	case c.context.Err() != nil:
 		c.giveUp()
 		return true
-	case !e.takeReserve(c.tenant, c.token.Tenant):
-		c.refuseTenant("no_hub", verdict, failure.New(failure.NotRun, "ask another edge", "no hub answers, and the reserve of tenant %q is used up here", c.tenant.Name).WithRetryAfter(shortRetry))
+	case !e.acquireReserve(c.tenant, c.tokenRequest.Tenant):
+		c.rejectTenant("no_hub", verdict, failure.New(failure.NotRun, "ask another edge", "no hub answers, and the reserve of tenant %q is used up here", c.tenant.Name).WithRetryAfter(shortRetryAfter))
 		return true
 	}
 	e.metrics.tenants.WithLabelValues(string(c.tenant.Name), "admitted").Inc()
 	return false
 }
 
-// refuseTenant refuses the request because of its tenant's limit.
-func (c *call) refuseTenant(reason string, verdict wire.TokenVerdict, err *failure.Error) {
+// rejectTenant rejects the request because of its tenant's limit.
+func (c *call) rejectTenant(reason string, verdict wire.TokenVerdict, err *failure.Error) {
 	c.edge.metrics.tenants.WithLabelValues(string(c.tenant.Name), reason).Inc()
 	logging.Info(c.edge.logger, "tenant_refused", "id", c.id, "tenant", c.tenant.Name, "reason", reason, "rate", c.tenant.RatePerSecond, "burst", c.tenant.Burst, "level", verdict.Level, "level_age_ms", verdict.AgeMillis, "comeback_ms", err.RetryAfter.Milliseconds(), "waited_ms", c.elapsed())
-	c.refuse(err)
+	c.reject(err)
 }
 
-// takeReserve takes a request of the tenant from this edge's reserve.
-func (e *Edge) takeReserve(tenant *routetable.Tenant, short ratelimit.Tenant) bool {
+// acquireReserve takes a token for the tenant from this edge's reserve and reports whether there
+// was one.
+func (e *Edge) acquireReserve(tenant *routetable.Tenant, shortName ratelimit.Tenant) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.reserve.Take(clock.Now(), short, tenant.Limit(), e.settings.RateTolerance.Limits(), e.watcher.Current().Fleet.Edges)
+	return e.reserve.Take(clock.Now(), shortName, tenant.Limit(), e.settings.RateTolerance.Limits(), e.watcher.Current().Fleet.Edges)
 }
 
-// giveBack gives the request's token back, because nothing ran.
-func (c *call) giveBack() {
+// releaseToken returns the request's token to the hub, because nothing ran.
+func (c *call) releaseToken() {
 	if c.hasToken {
 		c.hasToken = false
-		c.edge.loads.ReleaseToken(c.token)
+		c.edge.loads.ReleaseToken(c.tokenRequest)
 	}
 }
--- a/internal/edge/api.go
+++ b/internal/edge/api.go
@@ -12,17 +12,17 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// PathJobs begins the paths of the calls on jobs that were handed in:
+// PathJobs is the path prefix of the calls on submitted jobs:
 //
 //	GET    ID/results?since=POSITION&wait_ms=MILLISECONDS   -> JobPage
 //	GET    ID/items/ITEM                                    -> the item's body
 //	DELETE ID                                               -> the job is ended
 //
-// A job is handed in by a POST of a JobDocument below the prefix of a batch route,
-// with its id in the header for request ids.
+// A job is submitted by a POST of a JobDocument below the path prefix of a batch route, with the
+// job's id in the request id header.
 const PathJobs = "/sedgemast/v1/jobs/"
 
-// JobDocument is a job as callers send it.
+// JobDocument is a job as callers submit it.
 type JobDocument struct {
 	Items []JobItem `json:"items"`
 }
@@ -34,26 +34,26 @@
 	Headers map[string]string `json:"headers"`
 	// Body is base64 in JSON.
 	Body []byte `json:"body"`
-	// Tokens counts those of the prompt and the most out.
+	// Tokens is the number of prompt tokens plus the maximum number of output tokens.
 	Tokens int64 `json:"tokens"`
 }
 
-// JobPage holds results from a position on.
+// JobPage holds the results of a job from a position on.
 type JobPage struct {
-	// Total counts the job's items, Next is the position after the last result.
+	// Total is the number of items in the job, Next the position after the last result.
 	Total   int         `json:"total"`
 	Next    int         `json:"next"`
 	Results []JobResult `json:"results"`
 }
 
-// JobResult is the result at a position: State is completed or abandoned.
+// JobResult is the result at one position. State is completed or abandoned.
 type JobResult struct {
 	ID    string `json:"id"`
 	State string `json:"state"`
 	Text  string `json:"text"`
 }
 
-// API serves callers in the product's own interface.
+// API serves the product's native HTTP interface.
 type API struct{ Edge *Edge }
 
 // ServeHTTP implements http.Handler.
@@ -77,10 +77,10 @@
 	if err := json.Unmarshal(body, document); err != nil {
 		return failure.Wrap(err, failure.BadRequest, "send the whole job as JSON", "the job can't be read")
 	}
-	return a.Edge.SubmitJob(request, table, route, document.Job(request.Header.Get(a.Edge.dialect.RequestID), request.Host))
+	return a.Edge.SubmitJob(request, table, route, document.Job(request.Header.Get(a.Edge.headerNames.RequestID), request.Host))
 }
 
-// Job returns the job that the document describes.
+// Job converts the document to the message that the stores take.
 func (d *JobDocument) Job(id, host string) *wire.SubmitBatch {
 	job := &wire.SubmitBatch{ID: id, Host: host}
 	for i := range d.Items {
--- a/internal/edge/call.go
+++ b/internal/edge/call.go
@@ -21,80 +21,83 @@
 )
 
 const (
-	// maxDials bounds the workers to which no connection came about, and
-	// maxDialTime the time that this took: a dead port answers at once, a dark
-	// machine not at all.
-	maxDials    = 10
-	maxDialTime = 1200 * time.Millisecond
-	// firstPatience and gapPatience are how many times the goals of a stream a
-	// silent worker is waited for while another may be tried.
-	firstPatience = 3
-	gapPatience   = 2
-	// minPatience bounds both from below.
-	minPatience = 400 * time.Millisecond
+	// maxFailedDials limits the number of workers that could not be connected to,
+	// maxFailedDialTime the time spent on them: a closed port fails immediately, an unreachable
+	// machine only at a timeout.
+	maxFailedDials    = 10
+	maxFailedDialTime = 1200 * time.Millisecond
+	// While another worker may be tried, an unresponsive worker is given up after
+	// headTimeoutFactor times the route's goal for the first event, or gapTimeoutFactor times its
+	// goal for the gap between events.
+	headTimeoutFactor = 3
+	gapTimeoutFactor  = 2
+	// minFailoverTimeout is the lower limit of both timeouts.
+	minFailoverTimeout = 400 * time.Millisecond
 )
 
-// call is one request on its way through the edge. It is used by one goroutine.
+// call is one request while the edge handles it. A call is used by one goroutine.
 type call struct {
 	edge    *Edge
 	context context.Context
 	version uint64
 	route   *routetable.Route
-	// tenant is whose request it is, nil for nobody's.
+	// tenant is the tenant that sent the request, nil if it belongs to none.
 	tenant     *routetable.Tenant
 	writer     http.ResponseWriter
 	controller *http.ResponseController
 	id         string
 	request    upstream.Request
 	demand     balance.Request
-	// arrived and deadline go by the clock of connections and contexts, which stands still
-	// while the machine is suspended. bootDeadline is the same moment as deadline by package
-	// clock, which goes on.
+	// arrived and deadline use the clock of connections and contexts, which stops while the
+	// machine is suspended. bootDeadline is the same moment as deadline on the clock of package
+	// clock, which does not stop.
 	arrived      time.Time
 	deadline     time.Time
 	bootDeadline time.Time
-	// takenIn is when the request went on from where it was held, by package clock.
-	takenIn  time.Time
-	attempts int
-	dials    int
-	dialTime time.Duration
-	worker   string
-	// sentAt is when the request went to that worker.
+	// routingStartedAt is when the edge began to route the request, after any hold and any wait for
+	// a coordinator, on the clock of package clock.
+	routingStartedAt time.Time
+	attempts         int
+	failedDials      int
+	failedDialTime   time.Duration
+	worker           string
+	// sentAt is when the request was sent to that worker.
 	sentAt time.Time
-	// started is set once the head of the answer has been written, broken once
-	// that answer can't be ended as it should.
-	started bool
-	broken  bool
-	firstAt time.Time
-	// pacedAt is when the last events came from the worker of pacedLease.
-	pacedLease *balance.Lease
-	pacedAt    time.Time
-	lastEvent  int64
-	hasEvent   bool
-	// mayHaveRun is set once a worker may have begun.
+	// responseStarted is set once the response headers have been written. aborted is set if that
+	// response can't be completed, or the caller has disconnected.
+	responseStarted bool
+	aborted         bool
+	firstByteAt     time.Time
+	// lastEventsAt is when the last events arrived from the worker of paceLease.
+	paceLease    *balance.Lease
+	lastEventsAt time.Time
+	lastEventID  int64
+	hasLastEvent bool
+	// mayHaveRun is set once a worker may have started to run the request.
 	mayHaveRun bool
 	lastErr    error
-	// status is that of the last worker's answer.
+	// status is the HTTP status of the last worker's answer.
 	status int
-	// print is the request's identity, zero while nobody has asked for it. onTrial is set
-	// where it is refused and may be tried, underEnd once a worker ended under it here.
-	print    quarantine.Fingerprint
-	onTrial  bool
-	underEnd bool
-	// token is the question for a token of the tenant's limit, hasToken set while it
-	// was granted and is not given back. informed is set where its answer has told of
-	// the workers, too, and no choice has rested on that yet.
-	token    wire.TokenQuestion
-	hasToken bool
-	informed bool
-	share    shareState
-	// waited is set once the request has waited in a queue of this process.
-	waited bool
+	// cachedFingerprint identifies the request for quarantine, zero until it is first needed.
+	// onTrial is set if the request is quarantined but was granted a trial, workerExited if a
+	// worker exited while it ran this call.
+	cachedFingerprint quarantine.Fingerprint
+	onTrial           bool
+	workerExited      bool
+	// tokenRequest asks for a token of the tenant's rate limit; hasToken is set while the token is
+	// granted and not returned. loadsFresh is set if the hub's answer also carried worker loads
+	// that no choice of a worker has used yet.
+	tokenRequest wire.TokenQuestion
+	hasToken     bool
+	loadsFresh   bool
+	share        shareState
+	// wasQueued is set once the request has waited in a queue of this process.
+	wasQueued bool
 }
 
 func newCall(e *Edge, ctx context.Context, table *routetable.Table, route *routetable.Route, tenant *routetable.Tenant, writer http.ResponseWriter, controller *http.ResponseController, request *http.Request, body []byte, arrived, deadline time.Time) *call {
 	header := request.Header
-	prompt, _ := httpheader.ParseTokenCounts(header.Get(e.dialect.Tokens))
+	prompt, _ := httpheader.ParseTokenCounts(header.Get(e.headerNames.Tokens))
 	c := &call{
 		edge:         e,
 		context:      ctx,
@@ -103,15 +106,15 @@
 		tenant:       tenant,
 		writer:       writer,
 		controller:   controller,
-		id:           header.Get(e.dialect.RequestID),
+		id:           header.Get(e.headerNames.RequestID),
 		arrived:      arrived,
 		deadline:     deadline,
 		bootDeadline: clock.Now().Add(time.Until(deadline)),
 		share:        newShareState(table, tenant, route),
 		demand: balance.Request{
-			Pool:         e.pool(route),
+			Pool:         e.nextPool(route),
 			Exclude:      map[string]bool{},
-			Parts:        httpheader.ParseParts(header.Get(e.dialect.PromptParts)),
+			Parts:        httpheader.ParseParts(header.Get(e.headerNames.PromptParts)),
 			PromptTokens: prompt,
 		},
 	}
@@ -119,17 +122,17 @@
 		Method:  request.Method,
 		Target:  request.RequestURI,
 		Host:    request.Host,
-		Headers: e.dialect.ForTenant(httpheader.Forwardable(header), tenant.Owner()),
+		Headers: e.headerNames.ForTenant(httpheader.Forwardable(header), tenant.Owner()),
 		Body:    body,
 		ID:      c.id,
 	}
-	if last, err := strconv.ParseInt(header.Get(e.dialect.LastEvent), 10, 64); err == nil {
-		c.lastEvent, c.hasEvent = last, true
+	if last, err := strconv.ParseInt(header.Get(e.headerNames.LastEvent), 10, 64); err == nil {
+		c.lastEventID, c.hasLastEvent = last, true
 	}
 	return c
 }
 
-// outcome says how an attempt ended.
+// outcome is the result of one attempt.
 type outcome uint8
 
 const (
@@ -137,14 +140,14 @@
 	delivered outcome = iota
 	// notRun means that the worker did not run the request and will not.
 	notRun
-	// failed means that the worker may have run the request, wholly or in part.
+	// failed means that the worker may have run the request, completely or in part.
 	failed
 )
 
-// freedAt returns the worker at which the end of an attempt has left a slot that who waits here
-// may take unseen, empty for none: one that has just failed or refused is no better for the next
-// request, and others may know more of it.
-func freedAt(worker string, result outcome, status int) string {
+// releasedSlotWorker returns the worker whose slot, released by this attempt, a request queued
+// here may take without a load update; empty for none. After a failure or a rejection the worker
+// is no better for the next request, and other processes may know more about it.
+func releasedSlotWorker(worker string, result outcome, status int) string {
 	if result != delivered || status >= http.StatusInternalServerError {
 		return ""
 	}
@@ -153,12 +156,12 @@
 
 // run makes attempts until the caller has an answer.
 func (c *call) run() {
-	c.arrive()
-	if c.quarantined() || c.limited() {
+	c.recordArrival()
+	if c.rejectedByQuarantine() || c.rejectedByLimit() {
 		return
 	}
-	for c.mayTry() {
-		lease, done := c.place()
+	for c.canAttempt() {
+		lease, done := c.selectWorker()
 		if done {
 			return
 		}
@@ -166,17 +169,17 @@
 			c.lastErr = failure.New(failure.NotRun, "try again", "pool %q has no worker for the request", c.demand.Pool)
 			break
 		}
-		if c.stoodStill() {
-			c.release(lease)
+		if c.rejectedAfterStall() {
+			c.releaseLease(lease)
 			return
 		}
 		result := c.attempt(lease)
 		lease.Release()
-		c.edge.released(c.demand.Pool, freedAt(lease.Endpoint.ID, result, c.status))
+		c.edge.slotReleased(c.demand.Pool, releasedSlotWorker(lease.Endpoint.ID, result, c.status))
 		c.edge.metrics.attempts.WithLabelValues(result.String()).Inc()
 		if result == delivered {
-			c.ranWell()
-			c.edge.served.Do(func() { c.edge.daemon.CompleteStep(daemon.StepServed) })
+			c.recordSuccess()
+			c.edge.firstServed.Do(func() { c.edge.daemon.CompleteStep(daemon.StepServed) })
 			c.finish("delivered", nil)
 			return
 		}
@@ -184,91 +187,94 @@
 		if result == failed {
 			c.mayHaveRun = true
 		}
-		c.lookAt(lease, result)
-		logging.Info(c.edge.logger, "attempt_failed", "id", c.id, "attempt", c.attempts, "worker", lease.Endpoint.ID, "outcome", result, "last_event", c.lastEvent, "ms", c.elapsed(), "error", c.lastErr)
-		if result == failed && (!c.route.Idempotent() || c.standsRefused()) {
+		c.detectWorkerExit(lease, result)
+		logging.Info(c.edge.logger, "attempt_failed", "id", c.id, "attempt", c.attempts, "worker", lease.Endpoint.ID, "outcome", result, "last_event", c.lastEventID, "ms", c.elapsed(), "error", c.lastErr)
+		if result == failed && (!c.route.Idempotent() || c.retryQuarantined()) {
 			break
 		}
 	}
 	c.giveUp()
 }
 
-// newsPatience is how long a request waits for news of the workers before one is chosen:
-// several times what an answer takes within a zone, and nothing beside any goal.
-const newsPatience = 6 * time.Millisecond
+// loadQueryTimeout limits how long a request waits for current worker loads before it chooses a
+// worker: several times the duration of a round trip within a zone, and negligible against any
+// goal.
+const loadQueryTimeout = 6 * time.Millisecond
 
-// acquire chooses a worker by what the hub of the zone knows now, and tells the hub what
-// came of it, so that the next one to choose knows. Otherwise all edges of a zone choose
-// by news of a report's age, and crowd the workers that looked idle then.
+// acquire chooses a worker by the loads that the hub of the zone has now, and reports the choice
+// to the hub at once, so that the next choice can take it into account. Otherwise all edges of a
+// zone would choose by loads as old as a report interval and overload the workers that looked
+// idle.
 func (c *call) acquire() *balance.Lease {
-	c.hear()
+	c.refreshLoads()
 	lease := c.edge.workers.Acquire(clock.Now(), &c.demand)
-	c.countAsked(lease == nil || lease.Wait > 0)
+	c.countDemand(lease == nil || lease.Wait > 0)
 	if lease != nil {
 		c.edge.loads.Report()
-		c.edge.noteChoice(c.demand.Pool, lease)
+		c.edge.recordSelection(c.demand.Pool, lease)
 	}
 	return lease
 }
 
-// hear asks the hub for news of the workers, unless they came a moment ago.
-func (c *call) hear() {
-	if !c.informed {
-		c.learnLoads()
+// refreshLoads asks the hub for worker loads, unless a token answer has just carried them.
+func (c *call) refreshLoads() {
+	if !c.loadsFresh {
+		c.queryLoads()
 	}
-	c.informed = false
-	c.demand.Repeatable = c.mayProbe()
+	c.loadsFresh = false
+	c.demand.Repeatable = c.canProbe()
 }
 
-// mayProbe reports whether the request may be sent to a worker that is avoided: if that fails
-// it, another one takes it over. mayMove would not do: it is asked once the attempt is counted.
-func (c *call) mayProbe() bool {
-	return c.attempts == 0 && c.dials == 0 && c.route.Idempotent() && c.route.MaxAttempts > 1
+// canProbe reports whether the request may be sent to an avoided worker: another worker can take
+// over if that one fails. canFailOver does not fit here, as it is called after the attempt was
+// counted.
+func (c *call) canProbe() bool {
+	return c.attempts == 0 && c.failedDials == 0 && c.route.Idempotent() && c.route.MaxAttempts > 1
 }
 
 // String returns the outcome as used in logs and metrics.
 func (o outcome) String() string { return [...]string{"delivered", "not_run", "failed"}[o] }
 
-func (c *call) mayTry() bool {
-	return c.context.Err() == nil && !c.late() && c.attempts < max(c.route.MaxAttempts, 1) && c.dials < maxDials && c.dialTime < maxDialTime
+func (c *call) canAttempt() bool {
+	return c.context.Err() == nil && !c.expired() && c.attempts < max(c.route.MaxAttempts, 1) && c.failedDials < maxFailedDials && c.failedDialTime < maxFailedDialTime
 }
 
-// mayMove reports whether another worker could take over.
-func (c *call) mayMove() bool {
+// canFailOver reports whether another worker could take over.
+func (c *call) canFailOver() bool {
 	return c.route.Idempotent() && c.attempts < max(c.route.MaxAttempts, 1)
 }
 
-// late reports whether the caller's time is over.
-func (c *call) late() bool {
+// expired reports whether the caller's deadline has passed.
+func (c *call) expired() bool {
 	return !time.Now().Before(c.deadline) || !clock.Now().Before(c.bootDeadline)
 }
 
 func (c *call) elapsed() int64 { return time.Since(c.arrived).Milliseconds() }
 
-// giveUp gives the final answer at once.
+// giveUp ends the call with the answer that fits what has happened so far.
 func (c *call) giveUp() {
 	switch {
-	case c.started:
-		c.broken = true
+	case c.responseStarted:
+		c.aborted = true
 		c.finish("broken", c.lastErr)
-	case c.context.Err() != nil && !c.late():
-		c.broken = true
+	case c.context.Err() != nil && !c.expired():
+		c.aborted = true
 		if !c.mayHaveRun {
-			c.giveBack()
+			c.releaseToken()
 		}
 		c.finish("caller_gone", nil)
-	case c.mayHaveRun && c.late():
-		c.refuse(failure.New(failure.DeadlineExceeded, "allow more time", "no worker answered in time"))
+	case c.mayHaveRun && c.expired():
+		c.reject(failure.New(failure.DeadlineExceeded, "allow more time", "no worker answered in time"))
 	case c.mayHaveRun:
-		c.refuse(failure.New(failure.OutcomeUnknown, "ask again if the request may be repeated", "the worker broke off"))
+		c.reject(failure.New(failure.OutcomeUnknown, "ask again if the request may be repeated", "the worker broke off"))
 	default:
-		c.refuse(failure.New(failure.NotRun, "try again", "no worker took the request").WithRetryAfter(shortRetry))
+		c.reject(failure.New(failure.NotRun, "try again", "no worker took the request").WithRetryAfter(shortRetryAfter))
 	}
 }
 
-func (c *call) refuse(err *failure.Error) {
+func (c *call) reject(err *failure.Error) {
 	if err.Kind == failure.NotRun {
-		c.giveBack()
+		c.releaseToken()
 	}
 	httpapi.WriteFailure(c.writer, err.Kind.HTTPStatus(), err)
 	c.finish(err.Kind.String(), c.lastErr)
@@ -277,37 +283,36 @@
 func (c *call) finish(result string, err error) {
 	e := c.edge
 	e.metrics.requests.WithLabelValues(c.route.Name, result).Inc()
-	e.metrics.wholeTime.WithLabelValues(c.route.Name).Observe(time.Since(c.arrived).Seconds())
-	first := int64(-1)
-	if !c.firstAt.IsZero() {
-		first = c.firstAt.Sub(c.arrived).Milliseconds()
-		e.metrics.firstTime.WithLabelValues(c.route.Name).Observe(c.firstAt.Sub(c.arrived).Seconds())
+	e.metrics.responseTime.WithLabelValues(c.route.Name).Observe(time.Since(c.arrived).Seconds())
+	firstMillis := int64(-1)
+	if !c.firstByteAt.IsZero() {
+		firstMillis = c.firstByteAt.Sub(c.arrived).Milliseconds()
+		e.metrics.firstByteTime.WithLabelValues(c.route.Name).Observe(c.firstByteAt.Sub(c.arrived).Seconds())
 	}
-	logging.Info(e.logger, "request_done", "id", c.id, "route", c.route.Name, "tenant", c.tenant.Owner(), "version", c.version, "worker", c.worker, "attempts", c.attempts, "outcome", result, "first_ms", first, "ms", c.elapsed(), "error", err)
+	logging.Info(e.logger, "request_done", "id", c.id, "route", c.route.Name, "tenant", c.tenant.Owner(), "version", c.version, "worker", c.worker, "attempts", c.attempts, "outcome", result, "first_ms", firstMillis, "ms", c.elapsed(), "error", err)
 }
 
-// headers returns the headers of one attempt: the caller's, with those that the
-// edge sets.
+// headers returns the headers of one attempt: the caller's and those that the edge sets.
 func (c *call) headers(lease *balance.Lease) []wire.HeaderField {
-	names := c.edge.dialect
+	names := c.edge.headerNames
 	fields := make([]wire.HeaderField, 0, len(c.request.Headers)+3)
 	for _, field := range c.request.Headers {
 		if field.Name != names.Deadline && field.Name != names.ExpectWorker && field.Name != names.LastEvent {
 			fields = append(fields, field)
 		}
 	}
-	left := max(min(time.Until(c.deadline), c.bootDeadline.Sub(clock.Now())).Milliseconds(), 1)
+	timeLeft := max(min(time.Until(c.deadline), c.bootDeadline.Sub(clock.Now())).Milliseconds(), 1)
 	fields = append(fields,
-		wire.HeaderField{Name: names.Deadline, Value: strconv.FormatInt(left, 10)},
+		wire.HeaderField{Name: names.Deadline, Value: strconv.FormatInt(timeLeft, 10)},
 		wire.HeaderField{Name: names.ExpectWorker, Value: incarnation.WorkerID(lease.Endpoint.ID)},
 	)
-	if c.hasEvent {
-		fields = append(fields, wire.HeaderField{Name: names.LastEvent, Value: strconv.FormatInt(c.lastEvent, 10)})
+	if c.hasLastEvent {
+		fields = append(fields, wire.HeaderField{Name: names.LastEvent, Value: strconv.FormatInt(c.lastEventID, 10)})
 	}
 	return fields
 }
 
-// attempt sends the request to one worker and passes its answer on.
+// attempt sends the request to one worker and relays its answer.
 func (c *call) attempt(lease *balance.Lease) outcome {
 	c.worker = lease.Endpoint.ID
 	request := c.request
@@ -317,71 +322,71 @@
 	if lease.IsProbe() {
 		c.edge.metrics.probes.Inc()
 	}
-	response, err := c.edge.upstream.Send(c.context, lease.Endpoint, &request, c.headBy())
+	response, err := c.edge.upstream.Send(c.context, lease.Endpoint, &request, c.headDeadline())
 	if err != nil {
 		return c.sendFailed(lease, err, clock.Since(c.sentAt))
 	}
 	defer response.Close()
 	c.status = response.Status
-	if told, found := httpheader.ParseLoad(response.Header.Get(c.edge.dialect.Load)); found {
-		lease.ApplyReport(told)
-		c.edge.noteDoubts()
+	if load, found := httpheader.ParseLoad(response.Header.Get(c.edge.headerNames.Load)); found {
+		lease.ApplyReport(load)
+		c.edge.logSlotMismatches()
 	}
-	notRunHere := response.Status == http.StatusMisdirectedRequest || response.Header.Get(c.edge.dialect.NotRun) != ""
-	if !notRunHere {
+	workerRejected := response.Status == http.StatusMisdirectedRequest || response.Header.Get(c.edge.headerNames.NotRun) != ""
+	if !workerRejected {
 		lease.RecordAnswer(clock.Now(), response.Status < http.StatusInternalServerError)
 	}
 	switch {
 	case response.Status == http.StatusMisdirectedRequest:
 		lease.RecordWrongWorker(clock.Now())
 		c.lastErr = failure.New(failure.NotRun, "", "another worker has the address")
-		return c.passOver(response, notRun)
-	case notRunHere:
+		return c.discardResponse(response, notRun)
+	case workerRejected:
 		c.lastErr = failure.New(failure.NotRun, "", "the worker answered %d and did not run it", response.Status)
-		return c.passOver(response, notRun)
-	case response.Status >= http.StatusInternalServerError && (c.started || c.mayMove()):
+		return c.discardResponse(response, notRun)
+	case response.Status >= http.StatusInternalServerError && (c.responseStarted || c.canFailOver()):
 		c.lastErr = failure.New(failure.OutcomeUnknown, "", "the worker answered %d", response.Status)
-		return c.passOver(response, failed)
+		return c.discardResponse(response, failed)
 	case c.route.Kind == routetable.KindStream && response.Status == http.StatusOK:
 		return c.relayStream(lease, response)
-	case c.started:
+	case c.responseStarted:
 		c.lastErr = failure.New(failure.OutcomeUnknown, "", "the worker answered %d to a stream that goes on", response.Status)
-		return c.passOver(response, failed)
+		return c.discardResponse(response, failed)
 	}
-	return c.relayWhole(lease, response)
+	return c.relayBody(lease, response)
 }
 
-func (c *call) sendFailed(lease *balance.Lease, err error, took time.Duration) outcome {
+func (c *call) sendFailed(lease *balance.Lease, err error, dialTime time.Duration) outcome {
 	c.lastErr = err
 	if c.context.Err() == nil {
 		lease.RecordNoAnswer(clock.Now())
 	}
 	if failure.Is(err, failure.NotRun) {
-		// Nothing was sent: this worker does not count as an attempt.
+		// Nothing was sent, so this worker does not count as an attempt.
 		c.attempts--
-		c.dials++
-		c.dialTime += took
+		c.failedDials++
+		c.failedDialTime += dialTime
 		return notRun
 	}
 	return failed
 }
 
-// headBy returns until when a worker may keep silent before its answer.
-func (c *call) headBy() time.Time {
-	if !c.mayMove() {
+// headDeadline returns until when the edge waits for the response headers of a worker.
+func (c *call) headDeadline() time.Time {
+	if !c.canFailOver() {
 		return c.deadline
 	}
-	return c.earlier(max(firstPatience*c.route.Goal(), minPatience))
+	return c.deadlineIn(max(headTimeoutFactor*c.route.Goal(), minFailoverTimeout))
 }
 
-// gapBy returns until when a worker may keep silent within a stream.
-func (c *call) gapBy() time.Time {
-	if !c.mayMove() {
+// gapDeadline returns until when the edge waits for the next event of a stream.
+func (c *call) gapDeadline() time.Time {
+	if !c.canFailOver() {
 		return c.deadline
 	}
-	return c.earlier(max(gapPatience*c.route.GapGoal(), minPatience))
+	return c.deadlineIn(max(gapTimeoutFactor*c.route.GapGoal(), minFailoverTimeout))
 }
 
-func (c *call) earlier(wait time.Duration) time.Time {
+func (c *call) deadlineIn(wait time.Duration) time.Time {
 	return earliest(time.Now().Add(wait), c.deadline)
 }
--- a/internal/edge/claim.go
+++ b/internal/edge/claim.go
@@ -12,45 +12,45 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// shareState is what a request knows of the division of its zone's room: how many online
-// requests a second the zone's workers can begin (package fairshare). It is divided only where
-// the configuration names tenants.
+// shareState holds what a request knows about how its zone's capacity is divided among tenants.
+// The capacity is the number of online requests per second that the zone's workers can start
+// (package fairshare). It is divided only if the configuration names tenants.
 type shareState struct {
 	divided bool
 	claim   wire.RoomClaim
-	party   fairshare.Class
-	// claimed is set once the hub was asked, told once it has answered.
-	claimed  bool
-	told     bool
-	standing fairshare.Standing
-	// counted is set once the request counts as begun.
-	counted bool
+	class   fairshare.Class
+	// claimSent is set once the claim was sent to the hub, answered once the hub has answered it.
+	claimSent bool
+	answered  bool
+	standing  fairshare.Standing
+	// startCounted is set once the request was counted as started.
+	startCounted bool
 }
 
-// newShareState returns what a request of the tenant on the route claims by.
+// newShareState returns the claim of a request of the tenant on the route.
 func newShareState(table *routetable.Table, tenant *routetable.Tenant, route *routetable.Route) shareState {
 	if !table.RequiresKeys() {
 		return shareState{}
 	}
-	party := fairshare.Class{Tenant: fairshare.Public, Rank: tenant.RankOn(route)}
+	class := fairshare.Class{Tenant: fairshare.Public, Rank: tenant.RankOn(route)}
 	if tenant != nil {
-		party.Tenant = routetable.ShortName(tenant.Name)
+		class.Tenant = routetable.ShortName(tenant.Name)
 	}
 	return shareState{
 		divided: true,
-		party:   party,
-		claim:   wire.RoomClaim{Ticket: rand.Uint64(), Tenant: party.Tenant, Rank: int32(party.Rank)},
+		class:   class,
+		claim:   wire.RoomClaim{Ticket: rand.Uint64(), Tenant: class.Tenant, Rank: int32(class.Rank)},
 	}
 }
 
-// claim returns what the request brings to the order in which scarce room is given out. Its
-// times are by the clock that counts suspensions of this machine.
-func (c *call) claim() admission.Entry {
-	longest := time.Duration(0)
-	c.edge.observe(c.route, func(known *admission.Route) { longest = known.MaxTimeLeft() })
-	goal, allowed := c.route.Goal(), c.deadline.Sub(c.arrived)
-	arrived := c.bootDeadline.Add(-allowed)
-	claim := admission.Entry{
+// queueEntry returns the request's entry in the queue, by which scarce capacity is assigned. Its
+// times are on the clock that includes suspensions of this machine.
+func (c *call) queueEntry() admission.Entry {
+	maxTimeLeft := time.Duration(0)
+	c.edge.withRouteStats(c.route, func(stats *admission.Route) { maxTimeLeft = stats.MaxTimeLeft() })
+	goal, timeAllowed := c.route.Goal(), c.deadline.Sub(c.arrived)
+	arrived := c.bootDeadline.Add(-timeAllowed)
+	entry := admission.Entry{
 		Rank:         c.tenant.RankOn(c.route),
 		OverShare:    c.share.standing.OverShare,
 		GoalDeadline: arrived.Add(goal),
@@ -59,17 +59,17 @@
 		Goal:         goal,
 		Bytes:        int64(len(c.request.Body)),
 	}
-	// Without a goal nothing tells when a caller gives up before its time is over.
+	// Without a goal, nothing shows how long a caller waits for the first event.
 	if goal > 0 && c.route.Kind == routetable.KindStream {
-		claim.Deadline = earliest(c.bootDeadline, arrived.Add(admission.FirstEventTimeout(goal, c.route.GapGoal())))
+		entry.Deadline = earliest(c.bootDeadline, arrived.Add(admission.FirstEventTimeout(goal, c.route.GapGoal())))
 	}
-	// A caller with so much less time than others has been here before: its first attempt
-	// was about that much earlier.
-	if before, returned := admission.DetectRetry(longest, allowed, goal); goal > 0 && returned {
-		claim.Retried = true
-		claim.GoalDeadline = claim.GoalDeadline.Add(-before)
+	// A caller with much less time than usual has sent the request before: its first attempt was
+	// earlier by about the difference.
+	if sinceFirstAttempt, retried := admission.DetectRetry(maxTimeLeft, timeAllowed, goal); goal > 0 && retried {
+		entry.Retried = true
+		entry.GoalDeadline = entry.GoalDeadline.Add(-sinceFirstAttempt)
 	}
-	return claim
+	return entry
 }
 
 func earliest(a, b time.Time) time.Time {
@@ -79,68 +79,69 @@
 	return a
 }
 
-// roomClaim returns the claim that goes with a question to the hub, nil for none. Unlike claim it
-// is the hub's to judge, and says nothing of this process's queue.
-func (c *call) roomClaim() *wire.RoomClaim {
+// capacityClaim returns the claim that is sent to the hub with a query, nil for none. Unlike
+// queueEntry it is evaluated by the hub, and does not depend on this process's queue.
+func (c *call) capacityClaim() *wire.RoomClaim {
 	if !c.share.divided {
 		return nil
 	}
-	c.share.claimed = true
+	c.share.claimSent = true
 	return &c.share.claim
 }
 
-// setStanding takes in the hub's answer to the claim, nil for within the share. Where none came
-// the request goes by those before it.
-func (c *call) setStanding(told *wire.RoomStanding, answered bool) {
+// setStanding records the hub's answer to the claim; a nil standing means within the share. If
+// the hub did not answer, the standing is derived from earlier answers.
+func (c *call) setStanding(standing *wire.RoomStanding, answered bool) {
 	if !c.share.divided {
 		return
 	}
-	c.share.told = answered
+	c.share.answered = answered
 	now := clock.Now()
 	e := c.edge
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if answered {
-		c.share.standing = standingFromWire(told)
-		e.recall.Record(now, c.share.party, c.share.standing)
+		c.share.standing = standingFromWire(standing)
+		e.shareFallback.Record(now, c.share.class, c.share.standing)
 	} else {
-		c.share.standing = e.recall.Standing(now, c.share.party, rand.Float64())
+		c.share.standing = e.shareFallback.Standing(now, c.share.class, rand.Float64())
 	}
 }
 
-func standingFromWire(told *wire.RoomStanding) fairshare.Standing {
-	if told == nil {
+func standingFromWire(standing *wire.RoomStanding) fairshare.Standing {
+	if standing == nil {
 		return fairshare.Standing{}
 	}
 	return fairshare.Standing{
 		OverShare: true,
-		Demand:    float64(told.Asked) / wire.RoomRateParts,
-		Share:     float64(told.Share) / wire.RoomRateParts,
-		Capacity:  float64(told.Room) / wire.RoomRateParts,
-		Age:       time.Duration(told.AgeMillis) * time.Millisecond,
+		Demand:    float64(standing.Asked) / wire.RoomRateParts,
+		Share:     float64(standing.Share) / wire.RoomRateParts,
+		Capacity:  float64(standing.Room) / wire.RoomRateParts,
+		Age:       time.Duration(standing.AgeMillis) * time.Millisecond,
 	}
 }
 
-// learnLoads asks the hub what it knows of the workers, and where room is divided and the
-// claim was not told yet, how it stands.
-func (c *call) learnLoads() {
-	homes := c.edge.workers.AffinityWorkers(&c.demand)
-	if !c.share.divided || c.share.claimed {
-		c.edge.loads.Query(c.context, newsPatience, homes, c.mayProbe())
+// queryLoads asks the hub for worker loads, and for the standing of the claim if capacity is
+// divided and the claim was not sent yet.
+func (c *call) queryLoads() {
+	affinityWorkers := c.edge.workers.AffinityWorkers(&c.demand)
+	if !c.share.divided || c.share.claimSent {
+		c.edge.loads.Query(c.context, loadQueryTimeout, affinityWorkers, c.canProbe())
 		return
 	}
-	told, answered := c.edge.loads.QueryClaim(c.context, newsPatience, homes, c.roomClaim(), c.mayProbe())
-	c.setStanding(told, answered)
+	standing, answered := c.edge.loads.QueryClaim(c.context, loadQueryTimeout, affinityWorkers, c.capacityClaim(), c.canProbe())
+	c.setStanding(standing, answered)
 }
 
-// countAsked counts what the first look for a worker came to; short says that none had room.
-func (c *call) countAsked(short bool) {
-	if !c.share.divided || c.attempts > 0 || c.dials > 0 {
+// countDemand counts the first search for a worker; noCapacity says that no worker had a free
+// slot.
+func (c *call) countDemand(noCapacity bool) {
+	if !c.share.divided || c.attempts > 0 || c.failedDials > 0 {
 		return
 	}
 	c.countByRank("asked")
-	if short {
-		c.edge.short.Add(1)
+	if noCapacity {
+		c.edge.noCapacityRequests.Add(1)
 		c.countByRank("short")
 	}
 	if c.share.standing.OverShare {
@@ -148,17 +149,17 @@
 	}
 }
 
-// countGiven counts that the request began to run.
-func (c *call) countGiven() {
-	if !c.share.divided || c.share.counted {
+// countStarted counts that the request began to run.
+func (c *call) countStarted() {
+	if !c.share.divided || c.share.startCounted {
 		return
 	}
-	c.share.counted = true
-	c.edge.begun.Add(1)
+	c.share.startCounted = true
+	c.edge.startedRequests.Add(1)
 	c.countByRank("given")
 }
 
-// countByRank counts the request by its rank.
+// countByRank counts the request under its rank.
 func (c *call) countByRank(outcome string) {
-	c.edge.metrics.room.WithLabelValues(strconv.Itoa(c.share.party.Rank), outcome).Inc()
+	c.edge.metrics.capacity.WithLabelValues(strconv.Itoa(c.share.class.Rank), outcome).Inc()
 }
--- a/internal/edge/claim_test.go
+++ b/internal/edge/claim_test.go
@@ -17,8 +17,8 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// claimed returns the claims of a tenant and rank.
-func (f *tenantFleet) claimed(tenant uint32, rank int32) int {
+// claimCount returns the number of claims of a tenant and rank.
+func (f *tenantFleet) claimCount(tenant uint32, rank int32) int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	count := 0
@@ -30,7 +30,7 @@
 	return count
 }
 
-// reconfigure puts another configuration in force.
+// reconfigure changes the configuration and waits until the edge uses it.
 func (f *tenantFleet) reconfigure(t *testing.T, change func(c *routetable.Configuration)) {
 	t.Helper()
 	f.mutex.Lock()
@@ -41,11 +41,12 @@
 	change(&changed)
 	f.configuration = &changed
 	f.mutex.Unlock()
-	await(t, "the new configuration", func() bool { return f.edge.Table().Configuration.Version == changed.Version })
+	waitFor(t, "the new configuration", func() bool { return f.edge.Table().Configuration.Version == changed.Version })
 }
 
-// counted returns the counts by the values of their labels, in the order of their names.
-func counted(t *testing.T, counters prometheus.Collector) map[string]float64 {
+// counterValues returns the values of a counter, keyed by its label values in the order of the
+// label names.
+func counterValues(t *testing.T, counters prometheus.Collector) map[string]float64 {
 	t.Helper()
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(counters)
@@ -66,10 +67,10 @@
 	return counts
 }
 
-// TestClaimsAreAsked lets tenants with and without a limit, and a caller that is none, ask:
-// each request claims room once, by its tenant's rank or else its route's, and what begins
-// is counted.
-func TestClaimsAreAsked(t *testing.T) {
+// TestRequestsClaimCapacity checks that each request claims capacity once, under its tenant's
+// rank or else its route's, and that started requests are counted. Its callers are tenants with
+// and without a limit, and one without a key.
+func TestRequestsClaimCapacity(t *testing.T) {
 	f := startTenants(t)
 	f.reconfigure(t, func(c *routetable.Configuration) {
 		c.Routes[0].Rank, c.Routes[1].Rank = 3, 4
@@ -85,34 +86,35 @@
 		{"h.example", keyB, routetable.ShortName("b"), 3},
 		{"open.example", "", fairshare.Public, 4},
 	} {
-		// The first ones may come before the hub is heard.
-		await(t, "the claim of "+test.key, func() bool {
+		// The first requests may be sent before the hub has answered.
+		waitFor(t, "the claim of "+test.key, func() bool {
 			var keys []string
 			if test.key != "" {
 				keys = []string{test.key}
 			}
 			f.call(t, http.MethodPost, test.host, "/x", "prompt", keys...)
-			return f.claimed(test.tenant, test.rank) > 0
+			return f.claimCount(test.tenant, test.rank) > 0
 		})
-		before := f.claimed(test.tenant, test.rank)
+		before := f.claimCount(test.tenant, test.rank)
 		f.call(t, http.MethodPost, test.host, "/x", "prompt", test.key)
-		if got := f.claimed(test.tenant, test.rank); test.key != "" && got != before+1 {
-			t.Errorf("%+v: %d claims of one request", test, got-before)
+		if got := f.claimCount(test.tenant, test.rank); test.key != "" && got != before+1 {
+			t.Errorf("%+v: got %d claims for one request, want 1", test, got-before)
 		}
 	}
-	want := f.edge.begun.Load()
-	await(t, "the counts", func() bool {
+	want := f.edge.startedRequests.Load()
+	waitFor(t, "the counts", func() bool {
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
-		return want >= 5 && f.begun == want && f.short == 0
+		return want >= 5 && f.started == want && f.noCapacity == 0
 	})
-	if given := counted(t, f.edge.metrics.room)["given 3"]; given < 2 {
-		t.Errorf("%g given to rank 3", given)
+	if given := counterValues(t, f.edge.metrics.capacity)["given 3"]; given < 2 {
+		t.Errorf("rank 3: counted %g started requests, want at least 2", given)
 	}
 }
 
-// TestNothingIsClaimedWithoutTenants takes the tenants away: reports say nothing of room.
-func TestNothingIsClaimedWithoutTenants(t *testing.T) {
+// TestNoClaimsWithoutTenants checks that nothing is claimed or counted once the tenants are
+// removed from the configuration.
+func TestNoClaimsWithoutTenants(t *testing.T) {
 	f := startTenants(t)
 	f.reconfigure(t, func(c *routetable.Configuration) { c.Tenants = nil })
 	for range 20 {
@@ -123,24 +125,24 @@
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if len(f.claims) > 0 || f.begun+f.short > 0 {
-		t.Errorf("%d claims, %d begun, %d short", len(f.claims), f.begun, f.short)
+	if len(f.claims) > 0 || f.started+f.noCapacity > 0 {
+		t.Errorf("got %d claims, %d started, %d without capacity; want none", len(f.claims), f.started, f.noCapacity)
 	}
-	if counts := counted(t, f.edge.metrics.room); len(counts) > 0 {
-		t.Errorf("counted %v", counts)
+	if counts := counterValues(t, f.edge.metrics.capacity); len(counts) > 0 {
+		t.Errorf("counted %v, want nothing", counts)
 	}
 }
 
-// testCall returns a call of a tenant before its first attempt, on a route whose callers
-// wait 5 s and whose first event takes 80 ms of a goal of 300 ms.
+// testCall returns a call of a tenant before its first attempt, on a route whose callers wait 5 s
+// and whose first event takes 80 ms, with a goal of 300 ms.
 func testCall(t *testing.T, f *tenantFleet, tenant *routetable.Tenant, left time.Duration) (*call, *httptest.ResponseRecorder) {
 	t.Helper()
 	table := f.edge.Table()
 	route := table.RouteByName("r")
 	route.GoalMillis = 300
-	f.edge.observe(route, func(known *admission.Route) {
-		known.ObserveArrival(5 * time.Second)
-		known.ObserveFirstEvent(80 * time.Millisecond)
+	f.edge.withRouteStats(route, func(stats *admission.Route) {
+		stats.ObserveArrival(5 * time.Second)
+		stats.ObserveFirstEvent(80 * time.Millisecond)
 	})
 	recorder := httptest.NewRecorder()
 	request := httptest.NewRequest(http.MethodPost, "/x", nil)
@@ -149,9 +151,9 @@
 	return c, recorder
 }
 
-// TestOverShareIsSentBack lets a request wait a little, and none: it is sent back only
-// where its tenant is over its share, it waits, and has not been here before.
-func TestOverShareIsSentBack(t *testing.T) {
+// TestOverShareIsRejected checks that a request is rejected for its share only if its tenant is
+// over the share, it would have to wait, and it is not a retry.
+func TestOverShareIsRejected(t *testing.T) {
 	f := startTenants(t)
 	tenant := f.edge.Table().Tenant("a")
 	over := &wire.RoomStanding{Asked: 80, Share: 10, Room: 100, AgeMillis: 7}
@@ -164,62 +166,63 @@
 	}{
 		{"within its share", nil, 100 * time.Millisecond, 5 * time.Second, false},
 		{"over its share", over, 100 * time.Millisecond, 5 * time.Second, true},
-		{"over its share, where there is room", over, 0, 5 * time.Second, false},
-		{"over its share, back again", over, 100 * time.Millisecond, 4 * time.Second, false},
+		{"over its share, without a wait", over, 0, 5 * time.Second, false},
+		{"over its share, retry", over, 100 * time.Millisecond, 4 * time.Second, false},
 		{"within its share, too late", nil, 900 * time.Millisecond, 5 * time.Second, true},
 	} {
 		c, recorder := testCall(t, f, tenant, test.left)
 		c.setStanding(test.standing, true)
-		got := c.tooLate(&balance.Lease{Wait: test.wait, Slowness: 1})
+		got := c.rejectedByAdmission(&balance.Lease{Wait: test.wait, Slowness: 1})
 		if got != test.want || got && recorder.Code != http.StatusServiceUnavailable {
-			t.Errorf("%s: sent back %t, status %d", test.name, got, recorder.Code)
+			t.Errorf("%s: rejected %t, status %d", test.name, got, recorder.Code)
 		}
 		if byShare := strings.Contains(recorder.Body.String(), "your share"); byShare != (got && test.standing != nil) {
-			t.Errorf("%s: told %s", test.name, recorder.Body)
+			t.Errorf("%s: answered %s", test.name, recorder.Body)
 		}
 	}
 }
 
-// TestOverShareIsCountedInTheQueue sends requests back through the queue: who is over its share
-// is told so and counted, who would be late is not.
-func TestOverShareIsCountedInTheQueue(t *testing.T) {
+// TestQueueCountsOverShareRejections checks that only requests that the queue rejects for their
+// share are told so and counted, and not those that would be late.
+func TestQueueCountsOverShareRejections(t *testing.T) {
 	f := startTenants(t)
 	tenant := f.edge.Table().Tenant("a")
 	for _, reason := range []admission.Reason{admission.TooLate, admission.OverShare} {
-		before := counted(t, f.edge.metrics.room)["sent_back 0"]
+		before := counterValues(t, f.edge.metrics.capacity)["sent_back 0"]
 		c, recorder := testCall(t, f, tenant, 5*time.Second)
-		c.refuseQueued(refusalOf(&admission.Decision{Result: admission.RetryLater, Reason: reason, RetryAfter: time.Second}))
+		c.rejectQueued(rejectionFrom(&admission.Decision{Result: admission.RetryLater, Reason: reason, RetryAfter: time.Second}))
 		over := reason == admission.OverShare
-		if more := counted(t, f.edge.metrics.room)["sent_back 0"] - before; (more == 1) != over || more > 1 {
-			t.Errorf("%s: %g were counted", reason, more)
+		if more := counterValues(t, f.edge.metrics.capacity)["sent_back 0"] - before; (more == 1) != over || more > 1 {
+			t.Errorf("%s: counted %g rejections", reason, more)
 		}
 		if strings.Contains(recorder.Body.String(), "your share") != over {
-			t.Errorf("%s: told %s", reason, recorder.Body)
+			t.Errorf("%s: answered %s", reason, recorder.Body)
 		}
 	}
 }
 
-// TestClaimOfACall fills a claim from tenant, route and standing. Its times are by the clock
-// that counts suspensions.
-func TestClaimOfACall(t *testing.T) {
+// TestQueueEntryOfCall checks that a queue entry takes its values from tenant, route and
+// standing. Its times are on the clock that includes suspensions.
+func TestQueueEntryOfCall(t *testing.T) {
 	f := startTenants(t)
 	rank := 2
 	tenant := &routetable.Tenant{Name: "a", Rank: &rank}
 	c, _ := testCall(t, f, tenant, 5*time.Second)
 	c.setStanding(&wire.RoomStanding{Share: 1}, true)
 	arrived := c.bootDeadline.Add(c.arrived.Sub(c.deadline))
-	if got := c.claim(); got.Rank != 2 || !got.OverShare || got.Retried || !got.Arrived.Equal(arrived) || !got.GoalDeadline.Equal(arrived.Add(300*time.Millisecond)) || got.Deadline.After(c.bootDeadline) {
+	if got := c.queueEntry(); got.Rank != 2 || !got.OverShare || got.Retried || !got.Arrived.Equal(arrived) || !got.GoalDeadline.Equal(arrived.Add(300*time.Millisecond)) || got.Deadline.After(c.bootDeadline) {
 		t.Errorf("%+v", got)
 	}
 	c, _ = testCall(t, f, nil, 4*time.Second)
-	got := c.claim()
-	if due := got.GoalDeadline.Sub(got.Arrived); got.Rank != 0 || got.OverShare || !got.Retried || due > -600*time.Millisecond || due < -800*time.Millisecond {
-		t.Errorf("%+v, due after %s", got, due)
+	got := c.queueEntry()
+	if goalDeadline := got.GoalDeadline.Sub(got.Arrived); got.Rank != 0 || got.OverShare || !got.Retried || goalDeadline > -600*time.Millisecond || goalDeadline < -800*time.Millisecond {
+		t.Errorf("%+v, goal deadline %s after arrival", got, goalDeadline)
 	}
 }
 
-// TestStandingIsRecalled loses the hub's answer: the request goes by the last ones.
-func TestStandingIsRecalled(t *testing.T) {
+// TestStandingFallsBackToLastAnswers checks that a request uses earlier standings if the hub does
+// not answer.
+func TestStandingFallsBackToLastAnswers(t *testing.T) {
 	f := startTenants(t)
 	tenant := f.edge.Table().Tenant("a")
 	for range 5 {
@@ -230,11 +233,11 @@
 	for range 100 {
 		c, _ := testCall(t, f, tenant, 5*time.Second)
 		c.setStanding(nil, false)
-		if c.share.standing.OverShare && c.share.standing.Share == 3 && !c.share.told {
+		if c.share.standing.OverShare && c.share.standing.Share == 3 && !c.share.answered {
 			over++
 		}
 	}
 	if over < 50 {
-		t.Errorf("%d of 100 go by the last answers", over)
+		t.Errorf("%d of 100 requests used the last answers, want at least 50", over)
 	}
 }
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -25,18 +25,19 @@
 	"github.com/sedgemast/sedgemast/internal/workerset"
 )
 
-// patience bounds what a test waits for; nothing is judged by it.
-const patience = 30 * time.Second
+// testTimeout limits every wait of a test. No result depends on it.
+const testTimeout = 30 * time.Second
 
-// standInNames are the names that the stand-in workers know.
-func standInNames() *httpheader.Names {
+// testHeaderNames returns the header names that the emulated workers use.
+func testHeaderNames() *httpheader.Names {
 	names := httpheader.Default()
 	names.RequestID, names.Deadline, names.ExpectWorker = "Request-Id", "Deadline-Ms", "Expect-Instance"
 	names.NotRun, names.Tokens = "Not-Run", "Token-Count"
 	return names
 }
 
-// startCoordinator answers watches with a configuration and the workers.
+// startCoordinator starts a coordinator that answers watches with a configuration and the
+// workers.
 func startCoordinator(tb testing.TB, configuration *routetable.Configuration, workers []wire.PoolWorker) string {
 	tb.Helper()
 	document, err := configuration.Encode()
@@ -62,8 +63,7 @@
 	return server.Listener.Addr().String()
 }
 
-// startEdge runs an edge before the workers, each the only one of its pool or all
-// in pool p.
+// startEdge runs an edge with the workers, each alone in its pool or all in pool p.
 func startEdge(tb testing.TB, route routetable.Route, workers ...*emulator.HostedWorker) (*httptest.Server, *Edge) {
 	tb.Helper()
 	configuration := &routetable.Configuration{Version: 1, Routes: []routetable.Route{route}}
@@ -79,9 +79,9 @@
 		tb.Fatal(err)
 	}
 	e := newEdge(tb, startCoordinator(tb, configuration, listed))
-	for end := time.Now().Add(patience); !e.daemon.Ready(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !e.daemon.Ready(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			tb.Fatal("the edge does not become ready")
+			tb.Fatal("the edge did not become ready")
 		}
 	}
 	server := httptest.NewServer(e)
@@ -98,7 +98,7 @@
 	tb.Cleanup(func() { _ = d.Kill() })
 	config := settings.DefaultEdge()
 	config.Seeds = []string{seed}
-	return New(d, config, standInNames())
+	return New(d, config, testHeaderNames())
 }
 
 func startWorkers(tb testing.TB, count int) []*emulator.HostedWorker {
@@ -112,15 +112,16 @@
 	return workers
 }
 
-func stream(resumable bool, attempts int) routetable.Route {
+func streamRoute(resumable bool, attempts int) routetable.Route {
 	return routetable.Route{
 		Name: "r", Host: "h.example", PathPrefix: "/", Kind: routetable.KindStream, Resumable: resumable,
-		TimeoutMillis: patience.Milliseconds(), GoalMillis: 50, GapGoalMillis: 50, MaxAttempts: attempts,
+		TimeoutMillis: testTimeout.Milliseconds(), GoalMillis: 50, GapGoalMillis: 50, MaxAttempts: attempts,
 		Parts: []routetable.PoolWeight{{Pool: "p", Weight: 1}},
 	}
 }
 
-// send sends a request for so many events and returns status, body and error.
+// send sends a request for the given number of events and returns its status, headers, body and
+// error.
 func send(ctx context.Context, tb testing.TB, server *httptest.Server, id string, events int, deadline time.Duration) (int, http.Header, string, error) {
 	tb.Helper()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, server.URL+"/a", strings.NewReader("prompt"))
@@ -140,21 +141,21 @@
 	return response.StatusCode, response.Header, string(body), err
 }
 
-func behaveAll(workers []*emulator.HostedWorker, fault emulator.HostedFault) {
+func injectFaults(workers []*emulator.HostedWorker, fault emulator.HostedFault) {
 	for _, worker := range workers {
 		worker.InjectFaults(func(*emulator.HostedRequest) emulator.HostedFault { return fault })
 	}
 }
 
-func runs(workers []*emulator.HostedWorker) (count int) {
+func runCount(workers []*emulator.HostedWorker) (count int) {
 	for _, worker := range workers {
 		count += len(worker.Requests())
 	}
 	return count
 }
 
-// TestAttemptsAreBounded breaks every run: no more workers than the route allows
-// get the request, and one where it may not run again.
+// TestAttemptsAreBounded checks that a request whose runs all fail goes to no more workers than
+// the route allows, and to only one if it may not run again.
 func TestAttemptsAreBounded(t *testing.T) {
 	for _, test := range []struct {
 		resumable bool
@@ -162,32 +163,32 @@
 		want      int
 	}{{true, 1, 1}, {true, 2, 2}, {true, 3, 3}, {false, 3, 1}} {
 		workers := startWorkers(t, 5)
-		server, _ := startEdge(t, stream(test.resumable, test.attempts), workers...)
-		behaveAll(workers, emulator.HostedFault{Status: http.StatusInternalServerError})
-		status, _, _, err := send(context.Background(), t, server, "a", 3, patience)
-		if err != nil || status < http.StatusInternalServerError || runs(workers) != test.want {
-			t.Errorf("%+v: status %d, %v, %d runs", test, status, err, runs(workers))
+		server, _ := startEdge(t, streamRoute(test.resumable, test.attempts), workers...)
+		injectFaults(workers, emulator.HostedFault{Status: http.StatusInternalServerError})
+		status, _, _, err := send(context.Background(), t, server, "a", 3, testTimeout)
+		if err != nil || status < http.StatusInternalServerError || runCount(workers) != test.want {
+			t.Errorf("%+v: status %d, %v, %d runs", test, status, err, runCount(workers))
 		}
 	}
 }
 
-// TestRefusalsAreTruthful lets all workers refuse: the answer promises that
-// nothing ran and says when to come back.
-func TestRefusalsAreTruthful(t *testing.T) {
+// TestRejectionReportsNotRun checks that a request which all workers reject is answered as not
+// run, with Retry-After.
+func TestRejectionReportsNotRun(t *testing.T) {
 	workers := startWorkers(t, 3)
-	server, _ := startEdge(t, stream(false, 3), workers...)
-	behaveAll(workers, emulator.HostedFault{NotRun: true})
-	status, header, _, err := send(context.Background(), t, server, "a", 3, patience)
-	if err != nil || status != http.StatusServiceUnavailable || header.Get("Retry-After") == "" || runs(workers) != 0 {
-		t.Errorf("status %d, Retry-After %q, %v, %d runs", status, header.Get("Retry-After"), err, runs(workers))
+	server, _ := startEdge(t, streamRoute(false, 3), workers...)
+	injectFaults(workers, emulator.HostedFault{NotRun: true})
+	status, header, _, err := send(context.Background(), t, server, "a", 3, testTimeout)
+	if err != nil || status != http.StatusServiceUnavailable || header.Get("Retry-After") == "" || runCount(workers) != 0 {
+		t.Errorf("status %d, Retry-After %q, %v, %d runs", status, header.Get("Retry-After"), err, runCount(workers))
 	}
 }
 
-// TestSilentWorkerIsLeft hangs the first worker of a stream that may be resumed:
-// another takes over, and the first sees its caller leave.
-func TestSilentWorkerIsLeft(t *testing.T) {
+// TestUnresponsiveWorkerIsReplaced checks that another worker takes over a resumable stream whose
+// first worker hangs, and that the first one sees a disconnect.
+func TestUnresponsiveWorkerIsReplaced(t *testing.T) {
 	workers := startWorkers(t, 2)
-	server, _ := startEdge(t, stream(true, 2), workers...)
+	server, _ := startEdge(t, streamRoute(true, 2), workers...)
 	first := make(chan struct{}, 1)
 	first <- struct{}{}
 	for _, worker := range workers {
@@ -200,126 +201,126 @@
 			}
 		})
 	}
-	status, _, body, err := send(context.Background(), t, server, "a", 3, patience)
+	status, _, body, err := send(context.Background(), t, server, "a", 3, testTimeout)
 	if err != nil || status != http.StatusOK || strings.Count(body, "data:") != 3 {
 		t.Fatalf("status %d, %v: %q", status, err, body)
 	}
-	await(t, "the silent worker's caller leaving", func() bool { return workers[0].Disconnects()+workers[1].Disconnects() == 1 })
+	waitFor(t, "the disconnect from the unresponsive worker", func() bool { return workers[0].Disconnects()+workers[1].Disconnects() == 1 })
 }
 
-// TestDeadlineIsAnswered hangs the only worker: the caller gets its final answer
-// at its deadline, and the worker's run is ended.
-func TestDeadlineIsAnswered(t *testing.T) {
+// TestDeadlineExceededIsReported checks that a request whose only worker hangs gets its final
+// answer at its deadline, and that the run at the worker is ended.
+func TestDeadlineExceededIsReported(t *testing.T) {
 	workers := startWorkers(t, 1)
-	server, _ := startEdge(t, stream(false, 1), workers...)
-	behaveAll(workers, emulator.HostedFault{Hang: true})
+	server, _ := startEdge(t, streamRoute(false, 1), workers...)
+	injectFaults(workers, emulator.HostedFault{Hang: true})
 	status, _, _, err := send(context.Background(), t, server, "a", 3, 200*time.Millisecond)
 	if err != nil || status != http.StatusGatewayTimeout {
 		t.Errorf("status %d, %v", status, err)
 	}
-	await(t, "the end of the run", func() bool { return workers[0].Disconnects() == 1 })
+	waitFor(t, "the end of the run", func() bool { return workers[0].Disconnects() == 1 })
 }
 
-// TestCallerGone ends the caller's request: the worker's run ends too.
-func TestCallerGone(t *testing.T) {
+// TestCallerDisconnects checks that the run at the worker ends when the caller disconnects.
+func TestCallerDisconnects(t *testing.T) {
 	workers := startWorkers(t, 1)
-	server, _ := startEdge(t, stream(false, 1), workers...)
-	behaveAll(workers, emulator.HostedFault{Hang: true})
+	server, _ := startEdge(t, streamRoute(false, 1), workers...)
+	injectFaults(workers, emulator.HostedFault{Hang: true})
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
-		await(t, "the run", func() bool { return runs(workers) == 1 })
+		waitFor(t, "the run", func() bool { return runCount(workers) == 1 })
 		cancel()
 	}()
-	if status, _, _, err := send(ctx, t, server, "a", 3, patience); err == nil {
-		t.Errorf("status %d for a caller that has gone", status)
+	if status, _, _, err := send(ctx, t, server, "a", 3, testTimeout); err == nil {
+		t.Errorf("status %d for a caller that disconnected", status)
 	}
-	await(t, "the end of the run", func() bool { return workers[0].Disconnects() == 1 })
+	waitFor(t, "the end of the run", func() bool { return workers[0].Disconnects() == 1 })
 }
 
-// TestPartsGetTheirWeight splits requests 90 to 10.
-func TestPartsGetTheirWeight(t *testing.T) {
+// TestPoolsGetTheirWeight checks a split of 90 to 10 between two pools.
+func TestPoolsGetTheirWeight(t *testing.T) {
 	workers := startWorkers(t, 2)
-	route := stream(false, 1)
+	route := streamRoute(false, 1)
 	route.Parts = []routetable.PoolWeight{{Pool: "p", Weight: 90}, {Pool: "q", Weight: 10}}
 	server, _ := startEdge(t, route, workers...)
 	for i := 0; i < 100; i++ {
-		if status, _, _, err := send(context.Background(), t, server, strconv.Itoa(i), 1, patience); err != nil || status != http.StatusOK {
+		if status, _, _, err := send(context.Background(), t, server, strconv.Itoa(i), 1, testTimeout); err != nil || status != http.StatusOK {
 			t.Fatalf("status %d, %v", status, err)
 		}
 	}
 	if first, second := len(workers[0].Requests()), len(workers[1].Requests()); first != 90 || second != 10 {
-		t.Errorf("%d and %d of 100", first, second)
+		t.Errorf("got %d and %d of 100 requests, want 90 and 10", first, second)
 	}
 }
 
-// TestNothingIsServedWithoutConfiguration starts an edge that reaches nobody.
-func TestNothingIsServedWithoutConfiguration(t *testing.T) {
+// TestRejectsWithoutConfiguration checks that an edge that reaches no coordinator is not ready,
+// and rejects requests with Retry-After.
+func TestRejectsWithoutConfiguration(t *testing.T) {
 	e := newEdge(t, "127.0.0.1:1")
 	server := httptest.NewServer(e)
 	defer server.Close()
-	status, header, _, err := send(context.Background(), t, server, "a", 1, patience)
+	status, header, _, err := send(context.Background(), t, server, "a", 1, testTimeout)
 	if err != nil || status != http.StatusServiceUnavailable || header.Get("Retry-After") == "" || e.daemon.Ready() {
 		t.Errorf("status %d, Retry-After %q, %v, ready %t", status, header.Get("Retry-After"), err, e.daemon.Ready())
 	}
 }
 
-// TestDeadWorkersAreSteppedOver: most workers of the pool are gone, though they
-// are listed still; the request reaches the one that lives.
-func TestDeadWorkersAreSteppedOver(t *testing.T) {
+// TestDeadWorkersAreSkipped checks that a request reaches the only live worker of a pool whose
+// other workers are dead but still listed.
+func TestDeadWorkersAreSkipped(t *testing.T) {
 	workers := startWorkers(t, 7)
-	server, _ := startEdge(t, stream(false, 1), workers...)
+	server, _ := startEdge(t, streamRoute(false, 1), workers...)
 	for _, worker := range workers[1:] {
 		worker.Close()
 	}
-	status, _, _, err := send(context.Background(), t, server, "a", 1, patience)
+	status, _, _, err := send(context.Background(), t, server, "a", 1, testTimeout)
 	if err != nil || status != http.StatusOK || len(workers[0].Requests()) != 1 {
 		t.Errorf("status %d, %v", status, err)
 	}
 }
 
-// TestFreezeHasABound lets the coordinator of an edge fall silent: the edge goes on
-// for as long as its settings allow, and then refuses, saying when to come back.
-func TestFreezeHasABound(t *testing.T) {
+// TestFreezeTimeIsLimited checks that an edge without a coordinator serves for as long as its
+// settings allow, and then rejects with a retry time.
+func TestFreezeTimeIsLimited(t *testing.T) {
 	workers := startWorkers(t, 1)
-	server, e := startEdge(t, stream(false, 1), workers...)
+	server, e := startEdge(t, streamRoute(false, 1), workers...)
 	e.settings.FreezeTime = settings.Duration(time.Hour)
-	if status, _, _, err := send(context.Background(), t, server, "a", 1, patience); err != nil || status != http.StatusOK {
+	if status, _, _, err := send(context.Background(), t, server, "a", 1, testTimeout); err != nil || status != http.StatusOK {
 		t.Fatalf("status %d, %v", status, err)
 	}
 	now := e.watcher.Current().LeaderSeenAt.Add(time.Hour)
-	if err := e.frozen(now); err != nil {
+	if err := e.checkFreeze(now); err != nil {
 		t.Error(err)
 	}
-	if err := e.frozen(now.Add(time.Minute)); !failure.Is(err, failure.NotRun) || failure.From(err).RetryAfter == 0 {
-		t.Errorf("after the bound: %v", err)
+	if err := e.checkFreeze(now.Add(time.Minute)); !failure.Is(err, failure.NotRun) || failure.From(err).RetryAfter == 0 {
+		t.Errorf("after the freeze time: %v", err)
 	}
 	e.settings.FreezeTime = 0
-	if err := e.frozen(now.Add(time.Minute)); err != nil {
-		t.Errorf("without a bound: %v", err)
+	if err := e.checkFreeze(now.Add(time.Minute)); err != nil {
+		t.Errorf("without a freeze time: %v", err)
 	}
 }
 
-func await(tb testing.TB, what string, holds func() bool) {
+func waitFor(tb testing.TB, what string, holds func() bool) {
 	tb.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			tb.Errorf("%s did not come about", what)
+			tb.Errorf("timed out waiting for %s", what)
 			return
 		}
 	}
 }
 
-// BenchmarkRelay passes streams of 100 events through an edge and reports the
-// time, allocations and bytes per event, those of the worker and the caller in
-// this process included.
+// BenchmarkRelay relays streams of 100 events through an edge and reports time, allocations and
+// bytes per event, including those of the worker and the caller in this process.
 func BenchmarkRelay(b *testing.B) {
 	const events = 100
 	workers := startWorkers(b, 1)
-	server, _ := startEdge(b, stream(false, 1), workers...)
+	server, _ := startEdge(b, streamRoute(false, 1), workers...)
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := 0; i < b.N; i += events {
-		if status, _, _, err := send(context.Background(), b, server, strconv.Itoa(i), events, patience); err != nil || status != http.StatusOK {
+		if status, _, _, err := send(context.Background(), b, server, strconv.Itoa(i), events, testTimeout); err != nil || status != http.StatusOK {
 			b.Fatalf("status %d, %v", status, err)
 		}
 	}
--- a/internal/edge/hold.go
+++ b/internal/edge/hold.go
@@ -16,161 +16,164 @@
 )
 
 const (
-	// startTime is how long after its start a process may still be about to learn what it
-	// needs: an election, one that had to be repeated, and a reading of the list of
-	// workers. One that knows nothing then is cut off, and other edges are better.
-	startTime = 2 * learnTime
-	// holdTime is the longest time for which a request is held. It leaves its caller time
-	// for the answer: many give up a connection on which nothing comes for a second or two.
-	holdTime = 800 * time.Millisecond
-	// holdShare is the part of its time, one in so many, for which a request is held at
-	// most: the rest is needed to run it, or for its caller to come back.
-	holdShare = 3
-	// maxLeft is what is taken for the time left where the caller tells none, or more: the
-	// configuration, which bounds it, is not known yet.
-	maxLeft = time.Minute
-	// maxHeld bounds the requests held. Each has a connection and a goroutine beside its
-	// bytes, which the smallest process must have the memory for.
-	maxHeld = 512
-	// maxHeldBytes bounds the heads and bodies held together.
+	// startupPeriod is how long after its start a process may still expect to learn what it needs:
+	// it covers an election, a repeated election and the listing of the workers. A process that
+	// knows nothing after that is cut off, and callers should use other edges.
+	startupPeriod = 2 * configurationTime
+	// maxHoldTime is the longest time for which a request is held. It leaves time for the answer:
+	// many callers give up a connection that stays silent for a second or two.
+	maxHoldTime = 800 * time.Millisecond
+	// holdTimeDivisor limits the hold to this fraction, one third, of the caller's time left. The
+	// rest is needed to run the request, or for the caller to retry.
+	holdTimeDivisor = 3
+	// maxAssumedTimeLeft is the time left that is assumed for a caller that sends none or a longer
+	// one: the configured limit is not known yet.
+	maxAssumedTimeLeft = time.Minute
+	// maxHeldRequests limits the number of held requests. Each needs a connection and a goroutine
+	// beside its bytes, which must fit into the memory of the smallest process.
+	maxHeldRequests = 512
+	// maxHeldBytes limits the total size of the headers and bodies that are held.
 	maxHeldBytes = 8 << 20
-	// maxHeldBody bounds one body held: the configuration's bound is not known yet.
+	// maxHeldBody limits one held body: the configured limit is not known yet.
 	maxHeldBody = 1 << 20
 )
 
-// need is what a request waits for at a process that has just begun.
-type need uint8
+// prerequisite is the data that a newly started process must have before it can serve a request.
+type prerequisite uint8
 
 const (
-	// needConfiguration is what calls on jobs wait for.
-	needConfiguration need = iota
-	// needWorkers is what requests for workers wait for: the configuration, and a part of
-	// the list of workers at least.
-	needWorkers
-	needs
+	// needsConfiguration is the prerequisite of calls on jobs.
+	needsConfiguration prerequisite = iota
+	// needsWorkers is the prerequisite of requests to workers: the configuration and at least a
+	// partial list of workers.
+	needsWorkers
+	prerequisiteCount
 )
 
-// String returns the need as used in logs and metrics.
-func (n need) String() string { return [...]string{"configuration", "workers"}[n] }
+// String returns the prerequisite as used in logs and metrics.
+func (n prerequisite) String() string { return [...]string{"configuration", "workers"}[n] }
 
-// startGate holds the requests that came before this process knew what they need. It is not
-// the queue of those that wait for a worker (poolQueue). It is safe for concurrent use.
+// startGate holds requests that arrived before this process knew what they need. It is separate
+// from poolQueue, in which requests wait for a worker. It is safe for concurrent use.
 type startGate struct {
-	// known are closed once the need is met, stopping once a planned stop begins.
-	known    [needs]chan struct{}
-	stopping chan struct{}
-
-	// longest is the longest time for which a request is held.
-	longest  time.Duration
-	maxCount int
-	maxBytes int64
-
-	// mutex guards what follows.
-	mutex   sync.Mutex
-	count   int
-	bytes   int64
-	met     [needs]bool
+	// satisfied has a channel for each prerequisite, closed once it is known. stopping is closed
+	// when a planned stop begins.
+	satisfied [prerequisiteCount]chan struct{}
+	stopping  chan struct{}
+
+	// maxHoldTime is the longest time for which a request is held.
+	maxHoldTime time.Duration
+	maxCount    int
+	maxBytes    int64
+
+	// mutex guards the fields below.
+	mutex sync.Mutex
+	count int
+	bytes int64
+	// met says which channels of satisfied are closed.
+	met     [prerequisiteCount]bool
 	stopped bool
 }
 
 func newStartGate() *startGate {
-	h := &startGate{stopping: make(chan struct{}), longest: holdTime, maxCount: maxHeld, maxBytes: maxHeldBytes}
-	for i := range h.known {
-		h.known[i] = make(chan struct{})
+	g := &startGate{stopping: make(chan struct{}), maxHoldTime: maxHoldTime, maxCount: maxHeldRequests, maxBytes: maxHeldBytes}
+	for i := range g.satisfied {
+		g.satisfied[i] = make(chan struct{})
 	}
-	return h
+	return g
 }
 
-// admit takes so many bytes of a new request in, and reports whether the bounds allow it.
-func (h *startGate) admit(bytes int64) bool {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	if h.stopped || h.count >= h.maxCount || h.bytes+bytes > h.maxBytes {
+// admit reserves space for a new request of the given size, and reports whether the limits allow
+// it.
+func (g *startGate) admit(bytes int64) bool {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	if g.stopped || g.count >= g.maxCount || g.bytes+bytes > g.maxBytes {
 		return false
 	}
-	h.count++
-	h.bytes += bytes
+	g.count++
+	g.bytes += bytes
 	return true
 }
 
-func (h *startGate) release(bytes int64) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	h.count--
-	h.bytes -= bytes
+func (g *startGate) release(bytes int64) {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	g.count--
+	g.bytes -= bytes
 }
 
-// held returns how many requests are held, and their bytes.
-func (h *startGate) held() (count int, bytes int64) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	return h.count, h.bytes
+// held returns the number and the total size of the held requests.
+func (g *startGate) held() (count int, bytes int64) {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	return g.count, g.bytes
 }
 
-// meet lets those go on that wait for the need. It returns how many are held, and whether
-// the need was not met before.
-func (h *startGate) meet(n need) (held int, first bool) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	if h.met[n] {
+// satisfy lets the requests continue that wait for the prerequisite. It returns how many requests
+// are held, and whether the prerequisite was not satisfied before.
+func (g *startGate) satisfy(n prerequisite) (held int, first bool) {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	if g.met[n] {
 		return 0, false
 	}
-	h.met[n] = true
-	close(h.known[n])
-	return h.count, true
+	g.met[n] = true
+	close(g.satisfied[n])
+	return g.count, true
 }
 
-// stop lets all go that are held, and takes none any more.
-func (h *startGate) stop() {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	if !h.stopped {
-		h.stopped = true
-		close(h.stopping)
+// stop lets all held requests continue, and admits no more.
+func (g *startGate) stop() {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	if !g.stopped {
+		g.stopped = true
+		close(g.stopping)
 	}
 }
 
-func (h *startGate) knows(n need) bool {
+func (g *startGate) isSatisfied(n prerequisite) bool {
 	select {
-	case <-h.known[n]:
+	case <-g.satisfied[n]:
 		return true
 	default:
 		return false
 	}
 }
 
-// holdFor returns for how long after its arrival, at a process of that age, a request may
-// be held whose caller has so much time left; zero or less for not at all.
-func (h *startGate) holdFor(age, left time.Duration) time.Duration {
-	return min(h.longest, left/holdShare, startTime-age)
+// holdDuration returns how long after its arrival a request may be held, given the process's age
+// and the caller's time left. Zero or less means that it may not be held.
+func (g *startGate) holdDuration(age, timeLeft time.Duration) time.Duration {
+	return min(g.maxHoldTime, timeLeft/holdTimeDivisor, startupPeriod-age)
 }
 
-// outcomes of requests that came too early, for the metric.
+// Outcomes of held requests, for the metric.
 const (
-	heldServed  = "served"
-	heldRefused = "refused"
-	heldGone    = "gone"
+	heldServed       = "served"
+	heldRejected     = "refused"
+	heldDisconnected = "gone"
 )
 
-// await returns once this process knows what the request needs. Where that is not so yet,
-// the request is held, if the bounds allow it, until the time since its arrival is over for which
-// it may be. A failure says that it was not run, and when to come back.
+// awaitPrerequisite returns once this process knows what the request needs. If it does not know
+// yet, it holds the request for as long as the limits allow. An error means that the request was
+// not run, and carries a retry time.
 //
-// What is held has been read whole: a caller whose request is not read takes the
-// connection for dead, and that it leaves is noticed behind the end of its body only.
-// Without a writer nothing is read: where a body counts for nothing.
-func (e *Edge) await(writer http.ResponseWriter, request *http.Request, arrived time.Time, n need) error {
-	if e.gate.knows(n) {
+// A held request is first read completely: a caller whose request is not read takes the
+// connection for dead, and the server notices a disconnect only after the end of the body. With a
+// nil writer no body is read, for calls whose body does not matter.
+func (e *Edge) awaitPrerequisite(writer http.ResponseWriter, request *http.Request, arrived time.Time, n prerequisite) error {
+	if e.gate.isSatisfied(n) {
 		return nil
 	}
-	known, err := e.hold(writer, request, arrived, n)
+	known, err := e.holdRequest(writer, request, arrived, n)
 	if err == nil && !known && e.Table() == nil {
-		err = noConfiguration(clock.Now().Sub(e.started))
+		err = noConfigurationError(clock.Now().Sub(e.started))
 	}
-	outcome := heldRefused
+	outcome := heldRejected
 	switch {
 	case request.Context().Err() != nil:
-		outcome = heldGone
+		outcome = heldDisconnected
 	case known:
 		outcome = heldServed
 	}
@@ -178,77 +181,77 @@
 	return err
 }
 
-// hold holds a request and reports whether what it needs is known then. A failure means
-// that the request could not be read.
-func (e *Edge) hold(writer http.ResponseWriter, request *http.Request, arrived time.Time, n need) (known bool, err error) {
-	left := httpheader.ParseTimeLeft(request.Header.Get(e.dialect.Deadline), maxLeft)
-	until := arrived.Add(e.gate.holdFor(clock.Now().Sub(e.started)-time.Since(arrived), left))
-	bound := int64(0)
+// holdRequest holds a request and reports whether its prerequisite is known at the end. An error
+// means that the request could not be read.
+func (e *Edge) holdRequest(writer http.ResponseWriter, request *http.Request, arrived time.Time, n prerequisite) (known bool, err error) {
+	timeLeft := httpheader.ParseTimeLeft(request.Header.Get(e.headerNames.Deadline), maxAssumedTimeLeft)
+	until := arrived.Add(e.gate.holdDuration(clock.Now().Sub(e.started)-time.Since(arrived), timeLeft))
+	bodyBytes := int64(0)
 	if writer != nil {
-		bound = bodyBound(request)
+		bodyBytes = maxBodyBytes(request)
 	}
-	size := int64(httpapi.HeaderSize(request)) + bound
-	if !time.Now().Before(until) || bound > maxHeldBody || !e.gate.admit(size) {
+	size := int64(httpapi.HeaderSize(request)) + bodyBytes
+	if !time.Now().Before(until) || bodyBytes > maxHeldBody || !e.gate.admit(size) {
 		return false, nil
 	}
 	defer e.gate.release(size)
-	if err := readHeld(writer, request, bound, until); err != nil {
+	if err := readHeldBody(writer, request, bodyBytes, until); err != nil {
 		return false, err
 	}
 	timeout := time.NewTimer(time.Until(until))
 	defer timeout.Stop()
 	select {
-	case <-e.gate.known[n]:
+	case <-e.gate.satisfied[n]:
 	case <-e.gate.stopping:
 	case <-timeout.C:
 	case <-request.Context().Done():
 	}
-	return e.gate.knows(n), nil
+	return e.gate.isSatisfied(n), nil
 }
 
-// bodyBound returns how long the body of a request may be at most, for all that is known
-// before it is read.
-func bodyBound(request *http.Request) int64 {
+// maxBodyBytes returns the maximum size of a request's body, as far as it is known before the
+// body is read.
+func maxBodyBytes(request *http.Request) int64 {
 	if request.ContentLength < 0 {
 		return maxHeldBody
 	}
 	return request.ContentLength
 }
 
-// readHeld reads the body of a request, of bound bytes at most, until the given time, and
-// lets it be read again.
-func readHeld(writer http.ResponseWriter, request *http.Request, bound int64, until time.Time) error {
-	if bound == 0 {
+// readHeldBody reads the request's body of at most maxBytes until the given time, and replaces it
+// with a copy in memory.
+func readHeldBody(writer http.ResponseWriter, request *http.Request, maxBytes int64, until time.Time) error {
+	if maxBytes == 0 {
 		return nil
 	}
 	controller := http.NewResponseController(writer)
-	// Writers without deadlines serve tests only.
+	// Only the writers of tests do not support deadlines.
 	_ = controller.SetReadDeadline(until)
-	body, err := httpapi.ReadBody(request, bound)
+	body, err := httpapi.ReadBody(request, maxBytes)
 	_ = controller.SetReadDeadline(time.Time{})
 	if err != nil {
-		// Where the rest is still to come, no other request can be read from the connection.
+		// The unread rest of the body keeps the connection from being used for another request.
 		writer.Header().Set("Connection", "close")
-		return failure.Wrap(err, failure.NotRun, "try again", "no configuration is known here yet, and the body was not read whole").WithRetryAfter(shortRetry)
+		return failure.Wrap(err, failure.NotRun, "try again", "no configuration is known here yet, and the body was not read whole").WithRetryAfter(shortRetryAfter)
 	}
 	request.Body = io.NopCloser(bytes.NewReader(body))
 	return nil
 }
 
-// openGate lets the requests go on that were held until the table, or the table and the list of
-// workers, are known.
+// openGate releases the held requests whose prerequisite, the table or the table and the list of
+// workers, is now known.
 func (e *Edge) openGate(table *routetable.Table, listed bool) {
 	if table == nil {
 		return
 	}
-	e.meet(needConfiguration)
+	e.satisfyPrerequisite(needsConfiguration)
 	if listed {
-		e.meet(needWorkers)
+		e.satisfyPrerequisite(needsWorkers)
 	}
 }
 
-func (e *Edge) meet(n need) {
-	held, first := e.gate.meet(n)
+func (e *Edge) satisfyPrerequisite(n prerequisite) {
+	held, first := e.gate.satisfy(n)
 	if first && held > 0 {
 		logging.Info(e.logger, "held_requests", "held", held, "need", n, "since_start_ms", clock.Now().Sub(e.started).Milliseconds())
 	}
--- a/internal/edge/hold_test.go
+++ b/internal/edge/hold_test.go
@@ -25,8 +25,7 @@
 	"github.com/sedgemast/sedgemast/internal/workerset"
 )
 
-// lateCoordinator refuses watches until it is elected, and tells of workers once it has
-// listed them.
+// lateCoordinator rejects watches until it is elected, and sends workers once it has listed them.
 type lateCoordinator struct {
 	address         string
 	elected, listed atomic.Bool
@@ -47,7 +46,7 @@
 	mux := rpctest.NewMux()
 	rpc.Handle(mux, wire.MethodWatch, func(_ context.Context, request *wire.WatchRequest) (msgp.Marshaler, error) {
 		if !c.elected.Load() {
-			return nil, failure.New(failure.NotRun, "ask the leader", "nobody leads")
+			return nil, failure.New(failure.NotRun, "ask the leader", "no leader is elected")
 		}
 		response := &wire.WatchResponse{Version: 1, Term: 1, View: 1}
 		if request.Version == 0 {
@@ -71,13 +70,13 @@
 	return c
 }
 
-// startNew runs an edge that has just begun, and goes on to, so that nothing depends on the
-// time that a test takes.
-func startNew(tb testing.TB, seed string) (*httptest.Server, *Edge) {
+// startUnconfigured runs an edge that stays within its startup period, so that no result depends
+// on how long a test takes.
+func startUnconfigured(tb testing.TB, seed string) (*httptest.Server, *Edge) {
 	tb.Helper()
 	e := newEdge(tb, seed)
-	e.started = clock.Now().Add(patience)
-	e.gate.longest = patience
+	e.started = clock.Now().Add(testTimeout)
+	e.gate.maxHoldTime = testTimeout
 	server := httptest.NewServer(&API{Edge: e})
 	tb.Cleanup(server.Close)
 	return server, e
@@ -85,49 +84,49 @@
 
 func awaitHeld(tb testing.TB, e *Edge, want int) {
 	tb.Helper()
-	await(tb, strconv.Itoa(want)+" requests held", func() bool { count, _ := e.gate.held(); return count == want })
+	waitFor(tb, strconv.Itoa(want)+" requests held", func() bool { count, _ := e.gate.held(); return count == want })
 }
 
-// answerOf is what a caller got.
-type answerOf struct {
+// callerResponse is what a caller received.
+type callerResponse struct {
 	status int
 	header http.Header
 	body   string
 	err    error
 }
 
-// sendAll sends requests of ids from 0 on at the same time.
-func sendAll(ctx context.Context, tb testing.TB, server *httptest.Server, count int) []chan answerOf {
+// sendAll sends count requests concurrently, with ids from 0 on.
+func sendAll(ctx context.Context, tb testing.TB, server *httptest.Server, count int) []chan callerResponse {
 	tb.Helper()
-	var answers []chan answerOf
+	var answers []chan callerResponse
 	for i := range count {
-		answer := make(chan answerOf, 1)
+		answer := make(chan callerResponse, 1)
 		answers = append(answers, answer)
 		go func() {
-			status, header, body, err := send(ctx, tb, server, strconv.Itoa(i), 3, patience)
-			answer <- answerOf{status, header, body, err}
+			status, header, body, err := send(ctx, tb, server, strconv.Itoa(i), 3, testTimeout)
+			answer <- callerResponse{status, header, body, err}
 		}()
 	}
 	return answers
 }
 
-// refusedTruly reports whether an answer says that the request was not run and when to come
-// back.
-func refusedTruly(answer answerOf) bool {
+// isRejectedWithRetryAfter reports whether a response is a rejection without a run, with a retry
+// time.
+func isRejectedWithRetryAfter(answer callerResponse) bool {
 	return answer.err == nil && answer.status == http.StatusServiceUnavailable && answer.header.Get("Retry-After") != ""
 }
 
-// TestHeldUntilConfigured sends requests to an edge before any coordinator leads: each is
-// answered by a worker once configuration and workers are known.
+// TestHeldUntilConfigured checks that requests sent before any coordinator leads are all answered
+// by a worker once configuration and workers are known.
 func TestHeldUntilConfigured(t *testing.T) {
 	const requests = 20
 	workers := startWorkers(t, 3)
-	coordinator := startLateCoordinator(t, stream(false, 1), workers)
-	server, e := startNew(t, coordinator.address)
+	coordinator := startLateCoordinator(t, streamRoute(false, 1), workers)
+	server, e := startUnconfigured(t, coordinator.address)
 	answers := sendAll(context.Background(), t, server, requests)
 	awaitHeld(t, e, requests)
 	coordinator.elected.Store(true)
-	await(t, "the configuration", func() bool { return e.Table() != nil })
+	waitFor(t, "the configuration", func() bool { return e.Table() != nil })
 	if e.daemon.Ready() {
 		t.Error("ready without workers")
 	}
@@ -137,8 +136,8 @@
 			t.Errorf("request %d: status %d, %v, %q", i, got.status, got.err, got.body)
 		}
 	}
-	if runs(workers) != requests {
-		t.Errorf("%d runs of %d requests", runs(workers), requests)
+	if runCount(workers) != requests {
+		t.Errorf("%d runs of %d requests", runCount(workers), requests)
 	}
 	awaitHeld(t, e, 0)
 	if _, bytes := e.gate.held(); bytes != 0 {
@@ -146,55 +145,55 @@
 	}
 }
 
-// TestHeldOnlyForAWhile leaves the edge without a coordinator: what was held is answered
-// truly, and what comes later is too.
-func TestHeldOnlyForAWhile(t *testing.T) {
-	server, e := startNew(t, "127.0.0.1:1")
-	e.gate.longest = holdTime
+// TestHoldTimeIsLimited checks that an edge without a coordinator rejects held requests, and
+// later ones, as not run.
+func TestHoldTimeIsLimited(t *testing.T) {
+	server, e := startUnconfigured(t, "127.0.0.1:1")
+	e.gate.maxHoldTime = maxHoldTime
 	for i, answer := range sendAll(context.Background(), t, server, 5) {
-		if got := <-answer; !refusedTruly(got) {
+		if got := <-answer; !isRejectedWithRetryAfter(got) {
 			t.Errorf("request %d: status %d, %v", i, got.status, got.err)
 		}
 	}
-	e.started = clock.Now().Add(-startTime)
-	if got := <-sendAll(context.Background(), t, server, 1)[0]; !refusedTruly(got) {
+	e.started = clock.Now().Add(-startupPeriod)
+	if got := <-sendAll(context.Background(), t, server, 1)[0]; !isRejectedWithRetryAfter(got) {
 		t.Errorf("later: status %d, %v", got.status, got.err)
 	}
 	awaitHeld(t, e, 0)
 }
 
-// TestHoldFor lists for how long requests may be held.
-func TestHoldFor(t *testing.T) {
+// TestHoldDuration checks how long requests may be held.
+func TestHoldDuration(t *testing.T) {
 	for _, test := range []struct {
 		name            string
 		age, left, want time.Duration
 	}{
-		{"a new process, a patient caller", 0, time.Minute, holdTime},
-		{"a caller with little time", 0, holdTime, holdTime / holdShare},
+		{"a new process, a caller with much time", 0, time.Minute, maxHoldTime},
+		{"a caller with little time", 0, maxHoldTime, maxHoldTime / holdTimeDivisor},
 		{"a caller without time", 0, 0, 0},
-		{"a start that is nearly over", startTime - time.Millisecond, time.Minute, time.Millisecond},
-		{"a process that has been here for long", time.Hour, time.Minute, startTime - time.Hour},
+		{"a startup period that is nearly over", startupPeriod - time.Millisecond, time.Minute, time.Millisecond},
+		{"a process that has run for long", time.Hour, time.Minute, startupPeriod - time.Hour},
 	} {
-		if got := newStartGate().holdFor(test.age, test.left); got != test.want {
+		if got := newStartGate().holdDuration(test.age, test.left); got != test.want {
 			t.Errorf("%s: %s, want %s", test.name, got, test.want)
 		}
 	}
 }
 
-// TestHeldAreBounded fills the room, by count and by bytes: one more is refused at once,
-// while the others are held.
-func TestHeldAreBounded(t *testing.T) {
-	for name, bound := range map[string]func(h *startGate){
-		"count": func(h *startGate) { h.maxCount = 2 },
-		"bytes": func(h *startGate) { _, bytes := h.held(); h.maxBytes = bytes + 1 },
+// TestHeldRequestsAreLimited checks that a request beyond the limit of count or bytes is rejected
+// at once, while the others stay held.
+func TestHeldRequestsAreLimited(t *testing.T) {
+	for name, setLimit := range map[string]func(h *startGate){
+		"count": func(g *startGate) { g.maxCount = 2 },
+		"bytes": func(g *startGate) { _, bytes := g.held(); g.maxBytes = bytes + 1 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			coordinator := startLateCoordinator(t, stream(false, 1), startWorkers(t, 1))
-			server, e := startNew(t, coordinator.address)
+			coordinator := startLateCoordinator(t, streamRoute(false, 1), startWorkers(t, 1))
+			server, e := startUnconfigured(t, coordinator.address)
 			answers := sendAll(context.Background(), t, server, 2)
 			awaitHeld(t, e, 2)
-			bound(e.gate)
-			if got := <-sendAll(context.Background(), t, server, 1)[0]; !refusedTruly(got) {
+			setLimit(e.gate)
+			if got := <-sendAll(context.Background(), t, server, 1)[0]; !isRejectedWithRetryAfter(got) {
 				t.Errorf("the third: status %d, %v", got.status, got.err)
 			}
 			coordinator.elected.Store(true)
@@ -208,53 +207,54 @@
 	}
 }
 
-// TestHeldCallersMayLeave ends the callers' requests: they are forgotten, and nothing runs.
-func TestHeldCallersMayLeave(t *testing.T) {
+// TestHeldCallersDisconnect checks that held requests whose callers disconnect are dropped, and
+// that nothing runs.
+func TestHeldCallersDisconnect(t *testing.T) {
 	workers := startWorkers(t, 1)
-	coordinator := startLateCoordinator(t, stream(false, 1), workers)
-	server, e := startNew(t, coordinator.address)
-	// Nothing but their leaving ends the hold.
-	ctx, leave := context.WithCancel(context.Background())
+	coordinator := startLateCoordinator(t, streamRoute(false, 1), workers)
+	server, e := startUnconfigured(t, coordinator.address)
+	// Only the disconnect ends the hold.
+	ctx, disconnect := context.WithCancel(context.Background())
 	answers := sendAll(ctx, t, server, 3)
 	awaitHeld(t, e, 3)
-	leave()
+	disconnect()
 	for _, answer := range answers {
 		if got := <-answer; got.err == nil {
-			t.Errorf("status %d for a caller that has gone", got.status)
+			t.Errorf("status %d for a caller that disconnected", got.status)
 		}
 	}
 	awaitHeld(t, e, 0)
 	coordinator.elected.Store(true)
 	coordinator.listed.Store(true)
-	await(t, "the workers", e.daemon.Ready)
-	if runs(workers) != 0 {
-		t.Errorf("%d runs", runs(workers))
+	waitFor(t, "the workers", e.daemon.Ready)
+	if runCount(workers) != 0 {
+		t.Errorf("%d runs", runCount(workers))
 	}
 }
 
-// TestStopAnswersWhatIsHeld stops an edge that holds requests: all are answered at once, and
-// no further one is held.
-func TestStopAnswersWhatIsHeld(t *testing.T) {
-	server, e := startNew(t, "127.0.0.1:1")
+// TestStopRejectsHeldRequests checks that a stopping edge answers all held requests at once and
+// holds no more.
+func TestStopRejectsHeldRequests(t *testing.T) {
+	server, e := startUnconfigured(t, "127.0.0.1:1")
 	answers := sendAll(context.Background(), t, server, 3)
 	awaitHeld(t, e, 3)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	e.drain(ctx)
 	for i, answer := range answers {
-		if got := <-answer; !refusedTruly(got) {
+		if got := <-answer; !isRejectedWithRetryAfter(got) {
 			t.Errorf("request %d: status %d, %v", i, got.status, got.err)
 		}
 	}
 	if e.gate.admit(0) {
-		t.Error("a stopping process takes a request to hold")
+		t.Error("a stopping process admitted a request to hold")
 	}
 }
 
-// TestLongBodiesAreNotHeld sends a request whose body is longer than what may be read
-// before a bound is known: it is refused though its body never comes.
+// TestLongBodiesAreNotHeld checks that a request whose body is longer than the limit for held
+// bodies is rejected, though its body never arrives.
 func TestLongBodiesAreNotHeld(t *testing.T) {
-	server, e := startNew(t, "127.0.0.1:1")
+	server, e := startUnconfigured(t, "127.0.0.1:1")
 	connection, err := net.Dial("tcp", server.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -271,14 +271,14 @@
 	awaitHeld(t, e, 0)
 }
 
-// TestBodiesWithoutLengthAreHeld sends bodies whose length is not told: one within the bound
-// is held and run, one beyond it refused.
+// TestBodiesWithoutLengthAreHeld checks bodies sent without a length: one within the limit is
+// held and run, a longer one rejected.
 func TestBodiesWithoutLengthAreHeld(t *testing.T) {
 	workers := startWorkers(t, 1)
-	coordinator := startLateCoordinator(t, stream(false, 1), workers)
-	server, e := startNew(t, coordinator.address)
+	coordinator := startLateCoordinator(t, streamRoute(false, 1), workers)
+	server, e := startUnconfigured(t, coordinator.address)
 	post := func(body io.Reader) (int, error) {
-		// A reader of a type unknown to net/http has no length.
+		// net/http knows no length for a reader of an unknown type.
 		request, err := http.NewRequest(http.MethodPost, server.URL+"/a", io.MultiReader(body))
 		if err != nil {
 			return 0, err
@@ -286,7 +286,7 @@
 		request.Host = "h.example"
 		request.Header.Set("Request-Id", "a")
 		request.Header.Set("Token-Count", "10,3")
-		request.Header.Set("Deadline-Ms", strconv.FormatInt(patience.Milliseconds(), 10))
+		request.Header.Set("Deadline-Ms", strconv.FormatInt(testTimeout.Milliseconds(), 10))
 		response, err := server.Client().Do(request)
 		if err != nil {
 			return 0, err
@@ -314,13 +314,13 @@
 	}
 }
 
-// TestJobCallsAreHeld asks for results, and hands in a job, before the configuration is
-// known: both go on once it is. Here no store is known, which is another refusal.
+// TestJobCallsAreHeld checks that calls on jobs made before the configuration is known continue
+// once it is. They are then rejected for another reason, as no store is known here.
 func TestJobCallsAreHeld(t *testing.T) {
-	route := stream(false, 1)
+	route := streamRoute(false, 1)
 	route.Kind = routetable.KindBatch
 	coordinator := startLateCoordinator(t, route, nil)
-	server, e := startNew(t, coordinator.address)
+	server, e := startUnconfigured(t, coordinator.address)
 	refusals := make(chan string, 2)
 	for _, call := range []struct{ method, path, body string }{
 		{http.MethodGet, PathJobs + "j/results", ""},
@@ -348,7 +348,7 @@
 	coordinator.elected.Store(true)
 	for range 2 {
 		if refusal := <-refusals; strings.Contains(refusal, "no configuration") {
-			t.Errorf("refused as if nothing were known: %s", refusal)
+			t.Errorf("rejected as if no configuration were known: %s", refusal)
 		}
 	}
 }
--- a/internal/edge/identity.go
+++ b/internal/edge/identity.go
@@ -9,18 +9,18 @@
 	"github.com/sedgemast/sedgemast/internal/tenancy"
 )
 
-// certainTime is how long after the last word of a coordinator this process is sure to
-// know all keys: a call that waits for news is held for 0.5 s, and answered within 0.6 s.
-const certainTime = 1200 * time.Millisecond
+// maxKeyStaleness is how long after the last answer of a coordinator this process is sure to know
+// all keys: the coordinator holds a watch for 0.5 s, and the answer arrives within 0.6 s.
+const maxKeyStaleness = 1200 * time.Millisecond
 
-// identify returns whose request it is, by its key: nil where it needs none. A key that
-// is not known is refused for good only by a process that hears the coordinators, because
-// it may have been added a moment ago.
+// identify returns the tenant to which the request's key belongs, nil if the request needs no
+// key. Only a process that is in touch with the coordinators rejects an unknown key as invalid,
+// because the key may have been added a moment ago.
 func (e *Edge) identify(now time.Time, table *routetable.Table, public bool, request *http.Request) (*routetable.Tenant, error) {
 	if !table.RequiresKeys() {
 		return nil, nil
 	}
-	keys := request.Header.Values(e.dialect.Key)
+	keys := request.Header.Values(e.headerNames.Key)
 	if len(keys) == 1 {
 		if tenant := table.TenantByKey(keys[0]); tenant != nil {
 			return tenant, nil
@@ -31,16 +31,16 @@
 		return nil, nil
 	case len(keys) != 1:
 		return nil, failure.New(failure.Unauthenticated, "send one key in the header for keys", "the request has %d keys", len(keys))
-	case now.Sub(e.watcher.Current().LeaderSeenAt) > certainTime:
-		return nil, failure.New(failure.NotRun, "ask another edge", "the key is not known here, and no coordinator is heard").WithRetryAfter(shortRetry)
+	case now.Sub(e.watcher.Current().LeaderSeenAt) > maxKeyStaleness:
+		return nil, failure.New(failure.NotRun, "ask another edge", "the key is not known here, and no coordinator is heard").WithRetryAfter(shortRetryAfter)
 	}
 	return nil, failure.New(failure.Unauthenticated, "ask your operator for a key", "no tenant holds the key in version %d", table.Configuration.Version)
 }
 
-// jobOwner returns whose jobs the request may see. Where the host takes jobs without a
-// key, a request without one sees those that belong to nobody.
+// jobOwner returns the tenant whose jobs the request may access. Where the host accepts jobs
+// without a key, a request without a key accesses those without an owner.
 func (e *Edge) jobOwner(now time.Time, request *http.Request) (tenancy.Name, error) {
-	if err := e.await(nil, request, time.Now(), needConfiguration); err != nil {
+	if err := e.awaitPrerequisite(nil, request, time.Now(), needsConfiguration); err != nil {
 		return "", err
 	}
 	table := e.Table()
--- a/internal/edge/identity_test.go
+++ b/internal/edge/identity_test.go
@@ -24,8 +24,8 @@
 	"github.com/sedgemast/sedgemast/internal/workerset"
 )
 
-// tenantFleet is an edge with its tenants, a stand-in coordinator whose configuration may
-// change, and a stand-in store that is the hub and keeps the names of jobs.
+// tenantFleet is an edge with tenants, a fake coordinator whose configuration may change, and a
+// fake store that is the hub and records the names of jobs.
 type tenantFleet struct {
 	server  *httptest.Server
 	edge    *Edge
@@ -34,15 +34,15 @@
 	mutex         sync.Mutex
 	configuration *routetable.Configuration
 	jobs          map[string]*wire.SubmitBatch
-	// taken counts the questions for tokens by tenant, back those given back; refuse
-	// makes the hub refuse, silent makes it say nothing.
-	taken, back    int
-	refuse, silent bool
-	// claims holds what was claimed of scarce room, by ticket; over makes the hub call all
-	// of it over their tenants' shares. begun and short are the last counts told.
-	claims       map[uint64]wire.RoomClaim
-	over         bool
-	begun, short uint32
+	// tokenRequests counts requests for tokens, tokensReturned the tokens returned. rejectTokens
+	// makes the hub reject token requests, unresponsive makes it send no answer.
+	tokenRequests, tokensReturned int
+	rejectTokens, unresponsive    bool
+	// claims holds the claims on capacity, by ticket. overShare makes the hub report all of them
+	// as over their tenants' shares. started and noCapacity are the last reported counts.
+	claims              map[uint64]wire.RoomClaim
+	overShare           bool
+	started, noCapacity uint32
 }
 
 const (
@@ -61,7 +61,7 @@
 
 func startTenants(t *testing.T) *tenantFleet {
 	t.Helper()
-	online := stream(true, 2)
+	online := streamRoute(true, 2)
 	open := online
 	open.Name, open.Host, open.Public = "open", "open.example", true
 	jobs := online
@@ -75,9 +75,9 @@
 	}
 	store := f.startStore(t)
 	f.edge = newEdge(t, f.startCoordinator(t, store))
-	for end := time.Now().Add(patience); !f.edge.daemon.Ready(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !f.edge.daemon.Ready(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the edge does not become ready")
+			t.Fatal("the edge did not become ready")
 		}
 	}
 	f.server = httptest.NewServer(&API{Edge: f.edge})
@@ -85,7 +85,7 @@
 	return f
 }
 
-// startStore starts the stand-in store and returns its address.
+// startStore starts the fake store and returns its address.
 func (f *tenantFleet) startStore(t *testing.T) string {
 	mux := rpctest.NewMux()
 	known := func(name string) error {
@@ -129,20 +129,20 @@
 	answer := &wire.LoadReport{}
 	for _, question := range report.Tokens {
 		if question.Back {
-			f.back++
+			f.tokensReturned++
 			continue
 		}
-		f.taken++
-		answer.Verdicts = append(answer.Verdicts, wire.TokenVerdict{Ticket: question.Ticket, Granted: !f.refuse, RetryMillis: 700})
+		f.tokenRequests++
+		answer.Verdicts = append(answer.Verdicts, wire.TokenVerdict{Ticket: question.Ticket, Granted: !f.rejectTokens, RetryMillis: 700})
 	}
-	f.begun, f.short = report.Begun, report.Short
+	f.started, f.noCapacity = report.Begun, report.Short
 	for _, claim := range report.Claims {
 		f.claims[claim.Ticket] = claim
-		if f.over {
+		if f.overShare {
 			answer.Standings = append(answer.Standings, wire.RoomStanding{Ticket: claim.Ticket, Asked: 80, Share: 10, Room: 100, AgeMillis: 7})
 		}
 	}
-	if f.silent || report.Quiet {
+	if f.unresponsive || report.Quiet {
 		return nil
 	}
 	return answer
@@ -198,8 +198,8 @@
 	return response.StatusCode, response.Header.Get("Retry-After")
 }
 
-// seen returns what the workers have run since the last call.
-func (f *tenantFleet) seen() []emulator.HostedRequest {
+// requests returns all requests that the workers have run.
+func (f *tenantFleet) requests() []emulator.HostedRequest {
 	var seen []emulator.HostedRequest
 	for _, worker := range f.workers {
 		seen = append(seen, worker.Requests()...)
@@ -207,7 +207,7 @@
 	return seen
 }
 
-func TestKeysSayWhoAsks(t *testing.T) {
+func TestKeyIdentifiesTenant(t *testing.T) {
 	f := startTenants(t)
 	ran := 0
 	for _, test := range []struct {
@@ -222,7 +222,7 @@
 		{"an empty key", "h.example", []string{""}, http.StatusUnauthorized, ""},
 		{"an unknown key", "h.example", []string{keyC}, http.StatusUnauthorized, ""},
 		{"two keys", "h.example", []string{keyA, keyB}, http.StatusUnauthorized, ""},
-		{"a key with more behind it", "h.example", []string{keyA + "x"}, http.StatusUnauthorized, ""},
+		{"a key with a suffix", "h.example", []string{keyA + "x"}, http.StatusUnauthorized, ""},
 		{"a public route", "open.example", nil, http.StatusOK, ""},
 		{"a public route with a key", "open.example", []string{keyB}, http.StatusOK, "b"},
 		{"no route", "none.example", []string{keyA}, http.StatusNotFound, ""},
@@ -234,7 +234,7 @@
 		if status == http.StatusOK {
 			ran++
 		}
-		seen := f.seen()
+		seen := f.requests()
 		if len(seen) != ran {
 			t.Fatalf("%s: %d requests ran, want %d", test.name, len(seen), ran)
 		}
@@ -251,8 +251,8 @@
 	}
 }
 
-// TestSecondAttemptKeepsTheTenant breaks the first run off: the second one, at another
-// worker, names the tenant again and has no key either.
+// TestSecondAttemptKeepsTheTenant checks that the second attempt, after a first one that failed,
+// also carries the tenant's name and no key.
 func TestSecondAttemptKeepsTheTenant(t *testing.T) {
 	f := startTenants(t)
 	first := make(chan struct{}, 1)
@@ -270,7 +270,7 @@
 	if status, _ := f.call(t, http.MethodPost, "h.example", "/x", "prompt", keyA); status != http.StatusOK {
 		t.Fatalf("status %d", status)
 	}
-	seen := f.seen()
+	seen := f.requests()
 	for i := range seen {
 		if seen[i].Header.Get(tenantHeader) != "a" || seen[i].Header.Get(keyHeader) != "" {
 			t.Errorf("run %d got %v", i, seen[i].Header)
@@ -281,16 +281,16 @@
 	}
 }
 
-// TestKeyTakenAway takes a key away: it is refused once the edge has the configuration, and
-// a key that the edge does not know is left to others while it hears no coordinator.
-func TestKeyTakenAway(t *testing.T) {
+// TestRemovedKeyIsRejected checks that a removed key is rejected once the edge has the new
+// configuration, and that an unknown key is answered as not run while no coordinator answers.
+func TestRemovedKeyIsRejected(t *testing.T) {
 	f := startTenants(t)
 	f.mutex.Lock()
 	changed := *f.configuration
 	changed.Version, changed.Tenants = 2, []routetable.Tenant{tenant("a", 0, keyC)}
 	f.configuration = &changed
 	f.mutex.Unlock()
-	await(t, "the new configuration", func() bool { return f.edge.Table().Configuration.Version == 2 })
+	waitFor(t, "the new configuration", func() bool { return f.edge.Table().Configuration.Version == 2 })
 	for key, want := range map[string]int{keyA: http.StatusUnauthorized, keyB: http.StatusUnauthorized, keyC: http.StatusOK} {
 		if status, _ := f.call(t, http.MethodPost, "h.example", "/x", "prompt", key); status != want {
 			t.Errorf("%s: status %d, want %d", key, status, want)
@@ -304,19 +304,19 @@
 	}
 }
 
-// TestJobsHaveAnOwner lets three callers ask for a job of one of them, with the same id as
-// a job of another.
+// TestJobsHaveAnOwner checks that callers access only their own jobs, also where two tenants use
+// the same job id.
 func TestJobsHaveAnOwner(t *testing.T) {
 	f := startTenants(t)
 	job := `{"items":[{"id":"i","path":"/x","headers":{"Sedgemast-Key":"k"},"tokens":3}]}`
 	for key, want := range map[string]int{keyA: http.StatusAccepted, keyB: http.StatusAccepted, keyC: http.StatusUnauthorized, "": http.StatusUnauthorized} {
 		if status, _ := f.call(t, http.MethodPost, "jobs.example", "/x", job, key); status != want {
-			t.Errorf("handed in with %q: status %d", key, status)
+			t.Errorf("submitted with %q: status %d", key, status)
 		}
 	}
 	f.mutex.Lock()
 	if len(f.jobs) != 2 || f.jobs[tenancy.ScopedName("a", "j")].Owner != "a" || f.jobs[tenancy.ScopedName("b", "j")].Owner != "b" {
-		t.Errorf("kept: %v", f.jobs)
+		t.Errorf("stored jobs: %v", f.jobs)
 	}
 	delete(f.jobs, tenancy.ScopedName("b", "j"))
 	f.jobs["old"] = &wire.SubmitBatch{}
@@ -342,66 +342,66 @@
 	}
 }
 
-// TestLimitIsAsked lets the hub grant, refuse and keep silent: a tenant without a limit is
-// not asked for, a refused request reaches no worker and is told when to come back, and one
-// that no worker took gives its token back.
-func TestLimitIsAsked(t *testing.T) {
+// TestTokensAreRequestedFromHub checks a hub that grants, rejects and does not answer: no token
+// is requested for a tenant without a limit, a rejected request reaches no worker and gets
+// Retry-After, and a request that no worker ran returns its token.
+func TestTokensAreRequestedFromHub(t *testing.T) {
 	f := startTenants(t)
-	set := func(refuse, silent bool) {
+	setHub := func(rejectTokens, unresponsive bool) {
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
-		f.refuse, f.silent = refuse, silent
+		f.rejectTokens, f.unresponsive = rejectTokens, unresponsive
 	}
 	counts := func() (int, int) {
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
-		return f.taken, f.back
+		return f.tokenRequests, f.tokensReturned
 	}
 	if status, _ := f.call(t, http.MethodPost, "h.example", "/x", "prompt", keyA); status != http.StatusOK {
 		t.Fatalf("status %d without a limit", status)
 	}
-	if taken, _ := counts(); taken != 0 {
-		t.Errorf("%d questions for a tenant without a limit", taken)
+	if requested, _ := counts(); requested != 0 {
+		t.Errorf("%d token requests for a tenant without a limit", requested)
 	}
 	if status, _ := f.call(t, http.MethodPost, "h.example", "/x", "prompt", keyB); status != http.StatusOK {
 		t.Fatalf("status %d within the limit", status)
 	}
-	if taken, back := counts(); taken != 1 || back != 0 {
-		t.Errorf("%d questions, %d given back", taken, back)
+	if requested, returned := counts(); requested != 1 || returned != 0 {
+		t.Errorf("%d tokens requested, %d returned", requested, returned)
 	}
-	ran := len(f.seen())
-	set(true, false)
+	ran := len(f.requests())
+	setHub(true, false)
 	if status, retry := f.call(t, http.MethodPost, "h.example", "/x", "prompt", keyB); status != http.StatusTooManyRequests || retry != "0.700" {
 		t.Errorf("beyond the limit: status %d, Retry-After %q", status, retry)
 	}
-	if len(f.seen()) != ran {
+	if len(f.requests()) != ran {
 		t.Error("a request beyond the limit ran")
 	}
-	set(false, false)
-	behaveAll(f.workers, emulator.HostedFault{NotRun: true})
+	setHub(false, false)
+	injectFaults(f.workers, emulator.HostedFault{NotRun: true})
 	if status, _ := f.call(t, http.MethodPost, "h.example", "/x", "prompt", keyB); status != http.StatusServiceUnavailable {
-		t.Errorf("status %d where no worker takes it", status)
+		t.Errorf("status %d where all workers reject the request", status)
 	}
-	await(t, "the token given back", func() bool { _, back := counts(); return back == 1 })
-	behaveAll(f.workers, emulator.HostedFault{})
-	set(false, true)
+	waitFor(t, "the returned token", func() bool { _, returned := counts(); return returned == 1 })
+	injectFaults(f.workers, emulator.HostedFault{})
+	setHub(false, true)
 	statuses := map[int]int{}
 	for range 20 {
 		status, _ := f.call(t, http.MethodPost, "h.example", "/x", "prompt", keyB)
 		statuses[status]++
 	}
 	if statuses[http.StatusOK] == 0 || statuses[http.StatusOK] > 6 || statuses[http.StatusOK]+statuses[http.StatusServiceUnavailable] != 20 {
-		t.Errorf("of a reserve of 4.6 or so, while no hub answers: %v", statuses)
+		t.Errorf("statuses with a reserve of about 4.6 and no hub: %v", statuses)
 	}
 }
 
-// BenchmarkIdentify finds the holder of a key among a thousand tenants.
+// BenchmarkIdentify looks up the tenant of a key among a thousand tenants.
 func BenchmarkIdentify(b *testing.B) {
 	configuration := &routetable.Configuration{}
 	for i := range 1000 {
 		configuration.Tenants = append(configuration.Tenants, tenant(tenancy.Name("t"+strings.Repeat("x", i%9)+string(rune('a'+i%26))), 1, keyA+string(rune(i))))
 	}
-	e := &Edge{dialect: standInNames()}
+	e := &Edge{headerNames: testHeaderNames()}
 	table := routetable.NewTable(configuration)
 	request := httptest.NewRequest(http.MethodPost, "/x", nil)
 	request.Header.Set(keyHeader, keyA+string(rune(500)))
--- a/internal/edge/jobs.go
+++ b/internal/edge/jobs.go
@@ -18,46 +18,46 @@
 
 const (
 	maxItems = 200
-	// storeTime bounds the calls to the stores that a caller waits for.
-	storeTime = 2500 * time.Millisecond
-	// readTime bounds a read beside the time that it may be held, readBytes its
-	// texts, maxHold that time.
-	readTime  = 1200 * time.Millisecond
-	readBytes = 900 << 10
-	maxHold   = time.Second
+	// storeTimeout limits calls to the stores for which a caller waits.
+	storeTimeout = 2500 * time.Millisecond
+	// readTimeout limits a read, not counting the time for which it waits for results.
+	// maxReadBytes limits the texts of one read, maxPollWait the wait for results.
+	readTimeout  = 1200 * time.Millisecond
+	maxReadBytes = 900 << 10
+	maxPollWait  = time.Second
 )
 
-// SubmitJob hands in a job that the request brings. The job's route, owner and limit are
-// filled in. Once it returns without a failure the job is kept; a failure of kind NotRun,
-// OverLimit, Unauthenticated or BadRequest says that none of it runs.
+// SubmitJob submits the job in the request, and fills in its route, owner and limit. If it
+// returns nil, the job is stored; an error of kind NotRun, OverLimit, Unauthenticated or
+// BadRequest means that no part of the job runs.
 func (e *Edge) SubmitJob(request *http.Request, table *routetable.Table, route *routetable.Route, job *wire.SubmitBatch) error {
 	tenant, err := e.identify(clock.Now(), table, route.Public, request)
 	if err != nil {
 		return err
 	}
 	job.Route, job.Limit, job.Owner = route.Name, route.MaxQueuedTokens, string(tenant.Owner())
-	if err := checkJob(job); err != nil {
+	if err := validateJob(job); err != nil {
 		return err
 	}
-	e.expect(job)
+	e.setExpectedTokens(job)
 	job.ID = tenancy.ScopedName(tenant.Owner(), job.ID)
-	ctx, cancel := context.WithTimeout(request.Context(), storeTime)
+	ctx, cancel := context.WithTimeout(request.Context(), storeTimeout)
 	defer cancel()
 	_, err = e.Stores.Submit(ctx, job)
 	return err
 }
 
-// expect fills in how many tokens the caller expects of each item.
-func (e *Edge) expect(job *wire.SubmitBatch) {
+// setExpectedTokens sets how many output tokens the caller expects for each item.
+func (e *Edge) setExpectedTokens(job *wire.SubmitBatch) {
 	for i := range job.Items {
 		item := &job.Items[i]
-		_, most := httpheader.ParseTokenCounts(httpheader.Value(item.Headers, e.dialect.Tokens))
-		item.Expected = httpheader.ParseExpected(httpheader.Value(item.Headers, e.dialect.LengthHint), most)
+		_, maxTokens := httpheader.ParseTokenCounts(httpheader.Value(item.Headers, e.headerNames.Tokens))
+		item.Expected = httpheader.ParseExpected(httpheader.Value(item.Headers, e.headerNames.LengthHint), maxTokens)
 	}
 }
 
-// checkJob returns the first fault of a job.
-func checkJob(job *wire.SubmitBatch) error {
+// validateJob returns the first error in a job.
+func validateJob(job *wire.SubmitBatch) error {
 	if job.ID == "" || !tenancy.IsPlainText(job.ID) {
 		return failure.New(failure.BadRequest, "send its id, without control characters, in the header for request ids", "the job has no id").WithField("id")
 	}
@@ -71,76 +71,76 @@
 			return failure.New(failure.BadRequest, "give every item an id of its own", "%q stands twice", item.ID).WithField(fmt.Sprintf("items.%d.id", i))
 		}
 		seen[item.ID] = true
-		if err := checkItem(fmt.Sprintf("items.%d", i), item); err != nil {
+		if err := validateItem(fmt.Sprintf("items.%d", i), item); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func checkItem(place string, item *wire.BatchItem) error {
+func validateItem(fieldPath string, item *wire.BatchItem) error {
 	switch {
 	case item.ID == "":
-		return failure.New(failure.BadRequest, "give every item an id of its own", "the id is empty").WithField(place + ".id")
+		return failure.New(failure.BadRequest, "give every item an id of its own", "the id is empty").WithField(fieldPath + ".id")
 	case !strings.HasPrefix(item.Path, "/") || strings.ContainsAny(item.Path, " \r\n"):
-		return failure.New(failure.BadRequest, "begin the path with a slash", "%q is no path", item.Path).WithField(place + ".path")
+		return failure.New(failure.BadRequest, "begin the path with a slash", "%q is no path", item.Path).WithField(fieldPath + ".path")
 	case item.Tokens < 0:
-		return failure.New(failure.BadRequest, "use 0 or more", "%d is no count", item.Tokens).WithField(place + ".tokens")
+		return failure.New(failure.BadRequest, "use 0 or more", "%d is no count", item.Tokens).WithField(fieldPath + ".tokens")
 	}
 	for _, field := range item.Headers {
 		if strings.ContainsAny(field.Name+field.Value, "\r\n") {
-			return failure.New(failure.BadRequest, "send headers of one line", "header %q has a line break", field.Name).WithField(place + ".headers")
+			return failure.New(failure.BadRequest, "send headers of one line", "header %q has a line break", field.Name).WithField(fieldPath + ".headers")
 		}
 	}
 	return nil
 }
 
-// ReadJob reads results of a job from a position on, for a request of its owner. Where
-// there are none it waits, for hold at most.
+// ReadJob reads results of a job from position since on, for a request of its owner. If there are
+// none, it waits for up to hold.
 func (e *Edge) ReadJob(request *http.Request, id string, since int, hold time.Duration) (*wire.BatchReadResponse, error) {
-	hold = min(max(hold, 0), maxHold)
-	return ofOwner(e, request, id, func(ctx context.Context, name string) (*wire.BatchReadResponse, error) {
-		ctx, cancel := context.WithTimeout(ctx, readTime+hold)
+	hold = min(max(hold, 0), maxPollWait)
+	return callAsOwner(e, request, id, func(ctx context.Context, name string) (*wire.BatchReadResponse, error) {
+		ctx, cancel := context.WithTimeout(ctx, readTimeout+hold)
 		defer cancel()
-		response, err := e.Stores.Read(ctx, &wire.BatchReadRequest{ID: name, Since: since, WaitMillis: hold.Milliseconds(), MaxBytes: readBytes})
-		return response, readFailure(err)
+		response, err := e.Stores.Read(ctx, &wire.BatchReadRequest{ID: name, Since: since, WaitMillis: hold.Milliseconds(), MaxBytes: maxReadBytes})
+		return response, retryableReadError(err)
 	})
 }
 
-// ItemBody reads the body of an item without a result, for a request of its job's owner.
+// ItemBody reads the body of an item that has no result yet, for a request of the job's owner.
 func (e *Edge) ItemBody(request *http.Request, job, item string) ([]byte, error) {
-	return ofOwner(e, request, job, func(ctx context.Context, name string) ([]byte, error) {
-		ctx, cancel := context.WithTimeout(ctx, readTime)
+	return callAsOwner(e, request, job, func(ctx context.Context, name string) ([]byte, error) {
+		ctx, cancel := context.WithTimeout(ctx, readTimeout)
 		defer cancel()
 		response, err := e.Stores.Body(ctx, &wire.ItemBodyRequest{Job: name, Item: item})
 		if err != nil {
-			return nil, readFailure(err)
+			return nil, retryableReadError(err)
 		}
 		return response.Body, nil
 	})
 }
 
-// EndJob ends a job, for a request of its owner. It may be repeated.
+// EndJob ends a job, for a request of its owner. It is idempotent.
 func (e *Edge) EndJob(request *http.Request, id string) error {
-	_, err := ofOwner(e, request, id, func(ctx context.Context, name string) (*wire.BatchResult, error) {
-		ctx, cancel := context.WithTimeout(ctx, storeTime)
+	_, err := callAsOwner(e, request, id, func(ctx context.Context, name string) (*wire.BatchResult, error) {
+		ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 		defer cancel()
 		return e.Stores.End(ctx, name)
 	})
 	return err
 }
 
-// ofOwner calls call with the name by which the stores know a job of the request's
-// owner. A job's owner is part of its name, so what another tenant has is not found. What
-// was handed in without a key belongs to nobody, and anybody who is let in may read it.
-func ofOwner[Answer any](e *Edge, request *http.Request, id string, call func(ctx context.Context, name string) (Answer, error)) (Answer, error) {
-	var none Answer
+// callAsOwner calls call with the name under which the stores keep the job of the request's
+// owner. The owner is part of that name, so jobs of other tenants are not found. A job that was
+// submitted without a key has no owner, and any authenticated caller may access it.
+func callAsOwner[Answer any](e *Edge, request *http.Request, id string, call func(ctx context.Context, name string) (Answer, error)) (Answer, error) {
+	var zero Answer
 	owner, err := e.jobOwner(clock.Now(), request)
 	if err != nil {
-		return none, err
+		return zero, err
 	}
 	if !tenancy.IsPlainText(id) {
-		return none, failure.New(failure.NotFound, "check the id", "no job has such an id")
+		return zero, failure.New(failure.NotFound, "check the id", "no job has such an id")
 	}
 	answer, err := call(request.Context(), tenancy.ScopedName(owner, id))
 	if owner != "" && failure.Is(err, failure.NotFound) {
@@ -149,11 +149,11 @@
 	return answer, err
 }
 
-// readFailure makes a failure of a read one that the caller may repeat: reads run
-// nothing, so their outcome is never in doubt.
-func readFailure(err error) error {
+// retryableReadError converts an ambiguous failure of a read to one that the caller may retry:
+// reads have no side effects, so their outcome is never in doubt.
+func retryableReadError(err error) error {
 	if failure.Is(err, failure.OutcomeUnknown) || failure.Is(err, failure.Internal) {
-		return failure.Wrap(err, failure.NotRun, "try again", "the stores can't be read now").WithRetryAfter(readTime / 4)
+		return failure.Wrap(err, failure.NotRun, "try again", "the stores can't be read now").WithRetryAfter(readTimeout / 4)
 	}
 	return err
 }
--- a/internal/edge/probe_test.go
+++ b/internal/edge/probe_test.go
@@ -19,9 +19,9 @@
 	"github.com/sedgemast/sedgemast/internal/workerset"
 )
 
-// TestOnlyAttemptsAreNoProbes checks that a request is a probe only while another attempt would
-// be left to it.
-func TestOnlyAttemptsAreNoProbes(t *testing.T) {
+// TestProbesNeedAnotherAttempt checks that a request may be a probe only while another attempt
+// would remain.
+func TestProbesNeedAnotherAttempt(t *testing.T) {
 	for _, test := range []struct {
 		resumable       bool
 		attempts        int
@@ -35,16 +35,17 @@
 		{true, 3, 1, 0, false},
 		{true, 3, 0, 1, false},
 	} {
-		route := stream(test.resumable, test.attempts)
-		c := &call{route: &route, attempts: test.tried, dials: test.redialed}
-		if c.mayProbe() != test.want {
-			t.Errorf("%+v: may probe %t", test, c.mayProbe())
+		route := streamRoute(test.resumable, test.attempts)
+		c := &call{route: &route, attempts: test.tried, failedDials: test.redialed}
+		if c.canProbe() != test.want {
+			t.Errorf("%+v: can probe %t", test, c.canProbe())
 		}
 	}
 }
 
-// probed returns a table in which the worker at the address is avoided, and a probe of it.
-func probed(t *testing.T, address string) (*balance.Table, *balance.Lease) {
+// newProbe returns a table in which the worker at the address is avoided, and the lease of a
+// probe of it.
+func newProbe(t *testing.T, address string) (*balance.Table, *balance.Lease) {
 	t.Helper()
 	table := balance.NewTable("z", rand.New(rand.NewPCG(1, 1)))
 	rows := []wire.PoolWorker{{ID: "a", Pool: "p", Zone: "z", Address: address, Slots: 4}}
@@ -53,9 +54,9 @@
 	}
 	table.Update(workerset.Of(rows), nil)
 	now := clock.Now()
-	ill := loadshare.Hash("a")
-	table.SetPeerLoads(now, []wire.WorkerLoad{{Worker: ill, Failing: true}}, balance.ScopeAll)
-	table.SetProbes(now, []uint32{ill})
+	avoided := loadshare.Hash("a")
+	table.SetPeerLoads(now, []wire.WorkerLoad{{Worker: avoided, Failing: true}}, balance.ScopeAll)
+	table.SetProbes(now, []uint32{avoided})
 	lease := table.Acquire(now, &balance.Request{Pool: "p", Repeatable: true})
 	if !lease.IsProbe() {
 		t.Fatal("no probe")
@@ -63,11 +64,11 @@
 	return table, lease
 }
 
-// TestContentProves checks what an answer to a probe says of the worker: its content proves
-// that it is well, once; a head alone proves nothing, and what breaks off counts against it
-// unless the caller has left.
-func TestContentProves(t *testing.T) {
-	_, e := startEdge(t, stream(true, 2), startWorkers(t, 1)...)
+// TestContentDecidesProbe checks what an answer to a probe says of the worker: content proves
+// once that it is well, headers alone prove nothing, and a broken connection counts against it
+// unless the caller disconnected.
+func TestContentDecidesProbe(t *testing.T) {
+	_, e := startEdge(t, streamRoute(true, 2), startWorkers(t, 1)...)
 	const event = "id: 1\ndata: x\n\n"
 	head := func(writer http.ResponseWriter, length int) {
 		writer.Header().Set("Content-Length", strconv.Itoa(length))
@@ -75,12 +76,12 @@
 		_ = http.NewResponseController(writer).Flush()
 	}
 	large := strings.Repeat("x", 4*relayBufferBytes)
-	var leave context.CancelFunc
+	var disconnect context.CancelFunc
 	for _, test := range []struct {
-		name                   string
-		whole                  bool
-		serve                  http.HandlerFunc
-		proofs, answered, fail int
+		name                     string
+		whole                    bool
+		serve                    http.HandlerFunc
+		proofs, answered, failed int
 	}{
 		{"events", false, func(writer http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(writer, event) }, 1, 1, 0},
 		{"events, then a reset", false, func(writer http.ResponseWriter, _ *http.Request) {
@@ -97,9 +98,9 @@
 			head(writer, len(event))
 			<-request.Context().Done()
 		}, 0, 0, 1},
-		{"a head, then the caller leaves", false, func(writer http.ResponseWriter, request *http.Request) {
+		{"a head, then the caller disconnects", false, func(writer http.ResponseWriter, request *http.Request) {
 			head(writer, len(event))
-			leave()
+			disconnect()
 			<-request.Context().Done()
 		}, 0, 0, 0},
 		{"a stream without events", false, func(writer http.ResponseWriter, _ *http.Request) { head(writer, 0) }, 0, 0, 0},
@@ -113,16 +114,16 @@
 		{"a failure", true, func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusBadGateway) }, 0, 0, 1},
 	} {
 		server := httptest.NewServer(test.serve)
-		table, lease := probed(t, server.Listener.Addr().String())
+		table, lease := newProbe(t, server.Listener.Addr().String())
 		ctx, cancel := context.WithCancel(context.Background())
-		leave = cancel
-		route := stream(true, 2)
+		disconnect = cancel
+		route := streamRoute(true, 2)
 		if test.whole {
 			route.Kind = routetable.KindRepeatable
 		}
 		recorder := httptest.NewRecorder()
 		request := httptest.NewRequest(http.MethodPost, "http://h.example/a", nil)
-		newCall(e, ctx, e.Table(), &route, nil, recorder, http.NewResponseController(recorder), request, nil, time.Now(), time.Now().Add(patience)).attempt(lease)
+		newCall(e, ctx, e.Table(), &route, nil, recorder, http.NewResponseController(recorder), request, nil, time.Now(), time.Now().Add(testTimeout)).attempt(lease)
 		proofs, answered, failed := 0, 0, 0
 		for _, proof := range table.ProbeResults() {
 			proofs += int(proof.Well)
@@ -130,7 +131,7 @@
 		for _, load := range table.Loads() {
 			answered, failed = answered+int(load.Answered), failed+int(load.Failed)
 		}
-		if proofs != test.proofs || answered != test.answered || failed != test.fail {
+		if proofs != test.proofs || answered != test.answered || failed != test.failed {
 			t.Errorf("%s: %d proofs, %d answered, %d failed", test.name, proofs, answered, failed)
 		}
 		cancel()
--- a/internal/edge/quarantine.go
+++ b/internal/edge/quarantine.go
@@ -11,13 +11,13 @@
 	"github.com/sedgemast/sedgemast/internal/upstream"
 )
 
-// What a request did to workers outlives the call that sent it: the same request comes
-// again under another id, at any edge, and would end one worker after the other.
+// Quarantine outlasts the call: the same request may be sent again under another id, at any edge,
+// and would end one worker after the other.
 
-// quarantined refuses the request at once if workers ended under it before, wherever that
-// was seen, unless it is due to be tried once more.
-func (c *call) quarantined() bool {
-	if c.standing() != quarantine.Refused {
+// rejectedByQuarantine rejects a request under which workers exited before, at any edge, unless
+// the request is granted a trial.
+func (c *call) rejectedByQuarantine() bool {
+	if c.quarantineStanding() != quarantine.Refused {
 		return false
 	}
 	granted, wait := c.edge.watcher.RequestTrial(c.context, c.fingerprint())
@@ -27,12 +27,13 @@
 		return false
 	}
 	c.edge.metrics.quarantined.Inc()
-	c.refuse(failure.New(failure.NotRun, "change the request, or have its workers' logs looked at", "workers ended under this request, and it goes to no other").WithRetryAfter(max(wait, shortRetry)))
+	c.reject(failure.New(failure.NotRun, "change the request, or have its workers' logs looked at", "workers ended under this request, and it goes to no other").WithRetryAfter(max(wait, shortRetryAfter)))
 	return true
 }
 
-// standing returns how the request is known. While no request is, it costs nothing.
-func (c *call) standing() quarantine.Standing {
+// quarantineStanding returns the request's standing. It does not compute the fingerprint while no
+// request is recorded.
+func (c *call) quarantineStanding() quarantine.Standing {
 	book := c.edge.watcher.Quarantine()
 	if !book.InUse() {
 		return quarantine.Unknown
@@ -40,38 +41,38 @@
 	return book.Standing(clock.Now(), c.fingerprint())
 }
 
-// standsRefused reports whether a request under which a worker has just ended must not go
-// to another one: it has ended enough of them by now, or had no more than a trial.
-func (c *call) standsRefused() bool {
-	return c.underEnd && (c.onTrial || c.standing() == quarantine.Refused)
+// retryQuarantined reports whether a request under which a worker has just exited must not go to
+// another worker: it has ended too many workers, or was only allowed a trial.
+func (c *call) retryQuarantined() bool {
+	return c.workerExited && (c.onTrial || c.quarantineStanding() == quarantine.Refused)
 }
 
-// lookAt finds out whether the worker of an attempt that broke off has ended.
-func (c *call) lookAt(lease *balance.Lease, result outcome) {
+// detectWorkerExit finds out whether the worker of an attempt that broke off has exited.
+func (c *call) detectWorkerExit(lease *balance.Lease, result outcome) {
 	if result != failed || !upstream.Disconnected(c.lastErr) {
 		return
 	}
-	c.underEnd = c.edge.upstream.WorkerExited(c.context, lease.Endpoint, c.sentAt)
-	logging.Info(c.edge.logger, "worker_broke_off", "id", c.id, "request", c.fingerprint(), "worker", lease.Endpoint.ID, "ended", c.underEnd, "last_event", c.lastEvent, "ms", c.elapsed())
-	if c.underEnd {
-		c.edge.metrics.ended.Inc()
+	c.workerExited = c.edge.upstream.WorkerExited(c.context, lease.Endpoint, c.sentAt)
+	logging.Info(c.edge.logger, "worker_broke_off", "id", c.id, "request", c.fingerprint(), "worker", lease.Endpoint.ID, "ended", c.workerExited, "last_event", c.lastEventID, "ms", c.elapsed())
+	if c.workerExited {
+		c.edge.metrics.workerExits.Inc()
 		c.edge.watcher.Quarantine().RecordExit(clock.Now(), c.fingerprint(), lease.Endpoint.ID, c.sentAt)
 	}
 }
 
-// ranWell tells that a worker ran the request to its end. A failure that a worker answered
-// says nothing: it may not have begun.
-func (c *call) ranWell() {
+// recordSuccess records that a worker completed the request. An error response of the worker
+// proves nothing, as the worker may not have started to run the request.
+func (c *call) recordSuccess() {
 	if book := c.edge.watcher.Quarantine(); book.InUse() && c.status < http.StatusBadRequest {
 		book.RecordSuccess(clock.Now(), c.fingerprint())
 	}
 }
 
-// fingerprint returns the request's identity.
+// fingerprint returns the request's fingerprint for quarantine.
 func (c *call) fingerprint() quarantine.Fingerprint {
-	if c.print == 0 {
+	if c.cachedFingerprint == 0 {
 		r := &c.request
-		c.print = quarantine.FingerprintOf(c.tenant.Owner(), r.Host, r.Method, r.Target, r.Body)
+		c.cachedFingerprint = quarantine.FingerprintOf(c.tenant.Owner(), r.Host, r.Method, r.Target, r.Body)
 	}
-	return c.print
+	return c.cachedFingerprint
 }
--- a/internal/edge/queue.go
+++ b/internal/edge/queue.go
@@ -11,303 +11,310 @@
 	"github.com/sedgemast/sedgemast/internal/clock"
 )
 
-// queueBounds limit what waits in one queue: each look reads all claims while it holds the lock,
-// and the bodies stay in memory, of which the smallest process has little.
+// queueBounds limits one queue: each poll reads all entries under the lock, and the bodies stay
+// in memory, of which the smallest process has little.
 var queueBounds = admission.Bounds{Requests: 256, Bytes: 16 << 20}
 
-// poolQueue holds the requests of a pool that wait at this process until a worker has a slot for
-// them. What it decides stands in admission.Queue; it brings in the time, the workers and those
-// who wait. It is safe for concurrent use.
+// poolQueue holds the requests of a pool that wait at this process for a free slot at a worker.
+// admission.Queue makes the decisions; poolQueue provides it with the time, the workers and the
+// waiting requests. It is safe for concurrent use.
 type poolQueue struct {
 	edge *Edge
 	pool string
-	// wake is sent to when the hub has told something.
-	wake chan struct{}
+	// hubUpdated receives a value when the hub has sent an update.
+	hubUpdated chan struct{}
 
 	mutex   sync.Mutex
 	queue   *admission.Queue
-	waiting map[*admission.Entry]*waiter
-	// looking is set while run runs, closed once nobody may wait any more.
-	looking bool
+	waiters map[*admission.Entry]*waiter
+	// polling is set while poll runs, closed once no request may be queued any more.
+	polling bool
 	closed  bool
-	// fullAt is when a request that came found all slots of the pool held.
+	// fullAt is when an arriving request last found all slots of the pool in use.
 	fullAt time.Time
 }
 
-// crowdedTime is for how long after that slots given back are told to the hub at once: about
-// as long as a request waits for one. While slots are free the next report is soon enough.
-const crowdedTime = 250 * time.Millisecond
+// saturationWindow is how long after fullAt released slots are reported to the hub at once: about
+// as long as a request waits for a slot. Otherwise the next regular report is soon enough.
+const saturationWindow = 250 * time.Millisecond
 
-// waiter is a request that waits in a queue, or is about to.
+// waiter is a request that waits in a queue or is about to.
 type waiter struct {
-	claim  admission.Entry
+	entry  admission.Entry
 	demand *balance.Request
-	// left is how long the caller still waited when it came here, longest how long callers of
-	// the route wait when they ask first.
-	left    time.Duration
-	longest time.Duration
-	answers chan answer
+	// timeLeft is the time that the caller had left on arrival, maxTimeLeft the time that callers
+	// of the route have at their first attempt.
+	timeLeft    time.Duration
+	maxTimeLeft time.Duration
+	result      chan queueResult
 }
 
-// answer is what becomes of a request that has waited: a lease or, where there is none, a
-// refusal. Without both there is no worker.
-type answer struct {
-	lease   *balance.Lease
-	choice  *balance.Candidate
-	refusal *refusal
+// queueResult is how a wait in the queue ended: with a lease, with a rejection or, if both are
+// nil, without any worker to choose.
+type queueResult struct {
+	lease     *balance.Lease
+	candidate *balance.Candidate
+	rejection *rejection
 }
 
-// refusal says why a request that came to a queue is refused, and when its caller is to come back.
-type refusal struct {
+// rejection says why a request was rejected by a queue, and when its caller may retry.
+type rejection struct {
 	reason string
-	// judged says why it is sent back, if it is.
-	judged    admission.Reason
-	ahead     int
-	predicted time.Duration
-	comeback  time.Duration
+	// admissionReason is why admission control rejected the request, if it did.
+	admissionReason admission.Reason
+	ahead           int
+	predictedWait   time.Duration
+	retryAfter      time.Duration
 }
 
-// What a request that waited is refused for, beside what admission.Result names.
+// Reasons for rejecting a queued request, beside those of admission.Result.
 const (
 	reasonExpired  = "expired"
 	reasonStopping = "stopping"
 )
 
 func newPoolQueue(e *Edge, pool string) *poolQueue {
-	return &poolQueue{edge: e, pool: pool, wake: make(chan struct{}, 1), queue: admission.NewQueue(queueBounds), waiting: map[*admission.Entry]*waiter{}}
+	return &poolQueue{edge: e, pool: pool, hubUpdated: make(chan struct{}, 1), queue: admission.NewQueue(queueBounds), waiters: map[*admission.Entry]*waiter{}}
 }
 
-// arrival is what was found for a request that came, and what was decided.
-type arrival struct {
-	choice   *balance.Candidate
-	lease    *balance.Lease
-	supply   admission.Supply
-	decision admission.Decision
-	// closed is set where nobody may wait any more.
+// admitResult is what was found and decided for an arriving request.
+type admitResult struct {
+	candidate *balance.Candidate
+	lease     *balance.Lease
+	supply    admission.Supply
+	decision  admission.Decision
+	// closed is set if no request may be queued any more.
 	closed bool
 }
 
-// arrive decides what becomes of a request that came; begin is how long its first event takes
-// at a usual worker. There is no worker if no place is returned.
-func (q *poolQueue) arrive(now time.Time, w *waiter, begin time.Duration) arrival {
+// admit decides what happens to an arriving request; firstEventTime is the time to its first
+// event at a worker of median speed. The result has no candidate if there is no worker.
+func (q *poolQueue) admit(now time.Time, w *waiter, firstEventTime time.Duration) admitResult {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	q.expire(now)
-	found := arrival{choice: q.look(now, w, "")}
-	if found.choice == nil {
-		return found
+	q.rejectExpired(now)
+	result := admitResult{candidate: q.findCandidate(now, w, "")}
+	if result.candidate == nil {
+		return result
 	}
-	if found.choice.Full {
+	if result.candidate.Full {
 		q.fullAt = now
 	}
-	w.claim.FirstEventTime = time.Duration(float64(begin) * found.choice.Slowness)
-	found.supply = q.supply(found.choice, w.claim.Goal)
-	found.decision = q.queue.Admit(now, &admission.Arrival{
-		Entry:       &w.claim,
-		Candidate:   offerOf(found.choice),
-		Supply:      found.supply,
-		TimeLeft:    w.left,
-		MaxTimeLeft: w.longest,
+	w.entry.FirstEventTime = time.Duration(float64(firstEventTime) * result.candidate.Slowness)
+	result.supply = q.supply(result.candidate, w.entry.Goal)
+	result.decision = q.queue.Admit(now, &admission.Arrival{
+		Entry:       &w.entry,
+		Candidate:   admissionCandidate(result.candidate),
+		Supply:      result.supply,
+		TimeLeft:    w.timeLeft,
+		MaxTimeLeft: w.maxTimeLeft,
 	}, rand.Float64())
-	for i := range found.decision.Displaced {
-		displaced := &found.decision.Displaced[i]
-		q.refuse(displaced.Entry, refusalOf(&displaced.Decision))
+	for i := range result.decision.Displaced {
+		displaced := &result.decision.Displaced[i]
+		q.reject(displaced.Entry, rejectionFrom(&displaced.Decision))
 	}
-	switch found.decision.Result {
+	switch result.decision.Result {
 	case admission.Dispatched:
-		found.lease = q.edge.workers.AcquireCandidate(now, w.demand, found.choice)
+		result.lease = q.edge.workers.AcquireCandidate(now, w.demand, result.candidate)
 	case admission.Queued:
 		if q.closed {
-			q.queue.Remove(&w.claim)
-			found.closed = true
+			q.queue.Remove(&w.entry)
+			result.closed = true
 			break
 		}
-		q.waiting[&w.claim] = w
-		q.serveFirst(now, "")
-		q.start()
+		q.waiters[&w.entry] = w
+		q.dispatchFirst(now, "")
+		q.startPolling()
 	}
-	q.measure()
-	return found
+	q.updateLengthMetric()
+	return result
 }
 
-func refusalOf(decision *admission.Decision) *refusal {
-	return &refusal{reason: decision.Result.String(), judged: decision.Reason, ahead: decision.Ahead, predicted: decision.Predicted, comeback: decision.RetryAfter}
+func rejectionFrom(decision *admission.Decision) *rejection {
+	return &rejection{reason: decision.Result.String(), admissionReason: decision.Reason, ahead: decision.Ahead, predictedWait: decision.Predicted, retryAfter: decision.RetryAfter}
 }
 
-// look returns the best place for the request, or nil if there is no worker.
-func (q *poolQueue) look(now time.Time, w *waiter, given string) *balance.Candidate {
-	return q.edge.workers.FindCandidate(now, w.demand, balance.SearchOptions{Peers: q.edge.peers(), ReleasedWorker: given})
+// findCandidate returns the best worker for the request, or nil if there is none.
+func (q *poolQueue) findCandidate(now time.Time, w *waiter, releasedWorker string) *balance.Candidate {
+	return q.edge.workers.FindCandidate(now, w.demand, balance.SearchOptions{Peers: q.edge.edgeCount(), ReleasedWorker: releasedWorker})
 }
 
-func offerOf(choice *balance.Candidate) admission.Candidate {
-	return admission.Candidate{Full: choice.Full, Wait: choice.Wait, MaxWait: choice.MaxWait, Spare: choice.Spare, LeftToPeers: choice.LeftToPeers}
+func admissionCandidate(candidate *balance.Candidate) admission.Candidate {
+	return admission.Candidate{Full: candidate.Full, Wait: candidate.Wait, MaxWait: candidate.MaxWait, Spare: candidate.Spare, LeftToPeers: candidate.LeftToPeers}
 }
 
-// supply returns what this process can expect of the pool.
-func (q *poolQueue) supply(choice *balance.Candidate, goal time.Duration) admission.Supply {
+// supply returns the capacity that this process can expect of the pool.
+func (q *poolQueue) supply(candidate *balance.Candidate, goal time.Duration) admission.Supply {
 	return admission.Supply{
-		Throughput:       q.edge.workers.Throughput(q.pool, q.edge.peers()),
-		OverloadTimeLeft: q.edge.overload(q.pool, choice.Wait, goal),
+		Throughput:       q.edge.workers.Throughput(q.pool, q.edge.edgeCount()),
+		OverloadTimeLeft: q.edge.overloadTimeLeft(q.pool, candidate.Wait, goal),
 	}
 }
 
-// serve sends what waits to workers while there is room. given is the worker at which a slot
-// was given back, if any.
-func (q *poolQueue) serve(now time.Time, given string) (sent bool) {
+// dispatch sends the first queued request to a worker if one has capacity, and reports whether
+// the request left the queue. releasedWorker is the worker at which a slot was just released, if
+// any.
+func (q *poolQueue) dispatch(now time.Time, releasedWorker string) (sent bool) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	q.expire(now)
-	sent = q.serveFirst(now, given)
-	q.measure()
+	q.rejectExpired(now)
+	sent = q.dispatchFirst(now, releasedWorker)
+	q.updateLengthMetric()
 	return sent
 }
 
-// serveFirst sends the request that goes first, if there is room for it.
-func (q *poolQueue) serveFirst(now time.Time, given string) bool {
+// dispatchFirst sends the request at the head of the queue to a worker if one has capacity. If
+// the pool has no worker at all, it resolves the request without a lease.
+func (q *poolQueue) dispatchFirst(now time.Time, releasedWorker string) bool {
 	first := q.queue.First(now)
 	if first == nil {
 		return false
 	}
-	w := q.waiting[first]
-	choice := q.look(now, w, given)
-	if choice == nil {
+	w := q.waiters[first]
+	candidate := q.findCandidate(now, w, releasedWorker)
+	if candidate == nil {
 		q.queue.Remove(first)
-		q.answer(first, answer{})
+		q.resolve(first, queueResult{})
 		return true
 	}
-	if !q.queue.TryDispatch(now, first, offerOf(choice)) {
+	if !q.queue.TryDispatch(now, first, admissionCandidate(candidate)) {
 		return false
 	}
-	q.answer(first, answer{choice: choice, lease: q.edge.workers.AcquireCandidate(now, w.demand, choice)})
+	q.resolve(first, queueResult{candidate: candidate, lease: q.edge.workers.AcquireCandidate(now, w.demand, candidate)})
 	return true
 }
 
-// expire refuses those whose callers have left by now: the clock counts suspensions, so that
-// a process that was frozen sends nothing whose time is over.
-func (q *poolQueue) expire(now time.Time) {
-	for _, claim := range q.queue.RemoveExpired(now) {
-		q.refuse(claim, &refusal{reason: reasonExpired, comeback: spread(admission.MinRetryAfter)})
+// rejectExpired rejects the requests whose callers no longer wait. The clock includes
+// suspensions, so a process that was suspended sends no expired request.
+func (q *poolQueue) rejectExpired(now time.Time) {
+	for _, entry := range q.queue.RemoveExpired(now) {
+		q.reject(entry, &rejection{reason: reasonExpired, retryAfter: jitter(admission.MinRetryAfter)})
 	}
 }
 
-// spread returns a time from the least to twice as much by lot: who is refused at one moment is
-// not to come back at one.
-func spread(least time.Duration) time.Duration { return least + rand.N(least) }
+// jitter returns a random time between minimum and twice that: requests that are rejected
+// together should not be retried together.
+func jitter(minimum time.Duration) time.Duration { return minimum + rand.N(minimum) }
 
-func (q *poolQueue) refuse(claim *admission.Entry, r *refusal) { q.answer(claim, answer{refusal: r}) }
+func (q *poolQueue) reject(entry *admission.Entry, r *rejection) {
+	q.resolve(entry, queueResult{rejection: r})
+}
 
-// answer ends the wait of a request that is not in the queue any more.
-func (q *poolQueue) answer(claim *admission.Entry, a answer) {
-	if w := q.waiting[claim]; w != nil {
-		delete(q.waiting, claim)
-		w.answers <- a
+// resolve ends the wait of a request that was removed from the queue.
+func (q *poolQueue) resolve(entry *admission.Entry, result queueResult) {
+	if w := q.waiters[entry]; w != nil {
+		delete(q.waiters, entry)
+		w.result <- result
 	}
 }
 
-// leave takes a request out whose caller has gone. It returns the answer that came before.
-func (q *poolQueue) leave(w *waiter) (answer, bool) {
+// remove removes a request whose caller has disconnected. If the request was resolved before, it
+// returns that result and true.
+func (q *poolQueue) remove(w *waiter) (queueResult, bool) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	if q.queue.Remove(&w.claim) {
-		delete(q.waiting, &w.claim)
-		q.measure()
-		return answer{}, false
+	if q.queue.Remove(&w.entry) {
+		delete(q.waiters, &w.entry)
+		q.updateLengthMetric()
+		return queueResult{}, false
 	}
-	return <-w.answers, true
+	return <-w.result, true
 }
 
-// close refuses all that wait, and whoever would have to wait from now on.
+// close rejects all queued requests, and makes later ones that would have to wait be rejected
+// too.
 func (q *poolQueue) close() {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.closed = true
-	for claim := range q.waiting {
-		q.queue.Remove(claim)
-		q.refuse(claim, &refusal{reason: reasonStopping, comeback: spread(shortRetry)})
+	for entry := range q.waiters {
+		q.queue.Remove(entry)
+		q.reject(entry, &rejection{reason: reasonStopping, retryAfter: jitter(shortRetryAfter)})
 	}
-	q.measure()
+	q.updateLengthMetric()
 }
 
-func (q *poolQueue) measure() {
+func (q *poolQueue) updateLengthMetric() {
 	q.edge.metrics.queueLength.WithLabelValues(q.pool).Set(float64(q.queue.Len()))
 }
 
-// start lets a goroutine look for room while something waits.
-func (q *poolQueue) start() {
-	if !q.looking && q.queue.Len() > 0 {
-		q.looking = true
-		go q.run(q.edge.daemon.Context())
+// startPolling starts a goroutine that polls for capacity while requests are queued.
+func (q *poolQueue) startPolling() {
+	if !q.polling && q.queue.Len() > 0 {
+		q.polling = true
+		go q.poll(q.edge.daemon.Context())
 	}
 }
 
-// run looks for room at intervals and when the hub has told something, until nothing waits.
-func (q *poolQueue) run(ctx context.Context) {
+// poll looks for capacity at intervals and after updates of the hub, until the queue is empty.
+func (q *poolQueue) poll(ctx context.Context) {
 	timer := time.NewTimer(balance.PollInterval)
 	defer timer.Stop()
-	last := time.Now()
-	for q.goesOn() {
-		asks := true
+	lastPoll := time.Now()
+	for q.continuePolling() {
+		query := true
 		select {
 		case <-ctx.Done():
 			q.close()
 			continue
 		case <-timer.C:
-		case <-q.wake:
-			if time.Since(last) < balance.PollInterval/2 {
-				// It is what was asked for a moment ago, or much is told at once.
+		case <-q.hubUpdated:
+			if time.Since(lastPoll) < balance.PollInterval/2 {
+				// The update answers the last poll's query, or updates arrive in quick succession.
 				continue
 			}
-			asks = false
+			query = false
 		}
-		for sent := true; sent; asks = true {
-			if asks {
-				q.ask(ctx)
+		for sent := true; sent; query = true {
+			if query {
+				q.queryLoads(ctx)
 			}
-			sent = q.serve(clock.Now(), "")
+			sent = q.dispatch(clock.Now(), "")
 		}
-		last = time.Now()
+		lastPoll = time.Now()
 		timer.Reset(balance.PollInterval)
 	}
 }
 
-// goesOn reports whether something waits. If not, the next that waits starts the look anew.
-func (q *poolQueue) goesOn() bool {
+// continuePolling reports whether requests are queued. If not, the next queued request starts a
+// new poll goroutine.
+func (q *poolQueue) continuePolling() bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	q.looking = q.queue.Len() > 0
-	return q.looking
+	q.polling = q.queue.Len() > 0
+	return q.polling
 }
 
-// ask asks the hub what the others have, for the request that goes first.
-func (q *poolQueue) ask(ctx context.Context) {
+// queryLoads asks the hub for the loads of the peers, for the request at the head of the queue.
+func (q *poolQueue) queryLoads(ctx context.Context) {
 	q.mutex.Lock()
 	first := q.queue.First(clock.Now())
 	if first == nil {
 		q.mutex.Unlock()
 		return
 	}
-	demand := q.waiting[first].demand
+	demand := q.waiters[first].demand
 	q.mutex.Unlock()
-	q.edge.loads.Query(ctx, newsPatience, q.edge.workers.AffinityWorkers(demand), demand.Repeatable)
+	q.edge.loads.Query(ctx, loadQueryTimeout, q.edge.workers.AffinityWorkers(demand), demand.Repeatable)
 }
 
-// usesQueue reports whether requests of the pool wait in a queue of this process: where the
-// configuration names tenants, or the workers tell their pace.
+// usesQueue reports whether requests of the pool wait in a queue of this process: if the
+// configuration names tenants, or the workers report their pace.
 func (e *Edge) usesQueue(pool string) bool {
 	return e.Table().RequiresKeys() || e.workers.ReportsPace(pool)
 }
 
-// queueOf returns the pool's queue.
-func (e *Edge) queueOf(pool string) *poolQueue {
+// queueFor returns the pool's queue.
+func (e *Edge) queueFor(pool string) *poolQueue {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	known := e.poolQueues[pool]
-	if known == nil {
-		known = newPoolQueue(e, pool)
-		known.closed = e.queuesClosed
-		e.poolQueues[pool] = known
+	queue := e.poolQueues[pool]
+	if queue == nil {
+		queue = newPoolQueue(e, pool)
+		queue.closed = e.queuesClosed
+		e.poolQueues[pool] = queue
 	}
-	return known
+	return queue
 }
 
 // allQueues returns the queues of all pools.
@@ -315,56 +322,57 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	all := make([]*poolQueue, 0, len(e.poolQueues))
-	for _, known := range e.poolQueues {
-		all = append(all, known)
+	for _, queue := range e.poolQueues {
+		all = append(all, queue)
 	}
 	return all
 }
 
-// peers returns how many processes choose workers for callers, this one included.
-func (e *Edge) peers() int { return max(e.watcher.Current().Fleet.Edges, 1) }
+// edgeCount returns the number of processes that choose workers for callers, this one included.
+func (e *Edge) edgeCount() int { return max(e.watcher.Current().Fleet.Edges, 1) }
 
-// released takes in that a request of this process has given its slot back at the worker.
-// Nobody else knows of it yet, so it goes to who waits here.
-func (e *Edge) released(pool, worker string) {
+// slotReleased handles a slot of the worker that a request of this process has released. No other
+// process knows about the slot yet, so a request queued here may take it.
+func (e *Edge) slotReleased(pool, worker string) {
 	e.mutex.Lock()
-	known := e.poolQueues[pool]
+	queue := e.poolQueues[pool]
 	e.mutex.Unlock()
-	if known == nil {
+	if queue == nil {
 		return
 	}
 	now := clock.Now()
-	if !known.serve(now, worker) && known.crowded(now) {
-		// Others wait for the slot, and would not hear of it before the next report.
+	if !queue.dispatch(now, worker) && queue.recentlyFull(now) {
+		// Requests at other edges wait for the slot, and would otherwise learn of it only with the
+		// next report.
 		e.loads.Report()
 	}
 }
 
-// crowded reports whether all slots of the pool were held a moment ago.
-func (q *poolQueue) crowded(now time.Time) bool {
+// recentlyFull reports whether all slots of the pool were in use within saturationWindow.
+func (q *poolQueue) recentlyFull(now time.Time) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return !q.fullAt.IsZero() && now.Sub(q.fullAt) < crowdedTime
+	return !q.fullAt.IsZero() && now.Sub(q.fullAt) < saturationWindow
 }
 
-// heard takes in that the hub has told something.
-func (e *Edge) heard() {
-	for _, known := range e.allQueues() {
+// wakeQueues makes all queues look for capacity after an update of the hub.
+func (e *Edge) wakeQueues() {
+	for _, queue := range e.allQueues() {
 		select {
-		case known.wake <- struct{}{}:
+		case queue.hubUpdated <- struct{}{}:
 		default:
-			// It has not looked since the last news.
+			// The queue has not handled the previous update yet.
 		}
 	}
 }
 
-// closeQueues is the last step before the server stops: all that wait get their answer, and
-// ask another process.
+// closeQueues is the last step before the server stops: it rejects all queued requests, so that
+// their callers retry at another process.
 func (e *Edge) closeQueues(context.Context) {
 	e.mutex.Lock()
 	e.queuesClosed = true
 	e.mutex.Unlock()
-	for _, known := range e.allQueues() {
-		known.close()
+	for _, queue := range e.allQueues() {
+		queue.close()
 	}
 }
--- a/internal/edge/queue_test.go
+++ b/internal/edge/queue_test.go
@@ -29,71 +29,71 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// queueFixture is an edge before one worker that runs one request at a time, as the edge is
-// told, and ends a request when the test says so.
+// queueFixture is an edge with one worker, which completes requests only when the test allows it.
+// The edge is told the worker's slots, one by default.
 type queueFixture struct {
 	server *httptest.Server
 	edge   *Edge
-	worker *heldWorker
+	worker *blockingWorker
 	log    *lockedBuffer
 }
 
-// heldWorker holds all requests until end is closed, and answers each with one event.
-type heldWorker struct {
-	server *httptest.Server
-	end    chan struct{}
-	// pause is how long it takes for each request after that.
-	pause time.Duration
-	mutex sync.Mutex
-	seen  []string
-	// running counts the requests that are there, most those that were there at once.
-	running int
-	most    int
+// blockingWorker blocks all requests until unblock is closed, and answers each with one event.
+type blockingWorker struct {
+	server  *httptest.Server
+	unblock chan struct{}
+	// runTime is how long each request takes after that.
+	runTime    time.Duration
+	mutex      sync.Mutex
+	requestIDs []string
+	// running counts the requests at the worker, maxRunning is their highest number.
+	running    int
+	maxRunning int
 }
 
-func startHeldWorker(t *testing.T) *heldWorker {
+func startBlockingWorker(t *testing.T) *blockingWorker {
 	t.Helper()
-	w := &heldWorker{end: make(chan struct{})}
+	w := &blockingWorker{unblock: make(chan struct{})}
 	w.server = httptest.NewServer(w)
 	t.Cleanup(w.server.Close)
 	return w
 }
 
 // ServeHTTP implements http.Handler.
-func (w *heldWorker) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+func (w *blockingWorker) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	id := request.Header.Get("Request-Id")
 	w.count(id)
 	defer w.count("")
 	select {
-	case <-w.end:
+	case <-w.unblock:
 	case <-request.Context().Done():
 		return
 	}
-	time.Sleep(w.pause)
+	time.Sleep(w.runTime)
 	writer.Header().Set("Request-Id", id)
 	writer.Header().Set("Content-Type", "text/event-stream")
-	// A failed write means that the caller has gone.
+	// A failed write means that the caller has disconnected.
 	_, _ = io.WriteString(writer, "id: 1\ndata: x\n\n")
 }
 
-// count takes in a request that came, or without an id one that ended.
-func (w *heldWorker) count(id string) {
+// count records the arrival of a request or, with an empty id, the end of one.
+func (w *blockingWorker) count(id string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if id == "" {
 		w.running--
 		return
 	}
-	w.seen = append(w.seen, id)
+	w.requestIDs = append(w.requestIDs, id)
 	w.running++
-	w.most = max(w.most, w.running)
+	w.maxRunning = max(w.maxRunning, w.running)
 }
 
-// Seen returns the ids of the requests that came.
-func (w *heldWorker) Seen() []string {
+// RequestIDs returns the ids of the requests that arrived.
+func (w *blockingWorker) RequestIDs() []string {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return slices.Clone(w.seen)
+	return slices.Clone(w.requestIDs)
 }
 
 // lockedBuffer is a log that may be read while it is written.
@@ -109,7 +109,7 @@
 	return b.text.Write(line)
 }
 
-// events returns the names of what was logged of the request, in order.
+// events returns the names of the request's log events, in order.
 func (b *lockedBuffer) events(id string) (events []string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -124,19 +124,20 @@
 	return events
 }
 
-// startQueue runs an edge whose requests wait in a queue, if tenants are named.
+// startQueue runs an edge whose requests wait in a queue if tenants are given.
 func startQueue(t *testing.T, tenants ...routetable.Tenant) *queueFixture {
 	t.Helper()
-	return startLineAt(t, startHeldWorker(t), "edge-1", 1, tenants...)
+	return startQueueAt(t, startBlockingWorker(t), "edge-1", 1, tenants...)
 }
 
-// startLineAt runs an edge of the name that is told so many slots of the worker.
-func startLineAt(t *testing.T, worker *heldWorker, name string, slots int, tenants ...routetable.Tenant) *queueFixture {
+// startQueueAt runs an edge of the given name that is told the given number of slots of the
+// worker.
+func startQueueAt(t *testing.T, worker *blockingWorker, name string, slots int, tenants ...routetable.Tenant) *queueFixture {
 	t.Helper()
-	route := stream(false, 1)
+	route := streamRoute(false, 1)
 	route.Public = true
-	// Callers bear as long as a test waits.
-	route.GapGoalMillis = patience.Milliseconds() / 8
+	// Callers wait as long as a test does.
+	route.GapGoalMillis = testTimeout.Milliseconds() / 8
 	configuration := &routetable.Configuration{
 		Version: 1,
 		Routes:  []routetable.Route{route},
@@ -157,10 +158,10 @@
 	config.Name = name
 	config.Seeds = []string{startCoordinator(t, configuration, listed)}
 	config.UnreadyTime = settings.Duration(10 * time.Millisecond)
-	f.edge = New(d, config, standInNames())
-	for end := time.Now().Add(patience); !f.edge.daemon.Ready(); time.Sleep(time.Millisecond) {
+	f.edge = New(d, config, testHeaderNames())
+	for end := time.Now().Add(testTimeout); !f.edge.daemon.Ready(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the edge does not become ready")
+			t.Fatal("the edge did not become ready")
 		}
 	}
 	f.server = httptest.NewServer(f.edge)
@@ -168,44 +169,44 @@
 	return f
 }
 
-var someTenant = routetable.Tenant{Name: "t"}
+var testTenant = routetable.Tenant{Name: "t"}
 
-// answered is how a request ended.
-type answered struct {
+// callResult is how a request ended.
+type callResult struct {
 	id     string
 	status int
 	retry  string
 	err    error
 }
 
-// ask sends a request; how it ended comes over the channel.
-func (f *queueFixture) ask(ctx context.Context, t *testing.T, id string, answers chan<- answered) {
+// sendAsync sends a request whose result is sent to the channel.
+func (f *queueFixture) sendAsync(ctx context.Context, t *testing.T, id string, answers chan<- callResult) {
 	t.Helper()
 	go func() {
-		status, header, _, err := send(ctx, t, f.server, id, 1, patience)
-		answers <- answered{id, status, header.Get("Retry-After"), err}
+		status, header, _, err := send(ctx, t, f.server, id, 1, testTimeout)
+		answers <- callResult{id, status, header.Get("Retry-After"), err}
 	}()
 }
 
-// hold lets requests hang at the worker, and returns how to end them. All that come after the
-// end run at once.
-func (f *queueFixture) hold(t *testing.T) (release func()) {
+// block makes requests hang at the worker until release is called. Requests that arrive later run
+// at once.
+func (f *queueFixture) block(t *testing.T) (release func()) {
 	t.Helper()
 	var once sync.Once
-	release = func() { once.Do(func() { close(f.worker.end) }) }
+	release = func() { once.Do(func() { close(f.worker.unblock) }) }
 	t.Cleanup(release)
 	return release
 }
 
-// waits returns how many requests wait in the queue.
-func (f *queueFixture) waits() int {
-	known := f.edge.queueOf("p")
-	known.mutex.Lock()
-	defer known.mutex.Unlock()
-	return known.queue.Len()
+// queuedCount returns the number of requests in the queue.
+func (f *queueFixture) queuedCount() int {
+	queue := f.edge.queueFor("p")
+	queue.mutex.Lock()
+	defer queue.mutex.Unlock()
+	return queue.queue.Len()
 }
 
-// inFlight returns how many requests the edge has at the worker.
+// inFlight returns the number of requests that the edge has at the worker.
 func (f *queueFixture) inFlight() int {
 	count := 0
 	for _, load := range f.edge.workers.Loads() {
@@ -231,30 +232,30 @@
 	return 0
 }
 
-// occupy sends a request that holds the only slot, and count more that have to wait.
-func (f *queueFixture) occupy(ctx context.Context, t *testing.T, count int, answers chan<- answered) {
+// occupy sends a request that takes the only slot, and count more that have to wait.
+func (f *queueFixture) occupy(ctx context.Context, t *testing.T, count int, answers chan<- callResult) {
 	t.Helper()
-	f.ask(context.Background(), t, "first", answers)
-	await(t, "the first request", func() bool { return f.inFlight() == 1 })
+	f.sendAsync(context.Background(), t, "first", answers)
+	waitFor(t, "the first request", func() bool { return f.inFlight() == 1 })
 	for i := range count {
-		f.ask(ctx, t, strconv.Itoa(i), answers)
-		await(t, "a request that waits", func() bool { return f.waits() == i+1 })
+		f.sendAsync(ctx, t, strconv.Itoa(i), answers)
+		waitFor(t, "a queued request", func() bool { return f.queuedCount() == i+1 })
 	}
 }
 
-// TestWaitingRequestsAreSent lets requests wait at the edge for the only slot: the worker gets
-// them one by one, and each is told of by the log and counted.
+// TestWaitingRequestsAreSent checks that requests that wait for the only slot go to the worker
+// one by one, and that each is logged and counted.
 func TestWaitingRequestsAreSent(t *testing.T) {
 	const count = 5
-	f := startQueue(t, someTenant)
-	release := f.hold(t)
-	answers := make(chan answered, count+1)
+	f := startQueue(t, testTenant)
+	release := f.block(t)
+	answers := make(chan callResult, count+1)
 	f.occupy(context.Background(), t, count, answers)
 	if at := f.inFlight(); at != 1 {
 		t.Errorf("%d requests are at a worker of one slot", at)
 	}
 	if length := f.metric(t, "edge_queue_length", "p"); length != count {
-		t.Errorf("the length told is %g", length)
+		t.Errorf("the queue length metric is %g", length)
 	}
 	release()
 	for range count + 1 {
@@ -262,28 +263,28 @@
 			t.Errorf("%+v", a)
 		}
 	}
-	if seen := len(f.worker.Seen()); seen != count+1 || f.waits() != 0 {
-		t.Errorf("%d were run, %d wait", seen, f.waits())
+	if seen := len(f.worker.RequestIDs()); seen != count+1 || f.queuedCount() != 0 {
+		t.Errorf("%d requests ran, %d still wait", seen, f.queuedCount())
 	}
 	if got := strings.Join(f.log.events("0"), " "); got != "queue_decided queue_sent request_done" {
 		t.Errorf("logged: %s", got)
 	}
 	if sent := f.metric(t, "edge_queue_requests_total", "sent"); sent != count {
-		t.Errorf("%g are counted as sent", sent)
+		t.Errorf("%g requests are counted as sent", sent)
 	}
 }
 
-// TestWithoutTenantsNothingWaits sends the same requests where the queue is off: all go to the
-// worker's own queue.
-func TestWithoutTenantsNothingWaits(t *testing.T) {
+// TestNoQueueWithoutTenants checks that without tenants all requests go to the worker's own
+// queue.
+func TestNoQueueWithoutTenants(t *testing.T) {
 	const count = 5
 	f := startQueue(t)
-	release := f.hold(t)
-	answers := make(chan answered, count)
+	release := f.block(t)
+	answers := make(chan callResult, count)
 	for i := range count {
-		f.ask(context.Background(), t, strconv.Itoa(i), answers)
+		f.sendAsync(context.Background(), t, strconv.Itoa(i), answers)
 	}
-	await(t, "all requests at the worker", func() bool { return f.inFlight() == count })
+	waitFor(t, "all requests at the worker", func() bool { return f.inFlight() == count })
 	release()
 	for range count {
 		if a := <-answers; a.err != nil || a.status != http.StatusOK {
@@ -292,61 +293,61 @@
 	}
 }
 
-// TestGoneCallersLeaveTheLine ends the callers of waiting requests: they are out at once, and
-// no worker sees them.
-func TestGoneCallersLeaveTheLine(t *testing.T) {
+// TestDisconnectedCallersLeaveTheQueue checks that queued requests are removed at once when their
+// callers disconnect, and reach no worker.
+func TestDisconnectedCallersLeaveTheQueue(t *testing.T) {
 	const count = 3
-	f := startQueue(t, someTenant)
-	release := f.hold(t)
-	answers := make(chan answered, count+1)
+	f := startQueue(t, testTenant)
+	release := f.block(t)
+	answers := make(chan callResult, count+1)
 	ctx, cancel := context.WithCancel(context.Background())
 	f.occupy(ctx, t, count, answers)
 	cancel()
-	await(t, "an empty queue", func() bool { return f.waits() == 0 })
+	waitFor(t, "an empty queue", func() bool { return f.queuedCount() == 0 })
 	release()
 	for range count + 1 {
 		if a := <-answers; (a.err == nil) != (a.id == "first") {
 			t.Errorf("%+v", a)
 		}
 	}
-	if seen := len(f.worker.Seen()); seen != 1 {
-		t.Errorf("%d were run", seen)
+	if seen := len(f.worker.RequestIDs()); seen != 1 {
+		t.Errorf("%d requests ran, want 1", seen)
 	}
 	if at := f.inFlight(); at != 0 {
 		t.Errorf("%d slots are still held", at)
 	}
 }
 
-// TestStopAnswersTheQueue stops the process with a full queue: all that wait are told that
-// nothing ran and when to come back, before what runs has ended. Who would have to wait after
-// that is refused as well.
-func TestStopAnswersTheQueue(t *testing.T) {
+// TestStopRejectsQueuedRequests checks that a stopping process rejects all queued requests as not
+// run, with Retry-After, before the running request has ended. A later request that would have to
+// wait is rejected too.
+func TestStopRejectsQueuedRequests(t *testing.T) {
 	const count = 20
-	f := startQueue(t, someTenant)
-	release := f.hold(t)
-	answers := make(chan answered, count+2)
+	f := startQueue(t, testTenant)
+	release := f.block(t)
+	answers := make(chan callResult, count+2)
 	f.occupy(context.Background(), t, count, answers)
 	ran := make(chan error, 1)
 	go func() { ran <- f.edge.daemon.Run() }()
-	await(t, "the daemon", func() bool { return f.edge.daemon.Ready() })
+	waitFor(t, "the daemon", func() bool { return f.edge.daemon.Ready() })
 	stopped := make(chan error, 1)
 	go func() { stopped <- f.edge.daemon.Stop() }()
-	refused := func() {
+	expectRejected := func() {
 		if a := <-answers; a.err != nil || a.status != http.StatusServiceUnavailable || a.retry == "" {
 			t.Errorf("%+v", a)
 		}
 	}
 	for range count {
-		refused()
+		expectRejected()
 	}
-	f.ask(context.Background(), t, "later", answers)
-	refused()
+	f.sendAsync(context.Background(), t, "later", answers)
+	expectRejected()
 	release()
 	if a := <-answers; a.id != "first" || a.status != http.StatusOK {
 		t.Errorf("%+v", a)
 	}
-	if seen := len(f.worker.Seen()); seen != 1 {
-		t.Errorf("%d were run", seen)
+	if seen := len(f.worker.RequestIDs()); seen != 1 {
+		t.Errorf("%d requests ran, want 1", seen)
 	}
 	for _, end := range []chan error{stopped, ran} {
 		if err := <-end; err != nil {
@@ -355,73 +356,73 @@
 	}
 }
 
-// TestRefusalsOfTheQueueEndConnections refuses requests of the queue before and while the process
-// stops: then their callers are to take other connections.
-func TestRefusalsOfTheQueueEndConnections(t *testing.T) {
-	f := startQueue(t, someTenant)
-	refuse := func() string {
+// TestQueueRejectionClosesConnectionWhenStopping checks that a rejection by the queue tells the
+// caller to close its connection only while the process stops.
+func TestQueueRejectionClosesConnectionWhenStopping(t *testing.T) {
+	f := startQueue(t, testTenant)
+	reject := func() string {
 		recorder := httptest.NewRecorder()
-		f.call(recorder, patience, patience).refuseQueued(&refusal{reason: reasonStopping, comeback: shortRetry})
+		f.call(recorder, testTimeout, testTimeout).rejectQueued(&rejection{reason: reasonStopping, retryAfter: shortRetryAfter})
 		return recorder.Header().Get("Connection")
 	}
-	if got := refuse(); got != "" {
-		t.Errorf("told %q while it serves", got)
+	if got := reject(); got != "" {
+		t.Errorf("Connection header %q while the process serves", got)
 	}
 	ran := make(chan error, 1)
 	go func() { ran <- f.edge.daemon.Run() }()
-	await(t, "the daemon", func() bool { return f.edge.daemon.Ready() })
+	waitFor(t, "the daemon", func() bool { return f.edge.daemon.Ready() })
 	if err := f.edge.daemon.Stop(); err != nil {
 		t.Error(err)
 	}
-	if got := refuse(); got != "close" {
-		t.Errorf("told %q while it stops", got)
+	if got := reject(); got != "close" {
+		t.Errorf("Connection header %q while the process stops", got)
 	}
 	if err := <-ran; err != nil {
 		t.Error(err)
 	}
 }
 
-// TestComebacksOfTheLineAreSpread refuses all that wait, because their time is over or because
-// the process stops: they are to come back within a time, not at one moment.
-func TestComebacksOfTheLineAreSpread(t *testing.T) {
+// TestQueueRetryAfterIsJittered checks that the retry times of requests that are rejected
+// together, as expired or because the process stops, are spread over an interval.
+func TestQueueRetryAfterIsJittered(t *testing.T) {
 	const count = 20
-	f := startQueue(t, someTenant)
+	f := startQueue(t, testTenant)
 	for _, test := range []struct {
-		least  time.Duration
-		refuse func(l *poolQueue)
+		minimum time.Duration
+		reject  func(q *poolQueue)
 	}{
-		{admission.MinRetryAfter, func(l *poolQueue) { l.expire(clock.Now().Add(time.Hour)) }},
-		{shortRetry, (*poolQueue).close},
+		{admission.MinRetryAfter, func(q *poolQueue) { q.rejectExpired(clock.Now().Add(time.Hour)) }},
+		{shortRetryAfter, (*poolQueue).close},
 	} {
-		l := newPoolQueue(f.edge, "p")
-		turns := make([]*waiter, 0, count)
+		q := newPoolQueue(f.edge, "p")
+		waiters := make([]*waiter, 0, count)
 		for range count {
-			turn, _ := f.call(httptest.NewRecorder(), patience, patience).newWaiter()
-			l.queue.Admit(clock.Now(), &admission.Arrival{Entry: &turn.claim, Candidate: admission.Candidate{LeftToPeers: true}}, 0)
-			l.waiting[&turn.claim] = turn
-			turns = append(turns, turn)
+			w, _ := f.call(httptest.NewRecorder(), testTimeout, testTimeout).newWaiter()
+			q.queue.Admit(clock.Now(), &admission.Arrival{Entry: &w.entry, Candidate: admission.Candidate{LeftToPeers: true}}, 0)
+			q.waiters[&w.entry] = w
+			waiters = append(waiters, w)
 		}
-		test.refuse(l)
+		test.reject(q)
 		seen := map[time.Duration]bool{}
-		for _, turn := range turns {
-			a := <-turn.answers
-			if a.refusal == nil || a.refusal.comeback < test.least || a.refusal.comeback >= 2*test.least {
-				t.Fatalf("%+v", a.refusal)
+		for _, w := range waiters {
+			a := <-w.result
+			if a.rejection == nil || a.rejection.retryAfter < test.minimum || a.rejection.retryAfter >= 2*test.minimum {
+				t.Fatalf("%+v", a.rejection)
 			}
-			seen[a.refusal.comeback] = true
+			seen[a.rejection.retryAfter] = true
 		}
 		if len(seen) < count/2 {
-			t.Errorf("%s at least: %d comebacks of %d differ", test.least, len(seen), count)
+			t.Errorf("minimum %s: %d of %d retry times differ", test.minimum, len(seen), count)
 		}
 	}
 }
 
-// TestGoneCallersGiveTokensBack lets callers go who were granted a token: it is given back
-// where nothing may have run.
-func TestGoneCallersGiveTokensBack(t *testing.T) {
-	f := startQueue(t, someTenant)
+// TestDisconnectReleasesToken checks that the token of a disconnected caller is returned if
+// nothing may have run.
+func TestDisconnectReleasesToken(t *testing.T) {
+	f := startQueue(t, testTenant)
 	for _, mayHaveRun := range []bool{false, true} {
-		c := f.call(httptest.NewRecorder(), patience, patience)
+		c := f.call(httptest.NewRecorder(), testTimeout, testTimeout)
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		c.context, c.hasToken, c.mayHaveRun = ctx, true, mayHaveRun
@@ -432,15 +433,15 @@
 	}
 }
 
-// TestFrozenProcessSendsNothingLate looks for room as a process does that was suspended until
-// the time of all that wait is over, while a slot is free: none goes to the worker.
-func TestFrozenProcessSendsNothingLate(t *testing.T) {
+// TestSuspendedProcessDispatchesNothingExpired checks that a process that was suspended until all
+// queued requests expired sends none of them to a worker, though a slot is free.
+func TestSuspendedProcessDispatchesNothingExpired(t *testing.T) {
 	const count = 5
-	f := startQueue(t, someTenant)
-	release := f.hold(t)
-	answers := make(chan answered, count+1)
+	f := startQueue(t, testTenant)
+	release := f.block(t)
+	answers := make(chan callResult, count+1)
 	f.occupy(context.Background(), t, count, answers)
-	f.edge.queueOf("p").serve(clock.Now().Add(time.Hour), "w-0")
+	f.edge.queueFor("p").dispatch(clock.Now().Add(time.Hour), "w-0")
 	for range count {
 		if a := <-answers; a.err != nil || a.status != http.StatusServiceUnavailable || a.retry == "" {
 			t.Errorf("%+v", a)
@@ -448,21 +449,21 @@
 	}
 	release()
 	<-answers
-	if seen := len(f.worker.Seen()); seen != 1 {
-		t.Errorf("%d were run", seen)
+	if seen := len(f.worker.RequestIDs()); seen != 1 {
+		t.Errorf("%d requests ran, want 1", seen)
 	}
 }
 
-// TestTurnAfterTimeIsGivenBack lets a request have its turn when its time is over by the clock
-// that counts suspensions, though its deadline has not come: nothing is sent, and the slot is
-// free again.
-func TestTurnAfterTimeIsGivenBack(t *testing.T) {
-	f := startQueue(t, someTenant)
+// TestExpiredRequestReleasesLease checks a request that gets a lease after it expired by the
+// clock that includes suspensions, though its deadline by the other clock has not passed: nothing
+// is sent, and the slot is released.
+func TestExpiredRequestReleasesLease(t *testing.T) {
+	f := startQueue(t, testTenant)
 	recorder := httptest.NewRecorder()
-	c := f.call(recorder, patience, patience)
+	c := f.call(recorder, testTimeout, testTimeout)
 	c.bootDeadline = clock.Now().Add(-time.Millisecond)
 	lease := f.edge.workers.Acquire(clock.Now(), &c.demand)
-	if got, done := c.goes(lease); got != nil || !done {
+	if got, done := c.confirmDispatch(lease); got != nil || !done {
 		t.Error("the request goes to the worker")
 	}
 	if recorder.Code != http.StatusServiceUnavailable || f.inFlight() != 0 {
@@ -470,62 +471,63 @@
 	}
 }
 
-// call returns a call whose caller still waits so long, and would have waited so long first.
-func (f *queueFixture) call(writer http.ResponseWriter, left, longest time.Duration) *call {
+// call returns a call whose caller has timeLeft left, on a route whose callers first have
+// maxTimeLeft.
+func (f *queueFixture) call(writer http.ResponseWriter, timeLeft, maxTimeLeft time.Duration) *call {
 	table := f.edge.Table()
 	route := &table.Configuration.Routes[0]
-	f.edge.observe(route, func(known *admission.Route) { known.ObserveArrival(longest) })
+	f.edge.withRouteStats(route, func(stats *admission.Route) { stats.ObserveArrival(maxTimeLeft) })
 	request := httptest.NewRequest(http.MethodPost, "/a", nil)
 	now := time.Now()
-	return newCall(f.edge, request.Context(), table, route, nil, writer, http.NewResponseController(writer), request, nil, now, now.Add(left))
+	return newCall(f.edge, request.Context(), table, route, nil, writer, http.NewResponseController(writer), request, nil, now, now.Add(timeLeft))
 }
 
-// TestDecisionsWithoutQueue asks random questions of a process whose queue is off: the worker
-// and the refusal are those that one prediction gives, as they are without a queue.
+// TestDecisionsWithoutQueue checks that with the queue off, random requests are dispatched or
+// rejected as a single admission decision says.
 func TestDecisionsWithoutQueue(t *testing.T) {
 	f := startQueue(t)
-	const slots, begin = 1, 10 * time.Millisecond
-	refused, sent := 0, 0
+	const slots, firstEventTime = 1, 10 * time.Millisecond
+	rejected, dispatched := 0, 0
 	hash := loadshare.WorkerHash("w-0")
-	proptest.Run(t, "without a line", func(random *rand.Rand) error {
+	proptest.Run(t, "decisions without a queue", func(random *rand.Rand) error {
 		online := uint16(random.Intn(6))
 		f.edge.workers.SetPeerLoads(clock.Now(), []wire.WorkerLoad{{Worker: hash, Online: online, Rate: uint16(random.Intn(400))}}, balance.ScopeAll)
 		left := time.Duration(300+random.Intn(6000)) * time.Millisecond
 		recorder := httptest.NewRecorder()
-		c := f.call(recorder, left, patience/5)
-		var longest time.Duration
-		f.edge.observe(c.route, func(known *admission.Route) {
-			known.ObserveFirstEvent(begin)
-			longest = known.MaxTimeLeft()
+		c := f.call(recorder, left, testTimeout/5)
+		var maxTimeLeft time.Duration
+		f.edge.withRouteStats(c.route, func(stats *admission.Route) {
+			stats.ObserveFirstEvent(firstEventTime)
+			maxTimeLeft = stats.MaxTimeLeft()
 		})
 		wait := time.Duration(0)
 		if perSecond := f.edge.workers.Throughput("p", 1); perSecond > 0 {
 			wait = time.Duration(float64(time.Second) * slots / perSecond * float64(max(int(online)+1-slots, 0)) / (slots + 1))
 		}
-		want := admission.Decide(&admission.Request{TimeLeft: left, MaxTimeLeft: longest, Goal: c.route.Goal(), FirstEventTime: begin, Wait: wait}, 0) > 0
-		lease, done := c.place()
+		want := admission.Decide(&admission.Request{TimeLeft: left, MaxTimeLeft: maxTimeLeft, Goal: c.route.Goal(), FirstEventTime: firstEventTime, Wait: wait}, 0) > 0
+		lease, done := c.selectWorker()
 		if done != want || (lease == nil) != want || (recorder.Code == http.StatusServiceUnavailable) != want {
-			return errors.Newf("refused %t, lease %t, with %d online, %s left of %s, %s to wait: want %t", done, lease != nil, online, left, longest, wait, want)
+			return errors.Newf("rejected %t, lease %t, with %d online, %s left of %s, %s to wait: want %t", done, lease != nil, online, left, maxTimeLeft, wait, want)
 		}
 		if lease == nil {
-			refused++
+			rejected++
 		} else {
-			sent++
-			c.release(lease)
+			dispatched++
+			c.releaseLease(lease)
 		}
 		if len(f.edge.allQueues()) > 0 {
-			return errors.New("there is a queue")
+			return errors.New("the edge created a queue")
 		}
 		return nil
 	})
-	if refused == 0 || sent == 0 {
-		t.Errorf("%d were refused, %d sent: the questions prove nothing", refused, sent)
+	if rejected == 0 || dispatched == 0 {
+		t.Errorf("%d rejected, %d dispatched: the random requests do not cover both", rejected, dispatched)
 	}
 }
 
-// TestSlotsOfFailedWorkersAreNotHandedOn ends attempts in all ways: only after an answer that
-// shows the worker well its slot goes to the next in the queue at once.
-func TestSlotsOfFailedWorkersAreNotHandedOn(t *testing.T) {
+// TestSlotsOfFailedWorkersAreNotReused checks that a queued request takes a released slot at once
+// only after an answer that shows that the worker is well.
+func TestSlotsOfFailedWorkersAreNotReused(t *testing.T) {
 	for _, test := range []struct {
 		result outcome
 		status int
@@ -539,58 +541,58 @@
 		{failed, http.StatusOK, ""},
 		{failed, 0, ""},
 	} {
-		if got := freedAt("w", test.result, test.status); got != test.want {
+		if got := releasedSlotWorker("w", test.result, test.status); got != test.want {
 			t.Errorf("%s with %d: %q", test.result, test.status, got)
 		}
 	}
 }
 
-// TestClaimsOfCalls works out the claims of a first and of a returned caller.
-func TestClaimsOfCalls(t *testing.T) {
-	f := startQueue(t, someTenant)
+// TestQueueEntriesOfRetriedCalls checks the queue entries of first attempts and of retries.
+func TestQueueEntriesOfRetriedCalls(t *testing.T) {
+	f := startQueue(t, testTenant)
 	const longest = 5 * time.Second
 	for _, test := range []struct {
-		left     time.Duration
-		returned bool
-		due      time.Duration
+		left         time.Duration
+		retried      bool
+		goalDeadline time.Duration
 	}{
 		{longest, false, 50 * time.Millisecond},
 		{longest - 200*time.Millisecond, false, 50 * time.Millisecond},
 		{longest - time.Second, true, -950 * time.Millisecond},
-		// A shorter deadline than others have.
+		// A caller with a shorter deadline than others.
 		{time.Second, false, 50 * time.Millisecond},
 	} {
 		c := f.call(httptest.NewRecorder(), test.left, longest)
-		turn, _ := c.newWaiter()
-		claim := &turn.claim
-		due := claim.GoalDeadline.Sub(claim.Arrived)
-		if claim.Retried != test.returned || (due-test.due).Abs() > 10*time.Millisecond || (claim.Deadline.Sub(claim.Arrived)-test.left).Abs() > 10*time.Millisecond {
-			t.Errorf("%s left: %+v, due %s after it came", test.left, claim, due)
+		w, _ := c.newWaiter()
+		entry := &w.entry
+		goalDeadline := entry.GoalDeadline.Sub(entry.Arrived)
+		if entry.Retried != test.retried || (goalDeadline-test.goalDeadline).Abs() > 10*time.Millisecond || (entry.Deadline.Sub(entry.Arrived)-test.left).Abs() > 10*time.Millisecond {
+			t.Errorf("%s left: %+v, goal deadline %s after arrival", test.left, entry, goalDeadline)
 		}
 	}
 }
 
-// TestCallersWithoutGoalStay works out until when callers of a stream wait for its first event:
-// without a goal as long as they say.
-func TestCallersWithoutGoalStay(t *testing.T) {
-	f := startQueue(t, someTenant)
-	const left = 30 * time.Second
+// TestQueueDeadlineWithoutGoal checks until when callers of a stream wait for its first event:
+// without a goal, until their own deadline.
+func TestQueueDeadlineWithoutGoal(t *testing.T) {
+	f := startQueue(t, testTenant)
+	const timeLeft = 30 * time.Second
 	for _, test := range []struct{ goal, want time.Duration }{
-		{0, left},
+		{0, timeLeft},
 		{50 * time.Millisecond, admission.FirstEventTimeout(50*time.Millisecond, 0)},
 	} {
-		c := f.call(httptest.NewRecorder(), left, left)
+		c := f.call(httptest.NewRecorder(), timeLeft, timeLeft)
 		route := *c.route
 		route.GoalMillis, route.GapGoalMillis = test.goal.Milliseconds(), 0
 		c.route = &route
-		claim := c.claim()
-		if got := claim.Deadline.Sub(claim.Arrived); (got - test.want).Abs() > 10*time.Millisecond {
-			t.Errorf("goal %s: leaves after %s", test.goal, got)
+		entry := c.queueEntry()
+		if got := entry.Deadline.Sub(entry.Arrived); (got - test.want).Abs() > 10*time.Millisecond {
+			t.Errorf("goal %s: deadline %s after arrival", test.goal, got)
 		}
 	}
 }
 
-// startHub answers reports of loads, and returns where.
+// startHub starts a hub for load reports and returns its address.
 func startHub(t *testing.T) string {
 	t.Helper()
 	listener, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -616,40 +618,40 @@
 	return address
 }
 
-// TestSlotsAreToldWhileOthersWait gives a slot back where nobody waits: the hub is told at once
-// while the pool was full a moment ago, and with the next report otherwise.
-func TestSlotsAreToldWhileOthersWait(t *testing.T) {
-	l := newPoolQueue(&Edge{}, "p")
+// TestReleasedSlotsAreReportedWhenSaturated checks that a released slot is reported to the hub at
+// once only if the pool was full a moment ago.
+func TestReleasedSlotsAreReportedWhenSaturated(t *testing.T) {
+	q := newPoolQueue(&Edge{}, "p")
 	now := time.Unix(1000, 0)
-	if l.crowded(now) {
-		t.Error("crowded before anything came")
+	if q.recentlyFull(now) {
+		t.Error("recently full before any request arrived")
 	}
-	l.fullAt = now
-	for after, want := range map[time.Duration]bool{0: true, crowdedTime - 1: true, crowdedTime: false} {
-		if got := l.crowded(now.Add(after)); got != want {
-			t.Errorf("%s after a request found the pool full: crowded %t", after, got)
+	q.fullAt = now
+	for after, want := range map[time.Duration]bool{0: true, saturationWindow - 1: true, saturationWindow: false} {
+		if got := q.recentlyFull(now.Add(after)); got != want {
+			t.Errorf("%s after a request found the pool full: recently full %t", after, got)
 		}
 	}
 }
 
-// TestLinesShareAWorker lets three edges with a hub ask for many times what a worker runs at
-// once: each is run, or told that it was not and when to come back. The worker never has more than the edges' own knowledge
-// allows, and no goroutine goes on looking when nothing waits.
-func TestLinesShareAWorker(t *testing.T) {
+// TestQueuesShareWorker checks three edges with a hub that send a worker many times what it runs
+// at once: each request is run, or rejected as not run with Retry-After. The worker never runs
+// more than the edges' slots together, and no goroutine polls once the queues are empty.
+func TestQueuesShareWorker(t *testing.T) {
 	const edges, slots, count = 3, 2, 60
-	worker := startHeldWorker(t)
-	worker.pause = 5 * time.Millisecond
-	close(worker.end)
+	worker := startBlockingWorker(t)
+	worker.runTime = 5 * time.Millisecond
+	close(worker.unblock)
 	hub := startHub(t)
 	var fixtures []*queueFixture
 	for number := range edges {
-		f := startLineAt(t, worker, "edge-"+strconv.Itoa(number), slots, someTenant)
+		f := startQueueAt(t, worker, "edge-"+strconv.Itoa(number), slots, testTenant)
 		f.edge.setHubs([]wire.ProcessAddress{{Address: hub}})
 		fixtures = append(fixtures, f)
 	}
-	answers := make(chan answered, count)
+	answers := make(chan callResult, count)
 	for number := range count {
-		fixtures[number%edges].ask(context.Background(), t, strconv.Itoa(number), answers)
+		fixtures[number%edges].sendAsync(context.Background(), t, strconv.Itoa(number), answers)
 	}
 	ran := map[string]bool{}
 	for range count {
@@ -661,22 +663,22 @@
 		}
 	}
 	worker.mutex.Lock()
-	t.Logf("%d of %d were run, %d at once at a worker of %d slots", len(ran), count, worker.most, slots)
-	if worker.most > edges*slots || len(worker.seen) != len(ran) {
-		t.Errorf("%d at once, %d in all", worker.most, len(worker.seen))
+	t.Logf("%d of %d requests ran, %d at once at a worker of %d slots", len(ran), count, worker.maxRunning, slots)
+	if worker.maxRunning > edges*slots || len(worker.requestIDs) != len(ran) {
+		t.Errorf("%d requests at once, %d in all", worker.maxRunning, len(worker.requestIDs))
 	}
-	for _, id := range worker.seen {
+	for _, id := range worker.requestIDs {
 		if !ran[id] {
-			t.Errorf("%s was refused, and run", id)
+			t.Errorf("%s was rejected and ran", id)
 		}
 	}
 	worker.mutex.Unlock()
 	for _, f := range fixtures {
-		known := f.edge.queueOf("p")
-		await(t, "the end of the look", func() bool {
-			known.mutex.Lock()
-			defer known.mutex.Unlock()
-			return !known.looking && known.queue.Len() == 0
+		queue := f.edge.queueFor("p")
+		waitFor(t, "the end of polling", func() bool {
+			queue.mutex.Lock()
+			defer queue.mutex.Unlock()
+			return !queue.polling && queue.queue.Len() == 0
 		})
 	}
 }
