--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -15,9 +15,9 @@
 
 const relayBufferBytes = 8 << 10
 
-// passOver reads an answer that the caller does not get, so that the connection
-// can be kept.
-func (c *call) passOver(response *upstream.Response, result outcome) outcome {
+// discardResponse reads an answer that is not passed to the caller, so that the connection can be
+// reused.
+func (c *call) discardResponse(response *upstream.Response, result outcome) outcome {
 	buffer := make([]byte, relayBufferBytes)
 	for {
 		if _, err := response.Read(buffer); err != nil {
@@ -26,20 +26,20 @@
 	}
 }
 
-// begin writes the head of the answer once.
-func (c *call) begin(response *upstream.Response, length int64) {
-	if c.started {
+// writeHead writes the response headers once.
+func (c *call) writeHead(response *upstream.Response, length int64) {
+	if c.responseStarted {
 		return
 	}
-	c.started = true
-	c.firstAt = time.Now()
-	c.countGiven()
+	c.responseStarted = true
+	c.firstByteAt = time.Now()
+	c.countStarted()
 	header := c.writer.Header()
 	for _, field := range httpheader.Forwardable(response.Header) {
 		header.Add(field.Name, field.Value)
 	}
 	if response.Header.Get("Content-Type") == "" {
-		// Without this net/http would guess one.
+		// A nil value keeps net/http from guessing a content type.
 		header["Content-Type"] = nil
 	}
 	if length >= 0 {
@@ -48,37 +48,37 @@
 	c.writer.WriteHeader(response.Status)
 }
 
-// relayStream passes events on as they come. The head waits for the first event,
-// so that a worker that fails before it can still be replaced whole.
+// relayStream passes events on as they arrive. The response headers are written with the first
+// event, so that another worker can still take over completely if this one fails earlier.
 func (c *call) relayStream(lease *balance.Lease, response *upstream.Response) outcome {
 	var parser upstream.EventParser
 	buffer := make([]byte, relayBufferBytes)
 	for {
-		if err := response.SetReadDeadline(c.gapBy()); err != nil {
-			return c.streamBroke(lease, err)
+		if err := response.SetReadDeadline(c.gapDeadline()); err != nil {
+			return c.streamFailed(lease, err)
 		}
 		count, err := response.Read(buffer)
-		if sendErr := c.passEvents(lease, response, parser.Feed(buffer[:count])); sendErr != nil {
-			return c.streamBroke(lease, sendErr)
+		if sendErr := c.forwardEvents(lease, response, parser.Feed(buffer[:count])); sendErr != nil {
+			return c.streamFailed(lease, sendErr)
 		}
 		if err == io.EOF {
 			return c.endStream(response, &parser)
 		}
 		if err != nil {
-			return c.readBroke(lease, err)
+			return c.readFailed(lease, err)
 		}
 	}
 }
 
-// readBroke takes in that no more can be read from the worker.
-func (c *call) readBroke(lease *balance.Lease, err error) outcome {
+// readFailed handles a failed read from the worker.
+func (c *call) readFailed(lease *balance.Lease, err error) outcome {
 	if upstream.Disconnected(err) && c.context.Err() == nil {
 		lease.RecordDisconnect()
 	}
-	return c.streamBroke(lease, err)
+	return c.streamFailed(lease, err)
 }
 
-func (c *call) streamBroke(lease *balance.Lease, err error) outcome {
+func (c *call) streamFailed(lease *balance.Lease, err error) outcome {
 	c.lastErr = err
 	if upstream.TimedOut(err) && c.context.Err() == nil {
 		lease.RecordNoAnswer(clock.Now())
@@ -86,35 +86,35 @@
 	return failed
 }
 
-// passEvents writes the events that the caller does not have yet.
-func (c *call) passEvents(lease *balance.Lease, response *upstream.Response, events []upstream.Event) error {
+// forwardEvents writes the events that the caller does not have yet.
+func (c *call) forwardEvents(lease *balance.Lease, response *upstream.Response, events []upstream.Event) error {
 	if len(events) == 0 {
 		return nil
 	}
 	lease.RecordPrefill()
 	lease.RecordContent()
-	c.pace(lease, len(events))
+	c.recordPace(lease, len(events))
 	written := false
 	for i := range events {
 		event := &events[i]
 		if event.HasID {
-			if c.hasEvent && event.ID <= c.lastEvent {
+			if c.hasLastEvent && event.ID <= c.lastEventID {
 				continue
 			}
-			if c.hasEvent && event.ID != c.lastEvent+1 {
-				return failure.New(failure.OutcomeUnknown, "", "event %d came after event %d", event.ID, c.lastEvent)
+			if c.hasLastEvent && event.ID != c.lastEventID+1 {
+				return failure.New(failure.OutcomeUnknown, "", "event %d came after event %d", event.ID, c.lastEventID)
 			}
 		}
-		if !c.started {
-			c.began(lease)
+		if !c.responseStarted {
+			c.recordFirstEvent(lease)
 		}
-		c.begin(response, -1)
+		c.writeHead(response, -1)
 		if _, err := c.writer.Write(event.Raw); err != nil {
 			return err
 		}
 		written = true
 		if event.HasID {
-			c.lastEvent, c.hasEvent = event.ID, true
+			c.lastEventID, c.hasLastEvent = event.ID, true
 		}
 	}
 	if !written {
@@ -123,68 +123,68 @@
 	return c.controller.Flush()
 }
 
-// pace takes in that so many events came now. What came before the first one,
-// and all that comes with it, says nothing of the time between events.
-func (c *call) pace(lease *balance.Lease, events int) {
+// recordPace records that the given number of events has just arrived. The first events of a
+// worker, and the time before them, are not counted, as they do not show the time between events.
+func (c *call) recordPace(lease *balance.Lease, events int) {
 	now := time.Now()
-	if c.pacedLease == lease {
-		lease.RecordPace(events, now.Sub(c.pacedAt))
+	if c.paceLease == lease {
+		lease.RecordPace(events, now.Sub(c.lastEventsAt))
 	}
-	c.pacedLease, c.pacedAt = lease, now
+	c.paceLease, c.lastEventsAt = lease, now
 }
 
-// endStream ends the answer. What is left over is no whole event; it belongs to
-// the worker's body all the same.
+// endStream ends the answer. Bytes left over in the parser are an incomplete event, so the
+// worker's answer is incomplete too.
 func (c *call) endStream(response *upstream.Response, parser *upstream.EventParser) outcome {
 	if parser.Buffered() > 0 {
 		c.lastErr = failure.Wrap(io.ErrUnexpectedEOF, failure.OutcomeUnknown, "", "the stream ended within an event")
 		return failed
 	}
-	c.begin(response, -1)
+	c.writeHead(response, -1)
 	return delivered
 }
 
-// relayWhole passes an answer on that is no stream. Its first part is read before
-// the head is written, so that a worker that fails early can be replaced.
-func (c *call) relayWhole(lease *balance.Lease, response *upstream.Response) outcome {
+// relayBody relays an answer that is not a stream. It reads the first part before it writes the
+// response headers, so that another worker can take over if this one fails early.
+func (c *call) relayBody(lease *balance.Lease, response *upstream.Response) outcome {
 	buffer := make([]byte, 0, relayBufferBytes)
 	for len(buffer) < cap(buffer) {
-		if err := response.SetReadDeadline(c.headBy()); err != nil {
+		if err := response.SetReadDeadline(c.headDeadline()); err != nil {
 			c.lastErr = err
 			return failed
 		}
 		count, err := response.Read(buffer[len(buffer):cap(buffer)])
 		buffer = buffer[:len(buffer)+count]
 		if err == io.EOF {
-			c.cameWhole(lease, response)
-			return c.writeWhole(response, buffer)
+			c.recordBodyReceived(lease, response)
+			return c.writeBody(response, buffer)
 		}
 		if err != nil {
-			return c.readBroke(lease, err)
+			return c.readFailed(lease, err)
 		}
 	}
 	lease.RecordPrefill()
-	c.begin(response, response.Length)
+	c.writeHead(response, response.Length)
 	if _, err := c.writer.Write(buffer); err != nil {
-		return c.brokeOff(err)
+		return c.abortResponse(err)
 	}
 	return c.copyRest(lease, response)
 }
 
-// cameWhole takes in that the whole body of the answer has come.
-func (c *call) cameWhole(lease *balance.Lease, response *upstream.Response) {
+// recordBodyReceived records that the answer's body was received completely.
+func (c *call) recordBodyReceived(lease *balance.Lease, response *upstream.Response) {
 	if response.Status < http.StatusInternalServerError {
 		lease.RecordContent()
 	}
 }
 
-func (c *call) writeWhole(response *upstream.Response, body []byte) outcome {
+func (c *call) writeBody(response *upstream.Response, body []byte) outcome {
 	length := int64(len(body))
 	if c.request.Method == http.MethodHead || response.Status == http.StatusNoContent || response.Status == http.StatusNotModified {
 		length = response.Length
 	}
-	c.begin(response, length)
-	// A failed write means that the caller has gone.
+	c.writeHead(response, length)
+	// A failed write means that the caller has disconnected.
 	_, _ = c.writer.Write(body)
 	return delivered
 }
@@ -193,27 +193,27 @@
 	buffer := make([]byte, relayBufferBytes)
 	for {
 		if err := response.SetReadDeadline(c.deadline); err != nil {
-			return c.brokeOff(err)
+			return c.abortResponse(err)
 		}
 		count, err := response.Read(buffer)
 		if _, writeErr := c.writer.Write(buffer[:count]); writeErr != nil {
-			return c.brokeOff(writeErr)
+			return c.abortResponse(writeErr)
 		}
 		if err == io.EOF {
-			c.cameWhole(lease, response)
+			c.recordBodyReceived(lease, response)
 			return delivered
 		}
 		if err != nil {
-			c.readBroke(lease, err)
-			return c.brokeOff(err)
+			c.readFailed(lease, err)
+			return c.abortResponse(err)
 		}
-		// Writers that can't flush buffer nothing.
+		// Writers that can't flush do not buffer.
 		_ = c.controller.Flush()
 	}
 }
 
-// brokeOff ends an answer that can't go on anywhere else.
-func (c *call) brokeOff(err error) outcome {
+// abortResponse ends a partly written answer that no other worker can continue.
+func (c *call) abortResponse(err error) outcome {
 	c.lastErr = err
 	c.attempts = max(c.route.MaxAttempts, 1)
 	return failed
--- a/internal/edge/serve.go
+++ b/internal/edge/serve.go
@@ -14,30 +14,28 @@
 )
 
 const (
-	// shortRetry is when to come back where nothing stands in the way but a
-	// moment's load.
-	shortRetry = 150 * time.Millisecond
-	// learnTime is how long a new process takes to learn the configuration where
-	// the coordinators start at the same time.
-	learnTime = 1200 * time.Millisecond
-	// writeMargin is how long after the deadline a caller may take to read.
+	// shortRetryAfter is the retry time where the only obstacle is a short load peak.
+	shortRetryAfter = 150 * time.Millisecond
+	// configurationTime is how long a new process takes to learn the configuration if the
+	// coordinators start at the same time.
+	configurationTime = 1200 * time.Millisecond
+	// writeMargin is how long after the deadline a caller may still read the answer.
 	writeMargin = time.Second
 )
 
-// ServeHTTP passes an opaque request on.
+// ServeHTTP relays an opaque request to a worker.
 func (e *Edge) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	e.serve(writer, request, time.Now())
 }
 
-// Submit hands in the job that a request brings, by the batch route that takes it.
+// Submit submits the job in a request that matched the batch route.
 type Submit func(request *http.Request, table *routetable.Table, route *routetable.Route) error
 
-// ServeWithJobs gives a request to submit, if a batch route takes it, and passes it on as
-// ServeHTTP does otherwise. Once submit has returned without a failure, the request is
-// answered as accepted.
+// ServeWithJobs passes a request to submit if it matches a batch route, and otherwise relays it
+// as ServeHTTP does. If submit returns nil, the request is answered with 202 Accepted.
 func (e *Edge) ServeWithJobs(writer http.ResponseWriter, request *http.Request, submit Submit) {
 	arrived := time.Now()
-	if err := e.await(writer, request, arrived, needConfiguration); err != nil {
+	if err := e.awaitPrerequisite(writer, request, arrived, needsConfiguration); err != nil {
 		e.Reject(writer, request, err)
 		return
 	}
@@ -54,17 +52,17 @@
 	writer.WriteHeader(http.StatusAccepted)
 }
 
-// serve passes on a request that arrived at the given time.
+// serve relays a request that arrived at the given time.
 func (e *Edge) serve(writer http.ResponseWriter, request *http.Request, arrived time.Time) {
 	e.closeWhenStopping(writer)
-	if err := e.await(writer, request, arrived, needWorkers); err != nil {
+	if err := e.awaitPrerequisite(writer, request, arrived, needsWorkers); err != nil {
 		e.Reject(writer, request, err)
 		return
 	}
-	waited, err := e.wake(request.Context(), arrived)
+	stalledFor, err := e.recoverFromStall(request.Context(), arrived)
 	now, table := clock.Now(), e.Table()
 	if err == nil {
-		err = e.frozen(now)
+		err = e.checkFreeze(now)
 	}
 	if err == nil {
 		err = httpapi.CheckHeaderSize(request, table.Configuration.Limits.MaxHeaderBytes)
@@ -88,59 +86,60 @@
 		e.Reject(writer, request, err)
 		return
 	}
-	left := httpheader.ParseTimeLeft(request.Header.Get(e.dialect.Deadline), route.Timeout())
-	deadline := arrived.Add(left - waited)
-	if waited > 0 && !time.Now().Before(deadline) {
-		e.Reject(writer, request, stoodStill())
+	timeLeft := httpheader.ParseTimeLeft(request.Header.Get(e.headerNames.Deadline), route.Timeout())
+	deadline := arrived.Add(timeLeft - stalledFor)
+	if stalledFor > 0 && !time.Now().Before(deadline) {
+		e.Reject(writer, request, stallError())
 		return
 	}
 	ctx, cancel := context.WithDeadline(request.Context(), deadline)
 	defer cancel()
 	controller := http.NewResponseController(writer)
-	// Writers without deadlines serve tests only.
+	// Only the writers of tests do not support deadlines.
 	_ = controller.SetWriteDeadline(deadline.Add(writeMargin))
 	call := newCall(e, ctx, table, route, tenant, writer, controller, request, body, arrived, deadline)
-	call.takenIn = now
+	call.routingStartedAt = now
 	call.run()
 	_ = controller.SetWriteDeadline(time.Time{})
-	if call.broken {
-		// The caller must not take what it has for a whole answer.
+	if call.aborted {
+		// Abort the connection, so that the caller does not take a partial answer for a complete
+		// one.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// noConfiguration refuses a request to a process that has not heard a coordinator
-// in the given time since its start, and says when it will probably have: where
-// all began at once, an election comes first.
-func noConfiguration(age time.Duration) error {
-	retry := max(learnTime-age, shortRetry)
+// noConfigurationError returns the error of a process of the given age that has no configuration
+// yet. Its retry time is when the process will probably have one: if all processes started
+// together, an election comes first.
+func noConfigurationError(age time.Duration) error {
+	retry := max(configurationTime-age, shortRetryAfter)
 	return failure.New(failure.NotRun, "try again", "no configuration is known here yet").WithRetryAfter(retry)
 }
 
-// frozen refuses requests once the process has reached no coordinator for longer
-// than the settings allow.
-func (e *Edge) frozen(now time.Time) error {
+// checkFreeze returns an error once the process has reached no coordinator for longer than the
+// settings allow.
+func (e *Edge) checkFreeze(now time.Time) error {
 	limit := e.settings.FreezeTime.Std()
-	silent := now.Sub(e.watcher.Current().LeaderSeenAt)
-	if limit == 0 || silent <= limit {
+	sinceLeader := now.Sub(e.watcher.Current().LeaderSeenAt)
+	if limit == 0 || sinceLeader <= limit {
 		return nil
 	}
-	return failure.New(failure.NotRun, "ask another edge, or raise freeze_time", "no coordinator has been reached for %s", silent.Round(time.Millisecond)).WithRetryAfter(time.Second)
+	return failure.New(failure.NotRun, "ask another edge, or raise freeze_time", "no coordinator has been reached for %s", sinceLeader.Round(time.Millisecond)).WithRetryAfter(time.Second)
 }
 
-// closeWhenStopping tells the caller to take another connection.
+// closeWhenStopping makes the caller use another connection while the process stops.
 func (e *Edge) closeWhenStopping(writer http.ResponseWriter) {
 	if e.daemon.Stopping() {
 		writer.Header().Set("Connection", "close")
 	}
 }
 
-// Reject answers a request that was not passed on.
+// Reject answers a request that was not relayed.
 func (e *Edge) Reject(writer http.ResponseWriter, request *http.Request, err error) {
 	// The stop may have begun while the request was held.
 	e.closeWhenStopping(writer)
 	typed := failure.From(err)
 	status := httpapi.StatusCode(typed)
-	logging.Info(e.logger, "request_refused", "id", request.Header.Get(e.dialect.RequestID), "host", request.Host, "path", request.URL.Path, "status", status, "error", err)
+	logging.Info(e.logger, "request_refused", "id", request.Header.Get(e.headerNames.RequestID), "host", request.Host, "path", request.URL.Path, "status", status, "error", err)
 	httpapi.WriteFailure(writer, status, typed)
 }
--- a/internal/edge/standstill.go
+++ b/internal/edge/standstill.go
@@ -12,87 +12,88 @@
 )
 
 const (
-	// wakeTime is how long after a standstill what is read may have come during it: all that
-	// waits is read by then, also with a small part of a processor.
-	wakeTime = 250 * time.Millisecond
-	// wakeNews is how long a request waits for the first news after a standstill: a few tries
-	// to reach a coordinator.
-	wakeNews = 200 * time.Millisecond
-	// wakeLook is the time between two looks for them.
-	wakeLook = 5 * time.Millisecond
+	// stallBacklogTime is how long after a stall a request that is read may have arrived during
+	// the stall: even with a small share of a CPU, the process has read the backlog by then.
+	stallBacklogTime = 250 * time.Millisecond
+	// coordinatorWait is how long a request waits after a stall for the first answer of a
+	// coordinator: enough for a few attempts to reach one.
+	coordinatorWait = 200 * time.Millisecond
+	// coordinatorPollInterval is the time between two checks for that answer.
+	coordinatorPollInterval = 5 * time.Millisecond
 )
 
-// watchStandstills notices standstills of this process, also while no request comes.
-func (e *Edge) watchStandstills(ctx context.Context) {
-	daemon.Every(ctx, stall.Interval, func() { e.checkStandstill(clock.Now()) })
+// watchStalls detects stalls of this process also while no requests arrive.
+func (e *Edge) watchStalls(ctx context.Context) {
+	daemon.Every(ctx, stall.Interval, func() { e.checkStall(clock.Now()) })
 }
 
-// checkStandstill returns from when until when this process stood still last.
-func (e *Edge) checkStandstill(now time.Time) (from, until time.Time) {
-	from, until, noticed := e.standstill.Check(now)
+// checkStall returns the start and the end of this process's last stall.
+func (e *Edge) checkStall(now time.Time) (from, until time.Time) {
+	from, until, noticed := e.stallDetector.Check(now)
 	if noticed {
-		e.metrics.standstills.Inc()
+		e.metrics.stalls.Inc()
 		logging.Warn(e.logger, "stood_still", "ms", until.Sub(from).Milliseconds())
 	}
 	return from, until
 }
 
-// missed returns for how long a request that was taken in at came may have waited before,
-// because this process stood still, zero where it did not. inside is set where it had been
-// taken in before that.
-func missed(came, from, until time.Time) (waited time.Duration, inside bool) {
+// waitedInStall returns how long a request that was read at readAt may have waited unread because
+// the process stalled between from and until, zero if it did not. readBefore is set if the request
+// was read before the stall.
+func waitedInStall(readAt, from, until time.Time) (waited time.Duration, readBefore bool) {
 	switch {
-	case until.IsZero() || came.Sub(until) >= wakeTime:
+	case until.IsZero() || readAt.Sub(until) >= stallBacklogTime:
 		return 0, false
-	case until.Sub(came) > wakeTime:
+	case until.Sub(readAt) > stallBacklogTime:
 		return 0, true
 	}
-	// What passed since then, its deadline counts already.
-	return max(came.Sub(from), 0), false
+	// The request's deadline already accounts for the time since it was read.
+	return max(readAt.Sub(from), 0), false
 }
 
-// awaitNews waits, after a standstill, until the coordinators have been heard again.
-func (e *Edge) awaitNews(ctx context.Context, until time.Time) {
-	for end := until.Add(wakeNews); ctx.Err() == nil && clock.Now().Before(end); {
+// awaitCoordinator waits, after a stall, until a coordinator has answered again.
+func (e *Edge) awaitCoordinator(ctx context.Context, until time.Time) {
+	for end := until.Add(coordinatorWait); ctx.Err() == nil && clock.Now().Before(end); {
 		if e.watcher.Current().LeaderSeenAt.After(until) {
 			return
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(wakeLook):
+		case <-time.After(coordinatorPollInterval):
 		}
 	}
 }
 
-// wake returns for how long a request that arrived at the given time may have waited before,
-// because this process stood still. After that it waits for news. It fails with NotRun where
-// the request had been taken in before the standstill.
-func (e *Edge) wake(ctx context.Context, arrived time.Time) (waited time.Duration, err error) {
+// recoverFromStall returns how long a request that was read at the arrived time may have waited
+// unread before because this process stalled. If it may have waited, recoverFromStall first waits
+// for a coordinator's answer. It fails with NotRun if the request was read before the stall.
+func (e *Edge) recoverFromStall(ctx context.Context, arrived time.Time) (waited time.Duration, err error) {
 	now := clock.Now()
-	from, until := e.checkStandstill(now)
-	waited, inside := missed(now.Add(-time.Since(arrived)), from, until)
-	if inside {
-		return 0, stoodStill()
+	from, until := e.checkStall(now)
+	waited, readBefore := waitedInStall(now.Add(-time.Since(arrived)), from, until)
+	if readBefore {
+		return 0, stallError()
 	}
 	if waited > 0 {
-		e.awaitNews(ctx, until)
+		e.awaitCoordinator(ctx, until)
 	}
 	return waited, nil
 }
 
-// stoodStill refuses the request if this process stood still since it came, before it went
-// to any worker: what it was to be decided by is old, and its caller may have given it up.
-func (c *call) stoodStill() bool {
-	if c.attempts > 0 || c.dials > 0 {
+// rejectedAfterStall rejects the request if this process stalled after it started to route the
+// request and before it sent it to any worker: the data for the routing is outdated, and the
+// caller may have given up.
+func (c *call) rejectedAfterStall() bool {
+	if c.attempts > 0 || c.failedDials > 0 {
 		return false
 	}
-	if _, until := c.edge.checkStandstill(clock.Now()); !until.After(c.takenIn) {
+	if _, until := c.edge.checkStall(clock.Now()); !until.After(c.routingStartedAt) {
 		return false
 	}
-	c.refuse(stoodStill())
+	c.reject(stallError())
 	return true
 }
 
-func stoodStill() *failure.Error {
-	return failure.New(failure.NotRun, "try again", "the process stood still before it sent the request on").WithRetryAfter(shortRetry)
+func stallError() *failure.Error {
+	return failure.New(failure.NotRun, "try again", "the process stood still before it sent the request on").WithRetryAfter(shortRetryAfter)
 }
--- a/internal/edge/waiting.go
+++ b/internal/edge/waiting.go
@@ -9,140 +9,143 @@
 	"github.com/sedgemast/sedgemast/internal/logging"
 )
 
-// place finds a worker for an attempt. It returns no lease where there is none, or where the
-// caller has its final answer, which done says.
-func (c *call) place() (lease *balance.Lease, done bool) {
-	if c.attempts == 0 && c.dials == 0 && c.edge.usesQueue(c.demand.Pool) {
-		return c.placeQueued()
+// selectWorker finds a worker for an attempt. It returns no lease if there is no worker, or if
+// the caller has its final answer, in which case done is set.
+func (c *call) selectWorker() (lease *balance.Lease, done bool) {
+	if c.attempts == 0 && c.failedDials == 0 && c.edge.usesQueue(c.demand.Pool) {
+		return c.selectQueued()
 	}
 	lease = c.acquire()
-	if lease != nil && c.tooLate(lease) {
-		c.release(lease)
+	if lease != nil && c.rejectedByAdmission(lease) {
+		c.releaseLease(lease)
 		return nil, true
 	}
 	return lease, false
 }
 
-// release gives the place back; who waits here may have the slot.
-func (c *call) release(lease *balance.Lease) {
+// releaseLease releases the lease, so that a request queued here may take the slot.
+func (c *call) releaseLease(lease *balance.Lease) {
 	lease.Release()
-	c.edge.released(c.demand.Pool, lease.Endpoint.ID)
+	c.edge.slotReleased(c.demand.Pool, lease.Endpoint.ID)
 }
 
-// placeQueued finds a worker in the order of all that wait here.
-func (c *call) placeQueued() (lease *balance.Lease, done bool) {
-	c.hear()
-	w, begin := c.newWaiter()
-	q := c.edge.queueOf(c.demand.Pool)
-	found := q.arrive(clock.Now(), w, begin)
-	c.countAsked(found.choice == nil || found.choice.Wait > 0)
+// selectQueued finds a worker in the order of all requests that wait in this process.
+func (c *call) selectQueued() (lease *balance.Lease, done bool) {
+	c.refreshLoads()
+	w, firstEventTime := c.newWaiter()
+	q := c.edge.queueFor(c.demand.Pool)
+	result := q.admit(clock.Now(), w, firstEventTime)
+	c.countDemand(result.candidate == nil || result.candidate.Wait > 0)
 	switch {
-	case found.choice == nil:
+	case result.candidate == nil:
 		return nil, false
-	case found.lease != nil:
-		return c.goes(found.lease)
+	case result.lease != nil:
+		return c.confirmDispatch(result.lease)
 	}
-	c.logArrival(w, &found)
-	if found.decision.Result == admission.Queued && !found.closed {
-		return c.await(q, w)
+	c.logArrival(w, &result)
+	if result.decision.Result == admission.Queued && !result.closed {
+		return c.awaitTurn(q, w)
 	}
-	r := refusalOf(&found.decision)
-	if found.closed {
-		r.reason, r.comeback = reasonStopping, spread(shortRetry)
+	r := rejectionFrom(&result.decision)
+	if result.closed {
+		r.reason, r.retryAfter = reasonStopping, jitter(shortRetryAfter)
 	}
-	c.refuseQueued(r)
+	c.rejectQueued(r)
 	return nil, true
 }
 
-// goes lets the request go to its worker, unless its time is over by now: the machine may have
-// been suspended.
-func (c *call) goes(lease *balance.Lease) (*balance.Lease, bool) {
-	if c.late() || c.context.Err() != nil {
-		c.release(lease)
+// confirmDispatch passes the lease on, unless the request has expired in the meantime: the
+// machine may have been suspended.
+func (c *call) confirmDispatch(lease *balance.Lease) (*balance.Lease, bool) {
+	if c.expired() || c.context.Err() != nil {
+		c.releaseLease(lease)
 		c.giveUp()
 		return nil, true
 	}
 	c.edge.loads.Report()
-	c.edge.noteChoice(c.demand.Pool, lease)
+	c.edge.recordSelection(c.demand.Pool, lease)
 	return lease, false
 }
 
-// newWaiter returns the request as it stands in a queue, and how long its first event takes once
-// it runs at a usual worker, zero if unknown.
-func (c *call) newWaiter() (w *waiter, begin time.Duration) {
-	w = &waiter{demand: &c.demand, left: time.Until(c.deadline), answers: make(chan answer, 1)}
-	c.edge.observe(c.route, func(known *admission.Route) { w.longest, begin = known.MaxTimeLeft(), known.FirstEventTime() })
-	w.claim = c.claim()
-	return w, begin
+// newWaiter returns the request as it is queued, and the time to its first event at a worker of
+// median speed, zero if unknown.
+func (c *call) newWaiter() (w *waiter, firstEventTime time.Duration) {
+	w = &waiter{demand: &c.demand, timeLeft: time.Until(c.deadline), result: make(chan queueResult, 1)}
+	c.edge.withRouteStats(c.route, func(stats *admission.Route) {
+		w.maxTimeLeft, firstEventTime = stats.MaxTimeLeft(), stats.FirstEventTime()
+	})
+	w.entry = c.queueEntry()
+	return w, firstEventTime
 }
 
-// await waits for the request's turn.
-func (c *call) await(q *poolQueue, w *waiter) (lease *balance.Lease, done bool) {
-	c.waited = true
+// awaitTurn waits until the queue has resolved the request.
+func (c *call) awaitTurn(q *poolQueue, w *waiter) (lease *balance.Lease, done bool) {
+	c.wasQueued = true
 	c.edge.metrics.queued.WithLabelValues("waits").Inc()
-	var a answer
-	answered := true
+	var result queueResult
+	resolved := true
 	select {
-	case a = <-w.answers:
+	case result = <-w.result:
 	case <-c.context.Done():
-		a, answered = q.leave(w)
+		result, resolved = q.remove(w)
 	}
 	switch {
-	case !answered:
+	case !resolved:
 		c.edge.metrics.queued.WithLabelValues("left").Inc()
-		logging.Info(c.edge.logger, "queue_left", "id", c.id, "route", c.route.Name, "waited_ms", waitedIn(w).Milliseconds())
+		logging.Info(c.edge.logger, "queue_left", "id", c.id, "route", c.route.Name, "waited_ms", timeSinceArrival(w).Milliseconds())
 		c.giveUp()
 		return nil, true
-	case a.refusal != nil:
-		c.logRefused(w, a.refusal)
-		c.refuseQueued(a.refusal)
+	case result.rejection != nil:
+		c.logRejection(w, result.rejection)
+		c.rejectQueued(result.rejection)
 		return nil, true
-	case a.lease == nil:
+	case result.lease == nil:
 		return nil, false
 	}
-	c.logSent(w, a.choice)
-	return c.goes(a.lease)
+	c.recordDispatch(w, result.candidate)
+	return c.confirmDispatch(result.lease)
 }
 
-// waitedIn returns for how long the request has been here.
-func waitedIn(w *waiter) time.Duration { return clock.Since(w.claim.Arrived) }
+// timeSinceArrival returns how long ago the request arrived at this process.
+func timeSinceArrival(w *waiter) time.Duration { return clock.Since(w.entry.Arrived) }
 
-// refuseQueued tells the caller that nothing ran, and when to come back.
-func (c *call) refuseQueued(r *refusal) {
+// rejectQueued tells the caller that nothing ran, and when to retry.
+func (c *call) rejectQueued(r *rejection) {
 	c.edge.metrics.queued.WithLabelValues(r.reason).Inc()
-	if r.judged == admission.OverShare {
+	if r.admissionReason == admission.OverShare {
 		c.countByRank("sent_back")
 	}
 	c.edge.closeWhenStopping(c.writer)
-	c.refuse(sentBack(r.judged).WithRetryAfter(r.comeback))
+	c.reject(admissionError(r.admissionReason).WithRetryAfter(r.retryAfter))
 }
 
-// logRefused writes why a request that waited is refused.
-func (c *call) logRefused(w *waiter, r *refusal) {
-	logging.Info(c.edge.logger, "queue_refused", "id", c.id, "route", c.route.Name, "tenant", c.tenant.Owner(), "reason", r.reason, "ahead", r.ahead, "predicted_ms", r.predicted.Milliseconds(), "bears_ms", w.claim.Deadline.Sub(w.claim.Arrived).Milliseconds(), "waited_ms", waitedIn(w).Milliseconds(), "comeback_ms", r.comeback.Milliseconds())
+// logRejection logs why a queued request was rejected.
+func (c *call) logRejection(w *waiter, r *rejection) {
+	logging.Info(c.edge.logger, "queue_refused", "id", c.id, "route", c.route.Name, "tenant", c.tenant.Owner(), "reason", r.reason, "ahead", r.ahead, "predicted_ms", r.predictedWait.Milliseconds(), "bears_ms", w.entry.Deadline.Sub(w.entry.Arrived).Milliseconds(), "waited_ms", timeSinceArrival(w).Milliseconds(), "comeback_ms", r.retryAfter.Milliseconds())
 }
 
-// logArrival writes what was decided on a request that did not go at once, and by what.
-func (c *call) logArrival(w *waiter, found *arrival) {
-	decision, choice := &found.decision, found.choice
+// logArrival logs the decision on a request that was not dispatched at once, and the input of
+// that decision.
+func (c *call) logArrival(w *waiter, result *admitResult) {
+	decision, candidate := &result.decision, result.candidate
 	event := "queue_decided"
 	if decision.Result == admission.RetryLater {
 		event = "request_sent_back"
 	}
 	logging.Info(c.edge.logger, event, "id", c.id, "route", c.route.Name, "tenant", c.tenant.Owner(), "pool", c.demand.Pool,
-		"result", decision.Result, "reason", decision.Reason, "rank", w.claim.Rank, "over", w.claim.OverShare, "returned", w.claim.Retried,
-		"asked_ms_ago", w.claim.Arrived.Add(w.claim.Goal).Sub(w.claim.GoalDeadline).Milliseconds(), "left_ms", w.left.Milliseconds(), "longest_ms", w.longest.Milliseconds(),
-		"goal_ms", w.claim.Goal.Milliseconds(), "begin_ms", w.claim.FirstEventTime.Milliseconds(), "ahead", decision.Ahead, "predicted_ms", decision.Predicted.Milliseconds(),
-		"worker", choice.Worker, "full", choice.Full, "slow", choice.Slowness, "wait_ms", choice.Wait.Milliseconds(), "wait_most_ms", choice.MaxWait.Milliseconds(),
-		"spare", choice.Spare, "lot", choice.LeftToPeers, "news_age_ms", choice.PeerLoadAge.Milliseconds(),
-		"per_second", found.supply.Throughput, "ends_ms", found.supply.OverloadTimeLeft.Milliseconds(), "bears_ms", w.claim.Deadline.Sub(w.claim.Arrived).Milliseconds(),
-		"stopping", found.closed, "comeback_ms", decision.RetryAfter.Milliseconds())
+		"result", decision.Result, "reason", decision.Reason, "rank", w.entry.Rank, "over", w.entry.OverShare, "returned", w.entry.Retried,
+		"asked_ms_ago", w.entry.Arrived.Add(w.entry.Goal).Sub(w.entry.GoalDeadline).Milliseconds(), "left_ms", w.timeLeft.Milliseconds(), "longest_ms", w.maxTimeLeft.Milliseconds(),
+		"goal_ms", w.entry.Goal.Milliseconds(), "begin_ms", w.entry.FirstEventTime.Milliseconds(), "ahead", decision.Ahead, "predicted_ms", decision.Predicted.Milliseconds(),
+		"worker", candidate.Worker, "full", candidate.Full, "slow", candidate.Slowness, "wait_ms", candidate.Wait.Milliseconds(), "wait_most_ms", candidate.MaxWait.Milliseconds(),
+		"spare", candidate.Spare, "lot", candidate.LeftToPeers, "news_age_ms", candidate.PeerLoadAge.Milliseconds(),
+		"per_second", result.supply.Throughput, "ends_ms", result.supply.OverloadTimeLeft.Milliseconds(), "bears_ms", w.entry.Deadline.Sub(w.entry.Arrived).Milliseconds(),
+		"stopping", result.closed, "comeback_ms", decision.RetryAfter.Milliseconds())
 }
 
-// logSent writes that a request that waited goes to a worker.
-func (c *call) logSent(w *waiter, choice *balance.Candidate) {
-	waited := waitedIn(w)
+// recordDispatch logs and counts that a queued request goes to a worker.
+func (c *call) recordDispatch(w *waiter, candidate *balance.Candidate) {
+	waited := timeSinceArrival(w)
 	c.edge.metrics.queued.WithLabelValues("sent").Inc()
 	c.edge.metrics.queueTime.WithLabelValues(c.route.Name).Observe(waited.Seconds())
-	logging.Info(c.edge.logger, "queue_sent", "id", c.id, "route", c.route.Name, "worker", choice.Worker, "waited_ms", waited.Milliseconds(), "full", choice.Full, "wait_ms", choice.Wait.Milliseconds(), "spare", choice.Spare, "news_age_ms", choice.PeerLoadAge.Milliseconds())
+	logging.Info(c.edge.logger, "queue_sent", "id", c.id, "route", c.route.Name, "worker", candidate.Worker, "waited_ms", waited.Milliseconds(), "full", candidate.Full, "wait_ms", candidate.Wait.Milliseconds(), "spare", candidate.Spare, "news_age_ms", candidate.PeerLoadAge.Milliseconds())
 }
