--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -19,23 +19,23 @@
 
 const ms = time.Millisecond
 
-// TestDecisions compares a table of decisions with testdata/decisions.txt.
-func TestDecisions(t *testing.T) {
+// TestDecide compares a table of decisions with testdata/decisions.txt.
+func TestDecide(t *testing.T) {
 	var trace strings.Builder
-	for _, left := range []time.Duration{5000 * ms, 4800 * ms, 4700 * ms, 600 * ms} {
+	for _, timeLeft := range []time.Duration{5000 * ms, 4800 * ms, 4700 * ms, 600 * ms} {
 		for _, wait := range []time.Duration{0, 100 * ms, 190 * ms, 200 * ms, 900 * ms} {
-			request := Request{TimeLeft: left, MaxTimeLeft: 5000 * ms, Goal: 300 * ms, FirstEventTime: 80 * ms, Wait: wait}
-			fmt.Fprintf(&trace, "left %s, begin %s, wait %s of goal %s: come back after %s to %s\n", left, request.FirstEventTime, wait, request.Goal, Decide(&request, 0), Decide(&request, 1))
+			request := Request{TimeLeft: timeLeft, MaxTimeLeft: 5000 * ms, Goal: 300 * ms, FirstEventTime: 80 * ms, Wait: wait}
+			fmt.Fprintf(&trace, "left %s, begin %s, wait %s of goal %s: come back after %s to %s\n", timeLeft, request.FirstEventTime, wait, request.Goal, Decide(&request, 0), Decide(&request, 1))
 		}
 	}
-	for _, ends := range []time.Duration{100 * ms, 1200 * ms, 1660 * ms, 4000 * ms} {
-		request := Request{TimeLeft: 5000 * ms, MaxTimeLeft: 5000 * ms, Goal: 300 * ms, FirstEventTime: 80 * ms, Wait: 900 * ms, OverloadTimeLeft: ends}
-		fmt.Fprintf(&trace, "the overload ends in %s: come back after %s to %s\n", ends, Decide(&request, 0), Decide(&request, 1))
+	for _, overloadTimeLeft := range []time.Duration{100 * ms, 1200 * ms, 1660 * ms, 4000 * ms} {
+		request := Request{TimeLeft: 5000 * ms, MaxTimeLeft: 5000 * ms, Goal: 300 * ms, FirstEventTime: 80 * ms, Wait: 900 * ms, OverloadTimeLeft: overloadTimeLeft}
+		fmt.Fprintf(&trace, "the overload ends in %s: come back after %s to %s\n", overloadTimeLeft, Decide(&request, 0), Decide(&request, 1))
 	}
 	compareGolden(t, "decisions.txt", trace.String())
 }
 
-// compareGolden compares a text with a file under testdata.
+// compareGolden compares a text with a golden file under testdata.
 func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	golden := filepath.Join("testdata", name)
@@ -53,78 +53,77 @@
 	}
 }
 
-// TestRefusalsLeaveTimeToComeBack checks with random requests that none is refused
-// that is predicted to be in time, that has come back already, or that waits for a
-// cause that is not known; and that whoever is refused has time left when it
-// comes back.
-func TestRefusalsLeaveTimeToComeBack(t *testing.T) {
+// TestRejectionsLeaveTimeToRetry checks with random requests that no request is rejected that is
+// predicted to meet its goal, that is a retry already, or whose wait or first event time is
+// unknown, and that a rejected caller has time left when it retries.
+func TestRejectionsLeaveTimeToRetry(t *testing.T) {
 	proptest.Run(t, "refusals", func(random *rand.Rand) error {
-		some := func(most int) time.Duration { return time.Duration(random.Intn(most)) * ms }
-		request := Request{TimeLeft: some(6000), MaxTimeLeft: some(6000), Goal: some(2000), FirstEventTime: some(1000), Wait: some(3000)}
-		comeback := Decide(&request, random.Float64())
+		randomTime := func(maxMillis int) time.Duration { return time.Duration(random.Intn(maxMillis)) * ms }
+		request := Request{TimeLeft: randomTime(6000), MaxTimeLeft: randomTime(6000), Goal: randomTime(2000), FirstEventTime: randomTime(1000), Wait: randomTime(3000)}
+		retryAfter := Decide(&request, random.Float64())
 		switch {
-		case comeback == 0:
+		case retryAfter == 0:
 			return nil
-		case request.Wait == 0 || request.FirstEventTime == 0 || request.FirstEventTime+request.Wait <= request.Goal*goalPart/hundreds:
-			return errors.Newf("%+v is refused though it may be in time", request)
+		case request.Wait == 0 || request.FirstEventTime == 0 || request.FirstEventTime+request.Wait <= request.Goal*goalPercent/hundredPercent:
+			return errors.Newf("%+v is rejected though it may meet its goal", request)
 		case request.TimeLeft <= request.MaxTimeLeft-MinRetryAfter:
-			return errors.Newf("%+v is refused a second time", request)
-		case comeback < MinRetryAfter || comeback > request.TimeLeft/comebackParts:
-			return errors.Newf("%+v is to come back after %s", request, comeback)
+			return errors.Newf("%+v is rejected a second time", request)
+		case retryAfter < MinRetryAfter || retryAfter > request.TimeLeft/maxRetryAfterDivisor:
+			return errors.Newf("%+v has the Retry-After %s, out of bounds", request, retryAfter)
 		}
 		return nil
 	})
 }
 
-// TestOverShareIsSentBackFirst checks with random requests that who is over its share is
-// sent back where others are, and at a smaller wait; never where it finds room, nor twice;
-// and that nothing changes for the others.
-func TestOverShareIsSentBackFirst(t *testing.T) {
-	sooner := 0
+// TestOverShareIsRejectedSooner checks with random requests that one over its tenant's share is
+// rejected wherever another is, and also at shorter waits, but never if it need not wait and never
+// twice. Requests within the share get the same Retry-After as without it.
+func TestOverShareIsRejectedSooner(t *testing.T) {
+	rejectedSooner := 0
 	proptest.Run(t, "over", func(random *rand.Rand) error {
-		some := func(most int) time.Duration { return time.Duration(random.Intn(most)) * ms }
-		within := Request{TimeLeft: some(6000), MaxTimeLeft: some(6000), Goal: some(2000), FirstEventTime: some(1000), Wait: some(800)}
-		over := within
-		over.OverShare = true
-		lot := random.Float64()
-		sent, sentOver := Decide(&within, lot), Decide(&over, lot)
+		randomTime := func(maxMillis int) time.Duration { return time.Duration(random.Intn(maxMillis)) * ms }
+		withinShare := Request{TimeLeft: randomTime(6000), MaxTimeLeft: randomTime(6000), Goal: randomTime(2000), FirstEventTime: randomTime(1000), Wait: randomTime(800)}
+		overShare := withinShare
+		overShare.OverShare = true
+		jitter := random.Float64()
+		retryWithin, retryOver := Decide(&withinShare, jitter), Decide(&overShare, jitter)
 		switch {
-		case sent > 0 && sent != sentOver:
-			return errors.Newf("%+v comes back after %s, over its share after %s", within, sent, sentOver)
-		case sent == 0 && sentOver > 0:
-			sooner++
-			if over.Wait == 0 || over.TimeLeft <= over.MaxTimeLeft-MinRetryAfter || Evaluate(&over) != OverShare {
-				return errors.Newf("%+v is sent back", over)
+		case retryWithin > 0 && retryWithin != retryOver:
+			return errors.Newf("%+v has the Retry-After %s, and %s over its share; want the same", withinShare, retryWithin, retryOver)
+		case retryWithin == 0 && retryOver > 0:
+			rejectedSooner++
+			if overShare.Wait == 0 || overShare.TimeLeft <= overShare.MaxTimeLeft-MinRetryAfter || Evaluate(&overShare) != OverShare {
+				return errors.Newf("%+v is rejected, want admitted", overShare)
 			}
 		}
 		return nil
 	})
-	if sooner == 0 {
-		t.Error("nobody was sent back for its share")
+	if rejectedSooner == 0 {
+		t.Error("no request was rejected for its share")
 	}
 }
 
-// TestReasons judges a request by its wait, within and over its share.
-func TestReasons(t *testing.T) {
+// TestEvaluate evaluates requests with different waits, within and over their tenants' shares.
+func TestEvaluate(t *testing.T) {
 	for _, test := range []struct {
-		wait         time.Duration
-		within, over Reason
+		wait                   time.Duration
+		withinShare, overShare Reason
 	}{{0, Admitted, Admitted}, {47 * ms, Admitted, Admitted}, {48 * ms, Admitted, OverShare}, {190 * ms, Admitted, OverShare}, {191 * ms, TooLate, TooLate}} {
 		request := Request{TimeLeft: 5000 * ms, MaxTimeLeft: 5000 * ms, Goal: 300 * ms, FirstEventTime: 80 * ms, Wait: test.wait}
-		if got := Evaluate(&request); got != test.within {
+		if got := Evaluate(&request); got != test.withinShare {
 			t.Errorf("wait %s: %s", test.wait, got)
 		}
 		request.OverShare = true
-		if got := Evaluate(&request); got != test.over {
+		if got := Evaluate(&request); got != test.overShare {
 			t.Errorf("wait %s, over the share: %s", test.wait, got)
 		}
 	}
 }
 
-func TestRouteLearns(t *testing.T) {
+func TestRouteObservations(t *testing.T) {
 	var route Route
 	if route.FirstEventTime() != 0 || route.MaxTimeLeft() != 0 {
-		t.Error("something is known before anything was seen")
+		t.Error("a new route has values before any observation")
 	}
 	for range 100 {
 		route.ObserveArrival(4000 * ms)
@@ -132,20 +131,20 @@
 		route.ObserveFirstEvent(80 * ms)
 	}
 	if route.FirstEventTime() != 80*ms || route.MaxTimeLeft() < 3900*ms {
-		t.Errorf("begin %s, longest %s", route.FirstEventTime(), route.MaxTimeLeft())
+		t.Errorf("first event time %s, max time left %s", route.FirstEventTime(), route.MaxTimeLeft())
 	}
-	for range 8 * longestWeight {
+	for range 8 * maxTimeLeftDivisor {
 		route.ObserveArrival(2000 * ms)
 	}
 	if route.MaxTimeLeft() > 2100*ms {
-		t.Errorf("after the time allowed was cut: %s", route.MaxTimeLeft())
+		t.Errorf("max time left %s after the callers' deadlines became shorter", route.MaxTimeLeft())
 	}
 }
 
-// TestOverloadEndsAreLearnt lets requests come in waves: from the second one on the end of
-// the wave is known, a single crowded request in a calm time is none, and a wave that lasts
-// longer than those before it has no known end.
-func TestOverloadEndsAreLearnt(t *testing.T) {
+// TestOverloadDurationIsLearned sends requests in waves. From the second wave on its end is
+// predicted. A single request that finds the pool overloaded in a quiet period is no overload, and
+// a wave that lasts longer than those before it has no predicted end.
+func TestOverloadDurationIsLearned(t *testing.T) {
 	const period, height = 6 * time.Second, 2 * time.Second
 	var overload Overload
 	start := time.Unix(1000, 0)
@@ -170,36 +169,36 @@
 	compareGolden(t, "overload.txt", trace.String())
 }
 
-// TestCameBack tells callers that were sent back from those with a shorter deadline than others.
-func TestCameBack(t *testing.T) {
-	const longest, goal = 6000 * ms, 300 * ms
+// TestDetectRetry distinguishes retries from callers with a shorter deadline than others.
+func TestDetectRetry(t *testing.T) {
+	const maxTimeLeft, goal = 6000 * ms, 300 * ms
 	for _, test := range []struct {
-		left time.Duration
-		want bool
+		timeLeft time.Duration
+		want     bool
 	}{
-		{longest, false},
-		{longest - MinRetryAfter + ms, false},
-		{longest - MinRetryAfter, true},
-		{longest - longest/3 - goal, true},
-		{longest - longest/3 - goal - ms, false},
+		{maxTimeLeft, false},
+		{maxTimeLeft - MinRetryAfter + ms, false},
+		{maxTimeLeft - MinRetryAfter, true},
+		{maxTimeLeft - maxTimeLeft/3 - goal, true},
+		{maxTimeLeft - maxTimeLeft/3 - goal - ms, false},
 		{1000 * ms, false},
-		{longest + 1000*ms, false},
+		{maxTimeLeft + 1000*ms, false},
 	} {
-		before, returned := DetectRetry(longest, test.left, goal)
-		if returned != test.want || before != longest-test.left {
-			t.Errorf("%s left: %s before, returned %t", test.left, before, returned)
+		elapsed, retried := DetectRetry(maxTimeLeft, test.timeLeft, goal)
+		if retried != test.want || elapsed != maxTimeLeft-test.timeLeft {
+			t.Errorf("%s left: elapsed %s, retried %t", test.timeLeft, elapsed, retried)
 		}
 	}
 }
 
-// TestAllWhoAreSentBackCameBack sends callers back, who return when they are asked to: each is
-// known by the time that is left then.
-func TestAllWhoAreSentBackCameBack(t *testing.T) {
+// TestEveryRetryIsDetected rejects callers that retry when they are asked to: each retry is
+// detected by the time left until its deadline.
+func TestEveryRetryIsDetected(t *testing.T) {
 	proptest.Run(t, "came back", func(random *rand.Rand) error {
-		longest := time.Duration(1000+random.Intn(20000)) * ms
-		comeback := Decide(&Request{TimeLeft: longest, MaxTimeLeft: longest, Goal: testGoal, FirstEventTime: testBegin, Wait: time.Second, OverloadTimeLeft: time.Duration(random.Intn(8000)) * ms}, random.Float64())
-		if _, returned := DetectRetry(longest, longest-comeback-time.Duration(random.Intn(100))*ms, testGoal); !returned {
-			return errors.Newf("sent back for %s of %s", comeback, longest)
+		maxTimeLeft := time.Duration(1000+random.Intn(20000)) * ms
+		retryAfter := Decide(&Request{TimeLeft: maxTimeLeft, MaxTimeLeft: maxTimeLeft, Goal: testGoal, FirstEventTime: testFirstEventTime, Wait: time.Second, OverloadTimeLeft: time.Duration(random.Intn(8000)) * ms}, random.Float64())
+		if _, retried := DetectRetry(maxTimeLeft, maxTimeLeft-retryAfter-time.Duration(random.Intn(100))*ms, testGoal); !retried {
+			return errors.Newf("retry after %s of %s is not detected", retryAfter, maxTimeLeft)
 		}
 		return nil
 	})
--- a/internal/admission/claim.go
+++ b/internal/admission/claim.go
@@ -5,135 +5,140 @@
 	"time"
 )
 
-// Entry is what a request brings to the order in which scarce room is given out.
+// Entry is a queued request, with the attributes that determine its position in the queue.
 type Entry struct {
-	// Rank goes first where it is smaller: the tenant's, or else the route's.
+	// Rank is the tenant's, or else the route's. The smaller rank goes first.
 	Rank int
-	// OverShare is set where its tenant has more than its share of the room. It counts before the
-	// rank.
+	// OverShare is set if the tenant uses more than its share of the capacity. It takes
+	// precedence over the rank.
 	OverShare bool
-	// GoalDeadline is until when the first event is in time, counted from the caller's first attempt,
-	// and Leaves until when the caller waits at all.
+	// GoalDeadline is until when the first event meets its goal, counted from the caller's first
+	// attempt. Deadline is until when the caller waits at all.
 	GoalDeadline time.Time
 	Deadline     time.Time
-	// Retried is set where the caller was sent back before.
+	// Retried is set if the caller was rejected before and this is its retry.
 	Retried bool
 
-	// Arrived is when this attempt came, Goal the time to the first event that is aimed at,
-	// zero for none.
+	// Arrived is when this attempt came. Goal is the target time to the first event, zero for
+	// none.
 	Arrived time.Time
 	Goal    time.Duration
-	// FirstEventTime is how long the first event takes once the request runs, zero if unknown.
+	// FirstEventTime is the time to the first event once the request runs, zero if unknown.
 	FirstEventTime time.Duration
-	// Bytes is what the request keeps in memory while it waits.
+	// Bytes is the memory that the request occupies while it waits.
 	Bytes int64
-	// number orders claims that are alike by when they came.
-	number uint64
-	// punctualUntil and returnedUntil are until when a request that is sent to a free slot
-	// is in time from the first attempt, and from the return. These, due and leaves are in
-	// nanoseconds: each decision compares them for all that wait.
-	punctualUntil int64
-	returnedUntil int64
-	due           int64
-	leaves        int64
-	// class is the claim's at the moment of the last decision.
-	class class
+	// sequence numbers the entries in the order of arrival; it breaks ties.
+	sequence uint64
+	// dispatchBy and retryDispatchBy are the latest times at which dispatch to a free slot still
+	// meets the goal, counted from the first attempt and from the retry. These two and the
+	// deadlines below are in Unix nanoseconds because each decision compares them for all
+	// waiting entries.
+	dispatchBy        int64
+	retryDispatchBy   int64
+	goalDeadlineNanos int64
+	deadlineNanos     int64
+	// tier is the entry's tier as of the last decision.
+	tier tier
 }
 
-// prepare works out what the order of claims rests on.
-func (c *Entry) prepare(number uint64) {
-	c.number = number
-	// Predictions err, so a part of the goal is left.
-	least := c.FirstEventTime + c.Goal - c.Goal*goalPart/hundreds
-	c.due, c.leaves = c.GoalDeadline.UnixNano(), c.Deadline.UnixNano()
-	if c.Goal <= 0 {
-		// Nothing is due before the caller leaves.
-		c.due = c.leaves
+// prepare computes the fields that the order of entries depends on.
+func (e *Entry) prepare(sequence uint64) {
+	e.sequence = sequence
+	// Keeps a part of the goal as a margin because predictions are inexact.
+	minLead := e.FirstEventTime + e.Goal - e.Goal*goalPercent/hundredPercent
+	e.goalDeadlineNanos, e.deadlineNanos = e.GoalDeadline.UnixNano(), e.Deadline.UnixNano()
+	if e.Goal <= 0 {
+		// Without a goal, the entry is due at the caller's deadline.
+		e.goalDeadlineNanos = e.deadlineNanos
 	}
-	c.punctualUntil = c.due - int64(least)
-	c.returnedUntil = c.punctualUntil
-	if c.Retried {
-		c.returnedUntil = c.Arrived.Add(c.Goal - least).UnixNano()
+	e.dispatchBy = e.goalDeadlineNanos - int64(minLead)
+	e.retryDispatchBy = e.dispatchBy
+	if e.Retried {
+		e.retryDispatchBy = e.Arrived.Add(e.Goal - minLead).UnixNano()
 	}
 }
 
-// class orders claims before all else.
-type class uint8
+// tier is the first criterion in the order of entries.
+type tier uint8
 
 const (
-	// punctual claims can be in time from their caller's first attempt.
-	punctual class = iota
-	// returned claims can be in time from their caller's return.
-	returned
-	// late claims can't be in time any more.
-	late
+	// tierOnTime entries can still meet the goal counted from the caller's first attempt.
+	tierOnTime tier = iota
+	// tierRetryOnTime entries can still meet the goal counted from the caller's retry.
+	tierRetryOnTime
+	// tierLate entries can't meet the goal any more.
+	tierLate
 )
 
-// classAt returns the claim's class if its request is sent to a free slot at that moment.
-func (c *Entry) classAt(sent time.Time) class { return c.classOf(sent.UnixNano()) }
+// tierAt returns the entry's tier if it is dispatched to a free slot at the given time.
+func (e *Entry) tierAt(dispatchedAt time.Time) tier { return e.tierAtNanos(dispatchedAt.UnixNano()) }
 
-func (c *Entry) classOf(sent int64) class {
+func (e *Entry) tierAtNanos(dispatchedAt int64) tier {
 	switch {
-	case c.Goal <= 0 || sent <= c.punctualUntil:
-		return punctual
-	case sent <= c.returnedUntil:
-		return returned
+	case e.Goal <= 0 || dispatchedAt <= e.dispatchBy:
+		return tierOnTime
+	case dispatchedAt <= e.retryDispatchBy:
+		return tierRetryOnTime
 	}
-	return late
+	return tierLate
 }
 
-// inTime reports whether the first event will be in time, from the first attempt or from the
-// return, if the request waits so long for a slot from now on. Where no time is aimed at,
-// nothing says that a wait is short enough.
-func (c *Entry) inTime(now time.Time, wait time.Duration) bool {
-	return c.classAt(now.Add(wait)) < late && (c.Goal > 0 || wait <= 0)
+// meetsGoal reports whether the first event meets the goal, from the first attempt or from the
+// retry, if the entry waits for a slot for the given time from now on. Without a goal, no wait can
+// be called short enough, so only an entry that need not wait meets it.
+func (e *Entry) meetsGoal(now time.Time, wait time.Duration) bool {
+	return e.tierAt(now.Add(wait)) < tierLate && (e.Goal > 0 || wait <= 0)
 }
 
-// indifferent reports whether no wait is short enough or too long for the claim: it has no goal, or
-// one that no request of its kind keeps, however soon it is sent.
-func (c *Entry) indifferent() bool { return c.FirstEventTime >= c.Goal*goalPart/hundreds }
+// lacksAttainableGoal reports whether the wait makes no difference to the entry's goal: it has
+// none, or one that requests of its kind miss even if they are dispatched at once.
+func (e *Entry) lacksAttainableGoal() bool {
+	return e.FirstEventTime >= e.Goal*goalPercent/hundredPercent
+}
 
-// compare orders claims of one class: the one that goes first is smaller. The shares are divided
-// by rank already, less what is kept for later ranks. So who is within its share goes before
-// all who are over theirs: otherwise nothing would be kept for anybody.
-func (c *Entry) compare(other *Entry, of class) int {
-	if c.OverShare != other.OverShare {
+// compare orders entries of one tier: the smaller one goes first. The shares are divided by rank
+// already, after a part is reserved for later ranks. So entries within their tenants' shares go
+// before all entries over them, whatever the rank: otherwise nothing would stay reserved for later
+// ranks.
+func (e *Entry) compare(other *Entry, own tier) int {
+	if e.OverShare != other.OverShare {
 		if other.OverShare {
 			return -1
 		}
 		return 1
 	}
-	if c.Rank != other.Rank {
-		return cmp.Compare(c.Rank, other.Rank)
+	if e.Rank != other.Rank {
+		return cmp.Compare(e.Rank, other.Rank)
 	}
-	order := cmp.Compare(c.due, other.due)
-	if of == late {
-		order = cmp.Compare(c.leaves, other.leaves)
+	order := cmp.Compare(e.goalDeadlineNanos, other.goalDeadlineNanos)
+	if own == tierLate {
+		order = cmp.Compare(e.deadlineNanos, other.deadlineNanos)
 	}
 	if order != 0 {
 		return order
 	}
-	return cmp.Compare(c.number, other.number)
+	return cmp.Compare(e.sequence, other.sequence)
 }
 
-// before reports whether the claim goes before the other, by the classes given.
-func (c *Entry) before(own class, other *Entry, others class) bool {
-	if own != others {
-		return own < others
+// before reports whether the entry goes before the other, given their tiers.
+func (e *Entry) before(own tier, other *Entry, otherTier tier) bool {
+	if own != otherTier {
+		return own < otherTier
 	}
-	return c.compare(other, own) < 0
+	return e.compare(other, own) < 0
 }
 
 const (
-	// goalPatience and gapPatience are how many times the goal, and the goal of pauses, a
-	// caller waits for the first event of a stream before it gives up; nobody gives up in less
-	// than leastPatience.
-	leastPatience = 2 * time.Second
-	goalPatience  = 4
-	gapPatience   = 8
+	// goalTimeoutFactor and gapTimeoutFactor set how long a caller waits for the first event of a
+	// stream, as multiples of the goal for that event and of the goal for the gap between events.
+	// minFirstEventTimeout is the lower bound.
+	minFirstEventTimeout = 2 * time.Second
+	goalTimeoutFactor    = 4
+	gapTimeoutFactor     = 8
 )
 
-// FirstEventTimeout returns how long a caller waits for the first event of a stream with the goals.
+// FirstEventTimeout returns how long a caller waits for the first event of a stream. goal is the
+// goal for the time to that event, gapGoal the goal for the gap between events.
 func FirstEventTimeout(goal, gapGoal time.Duration) time.Duration {
-	return max(leastPatience, goalPatience*goal, gapPatience*gapGoal)
+	return max(minFirstEventTimeout, goalTimeoutFactor*goal, gapTimeoutFactor*gapGoal)
 }
--- a/internal/admission/collapse_test.go
+++ b/internal/admission/collapse_test.go
@@ -14,393 +14,397 @@
 	"github.com/sedgemast/sedgemast/internal/workerset"
 )
 
-// The pool that is played.
+// Parameters of the simulated pool.
 const (
-	playZones   = 3
-	playWorkers = 45
-	playSlots   = 8
-	playEdges   = 51
-	playHold    = 750 * time.Millisecond
-	// playSpread is by how much a hold is longer or shorter at most, in parts.
-	playSpread = 0.2
-	playBegin  = 80 * time.Millisecond
-	playGoal   = 300 * time.Millisecond
-	playTime   = 5 * time.Second
-	// playWay is how long a message is on its way in a zone.
-	playWay = 500 * time.Microsecond
-	// playMade is how many requests the slots make in a second, playUsual how many come.
-	playMade  = float64(playWorkers*playSlots) / (float64(playHold) / float64(time.Second))
-	playUsual = 0.9 * playMade
-	// playPoll is the time between two looks for room while something waits.
-	playPoll = 10 * time.Millisecond
-	// playClaims bounds what waits at an edge.
-	playClaims = 256
+	simZones    = 3
+	simWorkers  = 45
+	simSlots    = 8
+	simEdges    = 51
+	simHoldTime = 750 * time.Millisecond
+	// simHoldTimeSpread is the largest relative deviation of a hold time from simHoldTime.
+	simHoldTimeSpread = 0.2
+	simFirstEventTime = 80 * time.Millisecond
+	simGoal           = 300 * time.Millisecond
+	simTimeLeft       = 5 * time.Second
+	// simNetworkDelay is the one-way delay of a message within a zone.
+	simNetworkDelay = 500 * time.Microsecond
+	// simThroughput is the capacity of the slots, simBaseRate the normal load; both are in
+	// requests a second.
+	simThroughput = float64(simWorkers*simSlots) / (float64(simHoldTime) / float64(time.Second))
+	simBaseRate   = 0.9 * simThroughput
+	// simPollInterval is the time between two polls for a free slot while requests wait.
+	simPollInterval = 10 * time.Millisecond
+	// simMaxQueued bounds the requests that wait at an edge.
+	simMaxQueued = 256
 )
 
-var playStart = time.Unix(1000, 0)
+var simStart = time.Unix(1000, 0)
 
-// playEvent is something that happens at a moment.
-type playEvent struct {
-	at     time.Duration
-	number int
-	action func()
+// simEvent is an action at a point in virtual time.
+type simEvent struct {
+	at       time.Duration
+	sequence int
+	action   func()
 }
 
-type playEvents []playEvent
+type simEvents []simEvent
 
 // Len implements heap.Interface.
-func (e playEvents) Len() int { return len(e) }
+func (e simEvents) Len() int { return len(e) }
 
 // Less implements heap.Interface.
-func (e playEvents) Less(a, b int) bool {
-	return e[a].at < e[b].at || e[a].at == e[b].at && e[a].number < e[b].number
+func (e simEvents) Less(a, b int) bool {
+	return e[a].at < e[b].at || e[a].at == e[b].at && e[a].sequence < e[b].sequence
 }
 
 // Swap implements heap.Interface.
-func (e playEvents) Swap(a, b int) { e[a], e[b] = e[b], e[a] }
+func (e simEvents) Swap(a, b int) { e[a], e[b] = e[b], e[a] }
 
 // Push implements heap.Interface.
-func (e *playEvents) Push(event any) { *e = append(*e, event.(playEvent)) }
+func (e *simEvents) Push(event any) { *e = append(*e, event.(simEvent)) }
 
 // Pop implements heap.Interface.
-func (e *playEvents) Pop() any {
+func (e *simEvents) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return last
 }
 
-// playWorker runs requests in the order in which they come, so many at once.
-type playWorker struct {
+// simWorker runs requests in the order of their arrival, up to simSlots at once.
+type simWorker struct {
 	running int
-	waiting []*playRequest
+	waiting []*simRequest
 }
 
-// playRequest is an attempt of a caller.
-type playRequest struct {
-	first  time.Duration
-	came   time.Duration
-	tries  int
-	edge   *playEdge
-	claim  admission.Entry
-	lease  *balance.Lease
-	gone   bool
-	queued bool
-	served bool
+// simRequest is one attempt of a caller.
+type simRequest struct {
+	firstAttemptAt time.Duration
+	arrivedAt      time.Duration
+	attempts       int
+	edge           *simEdge
+	entry          admission.Entry
+	lease          *balance.Lease
+	ended          bool
+	queued         bool
+	served         bool
 }
 
-func (r *playRequest) leaves() time.Duration { return r.first + playTime }
+func (r *simRequest) deadline() time.Duration { return r.firstAttemptAt + simTimeLeft }
 
-// playEdge is an edge with what it knows.
-type playEdge struct {
+// simEdge is an edge with its state.
+type simEdge struct {
 	number   int
 	table    *balance.Table
 	route    admission.Route
 	overload admission.Overload
 	queue    *admission.Queue
-	waiting  map[*admission.Entry]*playRequest
+	waiting  map[*admission.Entry]*simRequest
 	polling  bool
 }
 
-// play is callers, edges, hubs and workers in virtual time.
-type play struct {
-	random  *rand.Rand
-	now     time.Duration
-	events  playEvents
-	number  int
-	queues  bool
-	edges   []*playEdge
-	hubs    []*loadshare.Hub
-	top     *loadshare.Hub
-	workers map[string]*playWorker
-	// usual is the load without a burst, burst says when and how many times as much comes.
-	usual      float64
-	burst      float64
-	burstFrom  time.Duration
-	burstUntil time.Duration
-	// came holds when requests came, firsts when first events came that were in time, late
-	// when those did that were not.
-	came, firsts, late       []time.Duration
-	back, refused, abandoned int
-	queued, longestQueue     int
-	asks                     int
-}
-
-func newPlay(seed uint64, queues bool) *play {
-	p := &play{random: rand.New(rand.NewPCG(seed, 1)), queues: queues, top: loadshare.NewHub(), workers: map[string]*playWorker{}, usual: playUsual, burst: 1}
+// simulation runs callers, edges, hubs and workers in virtual time.
+type simulation struct {
+	random   *rand.Rand
+	now      time.Duration
+	events   simEvents
+	sequence int
+	queueing bool
+	edges    []*simEdge
+	hubs     []*loadshare.Hub
+	top      *loadshare.Hub
+	workers  map[string]*simWorker
+	// baseRate is the load without a burst in requests a second. From burstFrom to burstUntil it
+	// is multiplied by burstFactor.
+	baseRate    float64
+	burstFactor float64
+	burstFrom   time.Duration
+	burstUntil  time.Duration
+	// arrivedAt holds the arrival times of requests, inTime the times of first events that met
+	// their goal, late those of first events that missed it.
+	arrivedAt, inTime, late               []time.Duration
+	retriesScheduled, rejected, abandoned int
+	queued, longestQueue                  int
+	reportsExchanged                      int
+}
+
+func newSimulation(seed uint64, queueing bool) *simulation {
+	s := &simulation{random: rand.New(rand.NewPCG(seed, 1)), queueing: queueing, top: loadshare.NewHub(), workers: map[string]*simWorker{}, baseRate: simBaseRate, burstFactor: 1}
 	var rows []wire.PoolWorker
-	for number := range playWorkers {
-		row := wire.PoolWorker{ID: fmt.Sprintf("w%d", number), Pool: "p", Zone: fmt.Sprintf("z%d", number%playZones), Slots: playSlots}
-		rows = append(rows, row)
-		p.workers[row.ID] = &playWorker{}
+	for number := range simWorkers {
+		worker := wire.PoolWorker{ID: fmt.Sprintf("w%d", number), Pool: "p", Zone: fmt.Sprintf("z%d", number%simZones), Slots: simSlots}
+		rows = append(rows, worker)
+		s.workers[worker.ID] = &simWorker{}
 	}
 	set := workerset.Of(rows)
-	for range playZones {
-		p.hubs = append(p.hubs, loadshare.NewHub())
+	for range simZones {
+		s.hubs = append(s.hubs, loadshare.NewHub())
 	}
-	for number := range playEdges {
-		table := balance.NewTable(fmt.Sprintf("z%d", number%playZones), rand.New(rand.NewPCG(seed, uint64(number))))
+	for number := range simEdges {
+		table := balance.NewTable(fmt.Sprintf("z%d", number%simZones), rand.New(rand.NewPCG(seed, uint64(number))))
 		table.Update(set, nil)
-		p.edges = append(p.edges, &playEdge{number: number, table: table, queue: admission.NewQueue(admission.Bounds{Requests: playClaims, Bytes: 1 << 20}), waiting: map[*admission.Entry]*playRequest{}})
+		s.edges = append(s.edges, &simEdge{number: number, table: table, queue: admission.NewQueue(admission.Bounds{Requests: simMaxQueued, Bytes: 1 << 20}), waiting: map[*admission.Entry]*simRequest{}})
 	}
-	return p
+	return s
 }
 
-func (p *play) after(wait time.Duration, action func()) {
-	p.number++
-	heap.Push(&p.events, playEvent{p.now + wait, p.number, action})
+func (s *simulation) after(delay time.Duration, action func()) {
+	s.sequence++
+	heap.Push(&s.events, simEvent{s.now + delay, s.sequence, action})
 }
 
-func (p *play) clock() time.Time { return playStart.Add(p.now) }
+func (s *simulation) clock() time.Time { return simStart.Add(s.now) }
 
-// tell brings what an edge has to its hub.
-func (p *play) tell(e *playEdge) {
+// sendReport sends the loads of an edge to its hub.
+func (s *simulation) sendReport(e *simEdge) {
 	report := &wire.LoadReport{Source: uint32(e.number + 1), Workers: e.table.Loads()}
-	p.after(playWay, func() { p.hubs[e.number%playZones].ApplyReport(p.clock(), report) })
+	s.after(simNetworkDelay, func() { s.hubs[e.number%simZones].ApplyReport(s.clock(), report) })
 }
 
-// ask brings what the hub knows to the edge, and goes on then.
-func (p *play) ask(e *playEdge, then func()) {
-	p.asks++
-	hub, source := p.hubs[e.number%playZones], uint32(e.number+1)
+// exchangeReports sends the loads of an edge to its hub, takes in those of its peers, and calls
+// then.
+func (s *simulation) exchangeReports(e *simEdge, then func()) {
+	s.reportsExchanged++
+	hub, source := s.hubs[e.number%simZones], uint32(e.number+1)
 	report := &wire.LoadReport{Source: source, Workers: e.table.Loads()}
-	p.after(playWay, func() {
-		hub.ApplyReport(p.clock(), report)
-		others := hub.PeerLoads(p.clock(), source)
-		p.after(playWay, func() {
-			e.table.SetPeerLoads(p.clock(), others, balance.ScopeAll)
+	s.after(simNetworkDelay, func() {
+		hub.ApplyReport(s.clock(), report)
+		others := hub.PeerLoads(s.clock(), source)
+		s.after(simNetworkDelay, func() {
+			e.table.SetPeerLoads(s.clock(), others, balance.ScopeAll)
 			then()
 		})
 	})
 }
 
-// share lets a zone's hub tell the top hub its sums, and learn those of the others.
-func (p *play) share(zone int) {
-	name := uint32(1000 + zone)
-	if sums := p.hubs[zone].Sums(p.clock(), name); sums != nil {
-		p.top.ApplyReport(p.clock(), sums)
+// syncHub sends the sums of a zone's hub to the top hub, takes in those of the other zones, and
+// repeats that every loadshare.Interval.
+func (s *simulation) syncHub(zone int) {
+	source := uint32(1000 + zone)
+	if sums := s.hubs[zone].Sums(s.clock(), source); sums != nil {
+		s.top.ApplyReport(s.clock(), sums)
 	}
-	told := p.top.UpdateFor(p.clock(), name)
-	p.hubs[zone].SetParentLoads(p.clock(), told.Rows, told.UnlistedRate, told.Omitted > 0)
-	p.after(loadshare.Interval, func() { p.share(zone) })
+	update := s.top.UpdateFor(s.clock(), source)
+	s.hubs[zone].SetParentLoads(s.clock(), update.Rows, update.UnlistedRate, update.Omitted > 0)
+	s.after(loadshare.Interval, func() { s.syncHub(zone) })
 }
 
-// arrivals lets callers come.
-func (p *play) arrivals() {
-	perSecond := p.usual
-	if p.now >= p.burstFrom && p.now < p.burstUntil {
-		perSecond *= p.burst
+// scheduleArrivals lets callers arrive at random times.
+func (s *simulation) scheduleArrivals() {
+	perSecond := s.baseRate
+	if s.now >= s.burstFrom && s.now < s.burstUntil {
+		perSecond *= s.burstFactor
 	}
-	p.after(time.Duration(p.random.ExpFloat64()/perSecond*float64(time.Second)), func() {
-		p.attempt(p.now, 1)
-		p.arrivals()
+	s.after(time.Duration(s.random.ExpFloat64()/perSecond*float64(time.Second)), func() {
+		s.attempt(s.now, 1)
+		s.scheduleArrivals()
 	})
 }
 
-// attempt lets a caller who asked first at that time ask.
-func (p *play) attempt(first time.Duration, tries int) {
-	edge := p.edges[p.random.IntN(playEdges)]
-	r := &playRequest{first: first, came: p.now, tries: tries, edge: edge}
-	p.came = append(p.came, p.now)
-	edge.route.ObserveArrival(r.leaves() - p.now)
-	p.after(r.leaves()-p.now, func() { p.leave(r) })
-	p.ask(edge, func() { p.decide(r) })
+// attempt sends a request of a caller whose first attempt was at firstAttemptAt.
+func (s *simulation) attempt(firstAttemptAt time.Duration, attempts int) {
+	edge := s.edges[s.random.IntN(simEdges)]
+	r := &simRequest{firstAttemptAt: firstAttemptAt, arrivedAt: s.now, attempts: attempts, edge: edge}
+	s.arrivedAt = append(s.arrivedAt, s.now)
+	edge.route.ObserveArrival(r.deadline() - s.now)
+	s.after(r.deadline()-s.now, func() { s.abandon(r) })
+	s.exchangeReports(edge, func() { s.decide(r) })
 }
 
-// leave lets a caller go who has no event by now.
-func (p *play) leave(r *playRequest) {
-	if r.gone || r.served {
+// abandon ends a request at its deadline unless a worker has started it.
+func (s *simulation) abandon(r *simRequest) {
+	if r.ended || r.served {
 		return
 	}
-	r.gone = true
-	p.abandoned++
-	delete(r.edge.waiting, &r.claim)
-	r.edge.queue.Remove(&r.claim)
+	r.ended = true
+	s.abandoned++
+	delete(r.edge.waiting, &r.entry)
+	r.edge.queue.Remove(&r.entry)
 	if r.lease != nil {
 		r.lease.Release()
 	}
 }
 
-func (p *play) decide(r *playRequest) {
-	if p.queues {
-		p.decideInTurn(r)
+func (s *simulation) decide(r *simRequest) {
+	if s.queueing {
+		s.decideQueued(r)
 		return
 	}
 	e := r.edge
-	lease := e.table.Acquire(p.clock(), &balance.Request{Pool: "p"})
-	e.overload.Observe(p.clock(), lease.Wait, playGoal)
-	request := admission.Request{TimeLeft: r.leaves() - p.now, MaxTimeLeft: e.route.MaxTimeLeft(), Goal: playGoal, FirstEventTime: e.route.FirstEventTime(), Wait: lease.Wait, OverloadTimeLeft: e.overload.TimeLeft(p.clock())}
-	if comeback := admission.Decide(&request, p.random.Float64()); comeback > 0 {
+	lease := e.table.Acquire(s.clock(), &balance.Request{Pool: "p"})
+	e.overload.Observe(s.clock(), lease.Wait, simGoal)
+	request := admission.Request{TimeLeft: r.deadline() - s.now, MaxTimeLeft: e.route.MaxTimeLeft(), Goal: simGoal, FirstEventTime: e.route.FirstEventTime(), Wait: lease.Wait, OverloadTimeLeft: e.overload.TimeLeft(s.clock())}
+	if retryAfter := admission.Decide(&request, s.random.Float64()); retryAfter > 0 {
 		lease.Release()
-		p.refuse(r, comeback)
+		s.reject(r, retryAfter)
 		return
 	}
-	p.send(r, lease)
+	s.send(r, lease)
 }
 
-// look returns the best place at a worker.
-func (p *play) look(e *playEdge, given string) (*balance.Candidate, admission.Candidate) {
-	place := e.table.FindCandidate(p.clock(), &balance.Request{Pool: "p"}, balance.SearchOptions{Peers: playEdges, ReleasedWorker: given})
-	return place, admission.Candidate{Full: place.Full, Wait: place.Wait, MaxWait: place.MaxWait, Spare: place.Spare, LeftToPeers: place.LeftToPeers}
+// findCandidate returns the best worker for a request.
+func (s *simulation) findCandidate(e *simEdge, releasedWorker string) (*balance.Candidate, admission.Candidate) {
+	candidate := e.table.FindCandidate(s.clock(), &balance.Request{Pool: "p"}, balance.SearchOptions{Peers: simEdges, ReleasedWorker: releasedWorker})
+	return candidate, admission.Candidate{Full: candidate.Full, Wait: candidate.Wait, MaxWait: candidate.MaxWait, Spare: candidate.Spare, LeftToPeers: candidate.LeftToPeers}
 }
 
-// take sends a request to the place.
-func (p *play) take(r *playRequest, place *balance.Candidate) {
-	p.send(r, r.edge.table.AcquireCandidate(p.clock(), &balance.Request{Pool: "p"}, place))
+// dispatch sends a request to the candidate.
+func (s *simulation) dispatch(r *simRequest, candidate *balance.Candidate) {
+	s.send(r, r.edge.table.AcquireCandidate(s.clock(), &balance.Request{Pool: "p"}, candidate))
 }
 
-func (p *play) decideInTurn(r *playRequest) {
+func (s *simulation) decideQueued(r *simRequest) {
 	e := r.edge
-	left := r.leaves() - p.now
-	age, returned := admission.DetectRetry(e.route.MaxTimeLeft(), left, playGoal)
-	if !returned {
+	timeLeft := r.deadline() - s.now
+	age, retried := admission.DetectRetry(e.route.MaxTimeLeft(), timeLeft, simGoal)
+	if !retried {
 		age = 0
 	}
-	r.claim = admission.Entry{GoalDeadline: p.clock().Add(playGoal - age), Deadline: p.clock().Add(left), Retried: returned, Arrived: p.clock(), Goal: playGoal, FirstEventTime: e.route.FirstEventTime(), Bytes: 1}
-	place, offer := p.look(e, "")
-	e.overload.Observe(p.clock(), place.Wait, playGoal)
-	room := admission.Supply{Throughput: e.table.Throughput("p", playEdges), OverloadTimeLeft: e.overload.TimeLeft(p.clock())}
-	decision := e.queue.Admit(p.clock(), &admission.Arrival{Entry: &r.claim, Candidate: offer, Supply: room, TimeLeft: left, MaxTimeLeft: e.route.MaxTimeLeft()}, p.random.Float64())
+	r.entry = admission.Entry{GoalDeadline: s.clock().Add(simGoal - age), Deadline: s.clock().Add(timeLeft), Retried: retried, Arrived: s.clock(), Goal: simGoal, FirstEventTime: e.route.FirstEventTime(), Bytes: 1}
+	candidate, admissionCandidate := s.findCandidate(e, "")
+	e.overload.Observe(s.clock(), candidate.Wait, simGoal)
+	supply := admission.Supply{Throughput: e.table.Throughput("p", simEdges), OverloadTimeLeft: e.overload.TimeLeft(s.clock())}
+	decision := e.queue.Admit(s.clock(), &admission.Arrival{Entry: &r.entry, Candidate: admissionCandidate, Supply: supply, TimeLeft: timeLeft, MaxTimeLeft: e.route.MaxTimeLeft()}, s.random.Float64())
 	for i := range decision.Displaced {
 		displaced := &decision.Displaced[i]
 		other := e.waiting[displaced.Entry]
 		delete(e.waiting, displaced.Entry)
-		p.refuse(other, displaced.RetryAfter)
+		s.reject(other, displaced.RetryAfter)
 	}
 	switch decision.Result {
 	case admission.Dispatched:
-		p.take(r, place)
+		s.dispatch(r, candidate)
 	case admission.Queued:
-		e.waiting[&r.claim] = r
+		e.waiting[&r.entry] = r
 		r.queued = true
-		p.queued++
-		p.longestQueue = max(p.longestQueue, e.queue.Len())
-		p.pump(e, "")
-		p.poll(e)
+		s.queued++
+		s.longestQueue = max(s.longestQueue, e.queue.Len())
+		s.dispatchNext(e, "")
+		s.poll(e)
 	default:
-		p.refuse(r, decision.RetryAfter)
+		s.reject(r, decision.RetryAfter)
 	}
 }
 
-// pump sends what waits and may go, and reports whether anything went.
-func (p *play) pump(e *playEdge, given string) bool {
-	first := e.queue.First(p.clock())
+// dispatchNext dispatches the first waiting request if it may go, and reports whether it did.
+func (s *simulation) dispatchNext(e *simEdge, releasedWorker string) bool {
+	first := e.queue.First(s.clock())
 	if first == nil {
 		return false
 	}
-	place, offer := p.look(e, given)
-	if !e.queue.TryDispatch(p.clock(), first, offer) {
+	candidate, admissionCandidate := s.findCandidate(e, releasedWorker)
+	if !e.queue.TryDispatch(s.clock(), first, admissionCandidate) {
 		return false
 	}
 	r := e.waiting[first]
 	delete(e.waiting, first)
-	p.take(r, place)
+	s.dispatch(r, candidate)
 	return true
 }
 
-// poll looks for room again and again while something waits.
-func (p *play) poll(e *playEdge) {
+// poll looks for a free slot at each simPollInterval while requests wait.
+func (s *simulation) poll(e *simEdge) {
 	if e.polling {
 		return
 	}
 	e.polling = true
-	var again func()
-	again = func() {
+	var poll func()
+	poll = func() {
 		if e.queue.Len() == 0 {
 			e.polling = false
 			return
 		}
-		p.ask(e, func() {
-			wait := playPoll
-			if p.pump(e, "") {
-				wait = 2 * playWay
+		s.exchangeReports(e, func() {
+			wait := simPollInterval
+			if s.dispatchNext(e, "") {
+				wait = 2 * simNetworkDelay
 			}
-			p.after(wait, again)
+			s.after(wait, poll)
 		})
 	}
-	p.after(playPoll, again)
+	s.after(simPollInterval, poll)
 }
 
-func (p *play) refuse(r *playRequest, comeback time.Duration) {
-	r.gone = true
-	if r.tries > 1 {
-		p.refused++
+func (s *simulation) reject(r *simRequest, retryAfter time.Duration) {
+	r.ended = true
+	if r.attempts > 1 {
+		s.rejected++
 		return
 	}
-	p.back++
-	p.after(comeback, func() { p.attempt(r.first, r.tries+1) })
+	s.retriesScheduled++
+	s.after(retryAfter, func() { s.attempt(r.firstAttemptAt, r.attempts+1) })
 }
 
-// send brings a request to its worker.
-func (p *play) send(r *playRequest, lease *balance.Lease) {
+// send sends a request to its worker.
+func (s *simulation) send(r *simRequest, lease *balance.Lease) {
 	r.lease = lease
-	p.tell(r.edge)
-	p.after(playWay, func() {
-		worker := p.workers[lease.Endpoint.ID]
+	s.sendReport(r.edge)
+	s.after(simNetworkDelay, func() {
+		worker := s.workers[lease.Endpoint.ID]
 		worker.waiting = append(worker.waiting, r)
-		p.work(worker)
+		s.runNext(worker)
 	})
 }
 
-// work runs what waits at a worker while it has a slot free.
-func (p *play) work(w *playWorker) {
-	for w.running < playSlots && len(w.waiting) > 0 {
+// runNext runs waiting requests of a worker while it has a free slot.
+func (s *simulation) runNext(w *simWorker) {
+	for w.running < simSlots && len(w.waiting) > 0 {
 		r := w.waiting[0]
 		w.waiting = w.waiting[1:]
-		if r.gone {
+		if r.ended {
 			continue
 		}
 		w.running++
 		r.served = true
-		hold := time.Duration(float64(playHold) * (1 + playSpread*(2*p.random.Float64()-1)))
-		p.after(playBegin, func() { p.event(r) })
-		p.after(hold, func() {
+		holdTime := time.Duration(float64(simHoldTime) * (1 + simHoldTimeSpread*(2*s.random.Float64()-1)))
+		s.after(simFirstEventTime, func() { s.recordFirstEvent(r) })
+		s.after(holdTime, func() {
 			w.running--
-			p.work(w)
-			r.lease.RecordAnswer(p.clock(), true)
+			s.runNext(w)
+			r.lease.RecordAnswer(s.clock(), true)
 			r.lease.Release()
-			if p.queues {
-				p.pump(r.edge, r.lease.Endpoint.ID)
+			if s.queueing {
+				s.dispatchNext(r.edge, r.lease.Endpoint.ID)
 			}
 		})
 	}
 }
 
-// event takes in the first event of a request.
-func (p *play) event(r *playRequest) {
-	took := p.now - r.came
+// recordFirstEvent records the first event of a request.
+func (s *simulation) recordFirstEvent(r *simRequest) {
+	elapsed := s.now - r.arrivedAt
 	if r.lease.Wait <= 0 && !r.queued {
-		r.edge.route.ObserveFirstEvent(took)
+		r.edge.route.ObserveFirstEvent(elapsed)
 	}
-	if took <= playGoal {
-		p.firsts = append(p.firsts, p.now)
+	if elapsed <= simGoal {
+		s.inTime = append(s.inTime, s.now)
 		return
 	}
-	p.late = append(p.late, p.now)
+	s.late = append(s.late, s.now)
 }
 
-func (p *play) run(until time.Duration) {
-	for zone := range playZones {
-		p.share(zone)
+func (s *simulation) run(until time.Duration) {
+	for zone := range simZones {
+		s.syncHub(zone)
 	}
-	for _, edge := range p.edges {
-		var again func()
-		again = func() {
-			p.ask(edge, func() {})
-			p.after(loadshare.MaxInterval, again)
+	for _, edge := range s.edges {
+		var report func()
+		report = func() {
+			s.exchangeReports(edge, func() {})
+			s.after(loadshare.MaxInterval, report)
 		}
-		p.after(time.Duration(edge.number)*time.Millisecond, again)
+		s.after(time.Duration(edge.number)*time.Millisecond, report)
 	}
-	p.arrivals()
-	for p.now < until {
-		event := heap.Pop(&p.events).(playEvent)
-		p.now = event.at
+	s.scheduleArrivals()
+	for s.now < until {
+		event := heap.Pop(&s.events).(simEvent)
+		s.now = event.at
 		event.action()
 	}
 }
 
-// within counts the moments of a time.
-func within(moments []time.Duration, from, until time.Duration) (count float64) {
-	for _, at := range moments {
+// countBetween counts the times in [from, until).
+func countBetween(times []time.Duration, from, until time.Duration) (count float64) {
+	for _, at := range times {
 		if at >= from && at < until {
 			count++
 		}
@@ -408,73 +412,74 @@
 	return count
 }
 
-func (p *play) log(t *testing.T, until time.Duration) {
+func (s *simulation) log(t *testing.T, until time.Duration) {
 	t.Helper()
 	for at := time.Duration(0); at < until; at += time.Second {
-		t.Logf("%s: came %.0f, in time %.0f, late %.0f", at, within(p.came, at, at+time.Second), within(p.firsts, at, at+time.Second), within(p.late, at, at+time.Second))
+		t.Logf("%s: %.0f arrivals, %.0f in time, %.0f late", at, countBetween(s.arrivedAt, at, at+time.Second), countBetween(s.inTime, at, at+time.Second), countBetween(s.late, at, at+time.Second))
 	}
-	t.Logf("sent back %d, refused for good %d, left %d, longest queue %d, questions %d", p.back, p.refused, p.abandoned, p.longestQueue, p.asks)
+	t.Logf("%d retries scheduled, %d rejected for good, %d abandoned, longest queue %d, %d report exchanges", s.retriesScheduled, s.rejected, s.abandoned, s.longestQueue, s.reportsExchanged)
 }
 
 const (
-	burstFrom  = 6 * time.Second
-	burstUntil = burstFrom + 5*time.Second
-	afterBurst = 2 * time.Second
-	burstTimes = 3
+	burstFrom    = 6 * time.Second
+	burstUntil   = burstFrom + 5*time.Second
+	recoveryTime = 2 * time.Second
+	burstFactor  = 3
 )
 
-// playBurst plays three times the load for 5 s, and returns what was in time in the burst as
-// a part of what the slots make, and what was in time after it as a part of that, or of who
-// came, whichever is less.
-func playBurst(t *testing.T, seed uint64, queues bool) (in, after float64) {
+// runBurst simulates three times the load for 5 s. It returns the requests that met their goals
+// during the burst, as a fraction of the capacity of the slots, and those that did after it, as a
+// fraction of that capacity or of the arrivals, whichever is less.
+func runBurst(t *testing.T, seed uint64, queueing bool) (during, after float64) {
 	t.Helper()
-	p := newPlay(seed, queues)
-	p.burst, p.burstFrom, p.burstUntil = burstTimes, burstFrom, burstUntil
-	end := burstUntil + afterBurst
-	p.run(end + 2*time.Second)
-	p.log(t, end+2*time.Second)
-	in = within(p.firsts, burstFrom, burstUntil) / (playMade * (burstUntil - burstFrom).Seconds())
-	most := min(playMade*afterBurst.Seconds(), within(p.came, burstUntil, end))
-	return in, within(p.firsts, burstUntil, end) / most
-}
-
-// TestNoCollapse plays three times the load for 5 s, and the usual one after it: nine tenths
-// of what the slots make are in time in the burst, and after it nearly all that can be.
-// Without a queue that can be taken back from, who waited is late and holds the places of
-// those who come: that must be seen as well, or the play proves nothing.
+	s := newSimulation(seed, queueing)
+	s.burstFactor, s.burstFrom, s.burstUntil = burstFactor, burstFrom, burstUntil
+	end := burstUntil + recoveryTime
+	s.run(end + 2*time.Second)
+	s.log(t, end+2*time.Second)
+	during = countBetween(s.inTime, burstFrom, burstUntil) / (simThroughput * (burstUntil - burstFrom).Seconds())
+	attainable := min(simThroughput*recoveryTime.Seconds(), countBetween(s.arrivedAt, burstUntil, end))
+	return during, countBetween(s.inTime, burstUntil, end) / attainable
+}
+
+// TestNoCollapse simulates three times the load for 5 s and the normal load after it. During the
+// burst, requests that make up 90% of the capacity must meet their goals, and after it nearly all
+// that can. Without a queue, requests that have waited too long hold the slots that new ones need.
+// The test checks that this collapse occurs then, because otherwise the simulation proves nothing.
 func TestNoCollapse(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		in, after := playBurst(t, seed, true)
-		t.Logf("seed %d: %.3f in the burst, %.3f after it", seed, in, after)
+		in, after := runBurst(t, seed, true)
+		t.Logf("seed %d: in time: %.3f in the burst, %.3f after it", seed, in, after)
 		if in < 0.9 || after < 0.95 {
 			t.Errorf("seed %d: in time %.3f in the burst, %.3f after it", seed, in, after)
 		}
 	}
-	in, after := playBurst(t, 1, false)
-	t.Logf("without a queue: %.3f in the burst, %.3f after it", in, after)
+	in, after := runBurst(t, 1, false)
+	t.Logf("without a queue: in time: %.3f in the burst, %.3f after it", in, after)
 	if after >= 0.95 {
-		t.Errorf("the play shows no collapse without a queue: in time %.3f in the burst, %.3f after it", in, after)
+		t.Errorf("the simulation shows no collapse without a queue: in time: %.3f in the burst, %.3f after it", in, after)
 	}
 }
 
-// TestNobodyWaitsBesideRoom plays loads that leave room, with and without a queue: as many are
-// in time, and the more room there is the fewer wait at an edge.
-func TestNobodyWaitsBesideRoom(t *testing.T) {
-	const length = 6 * time.Second
+// TestQueueIsNearlyEmptyBelowCapacity simulates loads below the capacity with and without a queue.
+// The same fraction of requests must meet their goals, and the lower the load, the fewer may wait
+// at an edge.
+func TestQueueIsNearlyEmptyBelowCapacity(t *testing.T) {
+	const duration = 6 * time.Second
 	for _, test := range []struct {
-		load   float64
-		queued float64
+		load      float64
+		maxQueued float64
 	}{{0.5, 0.01}, {0.7, 0.02}, {0.8, 0.05}} {
 		var inTime [2]float64
-		for mode, queues := range []bool{false, true} {
-			p := newPlay(4, queues)
-			p.usual = test.load * playMade
-			p.run(length)
-			came := float64(len(p.came))
-			inTime[mode] = float64(len(p.firsts)) / (float64(len(p.firsts)) + float64(len(p.late)))
-			t.Logf("load %g, queues %t: %.0f came, %.4f in time, %d waited, %d were sent back", test.load, queues, came, inTime[mode], p.queued, p.back)
-			if part := float64(p.queued) / came; part > test.queued {
-				t.Errorf("load %g: %.3f waited at an edge", test.load, part)
+		for mode, queueing := range []bool{false, true} {
+			s := newSimulation(4, queueing)
+			s.baseRate = test.load * simThroughput
+			s.run(duration)
+			arrivals := float64(len(s.arrivedAt))
+			inTime[mode] = float64(len(s.inTime)) / (float64(len(s.inTime)) + float64(len(s.late)))
+			t.Logf("load %g, queueing %t: %.0f arrivals, %.4f in time, %d queued, %d retries scheduled", test.load, queueing, arrivals, inTime[mode], s.queued, s.retriesScheduled)
+			if fraction := float64(s.queued) / arrivals; fraction > test.maxQueued {
+				t.Errorf("load %g: a fraction of %.3f waited at an edge", test.load, fraction)
 			}
 		}
 		if inTime[1] < inTime[0]-0.002 {
@@ -484,47 +489,47 @@
 }
 
 const (
-	// returning is how many callers come at once when all processes have started anew, and
-	// returningLeft how long they still wait.
-	returning     = 1000
-	returningLeft = 4500 * time.Millisecond
-	returnAt      = 200 * time.Millisecond
-	// returnSpread is within which time they come.
-	returnSpread = 300 * time.Millisecond
+	// restartCallers is the number of callers that retry when all processes have restarted,
+	// restartTimeLeft the time until their deadlines.
+	restartCallers  = 1000
+	restartTimeLeft = 4500 * time.Millisecond
+	restartAt       = 200 * time.Millisecond
+	// restartSpread is the time within which they arrive.
+	restartSpread = 300 * time.Millisecond
 )
 
-// playRestart lets many callers come within a moment to edges that know nothing, beside the
-// usual load, and returns what was in time from the third second on as a part of what the
-// slots make, or of who came, whichever is less.
-func playRestart(t *testing.T, seed uint64, queues bool) float64 {
+// runRestart simulates many callers that arrive within a short time at edges without any
+// observations, beside the normal load. It returns the requests that met their goals from the third
+// second on, as a fraction of the capacity of the slots or of the arrivals, whichever is less.
+func runRestart(t *testing.T, seed uint64, queueing bool) float64 {
 	t.Helper()
-	p := newPlay(seed, queues)
-	for range returning {
-		p.after(returnAt+time.Duration(p.random.Int64N(int64(returnSpread))), func() { p.attempt(p.now+returningLeft-playTime, 2) })
+	s := newSimulation(seed, queueing)
+	for range restartCallers {
+		s.after(restartAt+time.Duration(s.random.Int64N(int64(restartSpread))), func() { s.attempt(s.now+restartTimeLeft-simTimeLeft, 2) })
 	}
-	from, until := returnAt+2*time.Second, returnAt+6*time.Second
-	p.run(until)
-	p.log(t, until)
-	most := min(playMade*(until-from).Seconds(), within(p.came, from, until))
-	return within(p.firsts, from, until) / most
+	from, until := restartAt+2*time.Second, restartAt+6*time.Second
+	s.run(until)
+	s.log(t, until)
+	attainable := min(simThroughput*(until-from).Seconds(), countBetween(s.arrivedAt, from, until))
+	return countBetween(s.inTime, from, until) / attainable
 }
 
-// TestNoCollapseAfterRestart lets all callers who were cut off come back within a moment, to
-// edges that know neither how long a slot is held nor how long callers wait. All slots are
-// given back together then, when few wait who can be in time, so late ones take them and
-// hold them for a while; that fades from hold to hold.
+// TestNoCollapseAfterRestart simulates the retries of all disconnected callers within a short time,
+// at edges that know neither hold times nor callers' deadlines. All slots are released together
+// then, when few waiting requests can meet their goals. So late requests take the slots and hold
+// them for a while; the effect fades from one hold time to the next.
 func TestNoCollapseAfterRestart(t *testing.T) {
-	const enough, collapsed = 0.75, 0.5
+	const minInTime, maxInTimeWithoutQueue = 0.75, 0.5
 	for seed := uint64(1); seed <= 2; seed++ {
-		after := playRestart(t, seed, true)
+		after := runRestart(t, seed, true)
 		t.Logf("seed %d: %.3f from the third second on", seed, after)
-		if after < enough {
+		if after < minInTime {
 			t.Errorf("seed %d: in time %.3f from the third second on", seed, after)
 		}
 	}
-	after := playRestart(t, 1, false)
+	after := runRestart(t, 1, false)
 	t.Logf("without a queue: %.3f", after)
-	if after >= collapsed {
-		t.Errorf("the play shows no collapse without a queue: in time %.3f", after)
+	if after >= maxInTimeWithoutQueue {
+		t.Errorf("the simulation shows no collapse without a queue: in time %.3f", after)
 	}
 }
--- a/internal/admission/overload.go
+++ b/internal/admission/overload.go
@@ -6,56 +6,56 @@
 )
 
 const (
-	// crowdedPart is the part of the goal, in hundredths, from which on a predicted wait
-	// counts as crowded: less comes and goes by chance.
-	crowdedPart = 25
-	// calmTime is for how long nothing may be crowded before a time of overload is over.
-	calmTime = 400 * time.Millisecond
-	// remembered is how many times of overload the expectation rests on: few, because
-	// the way in which requests come changes.
-	remembered = 3
+	// overloadedWaitPercent is the percentage of the goal from which on a predicted wait counts as
+	// overload. Shorter waits occur by chance.
+	overloadedWaitPercent = 25
+	// recoveryTime is how long all waits must stay below that limit for an overload to be over.
+	recoveryTime = 400 * time.Millisecond
+	// maxDurations is the number of past overloads that the expected duration is based on. It is
+	// small because the arrival pattern changes.
+	maxDurations = 3
 )
 
-// Overload learns for how long a pool is overloaded at a time, from the waits predicted for
-// its requests. Where requests come in waves, that says when the present one will be
-// over. The zero value is ready for use; it is not safe for concurrent use.
+// Overload learns how long a pool stays overloaded, from the waits predicted for its requests. If
+// requests arrive in waves, that predicts the end of the current one. The zero value is ready for
+// use; it is not safe for concurrent use.
 type Overload struct {
-	// began and last are when the present time of overload began, and when a request
-	// last found the pool crowded.
-	began time.Time
-	last  time.Time
-	// lengths are those of the last times of overload.
-	lengths []time.Duration
+	// startedAt is when the current overload began, lastOverloadedAt when a request last found
+	// the pool overloaded.
+	startedAt        time.Time
+	lastOverloadedAt time.Time
+	// durations are those of the most recent overloads, oldest first.
+	durations []time.Duration
 }
 
-// Observe takes in the wait that was predicted for a request with the goal.
+// Observe records the wait that was predicted for a request with the given goal.
 func (o *Overload) Observe(now time.Time, wait, goal time.Duration) {
-	if goal <= 0 || wait < goal*crowdedPart/hundreds {
+	if goal <= 0 || wait < goal*overloadedWaitPercent/hundredPercent {
 		return
 	}
-	if now.Sub(o.last) > calmTime {
-		o.remember(o.last.Sub(o.began))
-		o.began = now
+	if now.Sub(o.lastOverloadedAt) > recoveryTime {
+		o.recordDuration(o.lastOverloadedAt.Sub(o.startedAt))
+		o.startedAt = now
 	}
-	o.last = now
+	o.lastOverloadedAt = now
 }
 
-func (o *Overload) remember(length time.Duration) {
-	if o.began.IsZero() || length < calmTime {
+func (o *Overload) recordDuration(duration time.Duration) {
+	if o.startedAt.IsZero() || duration < recoveryTime {
 		return
 	}
-	if len(o.lengths) == remembered {
-		o.lengths = o.lengths[1:]
+	if len(o.durations) == maxDurations {
+		o.durations = o.durations[1:]
 	}
-	o.lengths = append(o.lengths, length)
+	o.durations = append(o.durations, duration)
 }
 
-// TimeLeft returns in which time the present overload will probably be over, zero if there is
-// none, or if it lasts longer than those before it.
+// TimeLeft returns the expected time until the current overload ends. It is zero if there is no
+// overload or no past one to predict from, or if the current one lasts longer than expected.
 func (o *Overload) TimeLeft(now time.Time) time.Duration {
-	if len(o.lengths) == 0 || now.Sub(o.last) > calmTime {
+	if len(o.durations) == 0 || now.Sub(o.lastOverloadedAt) > recoveryTime {
 		return 0
 	}
-	sorted := slices.Sorted(slices.Values(o.lengths))
-	return max(o.began.Add(sorted[len(sorted)/2]).Sub(now), 0)
+	sorted := slices.Sorted(slices.Values(o.durations))
+	return max(o.startedAt.Add(sorted[len(sorted)/2]).Sub(now), 0)
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -6,193 +6,195 @@
 	"time"
 )
 
-// Bounds limit what waits in a queue.
+// Bounds limit the requests that wait in a queue.
 type Bounds struct {
-	// Requests is how many requests may wait, Bytes what they may keep in memory together.
+	// Requests is the maximum number of requests, Bytes the memory that they may occupy together.
 	Requests int
 	Bytes    int64
 }
 
-// Queue holds the requests of a pool that wait at a process until a worker has room, and
-// decides who goes, who waits and who is refused. It is pure: times, randomness and what is
-// known of the workers come from the caller. It is not safe for concurrent use.
+// Queue holds the requests of a pool that wait in a process until a worker has a free slot. It
+// decides which are dispatched, which wait and which are rejected. It is pure: times, randomness
+// and the state of the workers come from the caller. It is not safe for concurrent use.
 type Queue struct {
-	bounds Bounds
-	claims []*Entry
-	bytes  int64
-	number uint64
-	// sent counts all that were sent to workers, first those among them that went before
-	// all who were sent back before.
-	sent  flow
-	first flow
+	bounds   Bounds
+	entries  []*Entry
+	bytes    int64
+	sequence uint64
+	// dispatched is the rate of all requests sent to workers, onTimeDispatched that of those in
+	// tierOnTime, which precede all retries.
+	dispatched       decayingRate
+	onTimeDispatched decayingRate
 }
 
 // NewQueue returns an empty queue.
 func NewQueue(bounds Bounds) *Queue { return &Queue{bounds: bounds} }
 
-// Len returns how many requests wait.
-func (q *Queue) Len() int { return len(q.claims) }
+// Len returns the number of waiting requests.
+func (q *Queue) Len() int { return len(q.entries) }
 
-// Bytes returns what those that wait keep in memory.
+// Bytes returns the memory that the waiting requests occupy.
 func (q *Queue) Bytes() int64 { return q.bytes }
 
-// Candidate is what the best worker that was found offers to a request: balance.Choice, as far as the
-// queue decides by it.
+// Candidate is the best worker that was found for a request: the part of balance.Candidate that
+// the queue decides by.
 type Candidate struct {
-	// Full is set where all slots of the worker are held. Wait is how long the request
-	// would wait for one in the mean, WaitMost in nearly all cases; both are zero if that
-	// is unknown.
+	// Full is set if all slots of the worker are in use. Wait is the expected time until the
+	// request gets one, MaxWait an upper bound that holds in nearly all cases; both are zero if
+	// unknown.
 	Full    bool
 	Wait    time.Duration
 	MaxWait time.Duration
-	// Spare is set where more slots are free than those that wait at other processes are
-	// about to take.
+	// Spare is set if more slots are free than the requests waiting in other processes are about
+	// to use.
 	Spare bool
-	// LeftToPeers is set where a slot is free, and is left to other processes by lot.
+	// LeftToPeers is set if a slot is free but a random choice leaves it to other processes.
 	LeftToPeers bool
 }
 
-// takes reports whether the claim's request may go to the worker. What can be in time may
-// wait for a moment at the worker, so that no slot stays empty between two requests; what
-// is late goes only where a slot is free that nobody else is about to take, so that it stands
-// in nobody's way: those that are in time may wait at another process. What is indifferent gains
-// nothing by that, and is not made later still.
-func (o Candidate) takes(now time.Time, claim *Entry) bool {
-	if o.LeftToPeers {
+// accepts reports whether the entry may be dispatched to the worker. An entry that can meet its
+// goal may wait briefly at the worker, so that no slot stays empty between two requests. A late
+// entry needs a free slot that no other request is about to use: entries that can meet their goals
+// may be waiting in another process. An entry without an attainable goal takes any free slot: more
+// delay would not help it.
+func (c Candidate) accepts(now time.Time, entry *Entry) bool {
+	if c.LeftToPeers {
 		return false
 	}
-	if o.Wait <= 0 {
-		return !o.Full && (o.Spare || claim.inTime(now, 0) || claim.indifferent())
+	if c.Wait <= 0 {
+		return !c.Full && (c.Spare || entry.meetsGoal(now, 0) || entry.lacksAttainableGoal())
 	}
-	return claim.inTime(now, o.MaxWait)
+	return entry.meetsGoal(now, c.MaxWait)
 }
 
 // Supply is what a process can expect of a pool.
 type Supply struct {
-	// Throughput is how many requests a second the workers can take of those that come to
-	// this process, zero if unknown.
+	// Throughput is how many of this process's requests the workers can take, in requests a
+	// second; zero if unknown.
 	Throughput float64
-	// OverloadTimeLeft is in which time the overload will probably be over, zero if unknown.
+	// OverloadTimeLeft is the expected time until the overload ends, zero if unknown.
 	OverloadTimeLeft time.Duration
 }
 
-// Result is what becomes of a request that came.
+// Result is the outcome for a request that arrived.
 type Result uint8
 
 const (
-	// Dispatched sends it to the worker that was offered.
+	// Dispatched sends the request to the candidate.
 	Dispatched Result = iota
-	// Queued lets it wait.
+	// Queued lets the request wait.
 	Queued
-	// RetryLater refuses it because it would be late now and its caller has the time to come
-	// back.
+	// RetryLater rejects the request because it should not wait, for the reason given in the
+	// Decision, and its caller has time for a retry.
 	RetryLater
-	// DeadlineTooSoon refuses it because its caller will have left before its turn.
+	// DeadlineTooSoon rejects the request because its caller's deadline will pass before its turn.
 	DeadlineTooSoon
-	// QueueFull refuses it because others that go before it fill the queue.
+	// QueueFull rejects the request because requests that go before it fill the queue.
 	QueueFull
 )
 
-// String returns the result as used in logs and metrics.
+// String returns the name of the result in logs and metrics.
 func (r Result) String() string {
 	return [...]string{"go", "wait", "sent_back", "hopeless", "crowded"}[r]
 }
 
-// Decision is what becomes of a request that came, and of those that it displaced.
+// Decision is the outcome for a request that arrived and for those that it displaced.
 type Decision struct {
 	Result Result
-	// Reason says why it is sent back, if it is.
+	// Reason says why the request is rejected if Result is RetryLater.
 	Reason Reason
-	// Ahead is how many that wait go before it, Predicted how long it would wait here.
+	// Ahead is the number of waiting requests that go before it, Predicted the time that it would
+	// wait here.
 	Ahead     int
 	Predicted time.Duration
-	// RetryAfter is when a caller that is refused is to come back.
+	// RetryAfter is the time after which a rejected caller may send the request again.
 	RetryAfter time.Duration
-	// Displaced are those that waited and are refused in its favour.
+	// Displaced are the waiting requests that are rejected in favor of this one.
 	Displaced []Displaced
 }
 
-// Displaced is a claim that waited and is refused.
+// Displaced is a waiting entry that is rejected.
 type Displaced struct {
 	Entry *Entry
 	Decision
 }
 
-// Arrival is a request that came.
+// Arrival is a request that arrived.
 type Arrival struct {
 	Entry *Entry
-	// Candidate is that of the best worker that was found for it.
+	// Candidate is the best worker that was found for it.
 	Candidate Candidate
 	Supply    Supply
-	// TimeLeft is how long its caller still waits, Longest how long callers of the route wait
-	// when they ask first.
+	// TimeLeft is the time until the caller's deadline, MaxTimeLeft the time that callers of the
+	// route have at their first attempt.
 	TimeLeft    time.Duration
 	MaxTimeLeft time.Duration
 }
 
-// Admit decides what becomes of a request that came. Its claim waits from now on if the
-// result is Wait. random is from 0 to 1; it spreads those who come back.
+// Admit decides what happens to a request that arrived. If the result is Queued, its entry waits
+// from now on. random, from 0 to 1, spreads the retries.
 func (q *Queue) Admit(now time.Time, a *Arrival, random float64) Decision {
-	q.number++
-	a.Entry.prepare(q.number)
-	q.classify(now)
-	a.Entry.class = a.Entry.classAt(now)
-	ahead := q.ahead(a.Entry, a.Entry.class)
-	if ahead == 0 && q.goes(now, a) {
+	q.sequence++
+	a.Entry.prepare(q.sequence)
+	q.updateTiers(now)
+	a.Entry.tier = a.Entry.tierAt(now)
+	ahead := q.countAhead(a.Entry, a.Entry.tier)
+	if ahead == 0 && q.canDispatch(now, a) {
 		q.RecordDispatch(now, a.Entry)
 		return Decision{Result: Dispatched}
 	}
-	decision := Decision{Result: Queued, Ahead: ahead, Predicted: q.predict(now, a.Entry, ahead, a)}
-	if !a.Candidate.free() {
-		if comeback := a.sendBack(decision.Predicted, random); comeback > 0 {
-			decision.Result, decision.RetryAfter = RetryLater, comeback
+	decision := Decision{Result: Queued, Ahead: ahead, Predicted: q.predictWait(now, a.Entry, ahead, a)}
+	if !a.Candidate.hasFreeSlot() {
+		if retryAfter := a.retryAfter(decision.Predicted, random); retryAfter > 0 {
+			decision.Result, decision.RetryAfter = RetryLater, retryAfter
 			decision.Reason = Evaluate(a.request(decision.Predicted))
 			return decision
 		}
-		if a.Entry.classAt(now.Add(decision.Predicted)) == late {
-			// By its turn it goes behind all that can be in time.
-			decision.Ahead = q.ahead(a.Entry, late)
-			decision.Predicted = q.predict(now, a.Entry, decision.Ahead, a)
+		if a.Entry.tierAt(now.Add(decision.Predicted)) == tierLate {
+			// By its turn it will be late, and go behind all entries that can meet their goals.
+			decision.Ahead = q.countAhead(a.Entry, tierLate)
+			decision.Predicted = q.predictWait(now, a.Entry, decision.Ahead, a)
 		}
 		if decision.Predicted > a.Entry.Deadline.Sub(now) {
 			decision.Result, decision.RetryAfter = DeadlineTooSoon, RetryAfter(a.TimeLeft, a.Supply.OverloadTimeLeft, random)
 			return decision
 		}
 	}
-	q.enter(a.Entry)
+	q.enqueue(a.Entry)
 	decision.Displaced = q.displace(now, a, random)
 	last := len(decision.Displaced) - 1
 	if last >= 0 && decision.Displaced[last].Entry == a.Entry {
-		others := decision.Displaced[:last]
+		displaced := decision.Displaced[:last]
 		decision = decision.Displaced[last].Decision
-		decision.Displaced = others
+		decision.Displaced = displaced
 	}
 	return decision
 }
 
-// free reports whether a slot is free at the worker.
-func (o Candidate) free() bool { return !o.Full && o.Wait <= 0 }
+// hasFreeSlot reports whether the worker has a free slot.
+func (c Candidate) hasFreeSlot() bool { return !c.Full && c.Wait <= 0 }
 
-// goes reports whether the request goes to the worker offered though nobody says that it will be
-// in time there: where the workers don't tell their slots there is no moment to wait for. One that
-// is over its share waits at a worker at the cost of others, so it is sent back if it can be.
-func (q *Queue) goes(now time.Time, a *Arrival) bool {
-	if a.Entry.OverShare && a.sendBack(a.Candidate.Wait, 0) > 0 {
+// canDispatch reports whether the request is sent to the candidate at once. If the workers don't
+// report their slots, there is no point in time to wait for, so it may go even if it is not known
+// to meet its goal there. A request over its tenant's share would wait at a worker at the expense
+// of others, so it is rejected if its caller has time for a retry.
+func (q *Queue) canDispatch(now time.Time, a *Arrival) bool {
+	if a.Entry.OverShare && a.retryAfter(a.Candidate.Wait, 0) > 0 {
 		return false
 	}
-	if a.Candidate.takes(now, a.Entry) {
+	if a.Candidate.accepts(now, a.Entry) {
 		return true
 	}
-	return a.Candidate.untold() && a.sendBack(a.Candidate.Wait, 0) == 0
+	return a.Candidate.slotsUnknown() && a.retryAfter(a.Candidate.Wait, 0) == 0
 }
 
-// sendBack returns after which time a caller who asks first and would wait so long is to come
-// back, or zero if it need not, or has not the time.
-func (a *Arrival) sendBack(wait time.Duration, random float64) time.Duration {
+// retryAfter returns the Retry-After for a first attempt that would wait for the given time. It is
+// zero if the request need not be rejected or its caller has no time for a retry.
+func (a *Arrival) retryAfter(wait time.Duration, random float64) time.Duration {
 	return Decide(a.request(wait), random)
 }
 
-// request returns the request as it is judged if it would wait so long.
+// request returns the request to evaluate if it would wait for the given time.
 func (a *Arrival) request(wait time.Duration) *Request {
 	return &Request{
 		TimeLeft:         a.TimeLeft,
@@ -205,33 +207,34 @@
 	}
 }
 
-// enter lets the claim wait.
-func (q *Queue) enter(claim *Entry) {
-	q.claims = append(q.claims, claim)
-	q.bytes += claim.Bytes
+// enqueue adds the entry to those that wait.
+func (q *Queue) enqueue(entry *Entry) {
+	q.entries = append(q.entries, entry)
+	q.bytes += entry.Bytes
 }
 
-// soonPart is the part of the goal, one in so many, within which a refusal by prediction comes:
-// whoever has waited for longer goes on waiting.
-const soonPart = 4
+// earlyRejectionDivisor limits rejection of waiting entries by prediction to the first 1/4 of the
+// goal after their arrival. Entries that have waited longer stay.
+const earlyRejectionDivisor = 4
 
-// displace refuses those that would be served last until the rest can be kept. The claim of
-// the arrival may be among them, and is the last one then.
+// displace rejects the entries that would be dispatched last until the rest fit the bounds and can
+// be dispatched before their deadlines. The entry of the arrival may be among them; it is the last
+// one then.
 func (q *Queue) displace(now time.Time, a *Arrival, random float64) []Displaced {
 	var displaced []Displaced
-	for len(q.claims) > 0 {
+	for len(q.entries) > 0 {
 		last, ahead := q.last()
-		predicted := q.predict(now, last, ahead, a)
+		predicted := q.predictWait(now, last, ahead, a)
 		result := QueueFull
-		if !q.overflows() {
-			if a.Candidate.free() || predicted <= last.Deadline.Sub(now) || now.Sub(last.Arrived) > last.Goal/soonPart {
+		if !q.exceedsBounds() {
+			if a.Candidate.hasFreeSlot() || predicted <= last.Deadline.Sub(now) || now.Sub(last.Arrived) > last.Goal/earlyRejectionDivisor {
 				break
 			}
 			result = DeadlineTooSoon
 		}
 		q.Remove(last)
-		left := last.Deadline.Sub(now)
-		displaced = append(displaced, Displaced{last, Decision{Result: result, Ahead: ahead, Predicted: predicted, RetryAfter: RetryAfter(left, a.Supply.OverloadTimeLeft, random)}})
+		timeLeft := last.Deadline.Sub(now)
+		displaced = append(displaced, Displaced{last, Decision{Result: result, Ahead: ahead, Predicted: predicted, RetryAfter: RetryAfter(timeLeft, a.Supply.OverloadTimeLeft, random)}})
 		if last == a.Entry {
 			break
 		}
@@ -239,63 +242,63 @@
 	return displaced
 }
 
-func (q *Queue) overflows() bool {
-	return len(q.claims) > q.bounds.Requests || q.bytes > q.bounds.Bytes
+func (q *Queue) exceedsBounds() bool {
+	return len(q.entries) > q.bounds.Requests || q.bytes > q.bounds.Bytes
 }
 
-// Remove takes a claim out, and reports whether it waited.
-func (q *Queue) Remove(claim *Entry) bool {
-	at := slices.Index(q.claims, claim)
-	if at < 0 {
+// Remove removes the entry and reports whether it was waiting.
+func (q *Queue) Remove(entry *Entry) bool {
+	index := slices.Index(q.entries, entry)
+	if index < 0 {
 		return false
 	}
-	last := len(q.claims) - 1
-	q.claims[at] = q.claims[last]
-	q.claims[last] = nil
-	q.claims = q.claims[:last]
-	q.bytes -= claim.Bytes
+	last := len(q.entries) - 1
+	q.entries[index] = q.entries[last]
+	q.entries[last] = nil
+	q.entries = q.entries[:last]
+	q.bytes -= entry.Bytes
 	return true
 }
 
-// RemoveExpired takes out the claims whose callers have left by now, and returns them.
+// RemoveExpired removes the entries whose deadlines have passed, and returns them.
 func (q *Queue) RemoveExpired(now time.Time) []*Entry {
 	var expired []*Entry
-	for at := 0; at < len(q.claims); {
-		claim := q.claims[at]
-		if now.Before(claim.Deadline) {
-			at++
+	for index := 0; index < len(q.entries); {
+		entry := q.entries[index]
+		if now.Before(entry.Deadline) {
+			index++
 			continue
 		}
-		q.Remove(claim)
-		expired = append(expired, claim)
+		q.Remove(entry)
+		expired = append(expired, entry)
 	}
 	return expired
 }
 
-// classify works out the classes of all that wait.
-func (q *Queue) classify(now time.Time) {
+// updateTiers recomputes the tiers of all waiting entries.
+func (q *Queue) updateTiers(now time.Time) {
 	at := now.UnixNano()
-	for _, claim := range q.claims {
-		claim.class = claim.classOf(at)
+	for _, entry := range q.entries {
+		entry.tier = entry.tierAtNanos(at)
 	}
 }
 
-// First returns the claim that goes first now, or nil if none waits.
+// First returns the entry that goes first now, or nil if none waits.
 func (q *Queue) First(now time.Time) *Entry {
-	q.classify(now)
+	q.updateTiers(now)
 	var first *Entry
-	for _, claim := range q.claims {
-		if first == nil || claim.before(claim.class, first, first.class) {
-			first = claim
+	for _, entry := range q.entries {
+		if first == nil || entry.before(entry.tier, first, first.tier) {
+			first = entry
 		}
 	}
 	return first
 }
 
-// TryDispatch takes the claim that goes first out if its request may go to the worker offered, and reports
-// whether it may.
-func (q *Queue) TryDispatch(now time.Time, first *Entry, offer Candidate) bool {
-	if !offer.takes(now, first) && !offer.untold() {
+// TryDispatch removes the first entry if its request may go to the candidate, and reports whether
+// it may.
+func (q *Queue) TryDispatch(now time.Time, first *Entry, candidate Candidate) bool {
+	if !candidate.accepts(now, first) && !candidate.slotsUnknown() {
 		return false
 	}
 	if !q.Remove(first) {
@@ -305,99 +308,102 @@
 	return true
 }
 
-// untold reports whether the worker does not tell its slots.
-func (o Candidate) untold() bool { return !o.Full && o.Wait > 0 }
+// slotsUnknown reports whether the worker does not report its slots.
+func (c Candidate) slotsUnknown() bool { return !c.Full && c.Wait > 0 }
 
-// RecordDispatch takes in that a request went to a worker.
-func (q *Queue) RecordDispatch(now time.Time, claim *Entry) {
-	q.sent.add(now)
-	if claim.classAt(now) == punctual {
-		q.first.add(now)
+// RecordDispatch records that a request was sent to a worker.
+func (q *Queue) RecordDispatch(now time.Time, entry *Entry) {
+	q.dispatched.add(now)
+	if entry.tierAt(now) == tierOnTime {
+		q.onTimeDispatched.add(now)
 	}
 }
 
-// last returns the claim that goes last, and how many go before it.
+// last returns the entry that goes last, and the number of entries before it.
 func (q *Queue) last() (last *Entry, ahead int) {
-	for _, claim := range q.claims {
-		if last == nil || last.before(last.class, claim, claim.class) {
-			last = claim
+	for _, entry := range q.entries {
+		if last == nil || last.before(last.tier, entry, entry.tier) {
+			last = entry
 		}
 	}
-	return last, len(q.claims) - 1
+	return last, len(q.entries) - 1
 }
 
-// ahead returns how many of those that wait go before the claim while it is of the class.
-func (q *Queue) ahead(claim *Entry, of class) int {
+// countAhead returns how many waiting entries go before the entry while it is in the given tier.
+func (q *Queue) countAhead(entry *Entry, own tier) int {
 	count := 0
-	for _, other := range q.claims {
-		if other != claim && other.before(other.class, claim, of) {
+	for _, other := range q.entries {
+		if other != entry && other.before(other.tier, entry, own) {
 			count++
 		}
 	}
 	return count
 }
 
-// leastSpare is the part, in hundredths, of what is sent that must be left by those that go
-// first for the wait to follow from it: less comes and goes by chance.
-const leastSpare = 10
+// minSparePercent is the percentage of the dispatch rate that the entries of tierOnTime must leave
+// for a wait to be derived from the rest. Below it the rest varies by chance.
+const minSparePercent = 10
 
-// predict returns how long a claim waits with so many ahead, as the arrival found the pool:
-// until those have been sent, beside others that come meanwhile and go before it, and a slot
-// is given back for itself. Where those who go before it take all, its turn comes after the
-// overload, if its end is known.
-func (q *Queue) predict(now time.Time, claim *Entry, ahead int, a *Arrival) time.Duration {
+// predictWait returns how long an entry waits with the given number of entries ahead, in the state
+// of the pool that the arrival found: until those entries have been dispatched, along with later
+// arrivals that go before this entry, and until a slot is released for itself. If the requests
+// that go before it use the whole throughput, its turn comes after the overload, if the end of
+// that is known.
+func (q *Queue) predictWait(now time.Time, entry *Entry, ahead int, a *Arrival) time.Duration {
 	if a.Supply.Throughput <= 0 {
 		return a.Candidate.Wait
 	}
-	perSecond := max(a.Supply.Throughput, q.sent.perSecond(now))
-	before := 0.0
-	if claim.classAt(now) != punctual {
-		before = q.first.perSecond(now)
+	perSecond := max(a.Supply.Throughput, q.dispatched.perSecond(now))
+	onTimeRate := 0.0
+	if entry.tierAt(now) != tierOnTime {
+		onTimeRate = q.onTimeDispatched.perSecond(now)
 	}
-	if spare := perSecond - before; spare*hundreds > perSecond*leastSpare {
-		return a.Candidate.Wait + seconds(float64(ahead)/spare)
+	if spareRate := perSecond - onTimeRate; spareRate*hundredPercent > perSecond*minSparePercent {
+		return a.Candidate.Wait + seconds(float64(ahead)/spareRate)
 	}
 	return a.Candidate.Wait + a.Supply.OverloadTimeLeft + seconds(float64(ahead)/perSecond)
 }
 
 func seconds(count float64) time.Duration { return time.Duration(count * float64(time.Second)) }
 
-// RetryAfter returns after which time a caller that has so much time left and is refused, though
-// it came back before, is to ask again: after the overload if there is time, and otherwise
-// when a new request would find room.
-func RetryAfter(left, ends time.Duration, random float64) time.Duration {
-	latest := left / comebackParts
-	earliest := max(min(ends, latest), MinRetryAfter)
+// RetryAfter returns the Retry-After for a caller that must be rejected though it may have retried
+// already: after the overload if that leaves time for a retry before the deadline, and otherwise
+// when a new request would find capacity.
+func RetryAfter(timeLeft, overloadTimeLeft time.Duration, random float64) time.Duration {
+	latest := timeLeft / maxRetryAfterDivisor
+	earliest := max(min(overloadTimeLeft, latest), MinRetryAfter)
 	if latest < earliest {
-		earliest = max(ends, MinRetryAfter)
+		earliest = max(overloadTimeLeft, MinRetryAfter)
 		latest = 2 * earliest
 	}
 	return earliest + time.Duration(random*float64(latest-earliest))
 }
 
-// flow tells how many events there are in a second. An event counts less the older it is, by
-// flowTime. The zero value is ready for use.
-type flow struct {
+// decayingRate measures events a second. The weight of an event decays exponentially with its age,
+// by rateDecayTime. The zero value is ready for use.
+type decayingRate struct {
 	count float64
 	at    time.Time
 }
 
-// flowTime is in which time an event's weight falls to 1/e: about as long as a request holds a
-// slot, and shorter than anybody waits.
-const flowTime = time.Second
+// rateDecayTime is the time in which an event's weight falls to 1/e: about as long as a request
+// holds a slot, and shorter than any caller waits.
+const rateDecayTime = time.Second
 
-func (f *flow) add(now time.Time) {
-	f.count = f.left(now) + 1
-	f.at = now
+func (r *decayingRate) add(now time.Time) {
+	r.count = r.decayedCount(now) + 1
+	r.at = now
 }
 
-func (f *flow) left(now time.Time) float64 {
-	passed := now.Sub(f.at)
-	if f.count == 0 || passed <= 0 {
-		return f.count
+func (r *decayingRate) decayedCount(now time.Time) float64 {
+	elapsed := now.Sub(r.at)
+	if r.count == 0 || elapsed <= 0 {
+		return r.count
 	}
-	return f.count * math.Exp(-passed.Seconds()/flowTime.Seconds())
+	return r.count * math.Exp(-elapsed.Seconds()/rateDecayTime.Seconds())
 }
 
-// perSecond returns how many events there are in a second.
-func (f *flow) perSecond(now time.Time) float64 { return f.left(now) / flowTime.Seconds() }
+// perSecond returns the number of events a second.
+func (r *decayingRate) perSecond(now time.Time) float64 {
+	return r.decayedCount(now) / rateDecayTime.Seconds()
+}
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -16,73 +16,74 @@
 var queueStart = time.Unix(1000, 0)
 
 const (
-	testGoal  = 300 * ms
-	testBegin = 80 * ms
-	testTime  = 5000 * ms
+	testGoal           = 300 * ms
+	testFirstEventTime = 80 * ms
+	testTimeLeft       = 5000 * ms
 )
 
-// claimOf returns the claim of a caller who asked first so long ago, and now.
-func claimOf(now time.Time, age time.Duration) *Entry {
-	claim := &Entry{
+// newTestEntry returns the entry of a request that arrives now and whose caller made its first
+// attempt the given time ago.
+func newTestEntry(now time.Time, age time.Duration) *Entry {
+	entry := &Entry{
 		GoalDeadline:   now.Add(testGoal - age),
-		Deadline:       now.Add(testTime - age),
+		Deadline:       now.Add(testTimeLeft - age),
 		Retried:        age > 0,
 		Arrived:        now,
 		Goal:           testGoal,
-		FirstEventTime: testBegin,
+		FirstEventTime: testFirstEventTime,
 		Bytes:          100,
 	}
-	claim.prepare(0)
-	return claim
+	entry.prepare(0)
+	return entry
 }
 
-// fullOffer is a place where a request waits for so long.
-func fullOffer(wait time.Duration) Candidate {
+// fullCandidate returns a worker without a free slot, where a request waits for the given time.
+func fullCandidate(wait time.Duration) Candidate {
 	return Candidate{Full: true, Wait: wait, MaxWait: wait}
 }
 
-// arrivalOf returns the arrival of a claim at the place.
-func arrivalOf(now time.Time, claim *Entry, offer Candidate) *Arrival {
-	return &Arrival{Entry: claim, Candidate: offer, Supply: Supply{Throughput: 10}, TimeLeft: claim.Deadline.Sub(now), MaxTimeLeft: testTime}
+// newTestArrival returns the arrival of an entry for which the candidate was found.
+func newTestArrival(now time.Time, entry *Entry, candidate Candidate) *Arrival {
+	return &Arrival{Entry: entry, Candidate: candidate, Supply: Supply{Throughput: 10}, TimeLeft: entry.Deadline.Sub(now), MaxTimeLeft: testTimeLeft}
 }
 
-// TestArrivals compares what becomes of requests with testdata/arrivals.txt.
-func TestArrivals(t *testing.T) {
+// TestAdmit compares the decisions on requests with testdata/arrivals.txt.
+func TestAdmit(t *testing.T) {
 	var trace strings.Builder
 	for _, waiting := range []int{0, 20} {
 		for _, age := range []time.Duration{0, 1500 * ms, 4000 * ms} {
-			for _, offer := range []Candidate{{Spare: true}, {}, {LeftToPeers: true}, fullOffer(0), fullOffer(100 * ms), fullOffer(250 * ms), {Wait: 250 * ms, MaxWait: 250 * ms}} {
+			for _, candidate := range []Candidate{{Spare: true}, {}, {LeftToPeers: true}, fullCandidate(0), fullCandidate(100 * ms), fullCandidate(250 * ms), {Wait: 250 * ms, MaxWait: 250 * ms}} {
 				queue := NewQueue(Bounds{Requests: 64, Bytes: 1 << 20})
 				for range waiting {
-					queue.enter(claimOf(queueStart.Add(-time.Second), 1000*ms))
+					queue.enqueue(newTestEntry(queueStart.Add(-time.Second), 1000*ms))
 				}
-				decision := queue.Admit(queueStart, arrivalOf(queueStart, claimOf(queueStart, age), offer), 0.5)
+				decision := queue.Admit(queueStart, newTestArrival(queueStart, newTestEntry(queueStart, age), candidate), 0.5)
 				fmt.Fprintf(&trace, "%d late ones wait, first asked %s ago, full %t wait %s spare %t left %t: %s, %d ahead, predicted %s, comeback %s, displaced %d\n",
-					waiting, age, offer.Full, offer.Wait, offer.Spare, offer.LeftToPeers, decision.Result, decision.Ahead, decision.Predicted.Round(ms), decision.RetryAfter, len(decision.Displaced))
+					waiting, age, candidate.Full, candidate.Wait, candidate.Spare, candidate.LeftToPeers, decision.Result, decision.Ahead, decision.Predicted.Round(ms), decision.RetryAfter, len(decision.Displaced))
 			}
 		}
 	}
 	compareGolden(t, "arrivals.txt", trace.String())
 }
 
-// randomClaim returns some claim.
-func randomClaim(random *rand.Rand, now time.Time) *Entry {
-	claim := claimOf(now, time.Duration(random.Intn(4000))*ms)
-	if claim.Retried = random.Intn(2) == 0; !claim.Retried {
-		claim.GoalDeadline = now.Add(testGoal)
+// randomEntry returns an entry with random attributes.
+func randomEntry(random *rand.Rand, now time.Time) *Entry {
+	entry := newTestEntry(now, time.Duration(random.Intn(4000))*ms)
+	if entry.Retried = random.Intn(2) == 0; !entry.Retried {
+		entry.GoalDeadline = now.Add(testGoal)
 	}
-	claim.Arrived = now.Add(-time.Duration(random.Intn(500)) * ms)
-	claim.Rank, claim.OverShare = random.Intn(3), random.Intn(2) == 0
-	claim.Bytes = int64(random.Intn(1000))
+	entry.Arrived = now.Add(-time.Duration(random.Intn(500)) * ms)
+	entry.Rank, entry.OverShare = random.Intn(3), random.Intn(2) == 0
+	entry.Bytes = int64(random.Intn(1000))
 	if random.Intn(4) == 0 {
-		// Without a goal the due time that is told counts for nothing.
-		claim.Goal, claim.GoalDeadline = 0, claim.Arrived.Add(time.Duration(random.Intn(1000))*ms)
+		// Without a goal the goal deadline must have no effect.
+		entry.Goal, entry.GoalDeadline = 0, entry.Arrived.Add(time.Duration(random.Intn(1000))*ms)
 	}
-	return claim
+	return entry
 }
 
-// served takes all claims out in the order in which they go at the moment.
-func served(queue *Queue, now time.Time) (order []*Entry) {
+// dispatchAll dispatches all entries at the given time and returns them in their order.
+func dispatchAll(queue *Queue, now time.Time) (order []*Entry) {
 	for first := queue.First(now); first != nil; first = queue.First(now) {
 		if !queue.TryDispatch(now, first, Candidate{Spare: true}) {
 			return order
@@ -92,44 +93,45 @@
 	return order
 }
 
-// goesBefore is the order as the design tells it, written anew.
-func goesBefore(a, b *Entry, now time.Time) bool {
-	group := func(c *Entry) int {
-		first := now.Add(c.FirstEventTime + c.Goal/10)
+// referenceBefore is an independent implementation of the order that the design specifies.
+func referenceBefore(a, b *Entry, now time.Time) bool {
+	tier := func(c *Entry) int {
+		firstEventAt := now.Add(c.FirstEventTime + c.Goal/10)
 		switch {
-		case c.Goal == 0 || !first.After(c.GoalDeadline):
+		case c.Goal == 0 || !firstEventAt.After(c.GoalDeadline):
 			return 0
-		case c.Retried && !first.After(c.Arrived.Add(c.Goal)):
+		case c.Retried && !firstEventAt.After(c.Arrived.Add(c.Goal)):
 			return 1
 		}
 		return 2
 	}
-	over := map[bool]int{true: 1}
+	overShare := map[bool]int{true: 1}
 	keys := func(c *Entry) []int64 {
-		last := c.GoalDeadline
-		if group(c) == 2 || c.Goal == 0 {
-			last = c.Deadline
+		deadline := c.GoalDeadline
+		if tier(c) == 2 || c.Goal == 0 {
+			deadline = c.Deadline
 		}
-		return []int64{int64(group(c)), int64(over[c.OverShare]), int64(c.Rank), last.UnixNano(), int64(c.number)}
+		return []int64{int64(tier(c)), int64(overShare[c.OverShare]), int64(c.Rank), deadline.UnixNano(), int64(c.sequence)}
 	}
 	return slices.Compare(keys(a), keys(b)) < 0
 }
 
-// TestOrder serves random claims: those in time from the first attempt, then those in time
-// from their return, then the late ones, and each by share, rank and time.
-func TestOrder(t *testing.T) {
+// TestDispatchOrder dispatches random entries: first those that meet their goals from the first
+// attempt, then those that meet them from the retry, then the late ones; each of these by share,
+// rank and time.
+func TestDispatchOrder(t *testing.T) {
 	proptest.Run(t, "order", func(random *rand.Rand) error {
 		queue := NewQueue(Bounds{Requests: 100, Bytes: 1 << 20})
 		for range 1 + random.Intn(40) {
-			queue.Admit(queueStart, arrivalOf(queueStart, randomClaim(random, queueStart), Candidate{LeftToPeers: true}), 0)
+			queue.Admit(queueStart, newTestArrival(queueStart, randomEntry(random, queueStart), Candidate{LeftToPeers: true}), 0)
 		}
 		waiting := queue.Len()
-		order := served(queue, queueStart)
+		order := dispatchAll(queue, queueStart)
 		if len(order) != waiting {
-			return errors.Newf("%d of %d were served", len(order), waiting)
+			return errors.Newf("%d of %d entries were dispatched", len(order), waiting)
 		}
 		for i := 1; i < len(order); i++ {
-			if !goesBefore(order[i-1], order[i], queueStart) {
+			if !referenceBefore(order[i-1], order[i], queueStart) {
 				return errors.Newf("%+v went before %+v", order[i-1], order[i])
 			}
 		}
@@ -137,24 +139,25 @@
 	})
 }
 
-// TestOrderIsTransitive compares random claims of one kind in threes, with and without goals.
+// TestOrderIsTransitive compares triples of random entries that differ in their times and in
+// whether they have a goal, but not in rank and share.
 func TestOrderIsTransitive(t *testing.T) {
 	proptest.Run(t, "transitive", func(random *rand.Rand) error {
-		claims := make([]*Entry, 30)
-		for i := range claims {
-			claims[i] = randomClaim(random, queueStart)
-			claims[i].Rank, claims[i].OverShare = 0, false
-			claims[i].prepare(uint64(i))
+		entries := make([]*Entry, 30)
+		for i := range entries {
+			entries[i] = randomEntry(random, queueStart)
+			entries[i].Rank, entries[i].OverShare = 0, false
+			entries[i].prepare(uint64(i))
 		}
-		before := func(a, b *Entry) bool { return a.before(a.classAt(queueStart), b, b.classAt(queueStart)) }
-		for i, a := range claims {
-			for _, b := range claims[:i] {
+		before := func(a, b *Entry) bool { return a.before(a.tierAt(queueStart), b, b.tierAt(queueStart)) }
+		for i, a := range entries {
+			for _, b := range entries[:i] {
 				if before(a, b) == before(b, a) {
-					return errors.Newf("no order: %+v, %+v", a, b)
+					return errors.Newf("neither or both go before the other: %+v, %+v", a, b)
 				}
-				for _, c := range claims {
+				for _, c := range entries {
 					if before(a, b) && before(b, c) && before(c, a) {
-						return errors.Newf("a ring: %+v, %+v, %+v", a, b, c)
+						return errors.Newf("the order is circular: %+v, %+v, %+v", a, b, c)
 					}
 				}
 			}
@@ -163,56 +166,56 @@
 	})
 }
 
-// TestNoGoalsTakeTheirTurn lets claims without a goal come again and again beside one that is
-// due sooner than their callers leave: that goes first.
-func TestNoGoalsTakeTheirTurn(t *testing.T) {
+// TestEntryWithGoalGoesBeforeEntriesWithout queues requests without a goal beside one whose goal
+// deadline is before their callers' deadlines: that one goes first.
+func TestEntryWithGoalGoesBeforeEntriesWithout(t *testing.T) {
 	queue := NewQueue(Bounds{Requests: 64, Bytes: 1 << 20})
 	for range 10 {
-		claim := claimOf(queueStart.Add(-time.Second), 0)
-		claim.Goal, claim.GoalDeadline = 0, claim.Arrived
-		queue.Admit(queueStart, arrivalOf(queueStart, claim, Candidate{LeftToPeers: true}), 0)
+		entry := newTestEntry(queueStart.Add(-time.Second), 0)
+		entry.Goal, entry.GoalDeadline = 0, entry.Arrived
+		queue.Admit(queueStart, newTestArrival(queueStart, entry, Candidate{LeftToPeers: true}), 0)
 	}
-	aimed := claimOf(queueStart, 0)
-	queue.Admit(queueStart, arrivalOf(queueStart, aimed, Candidate{LeftToPeers: true}), 0)
-	if first := queue.First(queueStart); first != aimed {
+	withGoal := newTestEntry(queueStart, 0)
+	queue.Admit(queueStart, newTestArrival(queueStart, withGoal, Candidate{LeftToPeers: true}), 0)
+	if first := queue.First(queueStart); first != withGoal {
 		t.Errorf("%+v goes first", first)
 	}
 }
 
-// TestSharesGoBeforeRanks lets a flood of the first rank, which is over its share, wait beside
-// claims of later ranks within theirs: those go first.
+// TestSharesGoBeforeRanks queues a flood of requests of the first rank, over their tenant's share,
+// beside requests of all ranks within their shares: the latter go first.
 func TestSharesGoBeforeRanks(t *testing.T) {
 	queue := NewQueue(Bounds{Requests: 64, Bytes: 1 << 20})
 	for number := range 40 {
-		claim := claimOf(queueStart, 0)
-		claim.Rank, claim.OverShare = 0, true
+		entry := newTestEntry(queueStart, 0)
+		entry.Rank, entry.OverShare = 0, true
 		if number%4 == 3 {
-			claim.Rank, claim.OverShare = number%3, false
+			entry.Rank, entry.OverShare = number%3, false
 		}
-		queue.enter(claim)
+		queue.enqueue(entry)
 	}
-	order := served(queue, queueStart)
+	order := dispatchAll(queue, queueStart)
 	if len(order) != 40 {
-		t.Fatalf("%d were served", len(order))
+		t.Fatalf("%d entries were dispatched, want 40", len(order))
 	}
-	for place, claim := range order {
-		if claim.OverShare != (place >= 10) {
-			t.Errorf("%+v is served as number %d", claim, place)
+	for position, entry := range order {
+		if entry.OverShare != (position >= 10) {
+			t.Errorf("%+v is dispatched at position %d", entry, position)
 		}
 	}
 }
 
-// TestOverShareIsSentBackThroughTheLine lets a request come that would wait so long that only
-// one over its share is sent back: at a worker, and behind others.
-func TestOverShareIsSentBackThroughTheLine(t *testing.T) {
-	const short = 80 * ms
+// TestQueueRejectsOverShareSooner admits a request whose wait is too long only for one over its
+// tenant's share, at a worker and behind another entry.
+func TestQueueRejectsOverShareSooner(t *testing.T) {
+	const shortWait = 80 * ms
 	for _, over := range []bool{false, true} {
 		for _, waiting := range []int{0, 1} {
 			queue := NewQueue(Bounds{Requests: 64, Bytes: 1 << 20})
 			for range waiting {
-				queue.enter(claimOf(queueStart.Add(-time.Millisecond), 0))
+				queue.enqueue(newTestEntry(queueStart.Add(-time.Millisecond), 0))
 			}
-			arrival := arrivalOf(queueStart, claimOf(queueStart, 0), fullOffer(short))
+			arrival := newTestArrival(queueStart, newTestEntry(queueStart, 0), fullCandidate(shortWait))
 			arrival.Entry.OverShare, arrival.Supply.Throughput = over, 100
 			decision := queue.Admit(queueStart, arrival, 0.5)
 			if (decision.Result == RetryLater) != over || over && decision.Reason != OverShare {
@@ -220,38 +223,38 @@
 			}
 		}
 	}
-	// One that comes back is not sent back again.
+	// A retry is not rejected again.
 	queue := NewQueue(Bounds{Requests: 64, Bytes: 1 << 20})
-	arrival := arrivalOf(queueStart, claimOf(queueStart, 1500*ms), fullOffer(short))
+	arrival := newTestArrival(queueStart, newTestEntry(queueStart, 1500*ms), fullCandidate(shortWait))
 	arrival.Entry.OverShare = true
 	if decision := queue.Admit(queueStart, arrival, 0.5); decision.Result != Dispatched {
-		t.Errorf("after the return: %+v", decision)
+		t.Errorf("retry: %+v", decision)
 	}
 }
 
-// TestRefusedIsServedLast fills a small queue: its bounds hold, and whoever is displaced would
-// have been served after all who stay.
-func TestRefusedIsServedLast(t *testing.T) {
+// TestDisplacedEntriesAreLastInOrder fills a small queue: its bounds hold, and every displaced
+// entry would have been dispatched after all entries that stay.
+func TestDisplacedEntriesAreLastInOrder(t *testing.T) {
 	proptest.Run(t, "bounds", func(random *rand.Rand) error {
 		bounds := Bounds{Requests: 1 + random.Intn(10), Bytes: int64(1000 + random.Intn(3000))}
 		queue := NewQueue(bounds)
 		for range 50 {
-			claim := randomClaim(random, queueStart)
-			decision := queue.Admit(queueStart, arrivalOf(queueStart, claim, fullOffer(time.Duration(random.Intn(400))*ms)), random.Float64())
+			entry := randomEntry(random, queueStart)
+			decision := queue.Admit(queueStart, newTestArrival(queueStart, entry, fullCandidate(time.Duration(random.Intn(400))*ms)), random.Float64())
 			if queue.Len() > bounds.Requests || queue.Bytes() > bounds.Bytes {
-				return errors.Newf("%d claims with %d bytes wait of %+v", queue.Len(), queue.Bytes(), bounds)
+				return errors.Newf("%d entries with %d bytes wait, bounds %+v", queue.Len(), queue.Bytes(), bounds)
 			}
-			refused := make([]*Entry, 0, len(decision.Displaced))
+			rejected := make([]*Entry, 0, len(decision.Displaced))
 			for i := range decision.Displaced {
-				refused = append(refused, decision.Displaced[i].Entry)
+				rejected = append(rejected, decision.Displaced[i].Entry)
 			}
 			if decision.Result == QueueFull {
-				refused = append(refused, claim)
+				rejected = append(rejected, entry)
 			}
-			for _, last := range refused {
-				for _, other := range queue.claims {
-					if !goesBefore(other, last, queueStart) {
-						return errors.Newf("%+v was refused and %+v kept", last, other)
+			for _, last := range rejected {
+				for _, other := range queue.entries {
+					if !referenceBefore(other, last, queueStart) {
+						return errors.Newf("%+v was rejected and %+v kept", last, other)
 					}
 				}
 			}
@@ -260,108 +263,111 @@
 	})
 }
 
-// TestNoRefusalBesideFreeSlots lets claims come while a slot is free: none is refused, but for
-// want of space to wait in.
-func TestNoRefusalBesideFreeSlots(t *testing.T) {
+// TestNoRejectionWhileSlotsAreFree admits requests while a slot is free: none is rejected unless
+// the queue is full.
+func TestNoRejectionWhileSlotsAreFree(t *testing.T) {
 	proptest.Run(t, "free slots", func(random *rand.Rand) error {
 		queue := NewQueue(Bounds{Requests: 50, Bytes: 1 << 20})
 		for range 50 {
-			offer := Candidate{Spare: random.Intn(2) == 0, LeftToPeers: random.Intn(2) == 0}
-			arrival := arrivalOf(queueStart, randomClaim(random, queueStart), offer)
+			candidate := Candidate{Spare: random.Intn(2) == 0, LeftToPeers: random.Intn(2) == 0}
+			arrival := newTestArrival(queueStart, randomEntry(random, queueStart), candidate)
 			arrival.Supply = Supply{Throughput: random.Float64() * 10, OverloadTimeLeft: time.Duration(random.Intn(5000)) * ms}
 			decision := queue.Admit(queueStart, arrival, random.Float64())
 			if decision.Result != Dispatched && decision.Result != Queued || len(decision.Displaced) > 0 {
-				return errors.Newf("%s of %+v, %d displaced, at %+v", decision.Result, arrival.Entry, len(decision.Displaced), offer)
+				return errors.Newf("%s of %+v, %d displaced, at %+v", decision.Result, arrival.Entry, len(decision.Displaced), candidate)
 			}
 		}
 		return nil
 	})
 }
 
-// TestHopelessIsRefusedAtOnce refuses who can't be served before leaving, and nobody else:
-// where nothing is known of the workers, all wait.
-func TestHopelessIsRefusedAtOnce(t *testing.T) {
+// TestDeadlineTooSoonIsRejectedOnArrival checks that requests are rejected if they can't be
+// dispatched before their deadlines, and that no others are: if nothing is known of the workers,
+// all wait.
+func TestDeadlineTooSoonIsRejectedOnArrival(t *testing.T) {
 	proptest.Run(t, "hopeless", func(random *rand.Rand) error {
 		queue := NewQueue(Bounds{Requests: 200, Bytes: 1 << 20})
 		perSecond := float64(random.Intn(20))
 		for range 100 {
-			claim := randomClaim(random, queueStart)
-			arrival := arrivalOf(queueStart, claim, fullOffer(250*ms))
+			entry := randomEntry(random, queueStart)
+			arrival := newTestArrival(queueStart, entry, fullCandidate(250*ms))
 			arrival.Supply.Throughput, arrival.MaxTimeLeft = perSecond, 0
 			decision := queue.Admit(queueStart, arrival, random.Float64())
-			switch bears := claim.Deadline.Sub(queueStart); {
-			case decision.Result == DeadlineTooSoon && (decision.Predicted <= bears || decision.RetryAfter < MinRetryAfter):
-				return errors.Newf("refused though %s of %s are predicted, or without a time: %+v", decision.Predicted, bears, decision)
+			switch timeLeft := entry.Deadline.Sub(queueStart); {
+			case decision.Result == DeadlineTooSoon && (decision.Predicted <= timeLeft || decision.RetryAfter < MinRetryAfter):
+				return errors.Newf("rejected though a wait of %s is predicted and %s are left, or without a Retry-After: %+v", decision.Predicted, timeLeft, decision)
 			case slices.ContainsFunc(decision.Displaced, func(d Displaced) bool { return queueStart.Sub(d.Entry.Arrived) > testGoal/4 }):
-				return errors.Newf("refused by prediction after a quarter of the goal: %+v", decision.Displaced)
+				return errors.Newf("rejected by prediction after a quarter of the goal: %+v", decision.Displaced)
 			case decision.Result == DeadlineTooSoon && perSecond == 0:
-				return errors.New("refused though nothing is known")
-			case decision.Result == Queued && decision.Predicted > bears:
-				return errors.Newf("%s are predicted, and the caller leaves after %s", decision.Predicted, bears)
+				return errors.New("rejected though the throughput is unknown")
+			case decision.Result == Queued && decision.Predicted > timeLeft:
+				return errors.Newf("queued though a wait of %s is predicted and the deadline is in %s", decision.Predicted, timeLeft)
 			}
 		}
 		return nil
 	})
 }
 
-// TestSlowBeginsTakeFreeSlots lets claims come whose first event takes longer than the goal, as no
-// goal at all: they take a free slot that is not to spare, but don't wait at a worker.
-func TestSlowBeginsTakeFreeSlots(t *testing.T) {
+// TestUnattainableGoalTakesFreeSlot checks entries whose first event takes longer than the goal,
+// and entries without a goal: they take a free slot even if it is not spare, but don't wait at a
+// worker.
+func TestUnattainableGoalTakesFreeSlot(t *testing.T) {
 	for _, test := range []struct {
-		begin, goal time.Duration
-		want        bool
+		firstEventTime, goal time.Duration
+		want                 bool
 	}{
 		{0, 0, true},
 		{testGoal, testGoal, true},
-		{testGoal*goalPart/hundreds + ms, testGoal, true},
-		{testGoal*goalPart/hundreds - ms, testGoal, false},
+		{testGoal*goalPercent/hundredPercent + ms, testGoal, true},
+		{testGoal*goalPercent/hundredPercent - ms, testGoal, false},
 		{0, testGoal, false},
 	} {
-		claim := claimOf(queueStart.Add(-time.Second), 0)
-		claim.FirstEventTime, claim.Goal = test.begin, test.goal
-		claim.prepare(0)
-		if got := (Candidate{}).takes(queueStart, claim); got != test.want {
-			t.Errorf("%s of %s: takes a free slot: %t", test.begin, test.goal, got)
+		entry := newTestEntry(queueStart.Add(-time.Second), 0)
+		entry.FirstEventTime, entry.Goal = test.firstEventTime, test.goal
+		entry.prepare(0)
+		if got := (Candidate{}).accepts(queueStart, entry); got != test.want {
+			t.Errorf("%s of %s: takes a free slot: %t", test.firstEventTime, test.goal, got)
 		}
-		for _, offer := range []Candidate{{LeftToPeers: true}, fullOffer(0), fullOffer(ms)} {
-			if offer.takes(queueStart, claim) {
-				t.Errorf("%s of %s: takes %+v", test.begin, test.goal, offer)
+		for _, candidate := range []Candidate{{LeftToPeers: true}, fullCandidate(0), fullCandidate(ms)} {
+			if candidate.accepts(queueStart, entry) {
+				t.Errorf("%s of %s: takes %+v", test.firstEventTime, test.goal, candidate)
 			}
 		}
 	}
 }
 
-// TestLateOnesAreServed lets late claims wait beside a load that leaves room: all are served
-// before they leave. While those who are in time take all, none is.
-func TestLateOnesAreServed(t *testing.T) {
+// TestLateEntriesAreDispatched queues late entries beside a load that leaves capacity: all are
+// dispatched before their deadlines. While on-time entries use all slots, none is.
+func TestLateEntriesAreDispatched(t *testing.T) {
 	queue := NewQueue(Bounds{Requests: 64, Bytes: 1 << 20})
 	for range 10 {
-		queue.Admit(queueStart, arrivalOf(queueStart, claimOf(queueStart, 2000*ms), fullOffer(0)), 0)
+		queue.Admit(queueStart, newTestArrival(queueStart, newTestEntry(queueStart, 2000*ms), fullCandidate(0)), 0)
 	}
 	late := queueStart.Add(testGoal)
-	if first := queue.First(late); queue.TryDispatch(late, first, Candidate{}) || queue.TryDispatch(late, first, fullOffer(10*ms)) || queue.TryDispatch(late, first, Candidate{Spare: true, LeftToPeers: true}) {
-		t.Error("a late one went where others are about to go")
+	if first := queue.First(late); queue.TryDispatch(late, first, Candidate{}) || queue.TryDispatch(late, first, fullCandidate(10*ms)) || queue.TryDispatch(late, first, Candidate{Spare: true, LeftToPeers: true}) {
+		t.Error("a late entry took a slot that other requests are about to use")
 	}
 	for tick := late; tick.Before(queueStart.Add(2500 * ms)); tick = tick.Add(100 * ms) {
-		fresh := claimOf(tick, 0)
-		if decision := queue.Admit(tick, arrivalOf(tick, fresh, Candidate{}), 0); decision.Result != Dispatched {
-			t.Fatalf("one that is in time: %+v", decision)
+		fresh := newTestEntry(tick, 0)
+		if decision := queue.Admit(tick, newTestArrival(tick, fresh, Candidate{}), 0); decision.Result != Dispatched {
+			t.Fatalf("entry that meets its goal: %+v", decision)
 		}
 		if first := queue.First(tick); first != nil && !queue.TryDispatch(tick, first, Candidate{Spare: true}) {
-			t.Fatalf("%+v is not served", first)
+			t.Fatalf("%+v is not dispatched", first)
 		}
 	}
 	if queue.Len() > 0 || queue.Bytes() != 0 {
-		t.Errorf("%d still wait, %d bytes", queue.Len(), queue.Bytes())
+		t.Errorf("%d entries still wait, %d bytes", queue.Len(), queue.Bytes())
 	}
 }
 
-// TestExpired takes out who has left, as after a suspension of the machine.
-func TestExpired(t *testing.T) {
+// TestRemoveExpired removes entries whose deadlines have passed, as after a suspension of the
+// machine.
+func TestRemoveExpired(t *testing.T) {
 	queue := NewQueue(Bounds{Requests: 64, Bytes: 1 << 20})
-	soon, later := claimOf(queueStart, 4000*ms), claimOf(queueStart, 0)
-	queue.enter(soon)
-	queue.enter(later)
+	soon, later := newTestEntry(queueStart, 4000*ms), newTestEntry(queueStart, 0)
+	queue.enqueue(soon)
+	queue.enqueue(later)
 	if expired := queue.RemoveExpired(queueStart.Add(1500 * ms)); len(expired) != 1 || expired[0] != soon || queue.Len() != 1 {
 		t.Errorf("%v expired, %d wait", expired, queue.Len())
 	}
@@ -370,8 +376,8 @@
 	}
 }
 
-// TestPatience works out how long callers wait for a first event.
-func TestPatience(t *testing.T) {
+// TestFirstEventTimeout checks how long callers wait for a first event.
+func TestFirstEventTimeout(t *testing.T) {
 	for _, test := range []struct{ goal, gap, want time.Duration }{
 		{300 * ms, 100 * ms, 2000 * ms},
 		{1000 * ms, 100 * ms, 4000 * ms},
@@ -383,62 +389,63 @@
 	}
 }
 
-// TestComebacks tells callers who must be refused again to come after the overload, within a
-// third of their time, or, where that is over, when a new request would find room.
-func TestComebacks(t *testing.T) {
+// TestRetryAfter checks the Retry-After of callers that must be rejected again: after the overload,
+// within a third of their time left, or, if less time than that is left, when a new request would
+// find capacity.
+func TestRetryAfter(t *testing.T) {
 	proptest.Run(t, "comebacks", func(random *rand.Rand) error {
-		left, ends := time.Duration(random.Intn(6000))*ms, time.Duration(random.Intn(3000))*ms
-		comeback := RetryAfter(left, ends, random.Float64())
-		latest := left / comebackParts
+		timeLeft, overloadTimeLeft := time.Duration(random.Intn(6000))*ms, time.Duration(random.Intn(3000))*ms
+		retryAfter := RetryAfter(timeLeft, overloadTimeLeft, random.Float64())
+		latest := timeLeft / maxRetryAfterDivisor
 		switch {
-		case comeback < MinRetryAfter:
-			return errors.Newf("%s", comeback)
-		case latest >= MinRetryAfter && comeback > latest:
-			return errors.Newf("%s of %s", comeback, left)
-		case latest < MinRetryAfter && comeback < ends:
-			return errors.Newf("%s, and the overload ends in %s", comeback, ends)
+		case retryAfter < MinRetryAfter:
+			return errors.Newf("%s", retryAfter)
+		case latest >= MinRetryAfter && retryAfter > latest:
+			return errors.Newf("%s of %s", retryAfter, timeLeft)
+		case latest < MinRetryAfter && retryAfter < overloadTimeLeft:
+			return errors.Newf("%s, and the overload ends in %s", retryAfter, overloadTimeLeft)
 		}
 		return nil
 	})
 }
 
-// BenchmarkArrive decides on a request that finds 64 waiting, and takes it out again.
-func BenchmarkArrive(b *testing.B) {
+// BenchmarkAdmit decides on a request that finds 64 entries waiting, and removes it again.
+func BenchmarkAdmit(b *testing.B) {
 	const waiting = 64
 	random := rand.New(rand.NewSource(1))
 	queue := NewQueue(Bounds{Requests: 2 * waiting, Bytes: 1 << 20})
 	for range waiting {
-		claim := randomClaim(random, queueStart)
-		claim.Deadline = queueStart.Add(time.Hour)
-		claim.prepare(0)
-		queue.enter(claim)
+		entry := randomEntry(random, queueStart)
+		entry.Deadline = queueStart.Add(time.Hour)
+		entry.prepare(0)
+		queue.enqueue(entry)
 	}
-	claim := claimOf(queueStart, 1500*ms)
-	claim.Deadline = queueStart.Add(time.Hour)
-	arrival := arrivalOf(queueStart, claim, fullOffer(250*ms))
-	arrival.MaxTimeLeft = claim.Deadline.Sub(queueStart) + time.Second
+	entry := newTestEntry(queueStart, 1500*ms)
+	entry.Deadline = queueStart.Add(time.Hour)
+	arrival := newTestArrival(queueStart, entry, fullCandidate(250*ms))
+	arrival.MaxTimeLeft = entry.Deadline.Sub(queueStart) + time.Second
 	b.ReportAllocs()
 	for b.Loop() {
 		if decision := queue.Admit(queueStart, arrival, 0.5); decision.Result != Queued {
 			b.Fatalf("%+v", decision)
 		}
-		queue.Remove(claim)
+		queue.Remove(entry)
 	}
 }
 
-// BenchmarkFirst chooses who goes first of 64 that wait.
+// BenchmarkFirst finds the entry that goes first of 64 waiting ones.
 func BenchmarkFirst(b *testing.B) {
 	random := rand.New(rand.NewSource(1))
 	queue := NewQueue(Bounds{Requests: 64, Bytes: 1 << 20})
 	for range 64 {
-		claim := randomClaim(random, queueStart)
-		claim.prepare(0)
-		queue.enter(claim)
+		entry := randomEntry(random, queueStart)
+		entry.prepare(0)
+		queue.enqueue(entry)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
 		if queue.First(queueStart) == nil {
-			b.Fatal("none waits")
+			b.Fatal("no entry waits")
 		}
 	}
 }
--- a/internal/admission/route.go
+++ b/internal/admission/route.go
@@ -3,40 +3,40 @@
 import "time"
 
 const (
-	// beginWeight is the part of a new value in the mean, one in so many.
-	beginWeight = 16
-	// longestWeight is the part, one in so many, by which the longest time falls
-	// towards a shorter one.
-	longestWeight = 1024
+	// firstEventTimeDivisor gives a new value the weight 1/16 in the moving average.
+	firstEventTimeDivisor = 16
+	// maxTimeLeftDivisor makes the maximum fall towards a shorter value by 1/1024 of the
+	// difference at each request.
+	maxTimeLeftDivisor = 1024
 )
 
-// Route is what is observed of a route's requests. The zero value is ready for use;
-// it is not safe for concurrent use.
+// Route holds what was observed of a route's requests. The zero value is ready for use; it is not
+// safe for concurrent use.
 type Route struct {
-	begin   time.Duration
-	longest time.Duration
+	firstEventTime time.Duration
+	maxTimeLeft    time.Duration
 }
 
-// ObserveArrival takes in how long a request's caller still waits.
-func (r *Route) ObserveArrival(left time.Duration) {
-	if left >= r.longest {
-		r.longest = left
+// ObserveArrival records the time until the deadline of a request that arrives.
+func (r *Route) ObserveArrival(timeLeft time.Duration) {
+	if timeLeft >= r.maxTimeLeft {
+		r.maxTimeLeft = timeLeft
 		return
 	}
-	r.longest -= (r.longest - left) / longestWeight
+	r.maxTimeLeft -= (r.maxTimeLeft - timeLeft) / maxTimeLeftDivisor
 }
 
-// ObserveFirstEvent takes in how long the first event took of a request that did not wait.
-func (r *Route) ObserveFirstEvent(took time.Duration) {
-	if r.begin == 0 {
-		r.begin = took
+// ObserveFirstEvent records the time to the first event of a request that did not wait.
+func (r *Route) ObserveFirstEvent(duration time.Duration) {
+	if r.firstEventTime == 0 {
+		r.firstEventTime = duration
 		return
 	}
-	r.begin += (took - r.begin) / beginWeight
+	r.firstEventTime += (duration - r.firstEventTime) / firstEventTimeDivisor
 }
 
-// MaxTimeLeft returns how long callers wait when they ask first.
-func (r *Route) MaxTimeLeft() time.Duration { return r.longest }
+// MaxTimeLeft returns how much time callers have at their first attempt.
+func (r *Route) MaxTimeLeft() time.Duration { return r.maxTimeLeft }
 
-// FirstEventTime returns how long a first event takes, zero if unknown.
-func (r *Route) FirstEventTime() time.Duration { return r.begin }
+// FirstEventTime returns the mean time to the first event, zero if unknown.
+func (r *Route) FirstEventTime() time.Duration { return r.firstEventTime }
