--- a/internal/fairshare/fairshare.go
+++ b/internal/fairshare/fairshare.go
@@ -1,10 +1,10 @@
-// Package fairshare divides room that doesn't suffice for all who ask for it, and keeps
-// account of who asks for how much. It is pure: times come from the caller.
+// Package fairshare divides capacity that doesn't suffice for all demand, and keeps account of who
+// asks for how much. It is pure: times come from the caller.
 //
-// Room is whatever is scarce in one place, told as a rate: requests a second. A division says
-// how much of it each claimant gets. Meter (meter.go) is the running account at the hub of a
-// zone, and says of each request whether its tenant is over its share. Recall (recall.go) stands
-// in for that at an edge that is left without an answer.
+// Capacity is a rate, in requests a second, of whatever is scarce in one place. A division says how
+// much of it each claimant gets. Meter (meter.go) keeps the running account at the hub of a zone, and
+// says of each request whether its tenant is over its share. Fallback (recall.go) replaces the meter
+// at an edge that gets no answer from the hub.
 package fairshare
 
 import (
@@ -13,21 +13,20 @@
 	"slices"
 )
 
-// claimant is who claims room, and by which right.
+// claimant competes for a share of the capacity.
 type claimant struct {
-	// Rank goes first where it is smaller.
+	// Rank orders claimants: a smaller rank goes first.
 	Rank int
-	// Weight is the claimant's part in the room of its rank, beside the others'; zero
-	// counts as one.
+	// Weight is the claimant's weight among those of its rank; zero counts as one.
 	Weight float64
-	// Reserve is the room that it gets before others if it asks for it, Ceiling the most
-	// that it gets; zero means none. Demand is what it asks for.
+	// Reserve is the capacity that the claimant gets before others if it asks for it. Ceiling is the
+	// most that it gets, zero for no limit. Demand is what it asks for.
 	Reserve float64
 	Ceiling float64
 	Demand  float64
 }
 
-// weight returns the weight in use.
+// weight returns the effective weight.
 func (c *claimant) weight() float64 {
 	if c.Weight > 0 {
 		return c.Weight
@@ -35,8 +34,8 @@
 	return 1
 }
 
-// most returns the most that the claimant may get.
-func (c *claimant) most() float64 {
+// maxGrant returns the demand, limited by the ceiling.
+func (c *claimant) maxGrant() float64 {
 	if c.Ceiling > 0 {
 		return min(c.Demand, c.Ceiling)
 	}
@@ -45,264 +44,263 @@
 
 // allotment is what a claimant gets.
 type allotment struct {
-	// Granted is never more than the claimant's demand.
+	// Granted never exceeds the claimant's demand.
 	Granted float64
-	// Share is what it would get if it asked for more: at least Room.
+	// Share is what the claimant would get if it asked for more. It is never below Granted.
 	Share float64
 }
 
-// rankFloors is the room that is kept for the claimants of a rank if they ask for it.
+// rankFloors is the capacity reserved for the claimants of each rank, as far as they ask for it.
 type rankFloors map[int]float64
 
-// leastPart is the part of the room that a claimant would have if all ranks were one, which
-// it keeps whatever other ranks ask for: nobody starves, and a rank goes before the next in
-// the other half.
-const leastPart = 0.5
+// guaranteedFraction is the fraction of a claimant's grant without ranks that it keeps whatever other
+// ranks ask for, so that no claimant starves. Ranks take precedence in the rest.
+const guaranteedFraction = 0.5
 
-// division is a division under way. Its slices are kept for the next one.
+// division is the state of one division. Its slices are reused by the next one.
 type division struct {
 	claimants  []claimant
 	allotments []allotment
-	// least and most bound what each claimant gets, weights are those in use.
-	least   []float64
-	most    []float64
-	weights []float64
-	// scaled is set where the reserves asked for exceed the capacity.
-	scaled bool
-	// order holds the claimants by rank, ranks those of each rank.
-	order []int
-	ranks []rankRoom
+	// minGrants and maxGrants bound what each claimant gets, weights are the effective ones.
+	minGrants []float64
+	maxGrants []float64
+	weights   []float64
+	// reservesScaled is set if the sum of the reserves exceeds the capacity.
+	reservesScaled bool
+	// byRank holds the indexes of the claimants sorted by rank, ranks a group for each rank.
+	byRank []int
+	ranks  []rankGroup
 }
 
-// rankRoom is the claimants of one rank, and the room that is kept for them.
-type rankRoom struct {
-	number  int
-	count   int
-	members []int
-	kept    float64
+// rankGroup holds the claimants of one rank and the capacity reserved for them.
+type rankGroup struct {
+	rank     int
+	count    int
+	members  []int
+	reserved float64
 }
 
-// divide divides the capacity. Reserves come first. Then ranks are served in their order,
-// less what is kept for later ones: the floor of each, and for each claimant leastPart of
-// what it would have if all ranks were one. Within a rank room is given by weighted
-// max-min: who asks for less than its share gets all of it, and the others get what it
-// leaves.
+// divide divides the capacity. Reserves come first. Then ranks are served in their order, except
+// for what is reserved for later ones: the floor of each rank and, for each claimant,
+// guaranteedFraction of its grant without ranks. Within a rank capacity is divided by weighted
+// max-min fairness: a claimant that asks for less than its share gets all of its demand, and the
+// others divide the rest.
 func (d *division) divide(capacity float64, floors rankFloors, claimants []claimant) {
 	d.reset(claimants)
 	capacity = max(capacity, 0)
-	d.reserve(capacity)
-	d.keepLeast(capacity)
-	d.keepFloors(capacity, floors)
-	left, kept := capacity, 0.0
+	d.boundReserves(capacity)
+	d.guaranteeMinimums(capacity)
+	d.applyFloors(capacity, floors)
+	remaining, reserved := capacity, 0.0
 	for i := range d.ranks {
-		kept += d.ranks[i].kept
+		reserved += d.ranks[i].reserved
 	}
 	for i := range d.ranks {
-		kept -= d.ranks[i].kept
-		left -= d.serve(d.ranks[i].members, left, kept)
+		reserved -= d.ranks[i].reserved
+		remaining -= d.allocate(d.ranks[i].members, remaining, reserved)
 	}
 }
 
-// reset takes in the claimants.
+// reset prepares a division among the claimants.
 func (d *division) reset(claimants []claimant) {
 	count := len(claimants)
 	d.claimants = claimants
 	d.allotments = slices.Grow(d.allotments[:0], count)[:count]
-	d.least = slices.Grow(d.least[:0], count)[:count]
-	d.most = slices.Grow(d.most[:0], count)[:count]
+	d.minGrants = slices.Grow(d.minGrants[:0], count)[:count]
+	d.maxGrants = slices.Grow(d.maxGrants[:0], count)[:count]
 	d.weights = slices.Grow(d.weights[:0], count)[:count]
-	d.order = slices.Grow(d.order[:0], count)[:count]
+	d.byRank = slices.Grow(d.byRank[:0], count)[:count]
 	for i := range claimants {
 		d.weights[i] = claimants[i].weight()
-		d.most[i] = max(claimants[i].most(), 0)
-		d.least[i] = min(max(claimants[i].Reserve, 0), d.most[i])
+		d.maxGrants[i] = max(claimants[i].maxGrant(), 0)
+		d.minGrants[i] = min(max(claimants[i].Reserve, 0), d.maxGrants[i])
 		d.allotments[i] = allotment{}
 	}
 	d.sortByRank()
 }
 
-// sortByRank gathers the claimants of each rank. Ranks are few.
+// sortByRank groups the claimants by rank. It scans the groups because there are few ranks.
 func (d *division) sortByRank() {
 	d.ranks = d.ranks[:0]
 	for i := range d.claimants {
-		number := d.claimants[i].Rank
-		at := slices.IndexFunc(d.ranks, func(r rankRoom) bool { return r.number == number })
-		if at < 0 {
-			at = len(d.ranks)
-			d.ranks = append(d.ranks, rankRoom{number: number})
+		rank := d.claimants[i].Rank
+		index := slices.IndexFunc(d.ranks, func(r rankGroup) bool { return r.rank == rank })
+		if index < 0 {
+			index = len(d.ranks)
+			d.ranks = append(d.ranks, rankGroup{rank: rank})
 		}
-		d.ranks[at].count++
+		d.ranks[index].count++
 	}
-	slices.SortFunc(d.ranks, func(a, b rankRoom) int { return cmp.Compare(a.number, b.number) })
+	slices.SortFunc(d.ranks, func(a, b rankGroup) int { return cmp.Compare(a.rank, b.rank) })
 	first := 0
 	for i := range d.ranks {
-		rank := &d.ranks[i]
-		rank.members = d.order[first : first : first+rank.count]
-		first += rank.count
+		group := &d.ranks[i]
+		group.members = d.byRank[first : first : first+group.count]
+		first += group.count
 		for j := range d.claimants {
-			if d.claimants[j].Rank == rank.number {
-				rank.members = append(rank.members, j)
+			if d.claimants[j].Rank == group.rank {
+				group.members = append(group.members, j)
 			}
 		}
 	}
 }
 
-// reserve bounds the reserves by the capacity.
-func (d *division) reserve(capacity float64) {
+// boundReserves scales the reserves down if their sum exceeds the capacity.
+func (d *division) boundReserves(capacity float64) {
 	sum := 0.0
-	for _, least := range d.least {
-		sum += least
+	for _, minGrant := range d.minGrants {
+		sum += minGrant
 	}
-	d.scaled = sum > capacity
-	if !d.scaled {
+	d.reservesScaled = sum > capacity
+	if !d.reservesScaled {
 		return
 	}
-	for i := range d.least {
-		d.least[i] *= capacity / sum
+	for i := range d.minGrants {
+		d.minGrants[i] *= capacity / sum
 	}
 }
 
-// keepLeast keeps for each claimant a part of what it would have if all ranks were one.
-func (d *division) keepLeast(capacity float64) {
+// guaranteeMinimums raises each claimant's minimum to guaranteedFraction of its grant without ranks.
+func (d *division) guaranteeMinimums(capacity float64) {
 	if len(d.ranks) < 2 {
 		return
 	}
-	level := d.level(d.order, capacity)
-	for _, i := range d.order {
-		d.least[i] = max(d.least[i], leastPart*d.at(i, level))
+	level := d.waterLevel(d.byRank, capacity)
+	for _, i := range d.byRank {
+		d.minGrants[i] = max(d.minGrants[i], guaranteedFraction*d.grantAt(i, level))
 	}
 }
 
-// keepFloors says how much room is kept for each rank.
-func (d *division) keepFloors(capacity float64, floors rankFloors) {
-	kept, least := 0.0, 0.0
+// applyFloors computes the capacity that is reserved for each rank.
+func (d *division) applyFloors(capacity float64, floors rankFloors) {
+	reserved, minimum := 0.0, 0.0
 	for i := range d.ranks {
-		rank := &d.ranks[i]
-		asked := 0.0
-		for _, member := range rank.members {
-			rank.kept += d.least[member]
-			asked += d.most[member]
+		group := &d.ranks[i]
+		demand := 0.0
+		for _, member := range group.members {
+			group.reserved += d.minGrants[member]
+			demand += d.maxGrants[member]
 		}
-		least += rank.kept
-		floor := floors[rank.number]
-		rank.kept = max(rank.kept, min(floor, asked))
-		kept += rank.kept
+		minimum += group.reserved
+		floor := floors[group.rank]
+		group.reserved = max(group.reserved, min(floor, demand))
+		reserved += group.reserved
 	}
-	if kept <= capacity || kept <= least {
+	if reserved <= capacity || reserved <= minimum {
 		return
 	}
-	// Floors give way to reserves.
-	part := max(capacity-least, 0) / (kept - least)
+	// Floors are reduced so that the claimants' minimums fit.
+	fraction := max(capacity-minimum, 0) / (reserved - minimum)
 	for i := range d.ranks {
-		rank := &d.ranks[i]
+		group := &d.ranks[i]
 		sum := 0.0
-		for _, member := range rank.members {
-			sum += d.least[member]
+		for _, member := range group.members {
+			sum += d.minGrants[member]
 		}
-		rank.kept = sum + (rank.kept-sum)*part
+		group.reserved = sum + (group.reserved-sum)*fraction
 	}
 }
 
-// serve gives the members of a rank their room: left, less what is kept for later ranks.
-// It returns what they got.
-func (d *division) serve(members []int, left, kept float64) float64 {
-	budget := max(left-kept, 0)
-	level := d.level(members, budget)
-	given := 0.0
+// allocate divides among the members of a rank the remaining capacity, less what is reserved for
+// later ranks. It returns the sum of their grants.
+func (d *division) allocate(members []int, remaining, reserved float64) float64 {
+	budget := max(remaining-reserved, 0)
+	level := d.waterLevel(members, budget)
+	granted := 0.0
 	for _, i := range members {
-		d.allotments[i].Granted = d.at(i, level)
-		given += d.allotments[i].Granted
+		d.allotments[i].Granted = d.grantAt(i, level)
+		granted += d.allotments[i].Granted
 	}
-	if given > budget && given > 0 {
-		// Rounding, or reserves that exceed what is left by it.
+	if granted > budget && granted > 0 {
+		// Rounding errors, or minimums that exceed what is left by one.
 		for _, i := range members {
-			d.allotments[i].Granted *= budget / given
+			d.allotments[i].Granted *= budget / granted
 		}
-		given = budget
+		granted = budget
 	}
 	for _, i := range members {
-		d.allotments[i].Share = d.share(i, level, budget-given)
+		d.allotments[i].Share = d.share(i, level, budget-granted)
 	}
-	return given
+	return granted
 }
 
-// share returns what a claimant would get if it asked for more, at a level and with so
-// much room to spare in its rank.
-func (d *division) share(i int, level, spare float64) float64 {
-	room := d.allotments[i].Granted
-	share := room + spare
+// share returns what a claimant would get if it asked for more, at the given level and with the given
+// capacity unallocated in its rank.
+func (d *division) share(i int, level, unallocated float64) float64 {
+	granted := d.allotments[i].Granted
+	share := granted + unallocated
 	if !math.IsInf(level, 1) {
 		share = max(share, level*d.weights[i])
 	}
-	if !d.scaled {
+	if !d.reservesScaled {
 		share = max(share, d.claimants[i].Reserve)
 	}
 	if ceiling := d.claimants[i].Ceiling; ceiling > 0 {
 		share = min(share, ceiling)
 	}
-	return max(share, room)
+	return max(share, granted)
 }
 
-// at returns what a claimant gets at a level: the room of one with the weight one and no
-// bounds.
-func (d *division) at(i int, level float64) float64 {
-	return max(min(level*d.weights[i], d.most[i]), d.least[i])
+// grantAt returns what a claimant gets at a level. The level is the grant of a claimant of weight one
+// without bounds.
+func (d *division) grantAt(i int, level float64) float64 {
+	return max(min(level*d.weights[i], d.maxGrants[i]), d.minGrants[i])
 }
 
-// maxSteps bounds the search of a level: each step halves what is left at least, down to
-// the accuracy of a float.
-const maxSteps = 64
+// maxLevelSteps bounds the search of a level. Bisection alone reaches the accuracy of a float64 in
+// about as many steps.
+const maxLevelSteps = 64
 
-// accuracy is the part of a budget that may be left over.
-const accuracy = 1e-7
+// levelTolerance is the fraction of a budget that may be left over.
+const levelTolerance = 1e-7
 
-// level returns the highest level at which the members get the budget at most, infinite
-// where all get what they ask for.
-func (d *division) level(members []int, budget float64) float64 {
-	asked, weights, high := 0.0, 0.0, 0.0
+// waterLevel returns the highest level at which the sum of the members' grants stays within the
+// budget. It is infinite if all members get their whole demand.
+func (d *division) waterLevel(members []int, budget float64) float64 {
+	demand, weights, high := 0.0, 0.0, 0.0
 	for _, i := range members {
-		asked += d.most[i]
+		demand += d.maxGrants[i]
 		weights += d.weights[i]
-		high = max(high, d.most[i]/d.weights[i])
+		high = max(high, d.maxGrants[i]/d.weights[i])
 	}
-	if asked <= budget {
+	if demand <= budget {
 		return math.Inf(1)
 	}
 	low, guess := 0.0, budget/weights
-	for range maxSteps {
+	for range maxLevelSteps {
 		if guess <= low || guess >= high {
 			guess = low + (high-low)/2
 		}
-		given, rising := d.sum(members, guess)
-		if given <= budget {
+		granted, slope := d.totalAt(members, guess)
+		if granted <= budget {
 			low = guess
 		} else {
 			high = guess
 		}
-		if given <= budget && budget-given <= accuracy*budget {
+		if granted <= budget && budget-granted <= levelTolerance*budget {
 			break
 		}
-		// The sum is straight between the bounds of claimants: the next guess lies where
-		// it would meet the budget, a little below it.
-		guess += (budget*(1-accuracy/2) - given) / max(rising, math.SmallestNonzeroFloat64)
+		// The sum is linear between the bounds of claimants. The next guess is where the line meets
+		// the budget, less half of the tolerance.
+		guess += (budget*(1-levelTolerance/2) - granted) / max(slope, math.SmallestNonzeroFloat64)
 	}
 	return low
 }
 
-// sum returns what the members get at a level, and how much more for each unit of it.
-func (d *division) sum(members []int, level float64) (given, rising float64) {
+// totalAt returns the sum of the members' grants at a level, and its slope there.
+func (d *division) totalAt(members []int, level float64) (granted, slope float64) {
 	for _, i := range members {
 		weight := d.weights[i]
-		room := level * weight
+		grant := level * weight
 		switch {
-		case room >= d.most[i]:
-			room = d.most[i]
-		case room <= d.least[i]:
-			room = d.least[i]
+		case grant >= d.maxGrants[i]:
+			grant = d.maxGrants[i]
+		case grant <= d.minGrants[i]:
+			grant = d.minGrants[i]
 		default:
-			rising += weight
+			slope += weight
 		}
-		given += room
+		granted += grant
 	}
-	return given, rising
+	return granted, slope
 }
--- a/internal/fairshare/fairshare_test.go
+++ b/internal/fairshare/fairshare_test.go
@@ -10,11 +10,12 @@
 	"github.com/sedgemast/sedgemast/internal/proptest"
 )
 
-// near bounds what rounding and the accuracy of levels may cost, in parts of the capacity.
-const near = 1e-6
+// relativeTolerance bounds the effect of rounding and of levelTolerance, relative to the capacity.
+const relativeTolerance = 1e-6
 
-// draw returns a division of skewed claimants over some ranks.
-func draw(random *rand.Rand) (float64, rankFloors, []claimant) {
+// randomDivision returns the input of a division: the capacity, floors, and claimants with skewed
+// demands in some ranks.
+func randomDivision(random *rand.Rand) (float64, rankFloors, []claimant) {
 	claimants := make([]claimant, 1+random.Intn(80))
 	ranks := 1 + random.Intn(4)
 	for i := range claimants {
@@ -48,25 +49,25 @@
 	return capacity, floors, claimants
 }
 
-// divide returns what each claimant gets in a division of its own.
+// divide returns what each claimant gets, in a new division.
 func divide(capacity float64, floors rankFloors, claimants []claimant) []allotment {
 	var d division
 	d.divide(capacity, floors, claimants)
 	return d.allotments
 }
 
-// divider is divide, or one of its mutations.
+// divider is divide or one of its mutations.
 type divider func(capacity float64, floors rankFloors, claimants []claimant) []allotment
 
-// rules are what holds of each division.
+// rules are the properties that hold for each division.
 var rules = map[string]func(capacity float64, floors rankFloors, claimants []claimant, divide divider) error{
 	"the sum is within the capacity": func(capacity float64, floors rankFloors, claimants []claimant, divide divider) error {
-		if sum := total(divide(capacity, floors, claimants)); sum > capacity*(1+near) {
-			return errors.Newf("%g of %g given out", sum, capacity)
+		if sum := total(divide(capacity, floors, claimants)); sum > capacity*(1+relativeTolerance) {
+			return errors.Newf("%g of a capacity of %g granted", sum, capacity)
 		}
 		return nil
 	},
-	"nobody gets more than asked": func(capacity float64, floors rankFloors, claimants []claimant, divide divider) error {
+	"no grant exceeds the demand": func(capacity float64, floors rankFloors, claimants []claimant, divide divider) error {
 		for i, a := range divide(capacity, floors, claimants) {
 			if a.Granted < 0 || a.Granted > claimants[i].Demand || a.Share < a.Granted {
 				return errors.Newf("%+v gets %+v", claimants[i], a)
@@ -74,48 +75,48 @@
 		}
 		return nil
 	},
-	"nobody gets more than the ceiling": func(capacity float64, floors rankFloors, claimants []claimant, divide divider) error {
+	"no share exceeds the ceiling": func(capacity float64, floors rankFloors, claimants []claimant, divide divider) error {
 		for i, a := range divide(capacity, floors, claimants) {
-			if c := claimants[i].Ceiling; c > 0 && a.Share > c*(1+near) {
+			if c := claimants[i].Ceiling; c > 0 && a.Share > c*(1+relativeTolerance) {
 				return errors.Newf("%+v gets %+v", claimants[i], a)
 			}
 		}
 		return nil
 	},
-	"no room is left while anybody wants it": func(capacity float64, floors rankFloors, claimants []claimant, divide divider) error {
+	"no capacity is left while a claimant wants it": func(capacity float64, floors rankFloors, claimants []claimant, divide divider) error {
 		wanted := 0.0
 		for i := range claimants {
-			wanted += claimants[i].most()
+			wanted += claimants[i].maxGrant()
 		}
-		if sum := total(divide(capacity, floors, claimants)); sum < min(wanted, capacity)*(1-near)-near {
-			return errors.Newf("%g given out of %g, %g wanted", sum, capacity, wanted)
+		if sum := total(divide(capacity, floors, claimants)); sum < min(wanted, capacity)*(1-relativeTolerance)-relativeTolerance {
+			return errors.Newf("%g granted of a capacity of %g, %g wanted", sum, capacity, wanted)
 		}
 		return nil
 	},
 	"reserves come first": func(capacity float64, floors rankFloors, claimants []claimant, divide divider) error {
 		reserved := 0.0
 		for i := range claimants {
-			reserved += min(claimants[i].Reserve, claimants[i].most())
+			reserved += min(claimants[i].Reserve, claimants[i].maxGrant())
 		}
 		for i, a := range divide(capacity, floors, claimants) {
-			if reserved <= capacity && a.Granted < min(claimants[i].Reserve, claimants[i].most())*(1-near)-near {
-				return errors.Newf("%+v gets %+v of %g", claimants[i], a, capacity)
+			if reserved <= capacity && a.Granted < min(claimants[i].Reserve, claimants[i].maxGrant())*(1-relativeTolerance)-relativeTolerance {
+				return errors.Newf("%+v gets %+v of a capacity of %g", claimants[i], a, capacity)
 			}
 		}
 		return nil
 	},
-	"who asks for less than its share gets all of it": func(capacity float64, floors rankFloors, claimants []claimant, divide divider) error {
+	"a demand below the share is granted whole": func(capacity float64, floors rankFloors, claimants []claimant, divide divider) error {
 		for i, a := range divide(capacity, floors, claimants) {
 			c := &claimants[i]
-			if c.Demand < a.Share*(1-near) && a.Granted < c.Demand*(1-near)-near {
+			if c.Demand < a.Share*(1-relativeTolerance) && a.Granted < c.Demand*(1-relativeTolerance)-relativeTolerance {
 				return errors.Newf("%+v gets %+v", *c, a)
 			}
 		}
 		return nil
 	},
-	"within a rank nobody gets less for its weight than another unless it asks for less": func(capacity float64, floors rankFloors, claimants []claimant, divide divider) error {
+	"within a rank grants follow the weights unless the demand is smaller": func(capacity float64, floors rankFloors, claimants []claimant, divide divider) error {
 		for i := range claimants {
-			// Reserves, and what is kept for each claimant, go beside the weights.
+			// Reserves and guaranteed minimums do not follow the weights.
 			if claimants[i].Reserve > 0 || claimants[i].Rank > 0 {
 				return nil
 			}
@@ -124,14 +125,14 @@
 		for i := range claimants {
 			for j := range claimants {
 				one, other := &claimants[i], &claimants[j]
-				if got[i].Granted < one.most()*(1-near)-near && got[i].Granted/one.weight() < got[j].Granted/other.weight()*(1-near)-near {
+				if got[i].Granted < one.maxGrant()*(1-relativeTolerance)-relativeTolerance && got[i].Granted/one.weight() < got[j].Granted/other.weight()*(1-relativeTolerance)-relativeTolerance {
 					return errors.Newf("%+v gets %+v, %+v gets %+v", *one, got[i], *other, got[j])
 				}
 			}
 		}
 		return nil
 	},
-	"nobody starves": func(capacity float64, floors rankFloors, claimants []claimant, divide divider) error {
+	"no claimant starves": func(capacity float64, floors rankFloors, claimants []claimant, divide divider) error {
 		together := make([]claimant, len(claimants))
 		copy(together, claimants)
 		reserved := 0.0
@@ -144,13 +145,13 @@
 		}
 		fair := divide(capacity, nil, together)
 		for i, a := range divide(capacity, nil, claimants) {
-			if a.Granted < fair[i].Granted*leastPart*(1-near)-near {
-				return errors.Newf("%+v gets %+v, %g if ranks were one", claimants[i], a, fair[i].Granted)
+			if a.Granted < fair[i].Granted*guaranteedFraction*(1-relativeTolerance)-relativeTolerance {
+				return errors.Newf("%+v gets %+v, and %g without ranks", claimants[i], a, fair[i].Granted)
 			}
 		}
 		return nil
 	},
-	"the floor of a rank is kept": func(capacity float64, floors rankFloors, claimants []claimant, divide divider) error {
+	"the floor of a rank is granted": func(capacity float64, floors rankFloors, claimants []claimant, divide divider) error {
 		for i := range claimants {
 			if claimants[i].Reserve > 0 {
 				return nil
@@ -160,29 +161,29 @@
 		for _, floor := range floors {
 			kept += floor
 		}
-		if kept > capacity*(1-leastPart) {
+		if kept > capacity*(1-guaranteedFraction) {
 			return nil
 		}
 		asked, got := map[int]float64{}, map[int]float64{}
 		for i, a := range divide(capacity, floors, claimants) {
-			asked[claimants[i].Rank] += claimants[i].most()
+			asked[claimants[i].Rank] += claimants[i].maxGrant()
 			got[claimants[i].Rank] += a.Granted
 		}
 		for rank, floor := range floors {
-			if got[rank] < min(floor, asked[rank])*(1-near)-near {
-				return errors.Newf("rank %d gets %g of a floor of %g", rank, got[rank], floor)
+			if got[rank] < min(floor, asked[rank])*(1-relativeTolerance)-relativeTolerance {
+				return errors.Newf("rank %d gets %g, below its floor of %g", rank, got[rank], floor)
 			}
 		}
 		return nil
 	},
-	"a rank goes before the next": func(capacity float64, floors rankFloors, claimants []claimant, divide divider) error {
+	"a rank precedes the next": func(capacity float64, floors rankFloors, claimants []claimant, divide divider) error {
 		if len(floors) > 0 {
 			return nil
 		}
 		short := math.MaxInt
 		got := divide(capacity, floors, claimants)
 		for i := range claimants {
-			if got[i].Granted < claimants[i].most()*(1-near)-near {
+			if got[i].Granted < claimants[i].maxGrant()*(1-relativeTolerance)-relativeTolerance {
 				short = min(short, claimants[i].Rank)
 			}
 		}
@@ -195,11 +196,11 @@
 		later := 0.0
 		for i := range claimants {
 			if claimants[i].Rank > short {
-				later += got[i].Granted - max(leastPart*fair[i].Granted, min(claimants[i].Reserve, claimants[i].most()))
+				later += got[i].Granted - max(guaranteedFraction*fair[i].Granted, min(claimants[i].Reserve, claimants[i].maxGrant()))
 			}
 		}
-		if later > capacity*near+near {
-			return errors.Newf("rank %d is short of room, and later ones have %g beyond what is kept for them", short, later)
+		if later > capacity*relativeTolerance+relativeTolerance {
+			return errors.Newf("rank %d is short of capacity, and later ranks get %g beyond their guaranteed minimums", short, later)
 		}
 		return nil
 	},
@@ -213,12 +214,12 @@
 	return sum
 }
 
-// TestDivide holds drawn divisions to the rules.
+// TestDivide checks the rules with random divisions.
 func TestDivide(t *testing.T) {
 	for name, rule := range rules {
 		t.Run(name, func(t *testing.T) {
 			proptest.Run(t, "divide", func(random *rand.Rand) error {
-				capacity, floors, claimants := draw(random)
+				capacity, floors, claimants := randomDivision(random)
 				if random.Intn(2) == 0 {
 					oneRank(claimants)
 				}
@@ -239,8 +240,8 @@
 	}
 }
 
-// TestMutationsAreSeen breaks the division in one way for each rule: the rule must see it.
-func TestMutationsAreSeen(t *testing.T) {
+// TestMutationsAreDetected breaks the division in one way for each rule: the rule must detect it.
+func TestMutationsAreDetected(t *testing.T) {
 	change := func(after func(capacity float64, claimants []claimant, got []allotment)) divider {
 		return func(capacity float64, floors rankFloors, claimants []claimant) []allotment {
 			got := divide(capacity, floors, claimants)
@@ -261,10 +262,10 @@
 	byDemand := change(func(capacity float64, claimants []claimant, got []allotment) {
 		wanted := 0.0
 		for i := range claimants {
-			wanted += claimants[i].most()
+			wanted += claimants[i].maxGrant()
 		}
 		for i := range claimants {
-			got[i].Granted = claimants[i].most() * min(capacity/wanted, 1)
+			got[i].Granted = claimants[i].maxGrant() * min(capacity/wanted, 1)
 			got[i].Share = max(got[i].Granted, got[i].Share)
 		}
 	})
@@ -273,7 +274,7 @@
 		for rank := range 8 {
 			for i := range claimants {
 				if claimants[i].Rank == rank {
-					room := min(claimants[i].most(), capacity)
+					room := min(claimants[i].maxGrant(), capacity)
 					got[i] = allotment{room, room}
 					capacity -= room
 				}
@@ -282,21 +283,21 @@
 		return got
 	}
 	for name, mutation := range map[string]divider{
-		"the sum is within the capacity":                  change(func(_ float64, claimants []claimant, got []allotment) { demandAll(claimants, got) }),
-		"nobody gets more than asked":                     change(func(_ float64, _ []claimant, got []allotment) { got[0].Granted++; got[0].Share++ }),
-		"nobody gets more than the ceiling":               alter(func(c *claimant) { c.Ceiling = 0 }),
-		"no room is left while anybody wants it":          change(func(_ float64, _ []claimant, got []allotment) { got[len(got)-1].Granted = 0 }),
-		"reserves come first":                             alter(func(c *claimant) { c.Reserve = 0 }),
-		"who asks for less than its share gets all of it": byDemand,
-		"within a rank nobody gets less for its weight than another unless it asks for less": byDemand,
-		"nobody starves":              strict,
-		"the floor of a rank is kept": strict,
-		"a rank goes before the next": alter(func(c *claimant) { c.Rank = 0 }),
+		"the sum is within the capacity":                                       change(func(_ float64, claimants []claimant, got []allotment) { demandAll(claimants, got) }),
+		"no grant exceeds the demand":                                          change(func(_ float64, _ []claimant, got []allotment) { got[0].Granted++; got[0].Share++ }),
+		"no share exceeds the ceiling":                                         alter(func(c *claimant) { c.Ceiling = 0 }),
+		"no capacity is left while a claimant wants it":                        change(func(_ float64, _ []claimant, got []allotment) { got[len(got)-1].Granted = 0 }),
+		"reserves come first":                                                  alter(func(c *claimant) { c.Reserve = 0 }),
+		"a demand below the share is granted whole":                            byDemand,
+		"within a rank grants follow the weights unless the demand is smaller": byDemand,
+		"no claimant starves":                                                  strict,
+		"the floor of a rank is granted":                                       strict,
+		"a rank precedes the next":                                             alter(func(c *claimant) { c.Rank = 0 }),
 	} {
 		seen := false
 		for seed := int64(0); seed < 2000 && !seen; seed++ {
 			random := rand.New(rand.NewSource(seed))
-			capacity, floors, claimants := draw(random)
+			capacity, floors, claimants := randomDivision(random)
 			if seed%2 == 0 {
 				oneRank(claimants)
 			}
@@ -308,7 +309,7 @@
 			seen = rules[name](capacity, floors, claimants, mutation) != nil
 		}
 		if !seen {
-			t.Errorf("%s: its mutation is not seen", name)
+			t.Errorf("%s: the mutation is not detected", name)
 		}
 	}
 }
@@ -319,7 +320,7 @@
 	}
 }
 
-// BenchmarkDivide divides among a thousand claimants of three ranks.
+// BenchmarkDivide divides among 1,000 claimants of three ranks.
 func BenchmarkDivide(b *testing.B) {
 	random := rand.New(rand.NewSource(1))
 	claimants := make([]claimant, 1000)
--- a/internal/fairshare/fleet_test.go
+++ b/internal/fairshare/fleet_test.go
@@ -16,79 +16,80 @@
 	step = time.Millisecond
 	// goal is how long a request may wait for a slot to be in time.
 	goal = 300 * time.Millisecond
-	// hold is how long one holds a slot, in the mean, patience how long it waits at all.
-	hold     = 500 * time.Millisecond
-	patience = time.Second
-	// asking is how long an edge waits for the hub's answer.
-	asking = 6 * time.Millisecond
-	// reports is the time between two reports of an edge.
-	reports = 50 * time.Millisecond
+	// meanHoldTime is the mean time that a request holds a slot, maxWait the longest time that one
+	// waits.
+	meanHoldTime = 500 * time.Millisecond
+	maxWait      = time.Second
+	// answerTimeout is how long an edge waits for the hub's answer.
+	answerTimeout = 6 * time.Millisecond
+	// reportInterval is the time between two reports of an edge.
+	reportInterval = 50 * time.Millisecond
 )
 
 var start = time.Unix(1000, 0)
 
-// scene is what a fleet is put through.
-type scene struct {
+// scenario describes the load and the faults of a simulated fleet.
+type scenario struct {
 	tenants, edges, zones int
-	// load is what all tenants ask for, in parts of what the slots make.
+	// load is the demand of all tenants as a fraction of the capacity of the slots.
 	load float64
-	// floods names the tenants, by size, that ask for 8 times as much from floodAt to
-	// floodEnd.
+	// floods lists the tenants, as indexes by size, whose demand rises to 8 times as much from floodAt
+	// to floodEnd.
 	floods            []int
 	floodAt, floodEnd time.Duration
-	length            time.Duration
-	loss, doubled     float64
+	duration          time.Duration
+	loss, duplication float64
 	delay             time.Duration
-	// lostAt is when a zone's hub is replaced by one that knows nothing, zero for never.
-	lostAt time.Duration
-	// split lets half of the edges of each zone ask another hub, cut leaves so many edges
-	// without a hub from the middle of the floods to their end.
-	split bool
-	cut   int
-	// unmetered, refusing and forgetful are mutations: no hub holds anybody to a share, who
-	// is over its share gets no slot, and hubs know nothing for longer than a moment.
-	unmetered bool
-	refusing  bool
-	forgetful bool
-	settings  Settings
-}
-
-// request is one that waits for a slot.
+	// hubLostAt is when a zone's hub is replaced by one without any state, zero for never.
+	hubLostAt time.Duration
+	// splitHubs makes half of the edges of each zone use another hub. disconnectedEdges is the
+	// number of edges without a hub from the middle of the floods to their end.
+	splitHubs         bool
+	disconnectedEdges int
+	// unmetered, rejectOverShare and forgetfulHubs are mutations: no hub holds any tenant to a
+	// share, requests over the share get no slot, and hubs lose their state every 150 ms.
+	unmetered       bool
+	rejectOverShare bool
+	forgetfulHubs   bool
+	settings        Settings
+}
+
+// request is a request that waits for a slot.
 type request struct {
-	tenant int
-	edge   int
-	came   time.Duration
+	tenant    int
+	edge      int
+	arrivedAt time.Duration
 }
 
-// zone is a zone's hub and its slots; who is over its share waits behind all others.
+// zone holds a zone's hub and its slots. Requests over their shares wait behind all others.
 type zone struct {
-	meter  *Meter
-	second *Meter
-	slots  int
-	held   []time.Duration
-	within []request
-	over   []request
+	meter        *Meter
+	secondMeter  *Meter
+	slots        int
+	releaseTimes []time.Duration
+	withinShare  []request
+	overShare    []request
 }
 
-// message is one on its way to a hub.
+// message is a message on its way to a hub.
 type message struct {
-	at   time.Duration
-	take func(now time.Time)
+	at      time.Duration
+	deliver func(now time.Time)
 }
 
 type edge struct {
-	zone         int
-	begun, short uint32
-	reportAt     time.Duration
-	recall       *Fallback
+	zone               int
+	started, shortages uint32
+	reportAt           time.Duration
+	fallback           *Fallback
 }
 
-// span counts what came in a part of the time.
-type span struct{ asked, inTime int }
+// tally counts the requests in a period.
+type tally struct{ requests, inTime int }
 
-// fleet is zones with edges, and what came of their tenants' requests.
+// fleet holds zones with edges, and the outcome of their tenants' requests.
 type fleet struct {
-	scene
+	scenario
 	random   *rand.Rand
 	now      time.Duration
 	hubs     []*zone
@@ -96,22 +97,24 @@
 	rates    []float64
 	messages []message
 	ticket   uint64
-	// before, during and after are by tenant; after begins one second after the floods.
-	before, during, after []span
-	// overAfter counts requests that were called over their tenant's share then, busy and
-	// slotsTotal count the slots held and all of them while anybody waited in the floods.
-	overAfter        int
-	busy, slotsTotal float64
+	// before, during and after hold the outcome by tenant; after begins one second after the
+	// floods.
+	before, during, after []tally
+	// overShareAfter counts the requests in that last period that were over their tenants' shares.
+	// busySlots and totalSlots count the used and all slots, summed over the steps of the floods in
+	// which requests waited.
+	overShareAfter        int
+	busySlots, totalSlots float64
 }
 
-func newFleet(random *rand.Rand, s scene) *fleet {
+func newFleet(random *rand.Rand, s scenario) *fleet {
 	const slots = 360
-	f := &fleet{scene: s, random: random}
+	f := &fleet{scenario: s, random: random}
 	for range s.zones {
-		f.hubs = append(f.hubs, &zone{slots: slots / s.zones, meter: f.newMeter(start), second: f.newMeter(start)})
+		f.hubs = append(f.hubs, &zone{slots: slots / s.zones, meter: f.newMeter(start), secondMeter: f.newMeter(start)})
 	}
 	for i := range s.edges {
-		f.edges = append(f.edges, &edge{zone: i % s.zones, reportAt: time.Duration(random.Int63n(int64(reports))), recall: NewFallback()})
+		f.edges = append(f.edges, &edge{zone: i % s.zones, reportAt: time.Duration(random.Int63n(int64(reportInterval))), fallback: NewFallback()})
 	}
 	sum := 0.0
 	for i := range s.tenants {
@@ -119,9 +122,9 @@
 		sum += f.rates[i]
 	}
 	for i := range f.rates {
-		f.rates[i] *= s.load * float64(slots) / hold.Seconds() / sum
+		f.rates[i] *= s.load * float64(slots) / meanHoldTime.Seconds() / sum
 	}
-	f.before, f.during, f.after = make([]span, s.tenants), make([]span, s.tenants), make([]span, s.tenants)
+	f.before, f.during, f.after = make([]tally, s.tenants), make([]tally, s.tenants), make([]tally, s.tenants)
 	return f
 }
 
@@ -133,43 +136,44 @@
 	return m
 }
 
-// hubOf returns the hub that an edge asks, nil for none.
+// hubOf returns the hub that an edge uses, nil for none.
 func (f *fleet) hubOf(edge int) *Meter {
 	z := f.hubs[f.edges[edge].zone]
 	switch {
-	case edge < f.cut && f.now >= (f.floodAt+f.floodEnd)/2 && f.now < f.floodEnd:
+	case edge < f.disconnectedEdges && f.now >= (f.floodAt+f.floodEnd)/2 && f.now < f.floodEnd:
 		return nil
-	case f.split && edge/f.zones%2 == 1:
-		return z.second
+	case f.splitHubs && edge/f.zones%2 == 1:
+		return z.secondMeter
 	}
 	return z.meter
 }
 
-// send brings a message to a hub, if it isn't lost, once or twice.
-func (f *fleet) send(take func(now time.Time)) time.Duration {
-	took := time.Duration(-1)
+// send sends a message to a hub, subject to loss and duplication. It returns the shortest delay, or a
+// negative value if the message is lost.
+func (f *fleet) send(deliver func(now time.Time)) time.Duration {
+	shortest := time.Duration(-1)
 	for range 2 {
 		if f.random.Float64() >= f.loss {
-			late := time.Duration(f.random.Int63n(int64(f.delay) + 1))
-			f.messages = append(f.messages, message{f.now + late, take})
-			if took < 0 || late < took {
-				took = late
+			delay := time.Duration(f.random.Int63n(int64(f.delay) + 1))
+			f.messages = append(f.messages, message{f.now + delay, deliver})
+			if shortest < 0 || delay < shortest {
+				shortest = delay
 			}
 		}
-		if f.random.Float64() >= f.doubled {
+		if f.random.Float64() >= f.duplication {
 			break
 		}
 	}
-	return took
+	return shortest
 }
 
-// run plays the whole scene.
+// run simulates the whole scenario.
 func (f *fleet) run() {
-	for ; f.now < f.length; f.now += step {
-		if f.lostAt > 0 && f.now == f.lostAt {
+	for ; f.now < f.duration; f.now += step {
+		if f.hubLostAt > 0 && f.now == f.hubLostAt {
 			f.hubs[0].meter = f.newMeter(start.Add(f.now))
 		}
-		if f.forgetful && f.now%(150*time.Millisecond) == 0 {
+		if f.forgetfulHubs && f.now%(150*time.Millisecond) == 0 {
 			for _, z := range f.hubs {
 				z.meter = f.newMeter(start.Add(f.now))
 			}
@@ -190,7 +194,7 @@
 			kept = append(kept, m)
 			continue
 		}
-		m.take(start.Add(f.now))
+		m.deliver(start.Add(f.now))
 	}
 	f.messages = kept
 }
@@ -200,15 +204,15 @@
 		if f.now < e.reportAt {
 			continue
 		}
-		e.reportAt = f.now + reports
-		begun, short := e.begun, e.short
+		e.reportAt = f.now + reportInterval
+		started, shortages := e.started, e.shortages
 		if hub := f.hubOf(i); hub != nil {
-			f.send(func(now time.Time) { hub.ApplyCounts(now, uint32(i), begun, short) })
+			f.send(func(now time.Time) { hub.ApplyCounts(now, uint32(i), started, shortages) })
 		}
 	}
 }
 
-// arrive lets requests come by chance.
+// arrive submits requests at random times.
 func (f *fleet) arrive() {
 	for tenant, rate := range f.rates {
 		if f.now >= f.floodAt && f.now < f.floodEnd {
@@ -220,193 +224,195 @@
 		}
 		for want := rate * step.Seconds(); want > 0; want-- {
 			if f.random.Float64() < want {
-				f.ask(tenant)
+				f.submit(tenant)
 			}
 		}
 	}
 }
 
-// ask puts a request's question to the hub, and lets it wait for a slot by the answer.
-func (f *fleet) ask(tenant int) {
-	at := f.random.Intn(len(f.edges))
-	z := f.hubs[f.edges[at].zone]
+// submit queries the hub for a request, and queues the request for a slot according to the answer.
+func (f *fleet) submit(tenant int) {
+	edge := f.random.Intn(len(f.edges))
+	z := f.hubs[f.edges[edge].zone]
 	f.ticket++
 	ticket := f.ticket
-	came := f.now
+	arrivedAt := f.now
 	var standing Standing
 	answered := false
-	party := Class{Tenant: uint32(tenant) + 1}
-	hub := f.hubOf(at)
-	question := func(now time.Time) { standing, answered = hub.RecordDemand(now, ticket, party), true }
-	wait := asking
+	class := Class{Tenant: uint32(tenant) + 1}
+	hub := f.hubOf(edge)
+	query := func(now time.Time) { standing, answered = hub.RecordDemand(now, ticket, class), true }
+	wait := answerTimeout
 	if hub == nil {
 		wait = 0
-	} else if took := f.send(question); took >= 0 && took <= asking/2 {
-		wait = took
-	} else if again := f.send(question); again >= 0 {
-		wait = min(asking/2+again, asking)
+	} else if delay := f.send(query); delay >= 0 && delay <= answerTimeout/2 {
+		wait = delay
+	} else if retryDelay := f.send(query); retryDelay >= 0 {
+		wait = min(answerTimeout/2+retryDelay, answerTimeout)
 	}
-	f.count(came, tenant, func(s *span) { s.asked++ })
+	f.count(arrivedAt, tenant, func(s *tally) { s.requests++ })
 	f.messages = append(f.messages, message{f.now + wait, func(now time.Time) {
 		if answered {
-			f.edges[at].recall.Record(now, party, standing)
+			f.edges[edge].fallback.Record(now, class, standing)
 		} else {
-			standing = f.edges[at].recall.Standing(now, party, f.random.Float64())
+			standing = f.edges[edge].fallback.Standing(now, class, f.random.Float64())
 		}
-		r := request{tenant: tenant, edge: at, came: came}
-		if len(z.held) >= z.slots {
-			f.edges[at].short++
+		r := request{tenant: tenant, edge: edge, arrivedAt: arrivedAt}
+		if len(z.releaseTimes) >= z.slots {
+			f.edges[edge].shortages++
 		}
 		if f.now >= f.floodEnd+time.Second && standing.OverShare {
-			f.overAfter++
+			f.overShareAfter++
 		}
 		if standing.OverShare {
-			z.over = append(z.over, r)
+			z.overShare = append(z.overShare, r)
 			return
 		}
-		z.within = append(z.within, r)
+		z.withinShare = append(z.withinShare, r)
 	}})
 }
 
-// count takes in what became of a request that came then.
-func (f *fleet) count(came time.Duration, tenant int, take func(s *span)) {
+// count updates the tally of the period in which the request arrived.
+func (f *fleet) count(arrivedAt time.Duration, tenant int, update func(s *tally)) {
 	switch {
-	case came < f.floodAt:
-		take(&f.before[tenant])
-	case came < f.floodEnd:
-		take(&f.during[tenant])
-	case came >= f.floodEnd+time.Second:
-		take(&f.after[tenant])
+	case arrivedAt < f.floodAt:
+		update(&f.before[tenant])
+	case arrivedAt < f.floodEnd:
+		update(&f.during[tenant])
+	case arrivedAt >= f.floodEnd+time.Second:
+		update(&f.after[tenant])
 	}
 }
 
-// serve gives slots to who waits.
+// serve gives free slots to waiting requests.
 func (f *fleet) serve(z *zone) {
-	kept := z.held[:0]
-	for _, until := range z.held {
+	kept := z.releaseTimes[:0]
+	for _, until := range z.releaseTimes {
 		if until > f.now {
 			kept = append(kept, until)
 		}
 	}
-	z.held = kept
-	for len(z.held) < z.slots && len(z.within)+len(z.over) > 0 {
-		queue := &z.within
+	z.releaseTimes = kept
+	for len(z.releaseTimes) < z.slots && len(z.withinShare)+len(z.overShare) > 0 {
+		queue := &z.withinShare
 		if len(*queue) == 0 {
-			if f.refusing {
+			if f.rejectOverShare {
 				break
 			}
-			queue = &z.over
+			queue = &z.overShare
 		}
 		r := (*queue)[0]
 		*queue = (*queue)[1:]
-		waited := f.now - r.came
-		if waited > patience {
+		waited := f.now - r.arrivedAt
+		if waited > maxWait {
 			continue
 		}
-		f.edges[r.edge].begun++
-		z.held = append(z.held, f.now+time.Duration((0.5+f.random.Float64())*float64(hold)))
+		f.edges[r.edge].started++
+		z.releaseTimes = append(z.releaseTimes, f.now+time.Duration((0.5+f.random.Float64())*float64(meanHoldTime)))
 		if waited <= goal {
-			f.count(r.came, r.tenant, func(s *span) { s.inTime++ })
+			f.count(r.arrivedAt, r.tenant, func(s *tally) { s.inTime++ })
 		}
 	}
-	if f.now >= f.floodAt && f.now < f.floodEnd && len(z.within)+len(z.over) > 0 {
-		f.busy += float64(len(z.held))
-		f.slotsTotal += float64(z.slots)
+	if f.now >= f.floodAt && f.now < f.floodEnd && len(z.withinShare)+len(z.overShare) > 0 {
+		f.busySlots += float64(len(z.releaseTimes))
+		f.totalSlots += float64(z.slots)
 	}
 }
 
-// rate returns what a tenant asks for in the floods.
-func (f *fleet) rate(tenant int) float64 {
+// floodRate returns a tenant's demand during the floods, in requests a second.
+func (f *fleet) floodRate(tenant int) float64 {
 	if slices.Contains(f.floods, tenant) {
 		return 8 * f.rates[tenant]
 	}
 	return f.rates[tenant]
 }
 
-// modest is the part of its share up to which a tenant surely asks for less than it: its
-// requests come to zones by chance, and so do all others'.
-const modest = 0.7
+// modestFraction is the fraction of its share up to which a tenant's demand surely stays below the
+// share: its requests, like all others, are distributed to zones at random.
+const modestFraction = 0.7
 
-// others returns the tenants that ask for less than their shares in the floods.
-func (f *fleet) others() []int {
-	room := 0.0
+// modestTenants returns the tenants that ask for less than their shares during the floods.
+func (f *fleet) modestTenants() []int {
+	throughput := 0.0
 	for _, z := range f.hubs {
-		room += float64(z.slots) / hold.Seconds()
+		throughput += float64(z.slots) / meanHoldTime.Seconds()
 	}
 	claimants := make([]claimant, f.tenants)
 	for tenant := range claimants {
-		claimants[tenant].Demand = f.rate(tenant)
+		claimants[tenant].Demand = f.floodRate(tenant)
 	}
-	var others []int
-	for tenant, a := range divide(room*usable, nil, claimants) {
-		if !slices.Contains(f.floods, tenant) && f.rate(tenant) <= modest*a.Share {
-			others = append(others, tenant)
+	var modest []int
+	for tenant, a := range divide(throughput*usableFraction, nil, claimants) {
+		if !slices.Contains(f.floods, tenant) && f.floodRate(tenant) <= modestFraction*a.Share {
+			modest = append(modest, tenant)
 		}
 	}
-	return others
+	return modest
 }
 
-// sum adds up what came of the requests of some tenants.
-func sum(spans []span, tenants []int) span {
-	var all span
+// sum adds up the tallies of some tenants.
+func sum(tallies []tally, tenants []int) tally {
+	var total tally
 	for _, tenant := range tenants {
-		all.asked, all.inTime = all.asked+spans[tenant].asked, all.inTime+spans[tenant].inTime
+		total.requests, total.inTime = total.requests+tallies[tenant].requests, total.inTime+tallies[tenant].inTime
 	}
-	return all
+	return total
 }
 
-// in reports whether the part of the requests was in time.
-func (s span) in(part float64) bool { return float64(s.inTime) >= part*float64(s.asked) }
+// atLeast reports whether at least the given fraction of the requests were in time.
+func (s tally) atLeast(fraction float64) bool {
+	return float64(s.inTime) >= fraction*float64(s.requests)
+}
 
-// check holds a fleet to the bounds: part is that of the others' requests which must be in
-// time during the floods.
-func (f *fleet) check(part float64) error {
-	others := f.others()
-	if before := sum(f.before, others); !before.in(0.98) {
+// check checks the outcome of a simulation. minFraction is the fraction of the modest tenants' requests
+// that must be in time during the floods.
+func (f *fleet) check(minFraction float64) error {
+	modest := f.modestTenants()
+	if before := sum(f.before, modest); !before.atLeast(0.98) {
 		return errors.Newf("before the floods: %+v", before)
 	}
-	if during := sum(f.during, others); !during.in(part) {
-		return errors.Newf("others in the floods: %+v", during)
+	if during := sum(f.during, modest); !during.atLeast(minFraction) {
+		return errors.Newf("modest tenants during the floods: %+v", during)
 	}
-	for _, tenant := range others {
+	for _, tenant := range modest {
 		s := f.during[tenant]
-		// A few requests of a small tenant are no part of any.
+		// Tolerates three late requests: a small tenant has too few to compare a fraction.
 		s.inTime += 3
-		if !s.in(2*part - 1) {
-			return errors.Newf("tenant %d in the floods: %+v", tenant, f.during[tenant])
+		if !s.atLeast(2*minFraction - 1) {
+			return errors.Newf("tenant %d during the floods: %+v", tenant, f.during[tenant])
 		}
 	}
-	if after := sum(f.after, others); !after.in(0.98) || f.overAfter*50 > after.asked {
-		return errors.Newf("a second after the floods: %+v, %d over their shares", after, f.overAfter)
+	if after := sum(f.after, modest); !after.atLeast(0.98) || f.overShareAfter*50 > after.requests {
+		return errors.Newf("a second after the floods: %+v, %d over their shares", after, f.overShareAfter)
 	}
-	if f.busy < 0.98*f.slotsTotal {
-		return errors.Newf("%.3f of the slots were held while anybody waited", f.busy/f.slotsTotal)
+	if f.busySlots < 0.98*f.totalSlots {
+		return errors.Newf("a fraction of %.3f of the slots was in use while requests waited", f.busySlots/f.totalSlots)
 	}
 	return nil
 }
 
-// scenes are what all bounds are held in.
-var scenes = map[string]scene{
-	"75 tenants, the largest floods":            {tenants: 75, edges: 47, zones: 3, load: 0.8, floods: []int{0}},
-	"75 tenants, three flood":                   {tenants: 75, edges: 67, zones: 4, load: 0.7, floods: []int{0, 2, 9}},
-	"510 tenants, the largest floods":           {tenants: 510, edges: 67, zones: 4, load: 0.8, floods: []int{0}},
-	"510 tenants, three flood, messages suffer": {tenants: 510, edges: 67, zones: 4, load: 0.7, floods: []int{0, 2, 9}, loss: 0.1, doubled: 0.1, delay: 5 * time.Millisecond},
-	"75 tenants, messages suffer":               {tenants: 75, edges: 51, zones: 3, load: 0.8, floods: []int{0}, loss: 0.1, doubled: 0.2, delay: 5 * time.Millisecond},
+// scenarios are those in which all bounds must hold.
+var scenarios = map[string]scenario{
+	"75 tenants, the largest floods":          {tenants: 75, edges: 47, zones: 3, load: 0.8, floods: []int{0}},
+	"75 tenants, three flood":                 {tenants: 75, edges: 67, zones: 4, load: 0.7, floods: []int{0, 2, 9}},
+	"510 tenants, the largest floods":         {tenants: 510, edges: 67, zones: 4, load: 0.8, floods: []int{0}},
+	"510 tenants, three flood, lossy network": {tenants: 510, edges: 67, zones: 4, load: 0.7, floods: []int{0, 2, 9}, loss: 0.1, duplication: 0.1, delay: 5 * time.Millisecond},
+	"75 tenants, lossy network":               {tenants: 75, edges: 51, zones: 3, load: 0.8, floods: []int{0}, loss: 0.1, duplication: 0.2, delay: 5 * time.Millisecond},
 }
 
-func (s scene) timed() scene {
-	s.floodAt, s.floodEnd, s.length = 3*time.Second, 7*time.Second, 10*time.Second
+func (s scenario) withTimes() scenario {
+	s.floodAt, s.floodEnd, s.duration = 3*time.Second, 7*time.Second, 10*time.Second
 	return s
 }
 
-// TestFloodCostsOthersNothing lets tenants ask for 8 times as much: who asks for less than
-// its share is in time as if they weren't there, no slot idles, and a second after the
-// floods all is as before.
-func TestFloodCostsOthersNothing(t *testing.T) {
-	for name, s := range scenes {
+// TestFloodDoesNotAffectOtherTenants lets tenants ask for 8 times as much. Tenants that ask for less
+// than their shares are served as if there were no floods, no slot idles while requests wait, and a
+// second after the floods everything is as before.
+func TestFloodDoesNotAffectOtherTenants(t *testing.T) {
+	for name, s := range scenarios {
 		t.Run(name, func(t *testing.T) {
-			for seed := range int64(seeds) {
-				f := newFleet(rand.New(rand.NewSource(seed)), s.timed())
+			for seed := range int64(seedCount) {
+				f := newFleet(rand.New(rand.NewSource(seed)), s.withTimes())
 				f.run()
 				if err := f.check(0.98); err != nil {
 					t.Errorf("seed %d: %s", seed, err)
@@ -416,14 +422,14 @@
 	}
 }
 
-// seeds is how many times each scene is played.
-const seeds = 5
+// seedCount is the number of seeds that each scenario is run with.
+const seedCount = 5
 
-// TestDrawnFloods draws the number of tenants, edges and zones, who floods, and what
-// messages suffer.
-func TestDrawnFloods(t *testing.T) {
+// TestRandomFloods uses random numbers of tenants, edges and zones, random flooding tenants and random
+// faults of messages.
+func TestRandomFloods(t *testing.T) {
 	proptest.Run(t, "floods", func(random *rand.Rand) error {
-		s := drawScene(random)
+		s := randomScenario(random)
 		f := newFleet(random, s)
 		f.run()
 		if err := f.check(0.98); err != nil {
@@ -433,10 +439,10 @@
 	})
 }
 
-func drawScene(random *rand.Rand) scene {
-	s := scene{
+func randomScenario(random *rand.Rand) scenario {
+	s := scenario{
 		tenants: 20 + random.Intn(150), edges: 47 + random.Intn(21), zones: 3 + random.Intn(2),
-		load: 0.5 + 0.3*random.Float64(), loss: 0.1 * random.Float64(), doubled: 0.3 * random.Float64(),
+		load: 0.5 + 0.3*random.Float64(), loss: 0.1 * random.Float64(), duplication: 0.3 * random.Float64(),
 		delay: time.Duration(random.Intn(6)) * time.Millisecond,
 	}
 	for range 1 + random.Intn(3) {
@@ -444,16 +450,16 @@
 			s.floods = append(s.floods, flood)
 		}
 	}
-	s.floodAt, s.floodEnd, s.length = time.Second, 3*time.Second, 5*time.Second
+	s.floodAt, s.floodEnd, s.duration = time.Second, 3*time.Second, 5*time.Second
 	return s
 }
 
-// TestLostHub replaces the hub of one zone in the midst of a flood by one that knows
-// nothing: until it has learnt, its zone serves by the order in which requests come.
+// TestLostHub replaces the hub of one zone during a flood by one without any state. Until that has
+// learned, its zone serves requests in the order of their arrival.
 func TestLostHub(t *testing.T) {
-	for seed := range int64(seeds) {
-		s := scenes["75 tenants, the largest floods"].timed()
-		s.lostAt = s.floodAt + 2*time.Second
+	for seed := range int64(seedCount) {
+		s := scenarios["75 tenants, the largest floods"].withTimes()
+		s.hubLostAt = s.floodAt + 2*time.Second
 		f := newFleet(rand.New(rand.NewSource(seed)), s)
 		f.run()
 		if err := f.check(0.98); err != nil {
@@ -462,12 +468,12 @@
 	}
 }
 
-// TestTwoHubs lets half of the edges of each zone ask another hub: each divides what its
-// edges are given.
+// TestTwoHubs makes half of the edges of each zone use another hub. Each hub divides the capacity that
+// its own edges get.
 func TestTwoHubs(t *testing.T) {
-	for seed := range int64(seeds) {
-		s := scenes["75 tenants, the largest floods"].timed()
-		s.split = true
+	for seed := range int64(seedCount) {
+		s := scenarios["75 tenants, the largest floods"].withTimes()
+		s.splitHubs = true
 		f := newFleet(rand.New(rand.NewSource(seed)), s)
 		f.run()
 		if err := f.check(0.98); err != nil {
@@ -476,68 +482,68 @@
 	}
 }
 
-// TestEdgesCutOff leaves a tenth of the edges without a hub in the midst of a flood: for a
-// moment they go by what they recall, and then hold nobody to a share.
-func TestEdgesCutOff(t *testing.T) {
-	for seed := range int64(seeds) {
-		s := scenes["75 tenants, the largest floods"].timed()
-		s.cut = s.edges / 10
+// TestDisconnectedEdges leaves a tenth of the edges without a hub during a flood. For a short time they
+// go by earlier answers, and then hold no tenant to a share.
+func TestDisconnectedEdges(t *testing.T) {
+	for seed := range int64(seedCount) {
+		s := scenarios["75 tenants, the largest floods"].withTimes()
+		s.disconnectedEdges = s.edges / 10
 		f := newFleet(rand.New(rand.NewSource(seed)), s)
 		f.run()
-		t.Logf("%+v", sum(f.during, f.others()))
+		t.Logf("%+v", sum(f.during, f.modestTenants()))
 		if err := f.check(0.98); err != nil {
 			t.Errorf("seed %d: %s", seed, err)
 		}
 	}
 }
 
-// TestAllAskForMore lets everybody ask for 8 times as much at once, twice the room: the
-// small ones have what they ask for, nobody has nothing, and no slot idles.
-func TestAllAskForMore(t *testing.T) {
-	s := scene{tenants: 75, edges: 47, zones: 3, load: 0.25}.timed()
+// TestAllTenantsFlood lets all tenants ask for 8 times as much at once, twice the capacity. Small
+// tenants get what they ask for, every tenant gets something, and no slot idles while requests wait.
+func TestAllTenantsFlood(t *testing.T) {
+	s := scenario{tenants: 75, edges: 47, zones: 3, load: 0.25}.withTimes()
 	for tenant := range s.tenants {
 		s.floods = append(s.floods, tenant)
 	}
 	f := newFleet(rand.New(rand.NewSource(1)), s)
 	f.run()
-	if f.busy < 0.98*f.slotsTotal {
-		t.Errorf("%.3f of the slots were held", f.busy/f.slotsTotal)
+	if f.busySlots < 0.98*f.totalSlots {
+		t.Errorf("a fraction of %.3f of the slots was in use while requests waited", f.busySlots/f.totalSlots)
 	}
 	for tenant, got := range f.during {
-		if got.inTime == 0 && got.asked > 3 {
-			t.Errorf("tenant %d: none of %d", tenant, got.asked)
+		if got.inTime == 0 && got.requests > 3 {
+			t.Errorf("tenant %d: none of %d requests in time", tenant, got.requests)
 		}
 	}
 	f.floods = nil
 	for tenant := range f.rates {
 		f.rates[tenant] *= 8
 	}
-	others := f.others()
-	if small := sum(f.during, others); !small.in(0.95) || len(others) < 5 {
-		t.Errorf("%d tenants that ask for less than their shares: %+v", len(others), small)
+	modest := f.modestTenants()
+	if small := sum(f.during, modest); !small.atLeast(0.95) || len(modest) < 5 {
+		t.Errorf("%d tenants that ask for less than their shares: %+v", len(modest), small)
 	}
 }
 
-// TestBrokenSharesAreSeen takes a mechanism away: the check must see it.
-func TestBrokenSharesAreSeen(t *testing.T) {
-	for name, harm := range map[string]func(s *scene){
-		"nobody is held to a share":            func(s *scene) { s.unmetered = true },
-		"hubs that forget":                     func(s *scene) { s.forgetful = true },
-		"who is over its share gets no slot":   func(s *scene) { s.refusing = true },
-		"most of the messages are lost":        func(s *scene) { s.loss = 0.7 },
-		"the largest tenants weigh everything": func(s *scene) { s.settings.Tenants = map[Tenant]TenantSettings{1: {Weight: 1000}} },
+// TestBrokenSharesAreDetected disables one mechanism at a time: check must detect it.
+func TestBrokenSharesAreDetected(t *testing.T) {
+	for name, mutate := range map[string]func(s *scenario){
+		"no tenant is held to a share":         func(s *scenario) { s.unmetered = true },
+		"hubs lose their state":                func(s *scenario) { s.forgetfulHubs = true },
+		"requests over the share get no slot":  func(s *scenario) { s.rejectOverShare = true },
+		"most of the messages are lost":        func(s *scenario) { s.loss = 0.7 },
+		"the largest tenants weigh everything": func(s *scenario) { s.settings.Tenants = map[Tenant]TenantSettings{1: {Weight: 1000}} },
 	} {
-		s := scenes["75 tenants, the largest floods"].timed()
-		harm(&s)
+		s := scenarios["75 tenants, the largest floods"].withTimes()
+		mutate(&s)
 		f := newFleet(rand.New(rand.NewSource(1)), s)
 		f.run()
 		if f.check(0.98) == nil {
-			t.Errorf("%s: not seen", name)
+			t.Errorf("%s: not detected", name)
 		}
 	}
 }
 
-// scarceMeter returns a meter of a zone whose room is scarce, with so many tenants.
+// scarceMeter returns a meter of a zone whose capacity is scarce, with the given number of tenants.
 func scarceMeter(tenants int) (*Meter, time.Time) {
 	m := NewMeter()
 	now := start
@@ -552,9 +558,9 @@
 	return m, now
 }
 
-// BenchmarkAsk asks for a thousand tenants, 1,000 times a second, while there is too
-// little room: divisions included.
-func BenchmarkAsk(b *testing.B) {
+// BenchmarkRecordDemand records 1,000 requests a second of 1,000 tenants while capacity is scarce. It
+// includes the divisions.
+func BenchmarkRecordDemand(b *testing.B) {
 	const tenants = 1000
 	m, now := scarceMeter(tenants)
 	ticket := uint64(1 << 32)
@@ -565,7 +571,7 @@
 		m.ApplyCounts(now, 2, uint32(ticket/2), uint32(ticket))
 		m.RecordDemand(now, ticket, Class{Tenant: uint32(ticket%tenants) + 1})
 	}
-	if !m.scarce || len(m.parties) != tenants {
-		b.Fatalf("scarce %t, %d parties", m.scarce, len(m.parties))
+	if !m.scarce || len(m.accounts) != tenants {
+		b.Fatalf("scarce %t, %d classes", m.scarce, len(m.accounts))
 	}
 }
--- a/internal/fairshare/meter.go
+++ b/internal/fairshare/meter.go
@@ -10,171 +10,174 @@
 // Tenant is the short name of a tenant.
 type Tenant = uint32
 
-// Public stands for all who ask without being a tenant: they are one claimant.
+// Public stands for all callers that are no tenants: together they are one claimant.
 const Public Tenant = 0
 
-// Class is who claims room of a zone: a tenant with its requests of one rank.
+// Class competes for the capacity of a zone: a tenant with its requests of one rank.
 type Class struct {
 	Tenant Tenant
 	Rank   int
 }
 
-// TenantSettings is what operators set for a tenant. The zero value is that of tenants of which
-// nothing is set.
+// TenantSettings are an operator's settings for a tenant. The zero value applies to tenants without
+// settings.
 type TenantSettings struct {
-	// Weight is its part beside others, zero counts as one.
+	// Weight is the tenant's weight among others; zero counts as one.
 	Weight float64
-	// Reserve and Ceiling are parts of the room, from 0 to 1; zero means none.
+	// Reserve and Ceiling are fractions of the capacity, from 0 to 1; zero means none.
 	Reserve float64
 	Ceiling float64
 }
 
-// Settings are those of a configuration.
+// Settings are the fair-share settings of a configuration.
 type Settings struct {
 	Tenants map[Tenant]TenantSettings
-	// Floors holds the part of the room that is kept for requests of a rank, from 0 to 1.
+	// Floors holds the fraction of the capacity reserved for requests of each rank, from 0 to 1.
 	Floors map[int]float64
 }
 
 const (
-	// askedTime is how far back what is asked for counts, in the mean: a flood is seen in
-	// a part of it, and forgotten within a second. In less a tenant with some requests a
-	// second would look idle between them.
-	askedTime = 250 * time.Millisecond
-	// givenTime is the same for what is given, shortTime for shortage.
-	givenTime = 500 * time.Millisecond
-	shortTime = 200 * time.Millisecond
-	// interval is the time between two looks at the account, a fraction of askedTime, and
-	// divideInterval that between two divisions while the room is scarce.
-	interval       = 50 * time.Millisecond
+	// demandDecayTime is the time constant of the decaying demand of a class. A flood shows within
+	// a fraction of it and is forgotten within a second. With less time, a tenant with a few
+	// requests a second would look idle between them.
+	demandDecayTime = 250 * time.Millisecond
+	// grantDecayTime and shortageDecayTime are the time constants for requests that started, and
+	// for shortages and the demand that they are compared with.
+	grantDecayTime    = 500 * time.Millisecond
+	shortageDecayTime = 200 * time.Millisecond
+	// updateInterval is the minimum time between two updates of the account, a fraction of
+	// demandDecayTime. divideInterval is the time between two divisions while capacity is scarce.
+	updateInterval = 50 * time.Millisecond
 	divideInterval = 100 * time.Millisecond
-	// learnTime is how long a meter watches before it holds anybody to a share.
-	learnTime = 200 * time.Millisecond
-	// shortParts is the part of the requests, one in so many, that must have found no room
-	// for the room to be scarce: in a pool with room a few are sent to the wrong worker.
-	shortParts = 10
-	// roomTime is how far back what is given counts as the room, in the mean, of the time
-	// when there was too little. When a pool fills up more is given for a moment than ever
-	// again, and with room for all as much as is asked for.
-	roomTime = time.Second
-	// usable is the part of the room that is shared out. What is shared out beyond the
-	// room queues before everybody; what is shared out below it is lost to nobody, because
-	// who is over its share takes what is left.
-	usable = 0.9
-	// backlogTime bounds, in time of the room, how much may come in excess of it by credit:
-	// the full credits of many parties together would fill the queue of those within their
-	// shares. At the bound only parties with their whole credit are within their shares.
-	backlogTime = 200 * time.Millisecond
-	// burstTime is how much of its share a party may ask for at once, in time, and
-	// leastBurst in requests: callers come by chance, and run ahead of an even flow by as
-	// many requests at a low rate as at a high one. More time would let a flood fill the
-	// queue of those within their shares at its begin.
-	burstTime  = 100 * time.Millisecond
-	leastBurst = 12
-	// calmTime is after how long with room for all everybody has full credit.
-	calmTime = time.Second
-	// forgotten is the rate in requests a second below which a party is forgotten: the
-	// last of its requests is several askedTime old.
-	forgotten = 0.02
-	// maxParties bounds the parties that are kept. Others are never over their shares.
-	maxParties = 4096
+	// warmupTime is how long a meter observes before it holds any class to a share.
+	warmupTime = 200 * time.Millisecond
+	// scarcityDivisor sets when capacity counts as scarce: if at least 1/10 of the requests found
+	// no free slot. With free capacity, a few requests still go to the wrong worker.
+	scarcityDivisor = 10
+	// capacityDecayTime is the time constant of the measured capacity. Only time of scarcity
+	// counts: otherwise the requests that start equal the demand, and while a pool fills up more
+	// of them start than it can sustain.
+	capacityDecayTime = time.Second
+	// usableFraction is the fraction of the capacity that is divided into shares. Requests within
+	// shares that exceed the capacity would queue before all others. What the shares leave is not
+	// wasted, because requests over their shares use it.
+	usableFraction = 0.9
+	// maxBacklogTime limits how many requests may exceed the capacity on credit, as the time in
+	// which the capacity serves them. The full credits of many classes together would fill the
+	// queue of those within their shares. At the limit, only classes with full credit are within
+	// their shares.
+	maxBacklogTime = 200 * time.Millisecond
+	// burstTime limits a class's burst to what its share serves in this time, minBurst is the lower
+	// bound in requests. Arrivals are random, and exceed an even rate by as many requests at a low
+	// rate as at a high one. With more time, a flood would at its start fill the queue of requests
+	// within their shares.
+	burstTime = 100 * time.Millisecond
+	minBurst  = 12
+	// creditResetTime is the time without scarcity after which every class gets full credit.
+	creditResetTime = time.Second
+	// minTrackedRate is the rate in requests a second below which a class is forgotten: its last
+	// request is several demandDecayTime old then.
+	minTrackedRate = 0.02
+	// maxClasses bounds the classes that are kept. Others are never over their shares.
+	maxClasses = 4096
 	// maxSources bounds the edges whose counts are kept.
 	maxSources = 4096
-	// sourceTime is for how long an edge may be silent: what it counts in more time may
-	// have been told to another hub.
-	sourceTime = 500 * time.Millisecond
+	// sourceTimeout is the longest gap between two reports of an edge whose difference counts. What
+	// the edge counted in more time may have been reported to another hub.
+	sourceTimeout = 500 * time.Millisecond
 )
 
-// Standing is what a request's tenant has of the room, at the moment it asks.
+// Standing says whether a request's class is over its share at the time of the request.
 type Standing struct {
-	// OverShare is set where the tenant has asked for more than its share, and others ask too.
+	// OverShare is set if the class has asked for more than its share while others ask too.
 	OverShare bool
-	// Demand and Share are the tenant's, Room that of all, in requests a second; they are
-	// told where Over is set. Age is how old they are.
+	// Demand and Share are the class's, Capacity is that of the zone, all in requests a second.
+	// They are set only with OverShare. Age is how old they are.
 	Demand   float64
 	Share    float64
 	Capacity float64
 	Age      time.Duration
 }
 
-// Meter keeps account of the room of a zone: who asks for it, how much there is, and who
-// is over its share. It is not safe for concurrent use.
+// Meter keeps account of the capacity of a zone: the demand of each class, the capacity, and which
+// classes are over their shares. It is not safe for concurrent use.
 type Meter struct {
-	// settings is nil where nothing is metered.
-	settings *Settings
-	began    time.Time
-	// tickedAt is up to when the account is brought.
-	tickedAt time.Time
-	parties  map[Class]*account
-	// list holds the parties' accounts, too: they are gone over often.
-	list []*account
-	// sources holds what edges have told, by the edges' short names.
+	// settings is nil if nothing is metered.
+	settings  *Settings
+	startedAt time.Time
+	// updatedAt is when the account was last updated.
+	updatedAt time.Time
+	accounts  map[Class]*account
+	// accountList holds the same accounts, for faster iteration.
+	accountList []*account
+	// sources holds the last counts reported by each edge, by the edges' short names.
 	sources map[uint32]*source
 	tickets tickets
-	// asked counts the requests of late, short those that found no room, and given those that
-	// began to run.
-	asked decayed
-	short decayed
-	given decayed
-	// room is how many requests a second are given while there is no room for more:
-	// scarceCount requests in scarceSeconds, both of which fade with roomTime.
-	room          float64
-	scarceCount   float64
+	// demand counts recent requests, shortages those that found no free slot, and granted those
+	// that started.
+	demand    decayingCount
+	shortages decayingCount
+	granted   decayingCount
+	// capacity is the rate at which requests start while capacity is scarce: scarceGranted requests
+	// in scarceSeconds, both of which decay with capacityDecayTime.
+	capacity      float64
+	scarceGranted float64
 	scarceSeconds float64
 	scarce        bool
-	// backlog counts the requests within their shares that came in excess of the room.
+	// backlog counts the requests within their shares that came in excess of the capacity.
 	backlog float64
-	// dividedAt is when the room was divided last.
+	// dividedAt is when the capacity was last divided.
 	dividedAt time.Time
-	// calmAt is when the room began or ceased to be scarce.
-	calmAt time.Time
-	// division is kept for the next one.
+	// scarcityChangedAt is when scarcity last began or ended.
+	scarcityChangedAt time.Time
+	// division and claimants are reused by the next division.
 	division  division
 	claimants []claimant
 }
 
-// account is that of a party.
+// account holds the demand, share and credit of a class.
 type account struct {
-	party Class
-	// asked is the rate of late, over the part of it beyond the share; fresh and freshOver
-	// count the requests since the last look.
-	asked     float64
-	over      float64
-	fresh     float64
-	freshOver float64
-	// share is the party's by the last division, in requests a second, or unknown.
+	class Class
+	// demand is the recent rate in requests a second, excess the part of it beyond the share.
+	// newRequests and newExcess count the requests since the last update.
+	demand      float64
+	excess      float64
+	newRequests float64
+	newExcess   float64
+	// share is the share by the last division, in requests a second, or unknownShare.
 	share float64
-	// credit is how many requests it may ask for now within its share.
-	credit float64
-	at     time.Time
+	// credit is the number of requests that the class may send now within its share, as of
+	// creditedAt.
+	credit     float64
+	creditedAt time.Time
 }
 
-// unknown is the share of a party that came after the last division.
-const unknown = -1
+// unknownShare is the share of a class that appeared after the last division.
+const unknownShare = -1
 
-// source is what an edge has told.
+// source holds the last counts that an edge reported.
 type source struct {
-	at    time.Time
-	begun uint32
-	short uint32
+	reportedAt time.Time
+	started    uint32
+	shortages  uint32
 }
 
-// decayed is a count that fades.
-type decayed struct {
-	count float64
-	fresh float64
+// decayingCount is a count with exponential decay.
+type decayingCount struct {
+	count   float64
+	pending float64
 }
 
-func (d *decayed) fade(factor float64) {
-	// What came since lies half of the time back in the mean.
-	d.count = d.count*factor + d.fresh*math.Sqrt(factor)
-	d.fresh = 0
+func (d *decayingCount) decay(factor float64) {
+	// What came since the last update is half of the interval old on average.
+	d.count = d.count*factor + d.pending*math.Sqrt(factor)
+	d.pending = 0
 }
 
-// NewMeter returns a meter that holds nobody to a share until Set names tenants.
+// NewMeter returns a meter that holds no class to a share until Configure sets the settings.
 func NewMeter() *Meter { return &Meter{} }
 
-// Configure takes in the settings in force, nil where the configuration names no tenants: then
+// Configure applies the settings in force. They are nil if the configuration names no tenants: then
 // nothing is metered.
 func (m *Meter) Configure(now time.Time, settings *Settings) {
 	if settings == nil {
@@ -182,315 +185,320 @@
 		return
 	}
 	if m.settings == nil {
-		*m = Meter{began: now, tickedAt: now, parties: map[Class]*account{}, sources: map[uint32]*source{}}
+		*m = Meter{startedAt: now, updatedAt: now, accounts: map[Class]*account{}, sources: map[uint32]*source{}}
 	}
 	m.settings = settings
 }
 
-// RecordDemand takes in that a request of the party is about to ask for room, and says how the
-// party stands. The ticket names the request: one that comes again has the same answer.
-func (m *Meter) RecordDemand(now time.Time, ticket uint64, party Class) Standing {
+// RecordDemand records that a request of the class is about to ask for capacity, and returns the
+// class's standing. The ticket identifies the request: a repeated ticket gets the same answer.
+func (m *Meter) RecordDemand(now time.Time, ticket uint64, class Class) Standing {
 	if m.settings == nil {
 		return Standing{}
 	}
-	m.tick(now)
-	if before, asked := m.tickets.find(now, ticket); asked {
-		return before
+	m.update(now)
+	if previous, found := m.tickets.find(now, ticket); found {
+		return previous
 	}
-	known := m.account(now, party)
-	if known == nil {
+	a := m.account(now, class)
+	if a == nil {
 		return Standing{}
 	}
-	m.asked.fresh++
-	known.fresh++
-	standing := m.stand(now, known)
+	m.demand.pending++
+	a.newRequests++
+	standing := m.evaluate(now, a)
 	m.tickets.add(ticket, standing)
 	return standing
 }
 
-// stand takes one request out of the credit of the party.
-func (m *Meter) stand(now time.Time, known *account) Standing {
-	if !m.scarce || known.share < 0 || len(m.parties) < 2 {
+// evaluate returns the standing of a request, and takes it out of the class's credit if it is
+// within the share.
+func (m *Meter) evaluate(now time.Time, a *account) Standing {
+	if !m.scarce || a.share < 0 || len(m.accounts) < 2 {
 		return Standing{}
 	}
-	known.accrue(now)
-	if known.credit >= 1+(known.burst()-1)*m.pressure() {
-		known.credit--
+	a.accrue(now)
+	if a.credit >= 1+(a.burst()-1)*m.pressure() {
+		a.credit--
 		m.backlog++
 		return Standing{}
 	}
-	known.freshOver++
-	return Standing{OverShare: true, Demand: known.asked, Share: known.share, Capacity: m.room, Age: now.Sub(m.tickedAt)}
+	a.newExcess++
+	return Standing{OverShare: true, Demand: a.demand, Share: a.share, Capacity: m.capacity, Age: now.Sub(m.updatedAt)}
 }
 
-// pressure says from 0 to 1 how much came in excess of the room.
+// pressure returns the backlog as a fraction of its limit, from 0 to 1.
 func (m *Meter) pressure() float64 {
-	return min(m.backlog/max(m.room*backlogTime.Seconds(), 1), 1)
+	return min(m.backlog/max(m.capacity*maxBacklogTime.Seconds(), 1), 1)
 }
 
-// burst is how many requests a party may ask for at once.
-func (a *account) burst() float64 { return max(a.share*burstTime.Seconds(), leastBurst) }
+// burst returns the number of requests that the class may send at once.
+func (a *account) burst() float64 { return max(a.share*burstTime.Seconds(), minBurst) }
 
-// accrue adds to the credit what came since the last time.
+// accrue adds the credit since the last call, up to the burst.
 func (a *account) accrue(now time.Time) {
-	passed := now.Sub(a.at)
-	if passed <= 0 {
+	elapsed := now.Sub(a.creditedAt)
+	if elapsed <= 0 {
 		return
 	}
-	a.at = now
+	a.creditedAt = now
 	if a.share >= 0 {
-		a.credit = min(a.credit+a.share*passed.Seconds(), a.burst())
+		a.credit = min(a.credit+a.share*elapsed.Seconds(), a.burst())
 	}
 }
 
-// account returns the party's account, nil where there are too many.
-func (m *Meter) account(now time.Time, party Class) *account {
-	known := m.parties[party]
-	if known == nil && len(m.parties) < maxParties {
-		known = &account{party: party, share: unknown, credit: math.Inf(1), at: now}
-		m.parties[party] = known
-		m.list = append(m.list, known)
+// account returns the account of the class, nil if there are too many classes.
+func (m *Meter) account(now time.Time, class Class) *account {
+	a := m.accounts[class]
+	if a == nil && len(m.accounts) < maxClasses {
+		a = &account{class: class, share: unknownShare, credit: math.Inf(1), creditedAt: now}
+		m.accounts[class] = a
+		m.accountList = append(m.accountList, a)
 	}
-	return known
+	return a
 }
 
-// ApplyCounts takes in what an edge has counted since its start: its requests that have begun to
-// run, and those that found no room. What is lost on the way is in the next report.
-func (m *Meter) ApplyCounts(now time.Time, edge, begun, short uint32) {
+// ApplyCounts takes in an edge's counts since its start: its requests that started to run, and those
+// that found no free slot. The counts are cumulative, so a lost report is made up by the next one.
+func (m *Meter) ApplyCounts(now time.Time, edge, started, shortages uint32) {
 	if m.settings == nil {
 		return
 	}
-	m.tick(now)
-	known := m.sources[edge]
-	if known != nil && now.Sub(known.at) > sourceTime {
-		known.at, known.begun, known.short = now, begun, short
+	m.update(now)
+	s := m.sources[edge]
+	if s != nil && now.Sub(s.reportedAt) > sourceTimeout {
+		s.reportedAt, s.started, s.shortages = now, started, shortages
 		return
 	}
-	if known == nil {
+	if s == nil {
 		if len(m.sources) < maxSources {
-			m.sources[edge] = &source{at: now, begun: begun, short: short}
+			m.sources[edge] = &source{reportedAt: now, started: started, shortages: shortages}
 		}
 		return
 	}
-	known.at = now
-	moreBegun, moreShort := int32(begun-known.begun), int32(short-known.short)
-	if outside(moreBegun) || outside(moreShort) {
-		// The edge has begun anew.
-		known.begun, known.short = begun, short
+	s.reportedAt = now
+	newStarted, newShortages := int32(started-s.started), int32(shortages-s.shortages)
+	if isDiscontinuous(newStarted) || isDiscontinuous(newShortages) {
+		// The edge has restarted.
+		s.started, s.shortages = started, shortages
 		return
 	}
-	if moreBegun < 0 || moreShort < 0 {
+	if newStarted < 0 || newShortages < 0 {
 		return
 	}
-	m.given.fresh += float64(moreBegun)
-	m.short.fresh += float64(moreShort)
-	known.begun, known.short = begun, short
+	m.granted.pending += float64(newStarted)
+	m.shortages.pending += float64(newShortages)
+	s.started, s.shortages = started, shortages
 }
 
 const (
-	// maxOvertaken bounds by how much a report is behind one that overtook it, maxCounted
-	// how many requests an edge counts between two reports.
-	maxOvertaken = 64
-	maxCounted   = 1 << 16
+	// maxReorderLag bounds how far the counts of a report may be below those of a newer one that
+	// arrived before it. maxCountIncrease bounds the requests that an edge counts between two
+	// reports.
+	maxReorderLag    = 64
+	maxCountIncrease = 1 << 16
 )
 
-// outside reports whether a count can't go on from the last one of the same edge.
-func outside(more int32) bool { return more < -maxOvertaken || more > maxCounted }
+// isDiscontinuous reports whether a count can't follow the last one of the same run of the edge.
+func isDiscontinuous(increase int32) bool {
+	return increase < -maxReorderLag || increase > maxCountIncrease
+}
 
-// tick brings the account up to now, and divides the room where it is scarce.
-func (m *Meter) tick(now time.Time) {
-	passed := now.Sub(m.tickedAt)
-	if passed < interval {
+// update brings the account up to now, and divides the capacity if it is scarce.
+func (m *Meter) update(now time.Time) {
+	elapsed := now.Sub(m.updatedAt)
+	if elapsed < updateInterval {
 		return
 	}
-	m.tickedAt = now
-	fade := func(over time.Duration) float64 { return math.Exp(-float64(passed) / float64(over)) }
-	m.asked.fade(fade(shortTime))
-	m.short.fade(fade(shortTime))
-	given := m.given.fresh
-	m.given.fade(fade(givenTime))
-	m.fadeParties(now, fade(askedTime))
-	for edge, known := range m.sources {
-		if now.Sub(known.at) > sourceTime {
+	m.updatedAt = now
+	decayFactor := func(decayTime time.Duration) float64 { return math.Exp(-float64(elapsed) / float64(decayTime)) }
+	m.demand.decay(decayFactor(shortageDecayTime))
+	m.shortages.decay(decayFactor(shortageDecayTime))
+	granted := m.granted.pending
+	m.granted.decay(decayFactor(grantDecayTime))
+	m.decayAccounts(now, decayFactor(demandDecayTime))
+	for edge, s := range m.sources {
+		if now.Sub(s.reportedAt) > sourceTimeout {
 			delete(m.sources, edge)
 		}
 	}
-	m.measure(now, passed, given)
-	m.backlog = max(m.backlog-m.room*passed.Seconds(), 0)
+	m.measureCapacity(now, elapsed, granted)
+	m.backlog = max(m.backlog-m.capacity*elapsed.Seconds(), 0)
 	if m.scarce && now.Sub(m.dividedAt) >= divideInterval {
 		m.dividedAt = now
 		m.divide(now)
 	}
 }
 
-// fadeParties brings what each party asks for up to now, and forgets who asks no more.
-func (m *Meter) fadeParties(now time.Time, factor float64) {
-	middle := math.Sqrt(factor)
-	perSecond := 1 / m.span(now, askedTime)
-	kept := m.list[:0]
-	for _, known := range m.list {
-		known.asked = known.asked*factor + known.fresh*middle*perSecond
-		known.over = known.over*factor + known.freshOver*middle*perSecond
-		known.fresh, known.freshOver = 0, 0
-		if known.asked < forgotten {
-			delete(m.parties, known.party)
+// decayAccounts brings the demand of each class up to now, and deletes classes without demand.
+func (m *Meter) decayAccounts(now time.Time, factor float64) {
+	pendingFactor := math.Sqrt(factor)
+	perSecond := 1 / m.effectiveSeconds(now, demandDecayTime)
+	kept := m.accountList[:0]
+	for _, a := range m.accountList {
+		a.demand = a.demand*factor + a.newRequests*pendingFactor*perSecond
+		a.excess = a.excess*factor + a.newExcess*pendingFactor*perSecond
+		a.newRequests, a.newExcess = 0, 0
+		if a.demand < minTrackedRate {
+			delete(m.accounts, a.class)
 			continue
 		}
-		kept = append(kept, known)
+		kept = append(kept, a)
 	}
-	clear(m.list[len(kept):])
-	m.list = kept
+	clear(m.accountList[len(kept):])
+	m.accountList = kept
 }
 
-// span returns over how many seconds a decayed count counts.
-func (m *Meter) span(now time.Time, over time.Duration) float64 {
-	age := now.Sub(m.began)
-	return over.Seconds() * (1 - math.Exp(-float64(age)/float64(over)))
+// effectiveSeconds returns the time in seconds that a decaying count covers.
+func (m *Meter) effectiveSeconds(now time.Time, decayTime time.Duration) float64 {
+	age := now.Sub(m.startedAt)
+	return decayTime.Seconds() * (1 - math.Exp(-float64(age)/float64(decayTime)))
 }
 
-// measure says whether there is too little room, and how much there is: what the zone's
-// requests are given while there is no more. With room for all what is given says only how
-// much is asked for.
-func (m *Meter) measure(now time.Time, passed time.Duration, given float64) {
+// measureCapacity determines whether capacity is scarce, and measures it: the rate at which the zone's
+// requests start while it is scarce. Otherwise that rate shows only the demand.
+func (m *Meter) measureCapacity(now time.Time, elapsed time.Duration, granted float64) {
 	wasScarce := m.scarce
-	if !wasScarce && m.calmAt.IsZero() {
-		m.calmAt = m.began
+	if !wasScarce && m.scarcityChangedAt.IsZero() {
+		m.scarcityChangedAt = m.startedAt
 	}
-	m.scarce = now.Sub(m.began) >= learnTime && m.short.count > 0 && m.short.count*shortParts >= m.asked.count
+	m.scarce = now.Sub(m.startedAt) >= warmupTime && m.shortages.count > 0 && m.shortages.count*scarcityDivisor >= m.demand.count
 	if wasScarce && m.scarce {
-		m.scarceCount, m.scarceSeconds = m.scarceCount+given, m.scarceSeconds+passed.Seconds()
-		m.room = m.scarceCount / m.scarceSeconds
-		// What lies further back than that counts less.
-		factor := math.Exp(-passed.Seconds() / roomTime.Seconds())
-		m.scarceCount, m.scarceSeconds = m.scarceCount*factor, m.scarceSeconds*factor
+		m.scarceGranted, m.scarceSeconds = m.scarceGranted+granted, m.scarceSeconds+elapsed.Seconds()
+		m.capacity = m.scarceGranted / m.scarceSeconds
+		// Older intervals count less.
+		factor := math.Exp(-elapsed.Seconds() / capacityDecayTime.Seconds())
+		m.scarceGranted, m.scarceSeconds = m.scarceGranted*factor, m.scarceSeconds*factor
 	}
-	if m.room == 0 && m.scarce {
-		m.guessRoom(now, passed, given)
+	if m.capacity == 0 && m.scarce {
+		m.estimateCapacity(now, elapsed, granted)
 	}
 	if m.scarce == wasScarce {
 		return
 	}
-	if m.scarce && now.Sub(m.calmAt) >= calmTime {
-		for _, known := range m.list {
-			known.credit = math.Inf(1)
+	if m.scarce && now.Sub(m.scarcityChangedAt) >= creditResetTime {
+		for _, a := range m.accountList {
+			a.credit = math.Inf(1)
 		}
 	}
-	m.calmAt = now
+	m.scarcityChangedAt = now
 	if m.scarce {
-		// What came until the shortage was seen waits before all others.
-		m.backlog = max(m.asked.count-m.room*shortTime.Seconds(), 0)
+		// What came before the shortage was detected waits before all others.
+		m.backlog = max(m.demand.count-m.capacity*shortageDecayTime.Seconds(), 0)
 		m.dividedAt = time.Time{}
 	}
 }
 
-// guessRoom says how much room there is at the first shortage: as much as was given before
-// it, for that filled the pool. A meter that has just begun may have seen nothing but how
-// an empty pool fills up: then it goes by the last moment.
-func (m *Meter) guessRoom(now time.Time, passed time.Duration, given float64) {
-	m.scarceCount, m.scarceSeconds = given, passed.Seconds()
-	if now.Sub(m.began) > 2*givenTime {
-		m.scarceCount, m.scarceSeconds = m.given.count, m.span(now, givenTime)
+// estimateCapacity estimates the capacity at the first shortage from the rate at which requests
+// started before it, because that rate filled the pool. A meter that has just started may have seen
+// only an empty pool fill up: then it uses the last update interval.
+func (m *Meter) estimateCapacity(now time.Time, elapsed time.Duration, granted float64) {
+	m.scarceGranted, m.scarceSeconds = granted, elapsed.Seconds()
+	if now.Sub(m.startedAt) > 2*grantDecayTime {
+		m.scarceGranted, m.scarceSeconds = m.granted.count, m.effectiveSeconds(now, grantDecayTime)
 	}
-	m.room = m.scarceCount / m.scarceSeconds
+	m.capacity = m.scarceGranted / m.scarceSeconds
 }
 
-// divide divides the room among the parties.
+// divide divides the capacity among the classes.
 func (m *Meter) divide(now time.Time) {
 	m.claimants = m.claimants[:0]
-	asked := m.askedByTenant()
-	room := m.room * usable
-	for _, known := range m.list {
-		party := known.party
-		setting := m.settings.Tenants[party.Tenant]
-		// A tenant with requests of several ranks has its reserve and ceiling once.
-		part := 1.0
-		if all, several := asked[party.Tenant]; several && all > 0 {
-			part = known.asked / all
+	demands := m.demandByTenant()
+	usable := m.capacity * usableFraction
+	for _, a := range m.accountList {
+		class := a.class
+		setting := m.settings.Tenants[class.Tenant]
+		// A tenant with requests of several ranks has its reserve and ceiling once: they are
+		// divided in proportion to the demands.
+		fraction := 1.0
+		if total, found := demands[class.Tenant]; found && total > 0 {
+			fraction = a.demand / total
 		}
 		m.claimants = append(m.claimants, claimant{
-			Rank:    party.Rank,
+			Rank:    class.Rank,
 			Weight:  setting.Weight,
-			Reserve: setting.Reserve * room * part,
-			Ceiling: setting.Ceiling * room * part,
-			Demand:  known.asked,
+			Reserve: setting.Reserve * usable * fraction,
+			Ceiling: setting.Ceiling * usable * fraction,
+			Demand:  a.demand,
 		})
 	}
 	floors := rankFloors{}
-	for rank, part := range m.settings.Floors {
-		floors[rank] = part * room
+	for rank, fraction := range m.settings.Floors {
+		floors[rank] = fraction * usable
 	}
-	m.division.divide(room, floors, m.claimants)
-	for i, known := range m.list {
-		known.accrue(now)
-		known.share = m.division.allotments[i].Share
-		known.credit = min(known.credit, known.burst())
+	m.division.divide(usable, floors, m.claimants)
+	for i, a := range m.accountList {
+		a.accrue(now)
+		a.share = m.division.allotments[i].Share
+		a.credit = min(a.credit, a.burst())
 	}
 }
 
-// askedByTenant returns what tenants with a reserve or ceiling ask for in all ranks.
-func (m *Meter) askedByTenant() map[Tenant]float64 {
-	var asked map[Tenant]float64
-	for _, known := range m.list {
-		party := known.party
-		setting := m.settings.Tenants[party.Tenant]
+// demandByTenant returns the demand over all ranks of each tenant with a reserve or ceiling.
+func (m *Meter) demandByTenant() map[Tenant]float64 {
+	var demands map[Tenant]float64
+	for _, a := range m.accountList {
+		class := a.class
+		setting := m.settings.Tenants[class.Tenant]
 		if setting.Reserve == 0 && setting.Ceiling == 0 {
 			continue
 		}
-		if asked == nil {
-			asked = map[Tenant]float64{}
+		if demands == nil {
+			demands = map[Tenant]float64{}
 		}
-		asked[party.Tenant] += known.asked
+		demands[class.Tenant] += a.demand
 	}
-	return asked
+	return demands
 }
 
-// Usage is what a party asks for and gets, in requests a second.
+// Usage is the demand and share of a class, in requests a second.
 type Usage struct {
 	Class  Class
 	Demand float64
-	// Excess is what it asks for beyond its share, Share as of the last time when there was
-	// too little room, below zero where that was before it came.
+	// Excess is the demand beyond the share. Share is as of the last division while capacity was
+	// scarce, negative if the class appeared after it.
 	Excess float64
 	Share  float64
 }
 
-// Summary is the state of a zone's room.
+// Summary is the state of a zone's capacity.
 type Summary struct {
-	// Capacity is how many requests a second are given while there is no room for more, zero
-	// while that was never so; Scarce is set while it is so.
+	// Capacity is the rate in requests a second at which requests start while capacity is scarce,
+	// zero if it never was. Scarce is set while it is scarce. Granted is the current rate at which
+	// requests start.
 	Capacity float64
 	Scarce   bool
 	Granted  float64
-	// Usages are the largest parties by what they ask for, Rest the sum over the others and
-	// Others how many these are.
+	// Usages are the classes with the largest demands, Rest is the sum over the others and
+	// OtherCount their number.
 	Usages     []Usage
 	Rest       Usage
 	OtherCount int
-	// Age is how old all that is.
+	// Age is the age of the summary.
 	Age time.Duration
 }
 
-// Summary returns the state, with so many parties by name.
-func (m *Meter) Summary(now time.Time, most int) Summary {
+// Summary returns the state, with at most maxUsages classes listed one by one.
+func (m *Meter) Summary(now time.Time, maxUsages int) Summary {
 	if m.settings == nil {
 		return Summary{}
 	}
-	m.tick(now)
-	s := Summary{Capacity: m.room, Scarce: m.scarce, Granted: m.given.count / max(m.span(now, givenTime), interval.Seconds()), Age: now.Sub(m.tickedAt)}
-	for _, known := range m.list {
-		s.Usages = append(s.Usages, Usage{Class: known.party, Demand: known.asked, Excess: known.over, Share: known.share})
+	m.update(now)
+	s := Summary{Capacity: m.capacity, Scarce: m.scarce, Granted: m.granted.count / max(m.effectiveSeconds(now, grantDecayTime), updateInterval.Seconds()), Age: now.Sub(m.updatedAt)}
+	for _, a := range m.accountList {
+		s.Usages = append(s.Usages, Usage{Class: a.class, Demand: a.demand, Excess: a.excess, Share: a.share})
 	}
 	slices.SortFunc(s.Usages, func(a, b Usage) int {
 		return cmp.Or(cmp.Compare(b.Demand, a.Demand), cmp.Compare(a.Class.Tenant, b.Class.Tenant), cmp.Compare(a.Class.Rank, b.Class.Rank))
 	})
-	if len(s.Usages) <= most {
+	if len(s.Usages) <= maxUsages {
 		return s
 	}
-	for _, use := range s.Usages[most:] {
-		s.Rest.Demand += use.Demand
-		s.Rest.Excess += use.Excess
+	for _, usage := range s.Usages[maxUsages:] {
+		s.Rest.Demand += usage.Demand
+		s.Rest.Excess += usage.Excess
 		s.OtherCount++
 	}
-	s.Usages = s.Usages[:most]
+	s.Usages = s.Usages[:maxUsages]
 	return s
 }
--- a/internal/fairshare/recall.go
+++ b/internal/fairshare/recall.go
@@ -3,75 +3,75 @@
 import "time"
 
 const (
-	// recallTime is for how long an edge that is left without an answer goes by those
-	// before. What it goes by fades to nothing meanwhile: then nobody is held to a share.
-	recallTime = 500 * time.Millisecond
-	// recallWeight is the part of an answer in what is recalled, one in so many.
-	recallWeight = 4
-	// maxRecalled bounds the parties that are recalled.
-	maxRecalled = 4096
+	// fallbackTTL is how long an edge that gets no answer goes by earlier ones. Their weight falls
+	// linearly to zero in this time, after which no class counts as over its share.
+	fallbackTTL = 500 * time.Millisecond
+	// fallbackDivisor gives an answer the weight 1/4 in the moving average.
+	fallbackDivisor = 4
+	// maxFallbackClasses bounds the classes that are kept.
+	maxFallbackClasses = 4096
 )
 
-// Fallback is what an edge goes by where the hub's answer is lost: how its requests of late
-// stood. It is not safe for concurrent use.
+// Fallback replaces the hub's answer at an edge if that is lost: it estimates the standing of a
+// request from recent answers for its class. It is not safe for concurrent use.
 type Fallback struct {
-	parties map[Class]*recalled
+	classes map[Class]*classHistory
 }
 
-// recalled is what is known of a party: the part of its requests that was over its share,
-// and the last such standing, with its time.
-type recalled struct {
-	at   time.Time
-	part float64
-	last Standing
+// classHistory holds the moving average of the fraction of a class's requests that were over its
+// share, and the last standing over the share with its time.
+type classHistory struct {
+	overShareAt       time.Time
+	overShareFraction float64
+	lastOverShare     Standing
 }
 
-// NewFallback returns one that recalls nothing.
-func NewFallback() *Fallback { return &Fallback{parties: map[Class]*recalled{}} }
+// NewFallback returns a Fallback without any answers.
+func NewFallback() *Fallback { return &Fallback{classes: map[Class]*classHistory{}} }
 
-// Record takes in an answer of the hub.
-func (r *Fallback) Record(now time.Time, party Class, standing Standing) {
-	known := r.parties[party]
-	if known == nil {
+// Record records an answer of the hub.
+func (f *Fallback) Record(now time.Time, class Class, standing Standing) {
+	history := f.classes[class]
+	if history == nil {
 		if !standing.OverShare {
-			// Most parties never are: they need no place.
+			// Most classes are never over their shares and need no entry.
 			return
 		}
-		r.expire(now)
-		if len(r.parties) >= maxRecalled {
+		f.expire(now)
+		if len(f.classes) >= maxFallbackClasses {
 			return
 		}
-		known = &recalled{part: 1}
-		r.parties[party] = known
+		history = &classHistory{overShareFraction: 1}
+		f.classes[class] = history
 	}
-	over := 0.0
+	sample := 0.0
 	if standing.OverShare {
-		over, known.last, known.at = 1, standing, now
+		sample, history.lastOverShare, history.overShareAt = 1, standing, now
 	}
-	known.part += (over - known.part) / recallWeight
+	history.overShareFraction += (sample - history.overShareFraction) / fallbackDivisor
 }
 
-// Standing returns how a request of the party probably stands. random is from 0 to 1.
-func (r *Fallback) Standing(now time.Time, party Class, random float64) Standing {
-	known := r.parties[party]
-	if known == nil {
+// Standing returns the probable standing of a request of the class. random is from 0 to 1.
+func (f *Fallback) Standing(now time.Time, class Class, random float64) Standing {
+	history := f.classes[class]
+	if history == nil {
 		return Standing{}
 	}
-	age := now.Sub(known.at)
-	left := 1 - float64(age)/float64(recallTime)
-	if random >= known.part*left {
+	age := now.Sub(history.overShareAt)
+	weight := 1 - float64(age)/float64(fallbackTTL)
+	if random >= history.overShareFraction*weight {
 		return Standing{}
 	}
-	standing := known.last
+	standing := history.lastOverShare
 	standing.Age += age
 	return standing
 }
 
-// expire forgets what is too old to go by.
-func (r *Fallback) expire(now time.Time) {
-	for party, known := range r.parties {
-		if now.Sub(known.at) > recallTime {
-			delete(r.parties, party)
+// expire deletes the classes whose answers are too old to go by.
+func (f *Fallback) expire(now time.Time) {
+	for class, history := range f.classes {
+		if now.Sub(history.overShareAt) > fallbackTTL {
+			delete(f.classes, class)
 		}
 	}
 }
--- a/internal/fairshare/tickets.go
+++ b/internal/fairshare/tickets.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// ticketTime is how long a request's question is remembered at least: for longer than an
-// edge goes on asking it.
-const ticketTime = 500 * time.Millisecond
+// ticketTTL is the minimum time for which the answer to a ticket is kept. It is longer than an edge
+// repeats its query.
+const ticketTTL = 500 * time.Millisecond
 
-// tickets remembers the questions of late. The zero value is ready for use.
+// tickets holds the answers to recent queries by ticket. The zero value is ready for use.
 type tickets struct {
-	began   time.Time
-	current map[uint64]Standing
-	before  map[uint64]Standing
+	rotatedAt time.Time
+	current   map[uint64]Standing
+	previous  map[uint64]Standing
 }
 
-// find returns the answer to a question that was asked before.
+// find returns the answer that the ticket got before.
 func (t *tickets) find(now time.Time, ticket uint64) (Standing, bool) {
-	if t.current == nil || now.Sub(t.began) >= ticketTime {
-		if t.before == nil {
-			t.before = map[uint64]Standing{}
+	if t.current == nil || now.Sub(t.rotatedAt) >= ticketTTL {
+		if t.previous == nil {
+			t.previous = map[uint64]Standing{}
 		}
-		// The maps are used in turn, so that they needn't grow again.
-		t.before, t.current, t.began = t.current, t.before, now
+		// The maps are swapped so that their memory is reused.
+		t.previous, t.current, t.rotatedAt = t.current, t.previous, now
 		clear(t.current)
 	}
 	if standing, found := t.current[ticket]; found {
 		return standing, true
 	}
-	standing, found := t.before[ticket]
+	standing, found := t.previous[ticket]
 	return standing, found
 }
 
