--- a/internal/capacity/sum.go
+++ b/internal/capacity/sum.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// Sum is what some workers can carry together.
+// Sum is the total capacity of some workers.
 type Sum struct {
-	// Slots counts their slots, and Worth does so in slots of a worker of the middle speed.
+	// Slots is the number of their slots. NormalizedSlots counts them in slots of a worker of
+	// median speed.
 	Slots           int
 	NormalizedSlots float64
-	// AsOf is when what it rests on was told.
+	// AsOf is when the data behind the sum was reported.
 	AsOf time.Time
 }
 
-// Add adds a worker that takes requests.
+// Add adds a worker that accepts requests.
 func (s *Sum) Add(slots int, slowness float64) {
 	s.Slots += slots
 	s.NormalizedSlots += float64(slots) / ClampSlowness(slowness)
 }
 
-// Plus returns the sum of both, as old as the older.
+// Plus returns the sum of both, with the older AsOf.
 func (s Sum) Plus(other Sum) Sum {
-	at := s.AsOf
-	if other.AsOf.Before(at) {
-		at = other.AsOf
+	asOf := s.AsOf
+	if other.AsOf.Before(asOf) {
+		asOf = other.AsOf
 	}
-	return Sum{Slots: s.Slots + other.Slots, NormalizedSlots: s.NormalizedSlots + other.NormalizedSlots, AsOf: at}
+	return Sum{Slots: s.Slots + other.Slots, NormalizedSlots: s.NormalizedSlots + other.NormalizedSlots, AsOf: asOf}
 }
 
-// Speed is the mean speed of the slots, 1 where all are of the middle one or there are none.
+// Speed returns the mean speed of the slots relative to the median, 1 if there are none.
 func (s Sum) Speed() float64 {
 	if s.Slots == 0 || s.NormalizedSlots <= 0 {
 		return 1
