--- a/internal/fairshare/fairshare.go
+++ b/internal/fairshare/fairshare.go
@@ -53,8 +53,8 @@
 // rankFloors is the capacity reserved for the claimants of each rank, as far as they ask for it.
 type rankFloors map[int]float64
 
-// guaranteedFraction is the fraction of a claimant's grant without ranks that it keeps whatever other
-// ranks ask for, so that no claimant starves. Ranks take precedence in the rest.
+// guaranteedFraction is the fraction of what a claimant would get if all ranks were one that it keeps
+// whatever other ranks ask for. So no claimant starves, and ranks take precedence in the rest.
 const guaranteedFraction = 0.5
 
 // division is the state of one division. Its slices are reused by the next one.
@@ -82,9 +82,9 @@
 
 // divide divides the capacity. Reserves come first. Then ranks are served in their order, except
 // for what is reserved for later ones: the floor of each rank and, for each claimant,
-// guaranteedFraction of its grant without ranks. Within a rank capacity is divided by weighted
-// max-min fairness: a claimant that asks for less than its share gets all of its demand, and the
-// others divide the rest.
+// guaranteedFraction of what it would get if all ranks were one. Within a rank capacity is divided
+// by weighted max-min fairness: a claimant that asks for less than its share gets all of its demand,
+// and the others divide the rest.
 func (d *division) divide(capacity float64, floors rankFloors, claimants []claimant) {
 	d.reset(claimants)
 	capacity = max(capacity, 0)
@@ -160,7 +160,8 @@
 	}
 }
 
-// guaranteeMinimums raises each claimant's minimum to guaranteedFraction of its grant without ranks.
+// guaranteeMinimums raises each claimant's minimum to guaranteedFraction of what it would get if all
+// ranks were one.
 func (d *division) guaranteeMinimums(capacity float64) {
 	if len(d.ranks) < 2 {
 		return
@@ -247,8 +248,8 @@
 	return max(min(level*d.weights[i], d.maxGrants[i]), d.minGrants[i])
 }
 
-// maxLevelSteps bounds the search of a level. Bisection alone reaches the accuracy of a float64 in
-// about as many steps.
+// maxLevelSteps bounds the search of a level: halving the interval in each step reaches the accuracy
+// of a float64 within it.
 const maxLevelSteps = 64
 
 // levelTolerance is the fraction of a budget that may be left over.
--- a/internal/fairshare/fleet_test.go
+++ b/internal/fairshare/fleet_test.go
@@ -71,7 +71,7 @@
 	overShare    []request
 }
 
-// message is a message on its way to a hub.
+// message is a message in transit to a hub.
 type message struct {
 	at      time.Duration
 	deliver func(now time.Time)
@@ -100,7 +100,7 @@
 	// before, during and after hold the outcome by tenant; after begins one second after the
 	// floods.
 	before, during, after []tally
-	// overShareAfter counts the requests in that last period that were over their tenants' shares.
+	// overShareAfter counts the requests in the period of after that were over their tenants' shares.
 	// busySlots and totalSlots count the used and all slots, summed over the steps of the floods in
 	// which requests waited.
 	overShareAfter        int
--- a/internal/fairshare/meter.go
+++ b/internal/fairshare/meter.go
@@ -383,7 +383,7 @@
 	}
 	m.scarcityChangedAt = now
 	if m.scarce {
-		// What came before the shortage was detected waits before all others.
+		// Requests that came before the shortage was detected wait before all others.
 		m.backlog = max(m.demand.count-m.capacity*shortageDecayTime.Seconds(), 0)
 		m.dividedAt = time.Time{}
 	}
@@ -474,7 +474,7 @@
 	Usages     []Usage
 	Rest       Usage
 	OtherCount int
-	// Age is the age of the summary.
+	// Age is how old the figures are.
 	Age time.Duration
 }
 
