--- a/internal/batchplan/batchplan.go
+++ b/internal/batchplan/batchplan.go
@@ -1,10 +1,11 @@
-// Package batchplan says in which order the items of jobs run, and which of them
-// give way to online requests. It is pure.
+// Package batchplan decides in which order the items of jobs run, and which of them are preempted
+// for online requests. It does no I/O and reads no clock.
 //
-// The order is by slack among the items that can still be done in time: how much later
-// they could begin. So long items begin sooner than short ones that are due with them, and
-// both come in time alike. The others come after them, in the same order. So an overload makes
-// some items late rather than all of them, and what is late runs as soon as a slot is free.
+// Items that can still meet their deadline run first, in the order of their slack: how much later
+// they could start. Of items with the same deadline, long ones therefore start before short ones,
+// so that both finish in time. Overdue items follow, in the same order. An overload thus makes
+// only some items late rather than all of them, and overdue items still run as soon as a slot is
+// free.
 package batchplan
 
 import (
@@ -15,47 +16,48 @@
 )
 
 const (
-	// overdueShare is the part, in hundredths, of the time that an item still takes
-	// without a stop, below which it is not worth the try. It is more than all of it:
-	// where items are late at all, they are also stopped now and then, and slowed down
-	// by the prompts of others.
-	overdueShare = 110
-	hundredths   = 100
+	// requiredTimePercent is the time that an item must have until its deadline to count as in
+	// time, in percent of its remaining run time. It is above 100 because under load an item is
+	// also preempted now and then, and slowed down by the prefill of other prompts.
+	requiredTimePercent = 110
+	hundredPercent      = 100
 )
 
-// Overdue reports whether an item of the given age, whose result is due at the age
-// due (zero for never) and which takes remaining until its end, will be late.
+// Overdue reports whether an item is expected to miss its deadline: age is the time since it was
+// submitted, due the age at which its result is due (zero for never), and remaining its remaining
+// run time.
 func Overdue(age, due, remaining time.Duration) bool {
-	return due > 0 && due-age <= remaining*overdueShare/hundredths
+	return due > 0 && due-age <= remaining*requiredTimePercent/hundredPercent
 }
 
-// Item is an item as the order sees it.
+// Item is what the order of items depends on.
 type Item struct {
 	Job    string
 	Number int
-	// Sequence numbers jobs as they were accepted.
+	// Sequence is the number of the job in the order of acceptance.
 	Sequence uint64
-	// Overdue is set where it will be late.
+	// Overdue is set if the item is expected to miss its deadline.
 	Overdue bool
-	// Slack is how much later than now it could begin and still be in time.
+	// Slack is how much later than now the item could start and still meet its deadline.
 	Slack time.Duration
-	// Remaining is how long it takes until its end, and Holder whose item it is, for Share.
+	// Remaining is the remaining run time. Owner is the tenant whose item it is, for ApplyShares.
 	Remaining time.Duration
 	Owner     Owner
 }
 
-// neverDue is the slack of an item whose result is due at no time.
-const neverDue = time.Duration(math.MaxInt64)
+// noDeadlineSlack is the slack of an item without a deadline.
+const noDeadlineSlack = time.Duration(math.MaxInt64)
 
-// Slack returns how much later an item could begin, see Overdue.
+// Slack returns how much later than now an item could start and still meet its deadline. The
+// parameters are those of Overdue.
 func Slack(age, due, remaining time.Duration) time.Duration {
 	if due <= 0 {
-		return neverDue
+		return noDeadlineSlack
 	}
 	return due - age - remaining
 }
 
-// Sort puts items in the order in which they run.
+// Sort sorts items into the order in which they run.
 func Sort(items []Item) {
 	slices.SortFunc(items, func(a, b Item) int {
 		if a.Overdue != b.Overdue {
@@ -65,7 +67,8 @@
 	})
 }
 
-// boolOrder puts what is set last.
+// boolOrder compares two different flags, of which set is the first: a flag that is set sorts
+// last.
 func boolOrder(set bool) int {
 	if set {
 		return 1
@@ -73,8 +76,8 @@
 	return -1
 }
 
-// PreemptedBefore reports whether the first item gives way before the second:
-// overdue ones first, then those with more slack, then those of later jobs.
+// PreemptedBefore reports whether the first item is preempted before the second: overdue items
+// first, then those with more slack, then those of later jobs.
 func PreemptedBefore(first, second Item) bool {
 	if first.Overdue != second.Overdue {
 		return first.Overdue
@@ -85,11 +88,11 @@
 	return first.Sequence > second.Sequence
 }
 
-// PreemptedInAdvanceBefore reports whether the first item leaves before the second where requests are
-// still to come, so that it may be chosen who leaves, and each will wait so long about:
-// overdue ones first, then those that will be in time all the same, those nearest to their
-// end last, because they are the next to make room by themselves; then those with more
-// slack, and those of later jobs.
+// PreemptedInAdvanceBefore reports whether the first item is preempted before the second for
+// online requests that have not arrived yet, so that there is time to choose. A preempted item
+// waits for about wait before it runs again. Overdue items come first, then items that meet their
+// deadline despite the wait; among these, the ones nearest to their end come last, because they
+// soon free their slots anyway. The remaining items are ordered by PreemptedBefore.
 func PreemptedInAdvanceBefore(first, second Item, wait time.Duration) bool {
 	if first.Overdue != second.Overdue {
 		return first.Overdue
@@ -104,42 +107,43 @@
 	return PreemptedBefore(first, second)
 }
 
-// RunTime is a running mean of how long items run and how many events they have.
-// The zero value is ready for use.
+// RunTime keeps moving means of the run time of items and of their number of events. The zero
+// value is ready for use.
 type RunTime struct {
 	mean   time.Duration
 	events float64
 }
 
 const (
-	// firstRunTime stands in before any item has run.
-	firstRunTime = 2 * time.Second
-	// weight is the part of a new value in the mean: one in so many.
-	weight = 16
-	// leastLeft is the part of a run, one in so many, that is always taken to
-	// be left: items are of different lengths.
-	leastLeft = 6
+	// initialRunTime is the mean before any item has run.
+	initialRunTime = 2 * time.Second
+	// meanSamples is the inverse of the weight of a new sample in the means.
+	meanSamples = 16
+	// minRemainingDivisor sets the least remaining part of a run, as its inverse: at least a sixth
+	// of the run is assumed to remain, because items differ in length.
+	minRemainingDivisor = 6
 )
 
-// Mean returns how long a whole run takes.
+// Mean returns the mean time of a whole run.
 func (r *RunTime) Mean() time.Duration {
 	if r.mean == 0 {
-		return firstRunTime
+		return initialRunTime
 	}
 	return r.mean
 }
 
-// Add takes in how long an item ran that was never stopped, and its events.
+// Add records the run time and the number of events of an item that was never preempted.
 func (r *RunTime) Add(run time.Duration, events int) {
-	r.mean = r.Mean() + (run-r.Mean())/weight
+	r.mean = r.Mean() + (run-r.Mean())/meanSamples
 	if r.events == 0 {
 		r.events = float64(events)
 	}
-	r.events += (float64(events) - r.events) / weight
+	r.events += (float64(events) - r.events) / meanSamples
 }
 
-// Remaining returns how long an item takes that has so many events, of so many expected;
-// zero where none are expected.
+// Remaining returns the remaining run time of an item that has produced the given number of
+// events and is expected to produce expected in total. If expected is zero, the mean number of
+// events is used.
 func (r *RunTime) Remaining(events int, expected float64) time.Duration {
 	if r.events == 0 {
 		return r.Mean()
@@ -147,6 +151,6 @@
 	if expected <= 0 {
 		expected = r.events
 	}
-	left := max(expected-float64(events), expected/leastLeft)
-	return time.Duration(left / r.events * float64(r.Mean()))
+	remainingEvents := max(expected-float64(events), expected/minRemainingDivisor)
+	return time.Duration(remainingEvents / r.events * float64(r.Mean()))
 }
--- a/internal/batchplan/batchplan_test.go
+++ b/internal/batchplan/batchplan_test.go
@@ -34,14 +34,13 @@
 	}
 	for _, test := range cases {
 		if got := Overdue(test.age, test.due, test.remaining); got != test.want {
-			t.Errorf("age %s of %s, %s left: %t", test.age, test.due, test.remaining, got)
+			t.Errorf("age %s, due at %s, remaining run time %s: overdue = %t", test.age, test.due, test.remaining, got)
 		}
 	}
 }
 
-// TestOrder checks that items that can be in time come in the order of their slack
-// before all others, and that the order of yielding is its reverse within
-// each kind.
+// TestOrder checks that items in time come before overdue ones, each kind in the order of its
+// slack, and that no item is preempted before one that runs after it.
 func TestOrder(t *testing.T) {
 	proptest.Run(t, "order", func(random *rand.Rand) error {
 		items := make([]Item, 1+random.Intn(20))
@@ -53,16 +52,16 @@
 		for i := 1; i < len(items); i++ {
 			before, after := items[i-1], items[i]
 			if before.Overdue && !after.Overdue {
-				return errors.Newf("%+v stands before %+v", before, after)
+				return errors.Newf("wrong order: %+v before %+v", before, after)
 			}
 			if before.Overdue == after.Overdue && before.Slack > after.Slack {
-				return errors.Newf("%+v stands before %+v", before, after)
+				return errors.Newf("wrong order: %+v before %+v", before, after)
 			}
 			if before.Overdue == after.Overdue && before.Slack == after.Slack && (before.Sequence > after.Sequence || before.Sequence == after.Sequence && before.Number > after.Number) {
-				return errors.Newf("%+v stands before %+v", before, after)
+				return errors.Newf("wrong order: %+v before %+v", before, after)
 			}
 			if PreemptedBefore(before, after) {
-				return errors.Newf("%+v runs and yields before %+v", before, after)
+				return errors.Newf("%+v both runs and is preempted before %+v", before, after)
 			}
 		}
 		return nil
@@ -71,23 +70,24 @@
 
 func TestRunTime(t *testing.T) {
 	var run RunTime
-	if run.Remaining(10, 0) != firstRunTime {
-		t.Errorf("%s left before anything has run", run.Remaining(10, 0))
+	if run.Remaining(10, 0) != initialRunTime {
+		t.Errorf("remaining run time %s before any item has run", run.Remaining(10, 0))
 	}
 	for i := 0; i < 200; i++ {
 		run.Add(7*time.Second, 140)
 	}
-	if off := run.Mean() - 7*time.Second; off < -time.Second/10 || off > time.Second/10 {
+	if deviation := run.Mean() - 7*time.Second; deviation < -time.Second/10 || deviation > time.Second/10 {
 		t.Errorf("mean %s", run.Mean())
 	}
-	for events, want := range map[int]time.Duration{0: 7 * time.Second, 70: 3500 * time.Millisecond, 140: 7 * time.Second / leastLeft, 500: 7 * time.Second / leastLeft} {
-		if off := run.Remaining(events, 0) - want; off < -time.Second/10 || off > time.Second/10 {
-			t.Errorf("%s left after %d events, want %s", run.Remaining(events, 0), events, want)
+	for events, want := range map[int]time.Duration{0: 7 * time.Second, 70: 3500 * time.Millisecond, 140: 7 * time.Second / minRemainingDivisor, 500: 7 * time.Second / minRemainingDivisor} {
+		if deviation := run.Remaining(events, 0) - want; deviation < -time.Second/10 || deviation > time.Second/10 {
+			t.Errorf("remaining run time %s after %d events, want %s", run.Remaining(events, 0), events, want)
 		}
 	}
 }
 
-// TestLongItemsBeginSooner gives items of the same due time different lengths.
+// TestLongItemsBeginSooner checks that of items with the same deadline the longest one starts
+// first.
 func TestLongItemsBeginSooner(t *testing.T) {
 	var run RunTime
 	var lengths Lengths
@@ -104,16 +104,16 @@
 	}
 	Sort(items)
 	if items[0].Number != 1 || items[3].Number != 0 {
-		t.Errorf("in the order %+v", items)
+		t.Errorf("wrong order, want the longest item first and the shortest last: %+v", items)
 	}
-	if Slack(age, 0, time.Second) != neverDue {
-		t.Error("what is due at no time has no end of slack")
+	if Slack(age, 0, time.Second) != noDeadlineSlack {
+		t.Error("an item without a deadline has limited slack")
 	}
 }
 
-// TestLengthsLearnWhatExpectationsAreWorth compares what is learnt where they tell all,
-// something and nothing.
-func TestLengthsLearnWhatExpectationsAreWorth(t *testing.T) {
+// TestLengthsWeighExpectations checks predictions from expectations that determine the length,
+// correlate with it, or say nothing about it.
+func TestLengthsWeighExpectations(t *testing.T) {
 	random := rand.New(rand.NewSource(1))
 	for name, test := range map[string]struct {
 		noise     float64
@@ -121,7 +121,7 @@
 	}{"all": {0, 195, 205}, "something": {1, 130, 195}, "nothing": {100, 85, 115}} {
 		var lengths Lengths
 		if lengths.Expect(2000) != 0 {
-			t.Error("something is known before any item is done")
+			t.Error("a length is predicted before any item has completed")
 		}
 		for range 2000 {
 			events := 50 + random.Float64()*100
@@ -131,21 +131,21 @@
 			t.Errorf("%s: %.0f events", name, got)
 		}
 		if lengths.Expect(0) != 0 {
-			t.Error("something is expected where nothing is told")
+			t.Error("a length is predicted without an expectation")
 		}
 	}
 }
 
-// TestWhoLeavesAhead checks the order in which items leave for requests that are still to
-// come.
-func TestWhoLeavesAhead(t *testing.T) {
+// TestPreemptedInAdvanceOrder checks the order in which items are preempted for online requests
+// that have not arrived yet.
+func TestPreemptedInAdvanceOrder(t *testing.T) {
 	const wait = 5 * time.Second
-	late := Item{Number: 0, Overdue: true, Slack: -time.Second, Remaining: time.Second}
-	begun := Item{Number: 1, Slack: 10 * time.Second, Remaining: 4 * time.Second}
+	overdue := Item{Number: 0, Overdue: true, Slack: -time.Second, Remaining: time.Second}
+	started := Item{Number: 1, Slack: 10 * time.Second, Remaining: 4 * time.Second}
 	ending := Item{Number: 2, Slack: 12 * time.Second, Remaining: time.Second}
 	tight := Item{Number: 3, Slack: 4 * time.Second, Remaining: 4 * time.Second}
 	tightest := Item{Number: 4, Slack: time.Second, Remaining: 5 * time.Second}
-	order := []Item{tightest, ending, tight, late, begun}
+	order := []Item{tightest, ending, tight, overdue, started}
 	slices.SortFunc(order, func(a, b Item) int {
 		if PreemptedInAdvanceBefore(a, b, wait) {
 			return -1
@@ -154,26 +154,27 @@
 	})
 	for i := range order {
 		if order[i].Number != i {
-			t.Fatalf("item %d leaves as number %d: %+v", order[i].Number, i, order)
+			t.Fatalf("item %d is preempted at position %d: %+v", order[i].Number, i, order)
 		}
 	}
 }
 
-// TestLeavingIsAnOrder draws items: no two leave before each other, and none before itself.
-func TestLeavingIsAnOrder(t *testing.T) {
+// TestPreemptedInAdvanceIsStrictOrder checks that PreemptedInAdvanceBefore is irreflexive,
+// asymmetric and transitive.
+func TestPreemptedInAdvanceIsStrictOrder(t *testing.T) {
 	proptest.Run(t, "leaving", func(random *rand.Rand) error {
-		draw := func() Item {
+		randomItem := func() Item {
 			return Item{Sequence: uint64(random.Intn(4)), Overdue: random.Intn(2) == 0, Slack: time.Duration(random.Intn(4)) * time.Second, Remaining: time.Duration(random.Intn(3)) * time.Second}
 		}
-		a, b, c := draw(), draw(), draw()
+		a, b, c := randomItem(), randomItem(), randomItem()
 		const wait = 2 * time.Second
 		switch {
 		case PreemptedInAdvanceBefore(a, a, wait):
-			return errors.Newf("%+v leaves before itself", a)
+			return errors.Newf("%+v is preempted before itself", a)
 		case PreemptedInAdvanceBefore(a, b, wait) && PreemptedInAdvanceBefore(b, a, wait):
-			return errors.Newf("%+v and %+v leave before each other", a, b)
+			return errors.Newf("%+v and %+v are each preempted before the other", a, b)
 		case PreemptedInAdvanceBefore(a, b, wait) && PreemptedInAdvanceBefore(b, c, wait) && !PreemptedInAdvanceBefore(a, c, wait):
-			return errors.Newf("%+v, %+v and %+v are in no order", a, b, c)
+			return errors.Newf("not transitive: %+v, %+v, %+v", a, b, c)
 		}
 		return nil
 	})
--- a/internal/batchplan/lengths.go
+++ b/internal/batchplan/lengths.go
@@ -3,49 +3,53 @@
 import "math"
 
 const (
-	// lengthWeight is the part of a new item in what is learnt of lengths, one in so many:
-	// expectations are often far off, so it takes some to see what they are worth.
-	lengthWeight = 64
-	// leastLengths is how many items must be done before callers' expectations count.
-	leastLengths = 8
-	// shortest is the least part of the mean length that is ever expected.
-	shortest = 0.1
+	// maxLengthSamples limits the number of items over which Lengths averages. Callers'
+	// expectations are often far off, so it takes many items to see how far they predict the
+	// length.
+	maxLengthSamples = 64
+	// minLengthSamples is how many items must have completed before callers' expectations count.
+	minLengthSamples = 8
+	// minLengthFraction is the shortest length that Expect returns, as a fraction of the mean
+	// length.
+	minLengthFraction = 0.1
 )
 
-// Lengths learns how many events items have from what their callers expect: the line
-// through what was expected and what came. Where expectations are worth nothing the line is
-// flat, and all items are taken to be of the mean length. The zero value is ready for use.
+// Lengths predicts the number of events of an item from the number that its caller expects, by
+// linear regression over completed items. If expectations say nothing about the results, the
+// slope is zero and every item is predicted to have the mean length. The zero value is ready for
+// use.
 type Lengths struct {
 	count        float64
 	meanExpected float64
 	meanEvents   float64
-	// variance is that of what was expected, covariance that with what came.
+	// variance is the variance of the expected numbers, covariance their covariance with the
+	// numbers of events.
 	variance   float64
 	covariance float64
 }
 
-// Add takes in an item that is done. Without an expectation it says nothing.
+// Add records a completed item. An item without an expectation is ignored.
 func (l *Lengths) Add(expected, events float64) {
 	if expected <= 0 || events <= 0 {
 		return
 	}
 	l.count++
-	weight := 1 / min(l.count, lengthWeight)
-	offExpected, offEvents := expected-l.meanExpected, events-l.meanEvents
-	l.meanExpected += weight * offExpected
-	l.meanEvents += weight * offEvents
-	l.variance = (1 - weight) * (l.variance + weight*offExpected*offExpected)
-	l.covariance = (1 - weight) * (l.covariance + weight*offExpected*offEvents)
+	weight := 1 / min(l.count, maxLengthSamples)
+	expectedDeviation, eventsDeviation := expected-l.meanExpected, events-l.meanEvents
+	l.meanExpected += weight * expectedDeviation
+	l.meanEvents += weight * eventsDeviation
+	l.variance = (1 - weight) * (l.variance + weight*expectedDeviation*expectedDeviation)
+	l.covariance = (1 - weight) * (l.covariance + weight*expectedDeviation*eventsDeviation)
 }
 
-// Expect returns how many events an item probably has, zero if that is not known.
+// Expect returns the predicted number of events of an item, or zero if it can't be predicted.
 func (l *Lengths) Expect(expected float64) float64 {
-	if l.count < leastLengths || expected <= 0 {
+	if l.count < minLengthSamples || expected <= 0 {
 		return 0
 	}
 	slope := 0.0
 	if l.variance > 0 {
 		slope = math.Max(l.covariance/l.variance, 0)
 	}
-	return max(l.meanEvents+slope*(expected-l.meanExpected), shortest*l.meanEvents)
+	return max(l.meanEvents+slope*(expected-l.meanExpected), minLengthFraction*l.meanEvents)
 }
--- a/internal/batchplan/share.go
+++ b/internal/batchplan/share.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Owner is who an item belongs to: a tenant, or nobody in particular.
+// Owner is the tenant that an item belongs to, or the zero value if it belongs to none.
 type Owner struct {
 	Tenant string
-	// Weight is the tenant's part beside others', more than zero.
+	// Weight is the tenant's weight relative to those of other tenants. It is above zero.
 	Weight float64
 }
 
-// InTime reports whether all items that can be in time probably will be if they run in
-// their order in so many slots. What is late anyway doesn't count.
+// InTime reports whether all items that are not overdue can be expected to meet their deadlines
+// if they run in the given order in that number of slots.
 func InTime(items []Item, slots int) bool {
 	var work time.Duration
 	for i := range items {
@@ -29,25 +29,25 @@
 	return true
 }
 
-// ApplyShares lets each tenant have its share of the room for items. The items are in the order
-// of Sort; running says how many of each tenant's run. The item that goes next is one of
-// the tenant that would have the least for its weight with it, and the first of that
-// tenant's by the order as it was. What will be late stays behind all that can be in time.
-// Where there is one tenant, or none, the order is left as it is.
+// ApplyShares reorders items so that each tenant gets its share of the slots for items. The items
+// must be in the order of Sort; running holds the number of running items by tenant. The next
+// item is always one of the tenant that would then have the fewest running items relative to its
+// weight, and of this tenant's items the first by the previous order. Overdue items stay behind
+// all others. With a single tenant, or none, the order does not change.
 func ApplyShares(items []Item, running map[string]int) {
-	if !several(items) {
+	if !severalTenants(items) {
 		return
 	}
 	counts := make(map[string]int, len(running))
 	for tenant, count := range running {
 		counts[tenant] = count
 	}
-	tags := make([]tagged, len(items))
+	tags := make([]taggedItem, len(items))
 	for i, item := range items {
 		counts[item.Owner.Tenant]++
-		tags[i] = tagged{item, float64(counts[item.Owner.Tenant]) / item.Owner.Weight}
+		tags[i] = taggedItem{item, float64(counts[item.Owner.Tenant]) / item.Owner.Weight}
 	}
-	slices.SortStableFunc(tags, func(a, b tagged) int {
+	slices.SortStableFunc(tags, func(a, b taggedItem) int {
 		if a.item.Overdue != b.item.Overdue {
 			return boolOrder(a.item.Overdue)
 		}
@@ -58,14 +58,15 @@
 	}
 }
 
-// tagged is an item with what its tenant would have for its weight once it runs.
-type tagged struct {
+// taggedItem is an item with the number of running items that its tenant would have relative to
+// its weight once the item runs.
+type taggedItem struct {
 	item Item
 	tag  float64
 }
 
-// several reports whether items belong to more than one tenant.
-func several(items []Item) bool {
+// severalTenants reports whether items belong to more than one tenant.
+func severalTenants(items []Item) bool {
 	for i := range items {
 		if items[i].Owner.Tenant != items[0].Owner.Tenant {
 			return true
--- a/internal/batchplan/share_test.go
+++ b/internal/batchplan/share_test.go
@@ -13,7 +13,7 @@
 	"github.com/sedgemast/sedgemast/internal/proptest"
 )
 
-func drawItems(random *rand.Rand, tenants int) []Item {
+func randomItems(random *rand.Rand, tenants int) []Item {
 	items := make([]Item, 1+random.Intn(60))
 	for i := range items {
 		tenant := random.Intn(tenants)
@@ -26,20 +26,20 @@
 	return items
 }
 
-// sharesWell checks an order against the one before it: it holds the same items, what is
-// overdue comes last, a tenant's items keep their order, and no tenant has an item started
-// while another would have less for its weight and wants more.
-func sharesWell(before, after []Item, running map[string]int) error {
-	waits := map[string]int{}
-	of := func(items []Item, tenant string) []Item {
+// checkShares checks an order against the one before ApplyShares: it holds the same items,
+// overdue items come last, each tenant's items keep their order, and no tenant's item starts
+// while another tenant with waiting items would have fewer running items relative to its weight.
+func checkShares(before, after []Item, running map[string]int) error {
+	waiting := map[string]int{}
+	itemsOf := func(items []Item, tenant string) []Item {
 		return slices.DeleteFunc(slices.Clone(items), func(item Item) bool { return item.Owner.Tenant != tenant })
 	}
 	for _, item := range before {
 		if !item.Overdue {
-			waits[item.Owner.Tenant]++
+			waiting[item.Owner.Tenant]++
 		}
-		if !slices.Equal(of(before, item.Owner.Tenant), of(after, item.Owner.Tenant)) {
-			return errors.Newf("the items of %s changed places", item.Owner.Tenant)
+		if !slices.Equal(itemsOf(before, item.Owner.Tenant), itemsOf(after, item.Owner.Tenant)) {
+			return errors.Newf("the order of tenant %s's items changed", item.Owner.Tenant)
 		}
 	}
 	counts, weights := map[string]int{}, map[string]float64{}
@@ -51,34 +51,35 @@
 	}
 	for i, item := range after {
 		if i > 0 && after[i-1].Overdue && !item.Overdue {
-			return errors.Newf("%+v stands behind what is late", item)
+			return errors.Newf("%+v comes after an overdue item", item)
 		}
 		if item.Overdue {
 			continue
 		}
 		tenant := item.Owner.Tenant
 		counts[tenant]++
-		waits[tenant]--
-		for other, wait := range waits {
-			if wait > 0 && float64(counts[other]+1)/weights[other] < float64(counts[tenant])/weights[tenant] {
-				return errors.Newf("%s has %d of weight %g, %s waits with %d of %g", tenant, counts[tenant], weights[tenant], other, counts[other], weights[other])
+		waiting[tenant]--
+		for other, queued := range waiting {
+			if queued > 0 && float64(counts[other]+1)/weights[other] < float64(counts[tenant])/weights[tenant] {
+				return errors.Newf("tenant %s runs %d items with weight %g while tenant %s waits with %d and weight %g", tenant, counts[tenant], weights[tenant], other, counts[other], weights[other])
 			}
 		}
 	}
 	return nil
 }
 
-// TestShare holds drawn orders to the rules, and leaves the order of one tenant as it is.
+// TestShare checks ApplyShares on random items, and that the order of a single tenant does not
+// change.
 func TestShare(t *testing.T) {
 	proptest.Run(t, "share", func(random *rand.Rand) error {
-		items := drawItems(random, 1+random.Intn(5))
+		items := randomItems(random, 1+random.Intn(5))
 		running := map[string]int{strconv.Itoa(random.Intn(5)): random.Intn(20)}
 		shared := slices.Clone(items)
 		ApplyShares(shared, running)
-		return sharesWell(items, shared, running)
+		return checkShares(items, shared, running)
 	})
 	proptest.Run(t, "one tenant", func(random *rand.Rand) error {
-		items := drawItems(random, 1)
+		items := randomItems(random, 1)
 		shared := slices.Clone(items)
 		ApplyShares(shared, map[string]int{"0": random.Intn(20)})
 		if !slices.Equal(items, shared) {
@@ -88,40 +89,40 @@
 	})
 }
 
-// TestUnsharedOrderIsSeen leaves orders as they are, and forgets what runs: the check must
-// see both.
-func TestUnsharedOrderIsSeen(t *testing.T) {
+// TestWrongSharesAreDetected checks that checkShares detects faulty implementations of
+// ApplyShares.
+func TestWrongSharesAreDetected(t *testing.T) {
 	for name, order := range map[string]func(items []Item, running map[string]int){
-		"as it was":         func([]Item, map[string]int) {},
-		"forgets what runs": func(items []Item, _ map[string]int) { ApplyShares(items, nil) },
-		"late ones in turn": func(items []Item, running map[string]int) {
-			ApplyShares(withoutLate(items), running)
+		"no change":             func([]Item, map[string]int) {},
+		"ignores running items": func(items []Item, _ map[string]int) { ApplyShares(items, nil) },
+		"overdue items first": func(items []Item, running map[string]int) {
+			ApplyShares(clearOverdue(items), running)
 			slices.Reverse(items)
 		},
-		"weights don't count": func(items []Item, running map[string]int) { shareEvenly(items, running) },
+		"ignores weights": func(items []Item, running map[string]int) { applyEqualShares(items, running) },
 	} {
-		seen := false
-		for seed := int64(0); seed < 200 && !seen; seed++ {
+		detected := false
+		for seed := int64(0); seed < 200 && !detected; seed++ {
 			random := rand.New(rand.NewSource(seed))
-			items, running := drawItems(random, 4), map[string]int{"1": 10}
+			items, running := randomItems(random, 4), map[string]int{"1": 10}
 			shared := slices.Clone(items)
 			order(shared, running)
-			seen = sharesWell(items, shared, running) != nil
+			detected = checkShares(items, shared, running) != nil
 		}
-		if !seen {
-			t.Errorf("%s: not seen", name)
+		if !detected {
+			t.Errorf("%s: not detected", name)
 		}
 	}
 }
 
-func withoutLate(items []Item) []Item {
+func clearOverdue(items []Item) []Item {
 	for i := range items {
 		items[i].Overdue = false
 	}
 	return items
 }
 
-func shareEvenly(items []Item, running map[string]int) {
+func applyEqualShares(items []Item, running map[string]int) {
 	weights := map[string]float64{}
 	for i := range items {
 		weights[items[i].Owner.Tenant] = items[i].Owner.Weight
@@ -133,9 +134,9 @@
 	}
 }
 
-// TestFloodOfItems lets one tenant hand in a thousand items and another ten, due later: of
-// twenty started the smaller one has its ten, and of five with three of the larger running
-// already the smaller one has four.
+// TestFloodOfItems checks that a tenant with ten items gets its share beside one with a thousand
+// items that are due sooner: of the first twenty starts it gets ten, and of five starts it gets
+// four if the larger tenant already runs three items.
 func TestFloodOfItems(t *testing.T) {
 	var items []Item
 	for i := range 1010 {
@@ -159,13 +160,12 @@
 			}
 		}
 		if small != test.want {
-			t.Errorf("%d of %d are the smaller tenant's, want %d", small, test.starts, test.want)
+			t.Errorf("%d of %d starts are the smaller tenant's, want %d", small, test.starts, test.want)
 		}
 	}
 }
 
-// TestInTime puts items in slots one after the other: what is late anyway does not count,
-// and neither do items that are due at no time.
+// TestInTime checks that overdue items and items without a deadline are ignored.
 func TestInTime(t *testing.T) {
 	item := func(slack, remaining time.Duration, overdue bool) Item {
 		return Item{Slack: slack * time.Second, Remaining: remaining * time.Second, Overdue: overdue}
@@ -176,12 +176,12 @@
 			t.Errorf("%d slots: %t", slots, got)
 		}
 	}
-	if !InTime(nil, 0) || !InTime([]Item{{Slack: neverDue, Remaining: time.Hour}, {Slack: neverDue}}, 1) {
-		t.Error("what is due at no time is late")
+	if !InTime(nil, 0) || !InTime([]Item{{Slack: noDeadlineSlack, Remaining: time.Hour}, {Slack: noDeadlineSlack}}, 1) {
+		t.Error("an item without a deadline is late")
 	}
 }
 
-// BenchmarkShare orders a thousand items of a hundred tenants.
+// BenchmarkShare measures ApplyShares on a thousand items of a hundred tenants.
 func BenchmarkShare(b *testing.B) {
 	random := rand.New(rand.NewSource(1))
 	items := make([]Item, 1000)
