--- a/internal/batchroom/ahead.go
+++ b/internal/batchroom/ahead.go
@@ -10,305 +10,309 @@
 )
 
 const (
-	// carryOut is how long a stop takes from the runner that is told of it to the free slot:
-	// two looks of the runner, the second because the news may come just after the first,
-	// and a step of the worker.
-	carryOut = 50 * time.Millisecond
-	// leastStay is how long an item runs at least before it gives way. What would begin with
-	// less time than that would stand in the way of the requests that come.
-	leastStay = 300 * time.Millisecond
-	// startDeviations is how many standard deviations of a count as large as the need are
-	// kept when items start beyond what is kept when they stop: else what has just started
-	// stops again with the next request more.
-	startDeviations = 0.5
-	// gapParts is the part of a new value, one in so many, in the mean time between a
-	// runner's reports.
-	gapParts = 8
+	// stopLatency is the time from an order to stop an item until its slot is free: up to two
+	// polls of the runner, because the order may arrive just after the first one, and one step of
+	// the worker.
+	stopLatency = 50 * time.Millisecond
+	// minRunTime is the time that an item runs at least before it is preempted. An item that
+	// starts with less time than that before a rise of the demand would block the requests of the
+	// rise.
+	minRunTime = 300 * time.Millisecond
+	// startMarginDeviations is a safety margin, in standard deviations of a count as large as the
+	// demand. It is reserved on top of the demand when items start, but not when they stop;
+	// without it, an item that has just started would be stopped by the next additional request.
+	startMarginDeviations = 0.5
+	// reportIntervalSamples is the inverse of the weight of a new value in the moving mean of the
+	// time between a runner's reports.
+	reportIntervalSamples = 8
 )
 
-// Forecast is what is known of the next moments of a pool.
+// Forecast is a pool's forecast of online demand for the next moments.
 type Forecast struct {
 	Pool string
-	// Slots counts those of its workers where items may start, IdleSlots those of them that
-	// are idle.
+	// Slots is the number of slots at the pool's workers where items may start, IdleSlots how many
+	// of these are at idle workers.
 	Slots     int
 	IdleSlots int
-	// ZoneSlots are all slots of its workers by zone, nil where zones make no difference.
+	// ZoneSlots is the number of all slots of the pool's workers by zone, nil if zones are to be
+	// ignored.
 	ZoneSlots map[string]int
-	// Online is the present need of online requests.
+	// Online is the present online demand in slots.
 	Online int
-	// ReportAge is how old the news of online requests are.
+	// ReportAge is the age of the reports of online requests.
 	ReportAge time.Duration
-	// Peak returns the highest need of online requests until so long ahead.
+	// Peak returns the highest online demand between now and the given time ahead.
 	Peak func(ahead time.Duration) forecast.Demand
-	// Paused is set while nothing may start there.
+	// Paused is set while no item may start in the pool.
 	Paused bool
 }
 
-// ClearMaxWait lets no online request wait for items in the pools of which an outlook is known and
-// whose online requests could hold all slots where items may start. Elsewhere a short wait
-// costs less than a stop; here others wait at the edges, unseen by the planner, for each slot
-// that an item holds on to.
+// ClearMaxWait sets MaxWait to zero in the pools that have a forecast and at least as many online
+// requests as slots where items may start. Elsewhere a short wait costs less than a preemption.
+// In these full pools, another request waits at an edge, where the planner does not see it, for
+// each slot that an item keeps.
 func (p *Workers) ClearMaxWait() {
 	for i := range p.Forecasts {
-		outlook := &p.Forecasts[i]
-		if p.onlineIn(outlook.Pool) < outlook.Slots {
+		poolForecast := &p.Forecasts[i]
+		if p.onlineIn(poolForecast.Pool) < poolForecast.Slots {
 			continue
 		}
 		for at := range p.Busy {
-			if p.Busy[at].Pool == outlook.Pool {
+			if p.Busy[at].Pool == poolForecast.Pool {
 				p.Busy[at].MaxWait = 0
 			}
 		}
 	}
 }
 
-// onlineIn counts the online requests at the pool's workers where items may start.
+// onlineIn returns the number of online requests at the pool's workers where items may start.
 func (p *Workers) onlineIn(pool string) int {
 	online := 0
 	for i := range p.Busy {
-		if place := &p.Busy[i]; place.Pool == pool && !place.Closed {
-			online += place.Online
+		if w := &p.Busy[i]; w.Pool == pool && !w.Closed {
+			online += w.Online
 		}
 	}
 	return online
 }
 
-// gapUntil returns the mean time between reports with the one that has just come. r is nil for
-// a runner that had not reported before.
-func (r *runner) gapUntil(now time.Time) time.Duration {
+// intervalUntil returns the moving mean of the time between reports, including the report that
+// has just arrived. r is nil if it is the runner's first one.
+func (r *runner) intervalUntil(now time.Time) time.Duration {
 	switch {
 	case r == nil:
 		return 0
-	case r.gap == 0:
-		return now.Sub(r.at)
+	case r.interval == 0:
+		return now.Sub(r.reportedAt)
 	}
-	return r.gap + (now.Sub(r.at)-r.gap)/gapParts
+	return r.interval + (now.Sub(r.reportedAt)-r.interval)/reportIntervalSamples
 }
 
-// prospect is what online requests to come leave of a pool.
-type prospect struct {
-	outlook *Forecast
-	// part is the part of each worker's slots that they need, and zones by how many times
-	// that differs in each zone. left is how many items may start, offered how many slots were
-	// found for them.
-	part    float64
-	zones   map[string]float64
-	left    int
-	offered int
+// poolBudget is the capacity that the forecast online demand leaves for items in a pool.
+type poolBudget struct {
+	forecast *Forecast
+	// demandShare is the share of each worker's slots that the demand needs, and zoneFactors the
+	// factor by which that differs in each zone. startsLeft is how many items may still start,
+	// offeredSlots how many slots were found for them at busy workers.
+	demandShare  float64
+	zoneFactors  map[string]float64
+	startsLeft   int
+	offeredSlots int
 }
 
-// partAt returns the part of the slots that is needed in a zone, of the part in the pool.
-func (p *prospect) partAt(zone string, part float64) float64 {
-	if times, known := p.zones[zone]; known {
-		return min(part*times, 1)
+// shareInZone returns the share of the slots that is needed in a zone if the pool as a whole
+// needs the given share.
+func (p *poolBudget) shareInZone(zone string, share float64) float64 {
+	if factor, known := p.zoneFactors[zone]; known {
+		return min(share*factor, 1)
 	}
-	return part
+	return share
 }
 
-// prospects are those of the pools of which something is known, and few; nil where there
-// are none.
-type prospects struct {
-	pools []*prospect
-	// spares says of each opening, in turn, what requests to come leave of it.
+// poolBudgets holds the budgets of the pools with a usable forecast. There are few such pools. It
+// is nil if there are none.
+type poolBudgets struct {
+	pools []*poolBudget
+	// spares holds the spare slots of each opening, in the order of the openings.
 	spares []spare
 }
 
-// spare is what online requests to come leave of an opening: so many slots, below zero where
-// they need more than are open.
+// spare is the part of an opening's slots that the forecast demand leaves free; it is below zero
+// if the demand needs more slots than are open.
 type spare struct {
 	slots float64
-	// pool is what is known of the worker's pool, nil if nothing is.
-	pool *prospect
+	// pool is the budget of the worker's pool, nil if there is none.
+	pool *poolBudget
 }
 
-func (p *prospects) of(pool string) *prospect {
-	for _, known := range p.pools {
-		if known.outlook.Pool == pool {
-			return known
+func (p *poolBudgets) forPool(pool string) *poolBudget {
+	for _, budget := range p.pools {
+		if budget.forecast.Pool == pool {
+			return budget
 		}
 	}
 	return nil
 }
 
-// offer takes in so many slots that were found at a worker. Those of busy workers count for
-// their pool; what idle ones have is known beforehand (Outlook.IdleSlots).
-func (p *prospects) offer(place *Worker, free int, counts bool) {
+// addOpening adds free slots that were found at a worker. Slots of busy workers count towards the
+// pool's offered slots; those of idle workers are known beforehand (Forecast.IdleSlots).
+func (p *poolBudgets) addOpening(w *Worker, free int, busy bool) {
 	if p == nil {
 		return
 	}
-	known := p.of(place.Pool)
-	if known == nil {
+	budget := p.forPool(w.Pool)
+	if budget == nil {
 		p.spares = append(p.spares, spare{slots: float64(free)})
 		return
 	}
-	if counts {
-		known.offered += free
+	if busy {
+		budget.offeredSlots += free
 	}
-	// Requests that are there need no more of the part for those to come.
-	coming := max(known.partAt(place.Zone, known.part)*float64(place.Slots)-float64(place.Online), 0)
-	p.spares = append(p.spares, spare{slots: float64(free) - coming, pool: known})
+	// Online requests that are already at the worker are part of its expected demand.
+	upcoming := max(budget.shareInZone(w.Zone, budget.demandShare)*float64(w.Slots)-float64(w.Online), 0)
+	p.spares = append(p.spares, spare{slots: float64(free) - upcoming, pool: budget})
 }
 
-// withheld returns how many of the slots found are kept for requests to come. So many slots
-// at idle workers are taken.
-func (p *prospects) withheld(taken int) int {
+// reservedSlots returns how many of the slots found are kept free for the forecast demand.
+// usedIdle is the number of slots in use at idle workers.
+func (p *poolBudgets) reservedSlots(usedIdle int) int {
 	if p == nil {
 		return 0
 	}
-	withheld := 0
-	for _, known := range p.pools {
-		idle := max(known.outlook.IdleSlots-taken, 0)
-		withheld += max(known.offered+idle-known.left, 0)
+	reserved := 0
+	for _, budget := range p.pools {
+		idle := max(budget.forecast.IdleSlots-usedIdle, 0)
+		reserved += max(budget.offeredSlots+idle-budget.startsLeft, 0)
 	}
-	return withheld
+	return reserved
 }
 
-// lookAhead finds what online requests to come leave of the pools, and adds the stops that
-// make room for them. Items and stops are those at the busy places.
-func (p *Planner) lookAhead(name uint32, own *runner, places *Workers, items, stops []int) *prospects {
-	var pools []*prospect
-	for i := range places.Forecasts {
-		outlook := &places.Forecasts[i]
-		lead := outlook.ReportAge + own.gap + carryOut
-		need := outlook.Peak(lead)
+// applyForecasts returns the budgets that the forecasts leave for items, and adds the stops that
+// make room for the forecast demand. items and stops hold the numbers at the busy workers.
+func (p *Planner) applyForecasts(name uint32, own *runner, workers *Workers, items, stops []int) *poolBudgets {
+	var pools []*poolBudget
+	for i := range workers.Forecasts {
+		poolForecast := &workers.Forecasts[i]
+		lead := poolForecast.ReportAge + own.interval + stopLatency
+		demand := poolForecast.Peak(lead)
 		switch {
-		case need.Confident:
-			if !p.summary.Demand.Confident || need.Slots > p.summary.Demand.Slots {
-				p.summary.Demand = need
+		case demand.Confident:
+			if !p.summary.Demand.Confident || demand.Slots > p.summary.Demand.Slots {
+				p.summary.Demand = demand
 			}
-			pools = append(pools, p.prospectOf(name, outlook, places, items, stops, need, lead))
-		case need.Rising && !outlook.Paused:
+			pools = append(pools, p.budgetFor(name, poolForecast, workers, items, stops, demand, lead))
+		case demand.Rising && !poolForecast.Paused:
 			p.summary.Rising = true
-			pools = append(pools, p.prospectOf(name, outlook, places, items, stops, need, lead))
-		case outlook.Paused:
-			pools = append(pools, &prospect{outlook: outlook})
+			pools = append(pools, p.budgetFor(name, poolForecast, workers, items, stops, demand, lead))
+		case poolForecast.Paused:
+			pools = append(pools, &poolBudget{forecast: poolForecast})
 		}
-		p.summary.Paused = p.summary.Paused || outlook.Paused
+		p.summary.Paused = p.summary.Paused || poolForecast.Paused
 	}
 	if len(pools) == 0 {
 		return nil
 	}
-	return &prospects{pools: pools}
+	return &poolBudgets{pools: pools}
 }
 
-// prospectOf finds what is left of a pool, and adds the stops that it takes.
-func (p *Planner) prospectOf(name uint32, outlook *Forecast, places *Workers, items, stops []int, need forecast.Demand, lead time.Duration) *prospect {
-	held, stopping, elsewhere := 0, 0, 0
-	for i := range places.Busy {
-		switch place := &places.Busy[i]; {
-		case place.Pool != outlook.Pool:
-		case place.Closed:
-			// These go on where they are, whatever comes.
-			elsewhere += min(place.Online, place.Slots)
+// budgetFor returns the budget of a pool for the given demand, and adds the stops that this
+// demand requires.
+func (p *Planner) budgetFor(name uint32, poolForecast *Forecast, workers *Workers, items, stops []int, demand forecast.Demand, lead time.Duration) *poolBudget {
+	occupied, stopping, onlineAtClosed := 0, 0, 0
+	for i := range workers.Busy {
+		switch w := &workers.Busy[i]; {
+		case w.Pool != poolForecast.Pool:
+		case w.Closed:
+			// These requests stay at their workers, so they need no slot at an open one.
+			onlineAtClosed += min(w.Online, w.Slots)
 		default:
-			held += items[i] + p.grantedAt(place.ShortName, name)
+			occupied += items[i] + p.grantedAt(w.ShortName, name)
 			stopping += stops[i]
 		}
 	}
-	open := func(need forecast.Demand) int { return int(math.Ceil(max(need.Slots-float64(elsewhere), 0))) }
-	now, soon := open(need), open(outlook.Peak(lead+leastStay))
-	soon += int(startDeviations * math.Sqrt(float64(soon)))
-	result := &prospect{outlook: outlook, zones: p.zones.of(outlook)}
-	if outlook.Slots > 0 {
-		result.part = min(float64(soon)/float64(outlook.Slots), 1)
+	openDemand := func(demand forecast.Demand) int { return int(math.Ceil(max(demand.Slots-float64(onlineAtClosed), 0))) }
+	stopDemand, startDemand := openDemand(demand), openDemand(poolForecast.Peak(lead+minRunTime))
+	startDemand += int(startMarginDeviations * math.Sqrt(float64(startDemand)))
+	result := &poolBudget{forecast: poolForecast, zoneFactors: p.zoneDemand.factors(poolForecast)}
+	if poolForecast.Slots > 0 {
+		result.demandShare = min(float64(startDemand)/float64(poolForecast.Slots), 1)
 	}
-	part := float64(now) / float64(max(outlook.Slots, 1))
-	if over := now + held - stopping - outlook.Slots; over > 0 {
-		p.summary.AdvanceStops += stopAhead(outlook, places, items, stops, over, func(place *Worker) float64 { return result.partAt(place.Zone, part) })
+	share := float64(stopDemand) / float64(max(poolForecast.Slots, 1))
+	if excess := stopDemand + occupied - stopping - poolForecast.Slots; excess > 0 {
+		p.summary.AdvanceStops += addAdvanceStops(poolForecast, workers, items, stops, excess, func(w *Worker) float64 { return result.shareInZone(w.Zone, share) })
 	}
-	if !outlook.Paused {
-		result.left = max(outlook.Slots-soon-held, 0)
+	if !poolForecast.Paused {
+		result.startsLeft = max(poolForecast.Slots-startDemand-occupied, 0)
 	}
 	return result
 }
 
-// candidate is a worker to stop items at, or to start some.
-type candidate struct {
-	place int
-	rank  float64
-	tie   uint32
+// rankedWorker is a worker at which items may stop or start.
+type rankedWorker struct {
+	index    int
+	rank     float64
+	tieBreak uint32
 }
 
-// candidates is a heap of those, the highest rank first.
-type candidates []candidate
+// workerHeap is a heap of workers with the highest rank on top. It implements heap.Interface.
+type workerHeap []rankedWorker
 
 // Len implements heap.Interface.
-func (c candidates) Len() int { return len(c) }
+func (h workerHeap) Len() int { return len(h) }
 
 // Less implements heap.Interface.
-func (c candidates) Less(a, b int) bool {
-	return cmp.Or(cmp.Compare(c[b].rank, c[a].rank), cmp.Compare(c[a].tie, c[b].tie)) < 0
+func (h workerHeap) Less(a, b int) bool {
+	return cmp.Or(cmp.Compare(h[b].rank, h[a].rank), cmp.Compare(h[a].tieBreak, h[b].tieBreak)) < 0
 }
 
 // Swap implements heap.Interface.
-func (c candidates) Swap(a, b int) { c[a], c[b] = c[b], c[a] }
+func (h workerHeap) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
 
 // Push implements heap.Interface.
-func (c *candidates) Push(added any) { *c = append(*c, added.(candidate)) }
+func (h *workerHeap) Push(added any) { *h = append(*h, added.(rankedWorker)) }
 
 // Pop implements heap.Interface.
-func (c *candidates) Pop() any {
-	last := (*c)[len(*c)-1]
-	*c = (*c)[:len(*c)-1]
+func (h *workerHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-// lower takes one from the rank of the first one, or the first one out where it is spent.
-func (c *candidates) lower(spent bool) {
+// decrementTop lowers the rank of the top worker by one, or removes the worker if it is used up.
+func (h *workerHeap) decrementTop(spent bool) {
 	if spent {
-		heap.Pop(c)
+		heap.Pop(h)
 		return
 	}
-	(*c)[0].rank--
-	heap.Fix(c, 0)
+	(*h)[0].rank--
+	heap.Fix(h, 0)
 }
 
-// stopAhead adds so many stops, each where items leave the fewest slots for the part of the
-// slots that online requests will need there. All runners' plans add the same ones, of
-// which each gets its part.
-func stopAhead(outlook *Forecast, places *Workers, items, stops []int, over int, part func(place *Worker) float64) int {
-	var heaped candidates
-	for i := range places.Busy {
-		place := &places.Busy[i]
-		if place.Pool != outlook.Pool || place.Closed || items[i] <= stops[i] {
+// addAdvanceStops adds up to excess stops, each at the worker where items leave the fewest slots
+// for its expected online demand, and returns how many it added. The plans for all runners add
+// the same stops, of which each runner carries out its part.
+func addAdvanceStops(poolForecast *Forecast, workers *Workers, items, stops []int, excess int, demandShare func(w *Worker) float64) int {
+	var ranked workerHeap
+	for i := range workers.Busy {
+		w := &workers.Busy[i]
+		if w.Pool != poolForecast.Pool || w.Closed || items[i] <= stops[i] {
 			continue
 		}
-		need := max(float64(place.Online), part(place)*float64(place.Slots))
-		heaped = append(heaped, candidate{place: i, rank: float64(items[i]-stops[i]-place.Slots) + need, tie: place.ShortName})
+		demand := max(float64(w.Online), demandShare(w)*float64(w.Slots))
+		ranked = append(ranked, rankedWorker{index: i, rank: float64(items[i]-stops[i]-w.Slots) + demand, tieBreak: w.ShortName})
 	}
-	heap.Init(&heaped)
+	heap.Init(&ranked)
 	added := 0
-	for ; added < over && len(heaped) > 0; added++ {
-		at := heaped[0].place
-		stops[at]++
-		heaped.lower(stops[at] >= items[at])
+	for ; added < excess && len(ranked) > 0; added++ {
+		top := ranked[0].index
+		stops[top]++
+		ranked.decrementTop(stops[top] >= items[top])
 	}
 	return added
 }
 
-// grantAhead gives out so many slots, one after another where requests to come leave
-// the most.
-func grantAhead(open []opening, count int, spares []spare) map[uint32]int {
+// grantBySpare distributes up to count slots, each at the worker that then has the most slots to
+// spare.
+func grantBySpare(open []opening, count int, spares []spare) map[uint32]int {
 	granted := map[uint32]int{}
-	heaped := make(candidates, 0, len(open))
+	ranked := make(workerHeap, 0, len(open))
 	for i := range open {
-		heaped = append(heaped, candidate{place: i, rank: spares[i].slots, tie: open[i].tie})
+		ranked = append(ranked, rankedWorker{index: i, rank: spares[i].slots, tieBreak: open[i].tieBreak})
 	}
-	heap.Init(&heaped)
-	for count > 0 && len(heaped) > 0 {
-		opening := &open[heaped[0].place]
-		if prospect := spares[heaped[0].place].pool; prospect != nil {
-			if prospect.left == 0 {
-				heap.Pop(&heaped)
+	heap.Init(&ranked)
+	for count > 0 && len(ranked) > 0 {
+		opening := &open[ranked[0].index]
+		if budget := spares[ranked[0].index].pool; budget != nil {
+			if budget.startsLeft == 0 {
+				heap.Pop(&ranked)
 				continue
 			}
-			prospect.left--
+			budget.startsLeft--
 		}
 		granted[opening.worker]++
 		opening.slots--
 		count--
-		heaped.lower(opening.slots == 0)
+		ranked.decrementTop(opening.slots == 0)
 	}
 	return granted
 }
--- a/internal/batchroom/ahead_test.go
+++ b/internal/batchroom/ahead_test.go
@@ -12,222 +12,223 @@
 	"github.com/sedgemast/sedgemast/internal/proptest"
 )
 
-// outlookOf returns an outlook of the pool in which so many slots will be needed.
-func outlookOf(places []Worker, need float64, sure bool) Forecast {
-	outlook := Forecast{Pool: "p", ReportAge: reports, Peak: func(time.Duration) forecast.Demand { return forecast.Demand{Slots: need, Confident: sure} }}
-	for i := range places {
-		if !places[i].Closed {
-			outlook.Slots += places[i].Slots
+// forecastOf returns a forecast of the given demand for the pool of the workers.
+func forecastOf(workers []Worker, demand float64, confident bool) Forecast {
+	poolForecast := Forecast{Pool: "p", ReportAge: reportInterval, Peak: func(time.Duration) forecast.Demand { return forecast.Demand{Slots: demand, Confident: confident} }}
+	for i := range workers {
+		if !workers[i].Closed {
+			poolForecast.Slots += workers[i].Slots
 		}
 	}
-	return outlook
+	return poolForecast
 }
 
-// drawPlaces draws workers, some of them closed.
-func drawPlaces(random *rand.Rand) []Worker {
-	places := make([]Worker, 1+random.Intn(12))
-	for i := range places {
+// randomWorkers returns random workers, some of them closed.
+func randomWorkers(random *rand.Rand) []Worker {
+	workers := make([]Worker, 1+random.Intn(12))
+	for i := range workers {
 		slots := 2 + random.Intn(15)
-		places[i] = Worker{ShortName: uint32(i + 1), Pool: "p", Slots: slots, Online: random.Intn(slots + 2), Closed: random.Intn(8) == 0}
+		workers[i] = Worker{ShortName: uint32(i + 1), Pool: "p", Slots: slots, Online: random.Intn(slots + 2), Closed: random.Intn(8) == 0}
 	}
-	return places
+	return workers
 }
 
-// takeRunners lets runners with drawn items report, and returns their names.
-func takeRunners(random *rand.Rand, p *Planner, places []Worker) []uint32 {
+// reportRandomItems lets runners with random items report, and returns their names.
+func reportRandomItems(random *rand.Rand, p *Planner, workers []Worker) []uint32 {
 	names := []uint32{11, 12, 13}
 	for _, name := range names {
 		items := map[uint32]int{}
-		for i := range places {
-			items[places[i].ShortName] = random.Intn(places[i].Slots/2 + 1)
+		for i := range workers {
+			items[workers[i].ShortName] = random.Intn(workers[i].Slots/2 + 1)
 		}
 		p.ApplyReport(start, name, random.Intn(60), items)
 	}
 	return names
 }
 
-// TestUnsureOutlooksChangeNothing compares plans with an outlook that is not sure to plans
-// without one.
-func TestUnsureOutlooksChangeNothing(t *testing.T) {
+// TestUncertainForecastsChangeNothing checks that a forecast that is not confident leaves plans
+// as they are without one.
+func TestUncertainForecastsChangeNothing(t *testing.T) {
 	proptest.Run(t, "unsure", func(random *rand.Rand) error {
 		seed := random.Int63()
-		places := drawPlaces(random)
-		plain, unsure := New(), New()
-		takeRunners(rand.New(rand.NewSource(seed)), plain, places)
-		names := takeRunners(rand.New(rand.NewSource(seed)), unsure, places)
+		workers := randomWorkers(random)
+		plain, uncertain := New(), New()
+		reportRandomItems(rand.New(rand.NewSource(seed)), plain, workers)
+		names := reportRandomItems(rand.New(rand.NewSource(seed)), uncertain, workers)
 		for _, name := range names {
-			first := plain.Plan(name, Workers{Busy: places})
-			second := unsure.Plan(name, Workers{Busy: places, Forecasts: []Forecast{outlookOf(places, 1000, false)}})
-			if !maps.Equal(first, second) || plain.Summary() != unsure.Summary() {
-				return errors.Newf("orders %+v and %+v, summaries %+v and %+v", first, second, plain.Summary(), unsure.Summary())
+			first := plain.Plan(name, Workers{Busy: workers})
+			second := uncertain.Plan(name, Workers{Busy: workers, Forecasts: []Forecast{forecastOf(workers, 1000, false)}})
+			if !maps.Equal(first, second) || plain.Summary() != uncertain.Summary() {
+				return errors.Newf("orders %+v and %+v, summaries %+v and %+v", first, second, plain.Summary(), uncertain.Summary())
 			}
 		}
 		return nil
 	})
 }
 
-// TestRoomIsMadeAhead draws places and a need: after the stops all that run and the need
-// fit, unless no item is left at open workers, one stop fewer would not do, and what is
-// granted fits beside the need.
-func TestRoomIsMadeAhead(t *testing.T) {
+// TestAdvanceStopsMakeRoom checks plans for random workers with a confident forecast: after the
+// stops, items and forecast demand fit into the slots, unless no item is left at open workers;
+// one stop fewer would not be enough; and granted starts fit beside the demand.
+func TestAdvanceStopsMakeRoom(t *testing.T) {
 	proptest.Run(t, "ahead", func(random *rand.Rand) error {
-		places := drawPlaces(random)
-		for i := range places {
-			places[i].Online = min(places[i].Online, places[i].Slots)
+		workers := randomWorkers(random)
+		for i := range workers {
+			workers[i].Online = min(workers[i].Online, workers[i].Slots)
 		}
 		p := New()
-		names := takeRunners(random, p, places)
-		slots, online, elsewhere := 0, 0, 0
-		for i := range places {
-			online += places[i].Online
-			if places[i].Closed {
-				elsewhere += places[i].Online
+		names := reportRandomItems(random, p, workers)
+		slots, online, onlineAtClosed := 0, 0, 0
+		for i := range workers {
+			online += workers[i].Online
+			if workers[i].Closed {
+				onlineAtClosed += workers[i].Online
 				continue
 			}
-			slots += places[i].Slots
+			slots += workers[i].Slots
 		}
-		need := online + random.Intn(slots+1)
-		items, stops, starts, atClosed := 0, 0, 0, 0
-		for i := range places {
-			if !places[i].Closed {
-				items += p.itemsAt(places[i].ShortName)
+		demand := online + random.Intn(slots+1)
+		items, stops, starts, stopsAtClosed := 0, 0, 0, 0
+		for i := range workers {
+			if !workers[i].Closed {
+				items += p.itemsAt(workers[i].ShortName)
 			}
 		}
 		for _, name := range names {
-			for worker, order := range p.Plan(name, Workers{Busy: places, Forecasts: []Forecast{outlookOf(places, float64(need), true)}}) {
+			for worker, order := range p.Plan(name, Workers{Busy: workers, Forecasts: []Forecast{forecastOf(workers, float64(demand), true)}}) {
 				if order.Stop > p.runners[name].items[worker] {
 					return errors.Newf("%d stops of %d items", order.Stop, p.runners[name].items[worker])
 				}
 				starts += order.Start
-				if places[worker-1].Closed {
-					atClosed += order.Stop
+				if workers[worker-1].Closed {
+					stopsAtClosed += order.Stop
 					continue
 				}
 				stops += order.Stop
 			}
 		}
-		over := need - elsewhere + items - slots
-		crowded := 0
-		for i := range places {
-			if place := &places[i]; !place.Closed {
-				crowded += min(max(place.Online+p.itemsAt(place.ShortName)-place.Slots, 0), p.itemsAt(place.ShortName))
+		excess := demand - onlineAtClosed + items - slots
+		blocking := 0
+		for i := range workers {
+			if w := &workers[i]; !w.Closed {
+				blocking += min(max(w.Online+p.itemsAt(w.ShortName)-w.Slots, 0), p.itemsAt(w.ShortName))
 			}
 		}
 		switch {
-		case stops != min(max(over, crowded), items):
-			return errors.Newf("%d stops of %d items, %d over, %d in the way", stops, items, over, crowded)
-		case starts > 0 && need-elsewhere+items+starts > slots:
-			return errors.Newf("%d starts beside %d items and a need of %d at %d slots", starts, items, need, slots)
+		case stops != min(max(excess, blocking), items):
+			return errors.Newf("%d stops of %d items; %d items exceed the slots, %d block online requests", stops, items, excess, blocking)
+		case starts > 0 && demand-onlineAtClosed+items+starts > slots:
+			return errors.Newf("%d starts beside %d items and a demand of %d at %d slots", starts, items, demand, slots)
 		}
 		return nil
 	})
 }
 
-// TestRoomIsSpread lets a wave come to workers of which one is full of items: those stop
-// that stand where the wave will need the room.
-func TestRoomIsSpread(t *testing.T) {
+// TestAdvanceStopsAreSpread checks that, ahead of a wave, items stop at the worker that is full
+// of items, because the wave needs the slots there.
+func TestAdvanceStopsAreSpread(t *testing.T) {
 	p := New()
-	places := []Worker{{ShortName: 1, Pool: "p", Slots: 8}, {ShortName: 2, Pool: "p", Slots: 8}, {ShortName: 3, Pool: "p", Slots: 8}}
+	workers := []Worker{{ShortName: 1, Pool: "p", Slots: 8}, {ShortName: 2, Pool: "p", Slots: 8}, {ShortName: 3, Pool: "p", Slots: 8}}
 	p.ApplyReport(start, 10, 0, map[uint32]int{1: 8, 2: 4, 3: 1})
-	orders := p.Plan(10, Workers{Busy: places, Forecasts: []Forecast{outlookOf(places, 16, true)}})
+	orders := p.Plan(10, Workers{Busy: workers, Forecasts: []Forecast{forecastOf(workers, 16, true)}})
 	if want := (map[uint32]Order{1: {Stop: 5}}); !maps.Equal(orders, want) {
 		t.Errorf("orders %+v, want %+v", orders, want)
 	}
 	if got := p.Summary().AdvanceStops; got != 5 {
-		t.Errorf("%d stops ahead", got)
+		t.Errorf("%d stops in advance, want 5", got)
 	}
 }
 
-// TestNothingStartsBeforeAWave checks that room that a wave will need is not given away,
-// and that all of it is once the wave is over.
+// TestNothingStartsBeforeAWave checks that slots that a wave will need are not granted, and that
+// all free slots are granted once the wave is over.
 func TestNothingStartsBeforeAWave(t *testing.T) {
-	places := []Worker{{ShortName: 1, Pool: "p", Slots: 8, Online: 1}, {ShortName: 2, Pool: "p", Slots: 8, Online: 1}}
-	for need, want := range map[float64]int{16: 0, 12: 3, 2: 14} {
+	workers := []Worker{{ShortName: 1, Pool: "p", Slots: 8, Online: 1}, {ShortName: 2, Pool: "p", Slots: 8, Online: 1}}
+	for demand, want := range map[float64]int{16: 0, 12: 3, 2: 14} {
 		p := New()
 		p.ApplyReport(start, 10, 40, nil)
 		started := 0
-		for _, order := range p.Plan(10, Workers{Busy: places, Forecasts: []Forecast{outlookOf(places, need, true)}}) {
+		for _, order := range p.Plan(10, Workers{Busy: workers, Forecasts: []Forecast{forecastOf(workers, demand, true)}}) {
 			started += order.Start
 		}
 		if started != want {
-			t.Errorf("%d start beside a need of %.0f, want %d", started, need, want)
+			t.Errorf("%d items start beside a demand of %.0f, want %d", started, demand, want)
 		}
 	}
 }
 
-// TestANewPlannerWaits checks that nothing starts while an outlook is held.
-func TestANewPlannerWaits(t *testing.T) {
-	places := []Worker{{ShortName: 1, Pool: "p", Slots: 8}}
+// TestNewPlannerWaits checks that no item starts while a forecast is paused.
+func TestNewPlannerWaits(t *testing.T) {
+	workers := []Worker{{ShortName: 1, Pool: "p", Slots: 8}}
 	p := New()
 	p.ApplyReport(start, 10, 40, nil)
-	held := outlookOf(places, 0, false)
-	held.Paused = true
-	if orders := p.Plan(10, Workers{Busy: places, Forecasts: []Forecast{held}}); len(orders) > 0 || !p.Summary().Paused {
-		t.Errorf("orders %+v", orders)
+	paused := forecastOf(workers, 0, false)
+	paused.Paused = true
+	if orders := p.Plan(10, Workers{Busy: workers, Forecasts: []Forecast{paused}}); len(orders) > 0 || !p.Summary().Paused {
+		t.Errorf("orders %+v, want none and a paused summary", orders)
 	}
 }
 
-// benchmarkPlan plans at 10,000 workers of 8 slots, 300 of them loaded.
-func benchmarkPlan(b *testing.B, outlooks func(places []Worker) []Forecast) {
-	places := make([]Worker, 300)
+// benchmarkPlan measures a plan for 10,000 workers of 8 slots, 300 of them loaded.
+func benchmarkPlan(b *testing.B, forecasts func(workers []Worker) []Forecast) {
+	workers := make([]Worker, 300)
 	items := map[uint32]int{}
-	for i := range places {
-		places[i] = Worker{ShortName: uint32(i + 1), Pool: "p", Slots: 8, Online: i % 6}
+	for i := range workers {
+		workers[i] = Worker{ShortName: uint32(i + 1), Pool: "p", Slots: 8, Online: i % 6}
 		items[uint32(i+1)] = 2
 	}
 	p := New()
-	told := Workers{Busy: places, IdleWorkers: 9700, IdleSlots: 77600, Forecasts: outlooks(places), Sample: func(count int) []Worker {
-		drawn := make([]Worker, count)
-		for i := range drawn {
-			drawn[i] = Worker{ShortName: uint32(1000 + i), Pool: "p", Slots: 8}
+	input := Workers{Busy: workers, IdleWorkers: 9700, IdleSlots: 77600, Forecasts: forecasts(workers), Sample: func(count int) []Worker {
+		sampled := make([]Worker, count)
+		for i := range sampled {
+			sampled[i] = Worker{ShortName: uint32(1000 + i), Pool: "p", Slots: 8}
 		}
-		return drawn
+		return sampled
 	}}
 	b.ReportAllocs()
 	for b.Loop() {
 		p.ApplyReport(start, 10, 20, items)
-		p.Plan(10, told)
+		p.Plan(10, input)
 	}
 }
 
-// BenchmarkPlan is a plan without an outlook.
+// BenchmarkPlan measures a plan without a forecast.
 func BenchmarkPlan(b *testing.B) {
 	benchmarkPlan(b, func([]Worker) []Forecast { return nil })
 }
 
-// BenchmarkPlanAhead is a plan with a wave that takes all but 300 slots.
+// BenchmarkPlanAhead measures a plan ahead of a wave that takes all but 300 slots.
 func BenchmarkPlanAhead(b *testing.B) {
-	benchmarkPlan(b, func(places []Worker) []Forecast {
-		outlook := outlookOf(places, 79_700, true)
-		outlook.Slots, outlook.IdleSlots = 80_000, 77_600
-		return []Forecast{outlook}
+	benchmarkPlan(b, func(workers []Worker) []Forecast {
+		poolForecast := forecastOf(workers, 79_700, true)
+		poolForecast.Slots, poolForecast.IdleSlots = 80_000, 77_600
+		return []Forecast{poolForecast}
 	})
 }
 
-// TestCrowdedPoolsKeepNoItems fills a pool with online requests, one item at each worker: it
-// held a slot for which a request waited, for as long as the wait at the worker was short.
-// With one request less than slots the short wait is borne, and so it is in another pool.
-func TestCrowdedPoolsKeepNoItems(t *testing.T) {
+// TestFullPoolsKeepNoItems checks a pool whose online requests could use all slots, with one item
+// at each worker: while a short wait at the worker was allowed, the item kept a slot for which a
+// request waited. With one request less than slots, and in another pool, the short wait stays
+// allowed.
+func TestFullPoolsKeepNoItems(t *testing.T) {
 	const workers, slots = 5, 8
 	for _, test := range []struct {
 		online, stops int
 		pool          string
 	}{{slots, 5, "p"}, {slots, 0, "q"}, {slots - 1, 0, "p"}} {
-		places := Workers{Forecasts: []Forecast{{Pool: "p", Slots: workers * slots, Peak: func(time.Duration) forecast.Demand { return forecast.Demand{} }}}}
+		input := Workers{Forecasts: []Forecast{{Pool: "p", Slots: workers * slots, Peak: func(time.Duration) forecast.Demand { return forecast.Demand{} }}}}
 		items := map[uint32]int{}
 		for worker := range uint32(workers) {
-			places.Busy = append(places.Busy, Worker{ShortName: worker, Pool: test.pool, Slots: slots, Online: test.online, HoldTime: 750 * time.Millisecond, MaxWait: 150 * time.Millisecond})
+			input.Busy = append(input.Busy, Worker{ShortName: worker, Pool: test.pool, Slots: slots, Online: test.online, HoldTime: 750 * time.Millisecond, MaxWait: 150 * time.Millisecond})
 			items[worker] = slots + 1 - test.online
 		}
-		places.ClearMaxWait()
+		input.ClearMaxWait()
 		planner := New()
 		planner.ApplyReport(time.Unix(1000, 0), 1, 10, items)
 		stops := 0
-		for _, order := range planner.Plan(1, places) {
+		for _, order := range planner.Plan(1, input) {
 			stops += order.Stop
 		}
 		if stops != test.stops {
-			t.Errorf("%d online at each worker of pool %s: %d stops, want %d", test.online, test.pool, stops, test.stops)
+			t.Errorf("%d online requests at each worker of pool %s: %d stops, want %d", test.online, test.pool, stops, test.stops)
 		}
 	}
 }
--- a/internal/batchroom/batchroom.go
+++ b/internal/batchroom/batchroom.go
@@ -1,10 +1,10 @@
-// Package batchroom divides what online requests leave of the workers among the
-// processes that run items of jobs. It is pure.
+// Package batchroom divides the slots that online requests leave free among the runners: the
+// processes that run items of jobs. It does no I/O and reads no clock.
 //
-// One planner sees what all have at each worker. It orders runners to stop items where
-// online requests would wait behind them, and grants them slots to start others, so
-// that two runners never take the same slot. A grant holds until the runner's next
-// report, which shows what became of it.
+// A single planner knows the load of each worker. It orders runners to stop items where online
+// requests would wait behind them, and grants them slots to start others, so that two runners
+// never use the same slot. A grant is valid until the runner's next report, which shows whether
+// it was used.
 package batchroom
 
 import (
@@ -17,140 +17,142 @@
 )
 
 const (
-	// runnerFresh is how long a runner's report counts.
-	runnerFresh = 400 * time.Millisecond
+	// runnerTTL is how long a runner's report counts.
+	runnerTTL = 400 * time.Millisecond
 )
 
-// Worker is a worker as the planner sees it. (batchplan.Worker is what of it decides on stops at
-// one worker; balance.Choice is the worker chosen for one request.)
+// Worker is what the planner knows of a worker. batchplan.Worker holds the part of it that
+// decides how many items stop at one worker; balance.Candidate is the worker chosen for one
+// request.
 type Worker struct {
 	// ShortName is the worker's short name.
 	ShortName uint32
-	// Pool and Zone name its pool and zone where an outlook is known of the pool.
+	// Pool and Zone are set if there is a forecast for the worker's pool.
 	Pool  string
 	Zone  string
 	Slots int
-	// Online counts the online requests of all processes, Orphans those of them that no
-	// living process answers for.
+	// Online is the number of online requests of all processes, Orphans how many of these belong
+	// to no living process.
 	Online  int
 	Orphans int
-	// Closed is set where no item may start, Probe where one may all the same: it shows
-	// whether the worker is well again.
+	// Closed is set if no item may start at the worker. Probe is set if a single item may start
+	// nevertheless, to find out whether the worker has recovered.
 	Closed bool
 	Probe  bool
-	// HoldTime is how long an online request holds a slot, zero if unknown, and
-	// Patience how long one may wait for items.
+	// HoldTime is how long an online request holds a slot, zero if unknown. MaxWait is how long an
+	// online request may wait for items.
 	HoldTime time.Duration
 	MaxWait  time.Duration
 }
 
-// Workers are all workers as the planner sees them.
+// Workers are all workers of the planner.
 type Workers struct {
-	// Busy are those at which anything is, or no item may start.
+	// Busy are the workers that hold any request or item, or where no item may start.
 	Busy []Worker
-	// IdleWorkers and IdleSlots count the others and their slots, which Draw returns some
-	// of, drawn by lot, or all. A plan then costs as much as there is work, not as there
-	// are workers.
+	// IdleWorkers and IdleSlots are the numbers of the other workers and of their slots. Sample
+	// returns up to count of them, chosen at random. The cost of a plan thus depends on the amount
+	// of work and not on the number of workers.
 	IdleWorkers int
 	IdleSlots   int
 	Sample      func(count int) []Worker
-	// Forecasts are what is known of the next moments, by pool; none where nothing is forecast.
+	// Forecasts are the forecasts of online demand by pool. Pools without one are absent.
 	Forecasts []Forecast
 }
 
-// Order is what a runner is told of a worker: how many items it may start there, and
-// how many it is to stop.
+// Order tells a runner how many items it may start at a worker, and how many it must stop.
 type Order struct {
 	Start int
 	Stop  int
 }
 
-// Planner holds what the runners have told. It is not safe for concurrent use.
+// Planner holds the reports of the runners and the mean demand by zone. It is not safe for
+// concurrent use.
 type Planner struct {
-	runners map[uint32]*runner
-	zones   zoneNeeds
-	summary Summary
+	runners    map[uint32]*runner
+	zoneDemand zoneDemand
+	summary    Summary
 }
 
-// Summary is what the last plan rested on and what came of it, summed up over the workers.
+// Summary holds the inputs and results of the last plan, as sums over the workers.
 type Summary struct {
 	Slots   int
 	Online  int
 	Items   int
 	Waiting int
-	// Queued counts requests beyond the slots of their workers, Idle the slots that
-	// nothing holds at other workers.
+	// Queued is the number of requests beyond the slots of their workers, IdleSlots the number of
+	// unused slots at all other workers.
 	Queued    int
 	IdleSlots int
-	// FreeSlots counts the slots found for items, Granted those that the runner got, Stops how many items
-	// stood in the way.
+	// FreeSlots is the number of slots found for items, Granted the number granted to the runner,
+	// and Stops the number of items that must stop.
 	FreeSlots int
 	Granted   int
 	Stops     int
-	// AdvanceStops counts those of the stops that make room for requests to come, Need the online
-	// need that they rest on where a forecast of a pool is sure, until which moment.
+	// AdvanceStops is how many of the stops make room for online requests that have not arrived
+	// yet. Demand is the highest confident forecast of online demand on which they are based.
 	AdvanceStops int
 	Demand       forecast.Demand
-	// Rising is set where the stops rest on a rise that has just begun.
+	// Rising is set if stops are based on a rise of the demand that has just begun.
 	Rising bool
-	// Paused is set while nothing may start in some pool because a new planner has not seen enough.
+	// Paused is set while no item may start in some pool because a new planner has not yet
+	// observed the demand for long enough.
 	Paused bool
 }
 
 // Summary returns the summary of the last plan.
 func (p *Planner) Summary() Summary { return p.summary }
 
-// runner is a process that runs items.
+// runner is the last report of a process that runs items.
 type runner struct {
-	at time.Time
-	// gap is the time between two reports, zero before the second one.
-	gap time.Duration
-	// waiting counts the items that could start.
+	reportedAt time.Time
+	// interval is the moving mean of the time between two reports, zero before the second report.
+	interval time.Duration
+	// waiting is the number of items that could start.
 	waiting int
-	// items counts those that run, by worker, less those about to stop.
+	// items is the number of running items by worker, without those that have been told to stop.
 	items map[uint32]int
-	// granted counts the slots given at the last report, by worker.
+	// granted is the number of slots granted at the last report, by worker.
 	granted map[uint32]int
 }
 
-// New returns a planner that knows no runner.
+// New returns a planner without runners.
 func New() *Planner { return &Planner{runners: map[uint32]*runner{}} }
 
-// ApplyReport takes in a runner's report: how many items could start, and how many run at
+// ApplyReport stores a runner's report: how many of its items could start, and how many run at
 // each worker.
 func (p *Planner) ApplyReport(now time.Time, name uint32, waiting int, items map[uint32]int) {
 	for known, r := range p.runners {
-		if now.Sub(r.at) > runnerFresh {
+		if now.Sub(r.reportedAt) > runnerTTL {
 			delete(p.runners, known)
 		}
 	}
-	p.runners[name] = &runner{at: now, waiting: waiting, items: items, gap: p.runners[name].gapUntil(now)}
+	p.runners[name] = &runner{reportedAt: now, waiting: waiting, items: items, interval: p.runners[name].intervalUntil(now)}
 }
 
-// Plan returns the orders for a runner that has just reported, by worker.
-func (p *Planner) Plan(name uint32, places Workers) map[uint32]Order {
+// Plan returns the orders by worker for a runner that has just reported.
+func (p *Planner) Plan(name uint32, workers Workers) map[uint32]Order {
 	own := p.runners[name]
 	if own == nil {
 		return nil
 	}
-	p.summary = Summary{Waiting: p.waiting(), Slots: places.IdleSlots, IdleSlots: places.IdleSlots}
-	items, stops := p.survey(&places)
-	p.zones.take(own.at, &places)
-	prospects := p.lookAhead(name, own, &places, items, stops)
+	p.summary = Summary{Waiting: p.waiting(), Slots: workers.IdleSlots, IdleSlots: workers.IdleSlots}
+	items, stops := p.surveyBusy(&workers)
+	p.zoneDemand.update(own.reportedAt, &workers)
+	budgets := p.applyForecasts(name, own, &workers, items, stops)
 	orders := map[uint32]Order{}
-	open, probes := p.openBusy(name, &places, items, stops, prospects, orders)
+	open, probes := p.planBusy(name, &workers, items, stops, budgets, orders)
 	probes = probes[:min(len(probes), own.waiting)]
-	taken := p.takenIdle(name, &places)
-	p.summary.FreeSlots += max(places.IdleSlots-taken, 0)
-	p.summary.FreeSlots -= prospects.withheld(taken)
-	share := p.shareOf(own, p.summary.FreeSlots)
-	if share > 0 && places.IdleWorkers > 0 {
-		// As many as are taken may come up in vain.
-		open = append(open, p.openIdle(name, places.Sample(share+taken), prospects)...)
+	usedIdle := p.usedIdleSlots(name, &workers)
+	p.summary.FreeSlots += max(workers.IdleSlots-usedIdle, 0)
+	p.summary.FreeSlots -= budgets.reservedSlots(usedIdle)
+	share := p.slotShare(own, p.summary.FreeSlots)
+	if share > 0 && workers.IdleWorkers > 0 {
+		// Up to usedIdle of the sampled workers may turn out to be in use, so more are sampled.
+		open = append(open, p.idleOpenings(name, workers.Sample(share+usedIdle), budgets)...)
 	}
 	count := min(share, own.waiting-len(probes))
-	if prospects != nil {
-		own.granted = grantAhead(open, count, prospects.spares)
+	if budgets != nil {
+		own.granted = grantBySpare(open, count, budgets.spares)
 	} else {
 		own.granted = grant(open, count)
 	}
@@ -164,110 +166,111 @@
 	return orders
 }
 
-// survey counts the items at each busy place, and how many of them are to stop there for the
-// online requests that are there by now.
-func (p *Planner) survey(places *Workers) (items, stops []int) {
-	items = make([]int, len(places.Busy))
-	stops = make([]int, len(places.Busy))
-	for i := range places.Busy {
-		place := &places.Busy[i]
-		items[i] = p.itemsAt(place.ShortName)
-		p.summary.add(place, items[i])
-		stops[i] = batchplan.RequiredStops(batchplan.Worker{Slots: place.Slots, Online: place.Online, Items: items[i]}, place.HoldTime, place.MaxWait)
+// surveyBusy returns the number of items at each busy worker, and how many of them must stop for the
+// online requests that are already there.
+func (p *Planner) surveyBusy(workers *Workers) (items, stops []int) {
+	items = make([]int, len(workers.Busy))
+	stops = make([]int, len(workers.Busy))
+	for i := range workers.Busy {
+		w := &workers.Busy[i]
+		items[i] = p.itemsAt(w.ShortName)
+		p.summary.add(w, items[i])
+		stops[i] = batchplan.RequiredStops(batchplan.Worker{Slots: w.Slots, Online: w.Online, Items: items[i]}, w.HoldTime, w.MaxWait)
 	}
 	return items, stops
 }
 
-// openBusy orders the runner's part of the stops at busy places. Of the others it returns those
-// where items may start, and the avoided workers where one may as a probe.
-func (p *Planner) openBusy(name uint32, places *Workers, items, stops []int, prospects *prospects, orders map[uint32]Order) (open []opening, probes []uint32) {
-	open = make([]opening, 0, len(places.Busy))
-	for i := range places.Busy {
-		place := &places.Busy[i]
+// planBusy adds the runner's part of the stops at busy workers to orders. Of the other workers it
+// returns those where items may start, and the closed ones where the runner may start a probe.
+func (p *Planner) planBusy(name uint32, workers *Workers, items, stops []int, budgets *poolBudgets, orders map[uint32]Order) (open []opening, probes []uint32) {
+	open = make([]opening, 0, len(workers.Busy))
+	for i := range workers.Busy {
+		w := &workers.Busy[i]
 		if stops[i] > 0 {
 			p.summary.Stops += stops[i]
-			if part := p.partOf(name, place.ShortName, stops[i]); part > 0 {
-				orders[place.ShortName] = Order{Stop: part}
+			if ownStops := p.runnerStops(name, w.ShortName, stops[i]); ownStops > 0 {
+				orders[w.ShortName] = Order{Stop: ownStops}
 			}
 			continue
 		}
-		if p.mayProbe(name, place, items[i]) {
-			probes = append(probes, place.ShortName)
+		if p.mayProbe(name, w, items[i]) {
+			probes = append(probes, w.ShortName)
 		}
-		if free := p.openAt(name, place, items[i]); free > 0 {
-			open = append(open, opening{worker: place.ShortName, slots: free, tie: place.ShortName ^ name})
+		if free := p.freeSlotsAt(name, w, items[i]); free > 0 {
+			open = append(open, opening{worker: w.ShortName, slots: free, tieBreak: w.ShortName ^ name})
 			p.summary.FreeSlots += free
-			prospects.offer(place, free, true)
+			budgets.addOpening(w, free, true)
 		}
 	}
 	return open, probes
 }
 
-// openAt returns how many items the runner could be granted at a worker. Nothing is left
-// free for online requests that may come: items give way to them within three reports, and
-// a slot that stays empty until then is lost.
-func (p *Planner) openAt(name uint32, place *Worker, items int) int {
-	if place.Closed {
+// freeSlotsAt returns how many items the runner could be granted at a worker. No slot is kept
+// free here for online requests that may arrive: items are preempted for them within three
+// reports, and a slot that idles until then is wasted.
+func (p *Planner) freeSlotsAt(name uint32, w *Worker, items int) int {
+	if w.Closed {
 		return 0
 	}
-	return place.Slots - place.Online - items - p.grantedAt(place.ShortName, name)
+	return w.Slots - w.Online - items - p.grantedAt(w.ShortName, name)
 }
 
-// mayProbe reports whether the runner may start one item at a worker that is avoided. Nothing
-// that waits there may hold it up, since its silence would speak against the worker.
-func (p *Planner) mayProbe(name uint32, place *Worker, items int) bool {
-	return place.Closed && place.Probe && place.Online+items+p.grantedAt(place.ShortName, name) < place.Slots
+// mayProbe reports whether the runner may start one item at a closed worker as a probe. This
+// takes a free slot: if the probe had to wait behind others, the missing response would count
+// against the worker.
+func (p *Planner) mayProbe(name uint32, w *Worker, items int) bool {
+	return w.Closed && w.Probe && w.Online+items+p.grantedAt(w.ShortName, name) < w.Slots
 }
 
-// takenIdle counts the slots at idle workers that others were granted, or have taken since
-// the loads were told.
-func (p *Planner) takenIdle(name uint32, places *Workers) int {
-	busy := make(map[uint32]bool, len(places.Busy))
-	for i := range places.Busy {
-		busy[places.Busy[i].ShortName] = true
+// usedIdleSlots returns the number of slots at idle workers that are granted to other runners, or
+// that runners have started items in since the loads were reported.
+func (p *Planner) usedIdleSlots(name uint32, workers *Workers) int {
+	busy := make(map[uint32]bool, len(workers.Busy))
+	for i := range workers.Busy {
+		busy[workers.Busy[i].ShortName] = true
 	}
-	taken := 0
+	used := 0
 	for other, r := range p.runners {
 		for worker, count := range r.items {
 			if !busy[worker] {
-				taken += count
+				used += count
 			}
 		}
 		for worker, count := range r.granted {
 			if other != name && !busy[worker] {
-				taken += count
+				used += count
 			}
 		}
 	}
-	return taken
+	return used
 }
 
-// openIdle returns those of some idle workers where items may start.
-func (p *Planner) openIdle(name uint32, places []Worker, prospects *prospects) []opening {
-	open := make([]opening, 0, len(places))
-	for i := range places {
-		place := &places[i]
-		if free := p.openAt(name, place, p.itemsAt(place.ShortName)); free > 0 {
-			open = append(open, opening{worker: place.ShortName, slots: free, tie: place.ShortName ^ name})
-			prospects.offer(place, free, false)
+// idleOpenings returns those of the sampled idle workers where items may start.
+func (p *Planner) idleOpenings(name uint32, workers []Worker, budgets *poolBudgets) []opening {
+	open := make([]opening, 0, len(workers))
+	for i := range workers {
+		w := &workers[i]
+		if free := p.freeSlotsAt(name, w, p.itemsAt(w.ShortName)); free > 0 {
+			open = append(open, opening{worker: w.ShortName, slots: free, tieBreak: w.ShortName ^ name})
+			budgets.addOpening(w, free, false)
 		}
 	}
 	return open
 }
 
-// add takes in a worker.
-func (s *Summary) add(place *Worker, items int) {
-	s.Slots += place.Slots
-	s.Online += place.Online
+// add adds the load of a worker to the summary.
+func (s *Summary) add(w *Worker, items int) {
+	s.Slots += w.Slots
+	s.Online += w.Online
 	s.Items += items
-	if over := place.Online + items - place.Slots; over > 0 {
-		s.Queued += over
+	if excess := w.Online + items - w.Slots; excess > 0 {
+		s.Queued += excess
 	} else {
-		s.IdleSlots -= over
+		s.IdleSlots -= excess
 	}
 }
 
-// itemsAt counts the items of all runners at a worker.
+// itemsAt returns the number of items of all runners at a worker.
 func (p *Planner) itemsAt(worker uint32) int {
 	items := 0
 	for _, r := range p.runners {
@@ -276,7 +279,8 @@
 	return items
 }
 
-// grantedAt counts the slots that are granted to other runners at a worker.
+// grantedAt returns the number of slots at a worker that are granted to runners other than
+// except.
 func (p *Planner) grantedAt(worker, except uint32) int {
 	granted := 0
 	for name, r := range p.runners {
@@ -287,34 +291,34 @@
 	return granted
 }
 
-// partOf returns how many of the stops at a worker are the runner's: they are taken
-// from the runners in turn, those with the most items there first.
-func (p *Planner) partOf(name, worker uint32, stops int) int {
-	left := map[uint32]int{}
+// runnerStops returns how many of the stops at a worker this runner must carry out. Each stop
+// goes to the runner that then has the most items there.
+func (p *Planner) runnerStops(name, worker uint32, stops int) int {
+	itemCounts := map[uint32]int{}
 	var names []uint32
 	for other, r := range p.runners {
 		if r.items[worker] > 0 {
-			left[other] = r.items[worker]
+			itemCounts[other] = r.items[worker]
 			names = append(names, other)
 		}
 	}
-	part := 0
+	own := 0
 	for ; stops > 0 && len(names) > 0; stops-- {
-		most := slices.MaxFunc(names, func(a, b uint32) int { return cmp.Or(cmp.Compare(left[a], left[b]), cmp.Compare(a, b)) })
-		if left[most] == 0 {
+		most := slices.MaxFunc(names, func(a, b uint32) int { return cmp.Or(cmp.Compare(itemCounts[a], itemCounts[b]), cmp.Compare(a, b)) })
+		if itemCounts[most] == 0 {
 			break
 		}
-		left[most]--
+		itemCounts[most]--
 		if most == name {
-			part++
+			own++
 		}
 	}
-	return part
+	return own
 }
 
-// shareOf returns how many of the free slots go to the runner: by how many items
-// wait there, rounded up so that no slot is left while any item waits.
-func (p *Planner) shareOf(own *runner, free int) int {
+// slotShare returns how many of the free slots go to the runner: in proportion to its waiting
+// items, rounded up so that no slot stays free while items wait.
+func (p *Planner) slotShare(own *runner, free int) int {
 	waiting := p.waiting()
 	if waiting == 0 {
 		return 0
@@ -322,7 +326,7 @@
 	return min((free*own.waiting+waiting-1)/waiting, own.waiting)
 }
 
-// waiting counts the items of all runners that could start.
+// waiting returns the number of items of all runners that could start.
 func (p *Planner) waiting() int {
 	waiting := 0
 	for _, r := range p.runners {
@@ -331,18 +335,20 @@
 	return waiting
 }
 
-// opening is a worker with slots for items.
+// opening is a worker with free slots for items.
 type opening struct {
 	worker uint32
 	slots  int
-	// tie orders workers of as many slots, differently for each runner.
-	tie uint32
+	// tieBreak orders workers with equally many slots, differently for each runner.
+	tieBreak uint32
 }
 
-// grant gives out so many slots, one after another where the most are left.
+// grant distributes up to count slots, each at the worker that then has the most free slots.
 func grant(open []opening, count int) map[uint32]int {
 	granted := map[uint32]int{}
-	slices.SortFunc(open, func(a, b opening) int { return cmp.Or(cmp.Compare(b.slots, a.slots), cmp.Compare(a.tie, b.tie)) })
+	slices.SortFunc(open, func(a, b opening) int {
+		return cmp.Or(cmp.Compare(b.slots, a.slots), cmp.Compare(a.tieBreak, b.tieBreak))
+	})
 	if len(open) == 0 {
 		return granted
 	}
--- a/internal/batchroom/batchroom_test.go
+++ b/internal/batchroom/batchroom_test.go
@@ -12,55 +12,56 @@
 
 var start = time.Unix(1000, 0)
 
-func TestRoomIsDivided(t *testing.T) {
+func TestFreeSlotsAreDivided(t *testing.T) {
 	p := New()
-	places := []Worker{{ShortName: 1, Slots: 7, Online: 2}, {ShortName: 2, Slots: 7, Online: 7}, {ShortName: 3, Slots: 8, Closed: true}}
+	workers := []Worker{{ShortName: 1, Slots: 7, Online: 2}, {ShortName: 2, Slots: 7, Online: 7}, {ShortName: 3, Slots: 8, Closed: true}}
 	p.ApplyReport(start, 10, 30, nil)
 	p.ApplyReport(start, 20, 30, nil)
-	first := p.Plan(10, Workers{Busy: places})
-	second := p.Plan(20, Workers{Busy: places})
+	first := p.Plan(10, Workers{Busy: workers})
+	second := p.Plan(20, Workers{Busy: workers})
 	if first[1].Start != 3 || second[1].Start != 1 || first[2].Start+second[2].Start+first[3].Start+second[3].Start != 0 {
 		t.Errorf("orders %+v and %+v", first, second)
 	}
 	p.ApplyReport(start, 20, 30, map[uint32]int{1: 1})
-	if again := p.Plan(20, Workers{Busy: places}); again[1].Start != 1 {
-		t.Errorf("of one slot left: %+v", again)
+	if again := p.Plan(20, Workers{Busy: workers}); again[1].Start != 1 {
+		t.Errorf("orders %+v, want one start in the last free slot", again)
 	}
-	if alone := New(); alone.Plan(10, Workers{Busy: places}) != nil {
-		t.Error("an unknown runner has orders")
+	if alone := New(); alone.Plan(10, Workers{Busy: workers}) != nil {
+		t.Error("a runner that never reported gets orders")
 	}
 }
 
 func TestStopsAreDivided(t *testing.T) {
 	p := New()
-	places := []Worker{{ShortName: 1, Slots: 8, Online: 6}}
+	workers := []Worker{{ShortName: 1, Slots: 8, Online: 6}}
 	p.ApplyReport(start, 10, 0, map[uint32]int{1: 4})
 	p.ApplyReport(start, 20, 0, map[uint32]int{1: 1})
-	if first, second := p.Plan(10, Workers{Busy: places}), p.Plan(20, Workers{Busy: places}); first[1].Stop != 3 || second[1].Stop != 0 {
+	if first, second := p.Plan(10, Workers{Busy: workers}), p.Plan(20, Workers{Busy: workers}); first[1].Stop != 3 || second[1].Stop != 0 {
 		t.Errorf("orders %+v and %+v", first, second)
 	}
-	later := start.Add(runnerFresh + 1)
+	later := start.Add(runnerTTL + 1)
 	p.ApplyReport(later, 20, 0, map[uint32]int{1: 3})
-	if orders := p.Plan(20, Workers{Busy: places}); orders[1].Stop != 1 {
-		t.Errorf("beside a runner of long ago: %+v", orders)
+	if orders := p.Plan(20, Workers{Busy: workers}); orders[1].Stop != 1 {
+		t.Errorf("orders %+v beside a runner whose report is too old, want one stop", orders)
 	}
 }
 
-// TestPlansAreKept lets random runners follow their orders while online requests come
-// and go. Items never take more than online requests left when they were granted, all
-// stops together are what stands in the way, and room is not left while items wait.
-func TestPlansAreKept(t *testing.T) {
+// TestPlansAreCarriedOut checks random runners that follow their orders while the number of
+// online requests changes. Items never use more slots than online requests left free when they
+// were granted, all stops together make the room that online requests need, and no slot stays
+// free while items wait.
+func TestPlansAreCarriedOut(t *testing.T) {
 	proptest.Run(t, "plans", func(random *rand.Rand) error {
 		runners := []uint32{11, 12, 13}
 		p := New()
-		// Workers without online requests are told one by one, or as idle ones.
-		formOf := func(places []Worker) Workers { return Workers{Busy: places} }
+		// The planner gets workers without online requests either listed as busy or as idle ones.
+		layout := func(workers []Worker) Workers { return Workers{Busy: workers} }
 		if random.Intn(2) == 0 {
-			formOf = idleApart
+			layout = asIdle
 		}
-		places := make([]Worker, 1+random.Intn(6))
-		for i := range places {
-			places[i] = Worker{ShortName: uint32(i + 1), Slots: 2 + random.Intn(16)}
+		workers := make([]Worker, 1+random.Intn(6))
+		for i := range workers {
+			workers[i] = Worker{ShortName: uint32(i + 1), Slots: 2 + random.Intn(16)}
 		}
 		items := map[uint32]map[uint32]int{}
 		waiting := map[uint32]int{}
@@ -76,8 +77,8 @@
 		}
 		now := start
 		for range 30 {
-			for i := range places {
-				places[i].Online = random.Intn(places[i].Slots + 3)
+			for i := range workers {
+				workers[i].Online = random.Intn(workers[i].Slots + 3)
 			}
 			for range 4 {
 				for _, name := range runners {
@@ -87,20 +88,20 @@
 						reported[worker] = count
 					}
 					p.ApplyReport(now, name, waiting[name], reported)
-					for worker, order := range p.Plan(name, formOf(places)) {
-						place := &places[worker-1]
+					for worker, order := range p.Plan(name, layout(workers)) {
+						w := &workers[worker-1]
 						if order.Stop > items[name][worker] || order.Start > 0 && order.Stop > 0 {
-							return errors.Newf("order %+v for %d items", order, items[name][worker])
+							return errors.Newf("invalid order %+v for a runner with %d items", order, items[name][worker])
 						}
 						items[name][worker] += order.Start - order.Stop
 						waiting[name] += order.Stop - order.Start
-						if order.Start > 0 && total(worker)+place.Online > place.Slots {
-							return errors.Newf("%d items and %d online at %d slots", total(worker), place.Online, place.Slots)
+						if order.Start > 0 && total(worker)+w.Online > w.Slots {
+							return errors.Newf("%d items and %d online at %d slots", total(worker), w.Online, w.Slots)
 						}
 					}
 				}
 			}
-			if err := settled(places, total, waiting); err != nil {
+			if err := checkSettled(workers, total, waiting); err != nil {
 				return err
 			}
 		}
@@ -108,44 +109,45 @@
 	})
 }
 
-// idleApart tells of the places without online requests as idle ones. Items may run there
-// that the loads do not show yet.
-func idleApart(places []Worker) Workers {
-	form := Workers{}
+// asIdle returns workers of which those without online requests are idle ones. Items may run
+// there that the loads do not show yet.
+func asIdle(workers []Worker) Workers {
+	result := Workers{}
 	var idle []Worker
-	for _, place := range places {
-		if place.Online > 0 {
-			form.Busy = append(form.Busy, place)
+	for _, w := range workers {
+		if w.Online > 0 {
+			result.Busy = append(result.Busy, w)
 			continue
 		}
-		idle = append(idle, place)
-		form.IdleWorkers++
-		form.IdleSlots += place.Slots
+		idle = append(idle, w)
+		result.IdleWorkers++
+		result.IdleSlots += w.Slots
 	}
-	form.Sample = func(count int) []Worker { return idle[:min(count, len(idle))] }
-	return form
+	result.Sample = func(count int) []Worker { return idle[:min(count, len(idle))] }
+	return result
 }
 
-// settled checks a plan once all runners have followed it a few times.
-func settled(places []Worker, total func(uint32) int, waiting map[uint32]int) error {
-	free, wait := 0, 0
+// checkSettled checks that, after all runners have followed their orders a few times, no item
+// blocks an online request and no slot is free while items wait.
+func checkSettled(workers []Worker, total func(uint32) int, waiting map[uint32]int) error {
+	free, waitingItems := 0, 0
 	for _, count := range waiting {
-		wait += count
+		waitingItems += count
 	}
-	for i := range places {
-		place := &places[i]
-		if over := total(place.ShortName) + place.Online - place.Slots; over > 0 && total(place.ShortName) > 0 {
-			return errors.Newf("%d items stand in the way at %+v", total(place.ShortName), place)
+	for i := range workers {
+		w := &workers[i]
+		if excess := total(w.ShortName) + w.Online - w.Slots; excess > 0 && total(w.ShortName) > 0 {
+			return errors.Newf("%d items block online requests at %+v", total(w.ShortName), w)
 		}
-		free += max(place.Slots-place.Online-total(place.ShortName), 0)
+		free += max(w.Slots-w.Online-total(w.ShortName), 0)
 	}
-	if free > 0 && wait > 0 {
-		return errors.Newf("%d slots are left while %d items wait", free, wait)
+	if free > 0 && waitingItems > 0 {
+		return errors.Newf("%d slots are free while %d items wait", free, waitingItems)
 	}
 	return nil
 }
 
-// TestSummary checks the sums that a plan is logged with.
+// TestSummary checks the sums of a plan's summary.
 func TestSummary(t *testing.T) {
 	p := New()
 	p.ApplyReport(start, 10, 5, map[uint32]int{1: 2})
@@ -156,27 +158,28 @@
 	}
 }
 
-// TestAvoidedWorkersGetOneProbe lets one item start at an avoided worker that is to be probed,
-// before room elsewhere is given out, and none where it is not, or where it would wait.
-func TestAvoidedWorkersGetOneProbe(t *testing.T) {
+// TestClosedWorkersGetOneProbe checks that one item starts at a closed worker that may be probed,
+// before free slots elsewhere are granted, and none at a closed worker that may not be probed or
+// has no free slot.
+func TestClosedWorkersGetOneProbe(t *testing.T) {
 	planner := New()
 	planner.ApplyReport(start, 1, 2, nil)
-	places := Workers{Busy: []Worker{
+	workers := Workers{Busy: []Worker{
 		{ShortName: 1, Slots: 8, Closed: true, Probe: true},
 		{ShortName: 2, Slots: 8, Closed: true},
 		{ShortName: 3, Slots: 8, Online: 8, Closed: true, Probe: true},
 		{ShortName: 4, Slots: 8},
 	}}
-	orders := planner.Plan(1, places)
+	orders := planner.Plan(1, workers)
 	if len(orders) != 2 || orders[1].Start != 1 || orders[4].Start != 1 {
 		t.Errorf("orders %+v", orders)
 	}
 	planner.ApplyReport(start, 2, 5, nil)
-	if again := planner.Plan(2, places); again[1].Start != 1 || again[2].Start != 0 || again[3].Start != 0 {
-		t.Errorf("orders of another runner %+v", again)
+	if again := planner.Plan(2, workers); again[1].Start != 1 || again[2].Start != 0 || again[3].Start != 0 {
+		t.Errorf("another runner has orders %+v, want no second probe beside the first", again)
 	}
 	planner.ApplyReport(start, 1, 0, nil)
-	if none := planner.Plan(1, places); len(none) != 0 {
-		t.Errorf("orders without an item %+v", none)
+	if none := planner.Plan(1, workers); len(none) != 0 {
+		t.Errorf("a runner without waiting items has orders %+v", none)
 	}
 }
--- a/internal/batchroom/play_test.go
+++ b/internal/batchroom/play_test.go
@@ -11,362 +11,363 @@
 	"github.com/sedgemast/sedgemast/internal/forecast"
 )
 
-// What the plays take for granted: how long things take in a fleet.
+// Times that the simulations assume.
 const (
-	playTick = 5 * time.Millisecond
-	// playLag is how old the planner's news of online requests are.
-	playLag = 75 * time.Millisecond
-	// playEvent is the time between events, playReading that to read a prompt again.
-	playEvent   = 45 * time.Millisecond
-	playReading = 40 * time.Millisecond
-	playRest    = 200 * time.Millisecond
-	playDue     = 18 * time.Second
-	playLook    = 20 * time.Millisecond
-	ownReports  = 20 * time.Millisecond
-	reports     = 50 * time.Millisecond
+	simTick = 5 * time.Millisecond
+	// simReportAge is the age of the online counts that the planner gets.
+	simReportAge = 75 * time.Millisecond
+	// simEventTime is the time between events, simPrefillTime the time to process a prompt.
+	simEventTime        = 45 * time.Millisecond
+	simPrefillTime      = 40 * time.Millisecond
+	simRestTime         = 200 * time.Millisecond
+	simDue              = 18 * time.Second
+	simPollInterval     = 20 * time.Millisecond
+	localReportInterval = 20 * time.Millisecond
+	reportInterval      = 50 * time.Millisecond
 )
 
-// play is a day of a fleet in virtual time: online requests come in waves, items fill what
-// they leave, and runners report to one planner.
-type play struct {
-	workers, slots int
-	perSecond      float64
-	low, high      float64
-	calm, wave     time.Duration
-	hold           time.Duration
-	itemsPerSecond float64
-	events         func(random *rand.Rand) int
-	length         time.Duration
-	// zones is how often requests come to each zone, nil where there is one; then another
-	// zone costs zoneCost slots.
-	zones []float64
-	// mixed is set where the planner does not know of zones.
-	mixed bool
-	// erratic is set where calm parts and waves are of different lengths.
+// scenario describes a simulation of a fleet in virtual time: online requests come in waves,
+// items use the slots that remain, and runners report to a single planner.
+type scenario struct {
+	workers, slots    int
+	onlinePerSecond   float64
+	lowRate, highRate float64
+	lowTime, highTime time.Duration
+	holdTime          time.Duration
+	itemsPerSecond    float64
+	events            func(random *rand.Rand) int
+	duration          time.Duration
+	// zoneWeights is the relative rate of the requests of each zone, nil for a single zone. A
+	// worker in another zone costs zoneCost slots.
+	zoneWeights []float64
+	// ignoreZones is set if the planner does not know the zones.
+	ignoreZones bool
+	// erratic is set if waves and the times between them differ in length.
 	erratic bool
-	// blind is set where a rise that begins is not looked at.
-	blind bool
-	// foresees is set where the planner has an outlook.
-	foresees bool
-	// at, where set, changes the play at each tick.
-	at func(d *day, now time.Duration)
+	// ignoreRises is set if the planner does not react to a rise that has just begun.
+	ignoreRises bool
+	// useForecast is set if the planner has a forecast.
+	useForecast bool
+	// onTick changes the simulation at each tick if it is set.
+	onTick func(s *simulation, now time.Duration)
 }
 
-// fleet360 is a fleet of 360 slots, of which online requests need 130 in the mean and items
-// 98.
-func fleet360() *play {
-	return &play{
-		workers: 45, slots: 8, perSecond: 171, low: 0.378, high: 1.85,
-		calm: 3 * time.Second, wave: 2200 * time.Millisecond, hold: 760 * time.Millisecond,
+// fleet360 returns a fleet of 360 slots, of which online requests need 130 and items 98 on
+// average.
+func fleet360() *scenario {
+	return &scenario{
+		workers: 45, slots: 8, onlinePerSecond: 171, lowRate: 0.378, highRate: 1.85,
+		lowTime: 3 * time.Second, highTime: 2200 * time.Millisecond, holdTime: 760 * time.Millisecond,
 		itemsPerSecond: 19, events: func(random *rand.Rand) int { return 102 + random.Intn(24) },
-		length: 60 * time.Second, foresees: true,
+		duration: 60 * time.Second, useForecast: true,
 	}
 }
 
-// fleet576 is a fleet of 576 slots in which waves and items together need more than that:
-// online requests 250 in the mean and 465 in waves, items 202.
-func fleet576() *play {
+// fleet576 returns a fleet of 576 slots, fewer than waves and items need together: online
+// requests need 250 on average and 465 in waves, items 202.
+func fleet576() *scenario {
 	p := fleet360()
-	p.workers, p.perSecond, p.hold = 72, 334, 750*time.Millisecond
+	p.workers, p.onlinePerSecond, p.holdTime = 72, 334, 750*time.Millisecond
 	p.itemsPerSecond, p.events = 41, func(random *rand.Rand) int { return 98 + random.Intn(24) }
 	return p
 }
 
-// rate returns how many online requests come a second.
-func (d *day) rate() float64 {
+// rate returns how many online requests arrive per second.
+func (s *simulation) rate() float64 {
 	switch {
-	case d.wave == 0:
-		return d.perSecond
-	case d.erratic:
-		if d.now >= d.turns {
-			d.waving = !d.waving
-			length := d.calm
-			if d.waving {
-				length = d.wave
+	case s.highTime == 0:
+		return s.onlinePerSecond
+	case s.erratic:
+		if s.now >= s.phaseEnd {
+			s.inWave = !s.inWave
+			duration := s.lowTime
+			if s.inWave {
+				duration = s.highTime
 			}
-			d.turns = d.now + time.Duration((0.3+1.4*d.random.Float64())*float64(length))
+			s.phaseEnd = s.now + time.Duration((0.3+1.4*s.random.Float64())*float64(duration))
 		}
 	default:
-		d.waving = !d.ended && (d.now+d.shift)%(d.calm+d.wave) >= d.calm
+		s.inWave = !s.wavesEnded && (s.now+s.shift)%(s.lowTime+s.highTime) >= s.lowTime
 	}
-	if d.waving {
-		return d.high * d.perSecond
+	if s.inWave {
+		return s.highRate * s.onlinePerSecond
 	}
-	return d.low * d.perSecond
+	return s.lowRate * s.onlinePerSecond
 }
 
-// playItem is an item, playRun an online request or an item at a worker.
-type playItem struct {
+// simItem is an item. simRun is an online request or an item at a worker.
+type simItem struct {
 	number    int
 	submitted time.Duration
 	events    int
-	done      int
+	completed int
 	runs      int
-	resting   time.Duration
-	running   *playRun
+	resumeAt  time.Duration
+	run       *simRun
 }
 
-type playRun struct {
-	item   *playItem
-	worker int
-	came   time.Duration
-	begun  time.Duration
-	ends   time.Duration
-	leaves time.Duration
-	runner *playRunner
-	// behind is set where it waited for a slot while an item held one.
-	behind bool
+type simRun struct {
+	item      *simItem
+	worker    int
+	arrivedAt time.Duration
+	startedAt time.Duration
+	endsAt    time.Duration
+	preemptAt time.Duration
+	runner    *simRunner
+	// behindItem is set if it waited for a slot while an item held one.
+	behindItem bool
 }
 
-type playRunner struct {
-	name    uint32
-	pause   time.Duration
-	due     time.Duration
-	look    time.Duration
-	items   []*playItem
-	orders  map[uint32]Order
-	ordered time.Duration
-	// cut is set while the runner's store does not lead.
-	cut bool
+type simRunner struct {
+	name       uint32
+	interval   time.Duration
+	nextReport time.Duration
+	nextPoll   time.Duration
+	items      []*simItem
+	orders     map[uint32]Order
+	orderedAt  time.Duration
+	// leaderless is set while the runner's store group has no leader.
+	leaderless bool
 }
 
-// outcome is what came of a day.
+// outcome is the result of a simulation.
 type outcome struct {
-	online, waited, itemsDue, inTime, cuts int
-	// longest is the longest that an online request waited behind items, idle the part of
-	// the slots that were idle while items waited.
-	longest time.Duration
-	// crossed counts requests that went to another zone.
-	crossed int
-	// waiting is how long all of them waited together.
-	waiting time.Duration
-	idle    float64
-	// late counts those that waited longer than mayWait.
+	online, waited, itemsDue, inTime, preemptions int
+	// maxWait is the longest time that an online request waited behind items, idleShare the share
+	// of the slots that were idle while items waited.
+	maxWait time.Duration
+	// crossZone is the number of requests that went to another zone.
+	crossZone int
+	// totalWait is the total time that online requests waited behind items.
+	totalWait time.Duration
+	idleShare float64
+	// late is the number of requests that waited for longer than goalMaxWait.
 	late   int
 	starts int
 }
 
-func (o outcome) waitedPart() float64 { return float64(o.waited) / float64(max(o.online, 1)) }
-func (o outcome) inTimePart() float64 { return float64(o.inTime) / float64(max(o.itemsDue, 1)) }
+func (o outcome) waitedShare() float64 { return float64(o.waited) / float64(max(o.online, 1)) }
+func (o outcome) inTimeShare() float64 { return float64(o.inTime) / float64(max(o.itemsDue, 1)) }
 
-// day is a play as it goes on.
-type day struct {
-	*play
+// simulation is the state of a running scenario.
+type simulation struct {
+	*scenario
 	random   *rand.Rand
 	now      time.Duration
 	online   []int
 	items    []int
-	running  [][]*playRun
-	queues   [][]*playRun
+	running  [][]*simRun
+	queues   [][]*simRun
 	planner  *Planner
 	forecast *forecast.Forecast
-	// seen holds the online counts that the planner will see, the oldest first.
-	seen    [][]int
-	runners []*playRunner
-	numbers int
-	mean    batchplan.RunTime
-	result  outcome
-	// from is from when on counted, silent until when no planner answers.
-	from      time.Duration
-	silent    time.Duration
-	slotTicks float64
-	idleTicks float64
-	factor    float64
-	// waving is set in a wave, which turns at a time where it is erratic.
-	waving bool
-	turns  time.Duration
-	// ended is set once waves come no more, shift is by how much they are early.
-	ended bool
-	shift time.Duration
-	// learnt is when a pattern was sure.
-	learnt time.Duration
-	// zoneNames are the names of the workers' zones, slotsOf the slots by zone.
+	// observed holds the online counts that the planner will get, the oldest first.
+	observed    [][]int
+	runners     []*simRunner
+	lastNumber  int
+	meanRunTime batchplan.RunTime
+	result      outcome
+	// measureFrom is the time from which results count, plannerBackAt the time until which no
+	// planner answers.
+	measureFrom   time.Duration
+	plannerBackAt time.Duration
+	slotTicks     float64
+	idleTicks     float64
+	rateFactor    float64
+	// inWave is set during a wave. phaseEnd is when an erratic phase ends.
+	inWave   bool
+	phaseEnd time.Duration
+	// wavesEnded is set once no more waves come. shift is by how much the waves are early.
+	wavesEnded bool
+	shift      time.Duration
+	// learntAt is when the forecast became confident.
+	learntAt time.Duration
+	// zoneNames holds the zone of each worker, zoneSlots the number of slots by zone.
 	zoneNames []string
-	slotsOf   map[string]int
+	zoneSlots map[string]int
 }
 
-func newDay(p *play, seed int64) *day {
+func newSimulation(p *scenario, seed int64) *simulation {
 	own := *p
-	d := &day{play: &own, random: rand.New(rand.NewSource(seed)), planner: New(), forecast: forecast.New(), factor: 1, from: 4 * (p.calm + p.wave)}
-	if p.wave == 0 {
-		d.from = 10 * time.Second
+	s := &simulation{scenario: &own, random: rand.New(rand.NewSource(seed)), planner: New(), forecast: forecast.New(), rateFactor: 1, measureFrom: 4 * (p.lowTime + p.highTime)}
+	if p.highTime == 0 {
+		s.measureFrom = 10 * time.Second
 	}
-	d.online, d.items = make([]int, p.workers), make([]int, p.workers)
-	d.slotsOf = map[string]int{}
+	s.online, s.items = make([]int, p.workers), make([]int, p.workers)
+	s.zoneSlots = map[string]int{}
 	for worker := range p.workers {
-		name := fmt.Sprint(d.zoneOf(worker))
-		d.zoneNames = append(d.zoneNames, name)
-		d.slotsOf[name] += p.slots
+		name := fmt.Sprint(s.zoneOf(worker))
+		s.zoneNames = append(s.zoneNames, name)
+		s.zoneSlots[name] += p.slots
 	}
-	d.running, d.queues = make([][]*playRun, p.workers), make([][]*playRun, p.workers)
-	for i, pause := range []time.Duration{ownReports, reports, reports} {
-		d.runners = append(d.runners, &playRunner{name: uint32(i + 1), pause: pause, due: time.Duration(i) * 7 * time.Millisecond})
+	s.running, s.queues = make([][]*simRun, p.workers), make([][]*simRun, p.workers)
+	for i, interval := range []time.Duration{localReportInterval, reportInterval, reportInterval} {
+		s.runners = append(s.runners, &simRunner{name: uint32(i + 1), interval: interval, nextReport: time.Duration(i) * 7 * time.Millisecond})
 	}
-	return d
+	return s
 }
 
-// run plays the day.
-func (p *play) run(seed int64) outcome {
-	d := newDay(p, seed)
-	for ; d.now < p.length; d.now += playTick {
-		if p.at != nil {
-			p.at(d, d.now)
+// run runs the scenario.
+func (p *scenario) run(seed int64) outcome {
+	s := newSimulation(p, seed)
+	for ; s.now < p.duration; s.now += simTick {
+		if p.onTick != nil {
+			p.onTick(s, s.now)
 		}
-		d.step()
+		s.step()
 	}
-	for _, r := range d.runners {
+	for _, r := range s.runners {
 		for _, item := range r.items {
-			if d.counts(item) {
-				d.result.itemsDue++
+			if s.isMeasured(item) {
+				s.result.itemsDue++
 			}
 		}
 	}
-	d.result.idle = d.idleTicks / max(d.slotTicks, 1)
-	return d.result
+	s.result.idleShare = s.idleTicks / max(s.slotTicks, 1)
+	return s.result
 }
 
-func (d *day) step() {
-	if d.forecast.Peak(start.Add(d.now), 0).Confident && d.learnt == 0 {
-		d.learnt = d.now
-		d.from = max(d.from, d.now)
+func (s *simulation) step() {
+	if s.forecast.Peak(start.Add(s.now), 0).Confident && s.learntAt == 0 {
+		s.learntAt = s.now
+		s.measureFrom = max(s.measureFrom, s.now)
 	}
-	d.endRuns()
-	for range d.draw(d.rate() * d.factor) {
-		d.arrive()
+	s.endRuns()
+	for range s.randomCount(s.rate() * s.rateFactor) {
+		s.arrive()
 	}
-	for range d.draw(d.itemsPerSecond) {
-		d.submit()
+	for range s.randomCount(s.itemsPerSecond) {
+		s.submit()
 	}
-	d.fillSlots()
-	d.remember()
-	for _, r := range d.runners {
-		if d.now >= r.due {
-			r.due = d.now + r.pause
-			d.report(r)
+	s.fillSlots()
+	s.recordOnline()
+	for _, r := range s.runners {
+		if s.now >= r.nextReport {
+			r.nextReport = s.now + r.interval
+			s.report(r)
 		}
-		if d.now >= r.look {
-			r.look = d.now + playLook
-			d.lookOf(r)
+		if s.now >= r.nextPoll {
+			r.nextPoll = s.now + simPollInterval
+			s.poll(r)
 		}
 	}
-	d.fillSlots()
-	d.count()
+	s.fillSlots()
+	s.measure()
 }
 
-func (d *day) draw(perSecond float64) int {
-	limit, product, count := math.Exp(-perSecond*playTick.Seconds()), d.random.Float64(), 0
+func (s *simulation) randomCount(perSecond float64) int {
+	limit, product, count := math.Exp(-perSecond*simTick.Seconds()), s.random.Float64(), 0
 	for product > limit {
-		product *= d.random.Float64()
+		product *= s.random.Float64()
 		count++
 	}
 	return count
 }
 
-func (d *day) submit() {
-	d.numbers++
-	item := &playItem{number: d.numbers, submitted: d.now, events: d.events(d.random)}
-	r := d.runners[d.numbers%len(d.runners)]
+func (s *simulation) submit() {
+	s.lastNumber++
+	item := &simItem{number: s.lastNumber, submitted: s.now, events: s.events(s.random)}
+	r := s.runners[s.lastNumber%len(s.runners)]
 	r.items = append(r.items, item)
 }
 
-// arrive puts an online request at the best of half of the workers.
-func (d *day) arrive() {
-	best, least := -1, 0.0
-	zone := d.drawZone()
-	for range max(d.workers/2, 1) {
-		worker := d.random.Intn(d.workers)
-		cost := float64(d.online[worker]) + 0.9*float64(d.items[worker])
-		if d.zoneOf(worker) != zone {
+// arrive sends an online request to the cheapest of a random half of the workers.
+func (s *simulation) arrive() {
+	bestWorker, leastCost := -1, 0.0
+	zone := s.randomZone()
+	for range max(s.workers/2, 1) {
+		worker := s.random.Intn(s.workers)
+		cost := float64(s.online[worker]) + 0.9*float64(s.items[worker])
+		if s.zoneOf(worker) != zone {
 			cost += zoneCost
 		}
-		if best < 0 || cost < least {
-			best, least = worker, cost
+		if bestWorker < 0 || cost < leastCost {
+			bestWorker, leastCost = worker, cost
 		}
 	}
-	if d.zoneOf(best) != zone && d.now >= d.from {
-		d.result.crossed++
+	if s.zoneOf(bestWorker) != zone && s.now >= s.measureFrom {
+		s.result.crossZone++
 	}
-	d.enqueue(&playRun{worker: best, came: d.now})
-	if d.now >= d.from {
-		d.result.online++
+	s.enqueue(&simRun{worker: bestWorker, arrivedAt: s.now})
+	if s.now >= s.measureFrom {
+		s.result.online++
 	}
 }
 
-// zoneCost is what another zone costs a request, in slots.
+// zoneCost is the cost of a worker in another zone, in slots.
 const zoneCost = 2
 
 // zoneOf returns the zone of a worker.
-func (d *day) zoneOf(worker int) int { return worker % max(len(d.zones), 1) }
+func (s *simulation) zoneOf(worker int) int { return worker % max(len(s.zoneWeights), 1) }
 
-// drawZone returns the zone that a request comes to.
-func (d *day) drawZone() int {
+// randomZone returns the zone of a new request.
+func (s *simulation) randomZone() int {
 	sum := 0.0
-	for _, often := range d.zones {
-		sum += often
+	for _, weight := range s.zoneWeights {
+		sum += weight
 	}
-	drawn := d.random.Float64() * sum
-	for zone, often := range d.zones {
-		if drawn -= often; drawn < 0 {
+	point := s.random.Float64() * sum
+	for zone, weight := range s.zoneWeights {
+		if point -= weight; point < 0 {
 			return zone
 		}
 	}
 	return 0
 }
 
-// enqueue puts a run into its worker's queue.
-func (d *day) enqueue(run *playRun) {
-	d.queues[run.worker] = append(d.queues[run.worker], run)
-	d.countAt(run, 1)
+// enqueue adds a run to its worker's queue.
+func (s *simulation) enqueue(run *simRun) {
+	s.queues[run.worker] = append(s.queues[run.worker], run)
+	s.countAt(run, 1)
 }
 
-// countAt adds to what is at a worker.
-func (d *day) countAt(run *playRun, change int) {
+// countAt changes the number of online requests or items at a run's worker.
+func (s *simulation) countAt(run *simRun, change int) {
 	if run.item == nil {
-		d.online[run.worker] += change
+		s.online[run.worker] += change
 	} else {
-		d.items[run.worker] += change
+		s.items[run.worker] += change
 	}
 }
 
-func (d *day) fillSlots() {
-	for worker := range d.running {
-		for len(d.queues[worker]) > 0 && len(d.running[worker]) < d.slots {
-			run := d.queues[worker][0]
-			d.queues[worker] = d.queues[worker][1:]
-			d.begin(run)
+func (s *simulation) fillSlots() {
+	for worker := range s.running {
+		for len(s.queues[worker]) > 0 && len(s.running[worker]) < s.slots {
+			run := s.queues[worker][0]
+			s.queues[worker] = s.queues[worker][1:]
+			s.startRun(run)
 		}
 	}
 }
 
-func (d *day) begin(run *playRun) {
-	run.begun = d.now
-	run.ends = d.now + d.hold
+func (s *simulation) startRun(run *simRun) {
+	run.startedAt = s.now
+	run.endsAt = s.now + s.holdTime
 	if run.item != nil {
-		run.ends = d.now + playReading + time.Duration(run.item.events-run.item.done)*playEvent
-	} else if waited := d.now - run.came; run.behind && d.now >= d.from {
-		d.result.waited++
-		if waited > mayWait {
-			d.result.late++
+		run.endsAt = s.now + simPrefillTime + time.Duration(run.item.events-run.item.completed)*simEventTime
+	} else if wait := s.now - run.arrivedAt; run.behindItem && s.now >= s.measureFrom {
+		s.result.waited++
+		if wait > goalMaxWait {
+			s.result.late++
 		}
-		d.result.longest = max(d.result.longest, waited)
-		d.result.waiting += waited
+		s.result.maxWait = max(s.result.maxWait, wait)
+		s.result.totalWait += wait
 	}
-	d.running[run.worker] = append(d.running[run.worker], run)
+	s.running[run.worker] = append(s.running[run.worker], run)
 }
 
-func (d *day) endRuns() {
-	for worker := range d.running {
-		d.running[worker] = slices.DeleteFunc(d.running[worker], func(run *playRun) bool {
+func (s *simulation) endRuns() {
+	for worker := range s.running {
+		s.running[worker] = slices.DeleteFunc(s.running[worker], func(run *simRun) bool {
 			switch {
-			case run.leaves > 0 && d.now >= run.leaves:
-				d.leave(run)
-				d.countAt(run, -1)
+			case run.preemptAt > 0 && s.now >= run.preemptAt:
+				s.preempt(run)
+				s.countAt(run, -1)
 				return true
-			case d.now >= run.ends:
+			case s.now >= run.endsAt:
 				if run.item != nil {
-					d.finish(run)
+					s.completeItem(run)
 				}
-				d.countAt(run, -1)
+				s.countAt(run, -1)
 				return true
 			}
 			return false
@@ -374,66 +375,66 @@
 	}
 }
 
-// leave takes an item from its worker; it goes on later.
-func (d *day) leave(run *playRun) {
+// preempt removes an item from its worker. The item resumes later.
+func (s *simulation) preempt(run *simRun) {
 	item := run.item
-	item.done = min(item.done+int(max(d.now-run.begun-playReading, 0)/playEvent), item.events-1)
-	item.running, item.resting = nil, d.now+playRest
-	d.result.cuts++
+	item.completed = min(item.completed+int(max(s.now-run.startedAt-simPrefillTime, 0)/simEventTime), item.events-1)
+	item.run, item.resumeAt = nil, s.now+simRestTime
+	s.result.preemptions++
 }
 
-func (d *day) finish(run *playRun) {
+func (s *simulation) completeItem(run *simRun) {
 	item := run.item
 	if item.runs == 1 {
-		d.mean.Add(d.now-run.begun, item.events)
+		s.meanRunTime.Add(s.now-run.startedAt, item.events)
 	}
-	run.runner.items = slices.DeleteFunc(run.runner.items, func(other *playItem) bool { return other == item })
-	if !d.counts(item) {
+	run.runner.items = slices.DeleteFunc(run.runner.items, func(other *simItem) bool { return other == item })
+	if !s.isMeasured(item) {
 		return
 	}
-	d.result.itemsDue++
-	if d.now-item.submitted <= playDue {
-		d.result.inTime++
+	s.result.itemsDue++
+	if s.now-item.submitted <= simDue {
+		s.result.inTime++
 	}
 }
 
-// counts reports whether an item is due within what counts of the day.
-func (d *day) counts(item *playItem) bool {
-	return item.submitted >= d.from && item.submitted+playDue <= d.length
+// isMeasured reports whether an item is submitted and due while results count.
+func (s *simulation) isMeasured(item *simItem) bool {
+	return item.submitted >= s.measureFrom && item.submitted+simDue <= s.duration
 }
 
-// remember keeps what the planner will see.
-func (d *day) remember() {
-	d.seen = append(d.seen, slices.Clone(d.online))
-	if len(d.seen) > int(playLag/playTick)+1 {
-		d.seen = d.seen[1:]
+// recordOnline stores the online counts that the planner will get.
+func (s *simulation) recordOnline() {
+	s.observed = append(s.observed, slices.Clone(s.online))
+	if len(s.observed) > int(simReportAge/simTick)+1 {
+		s.observed = s.observed[1:]
 	}
 }
 
-// places returns the workers as the planner sees them.
-func (d *day) places() Workers {
-	places := Workers{Busy: make([]Worker, 0, d.workers), Sample: func(int) []Worker { return nil }}
+// workersForPlanner returns the workers as the planner gets them.
+func (s *simulation) workersForPlanner() Workers {
+	workers := Workers{Busy: make([]Worker, 0, s.workers), Sample: func(int) []Worker { return nil }}
 	total := 0
-	for worker, online := range d.seen[0] {
+	for worker, online := range s.observed[0] {
 		total += online
-		places.Busy = append(places.Busy, Worker{ShortName: uint32(worker + 1), Pool: "p", Zone: d.zoneNames[worker], Slots: d.slots, Online: online, HoldTime: d.hold, MaxWait: playPatience})
+		workers.Busy = append(workers.Busy, Worker{ShortName: uint32(worker + 1), Pool: "p", Zone: s.zoneNames[worker], Slots: s.slots, Online: online, HoldTime: s.holdTime, MaxWait: simMaxWait})
 	}
-	if d.foresees {
-		now := start.Add(d.now)
-		d.forecast.Observe(now, float64(total))
-		places.Forecasts = []Forecast{{
-			Pool: "p", Slots: d.workers * d.slots, ReportAge: playLag, Paused: !d.forecast.WarmedUp(),
+	if s.useForecast {
+		now := start.Add(s.now)
+		s.forecast.Observe(now, float64(total))
+		workers.Forecasts = []Forecast{{
+			Pool: "p", Slots: s.workers * s.slots, ReportAge: simReportAge, Paused: !s.forecast.WarmedUp(),
 			Peak: func(ahead time.Duration) forecast.Demand {
-				need := d.forecast.Peak(now, ahead)
-				if d.blind && need.Rising {
-					return forecast.Demand{Slots: d.forecast.Peak(now, 0).Slots}
+				demand := s.forecast.Peak(now, ahead)
+				if s.ignoreRises && demand.Rising {
+					return forecast.Demand{Slots: s.forecast.Peak(now, 0).Slots}
 				}
-				return need
+				return demand
 			},
 		}}
-		if !d.mixed {
-			places.Forecasts[0].ZoneSlots = d.slotsOf
+		if !s.ignoreZones {
+			workers.Forecasts[0].ZoneSlots = s.zoneSlots
 		}
 	}
-	return places
+	return workers
 }
--- a/internal/batchroom/runners_test.go
+++ b/internal/batchroom/runners_test.go
@@ -8,75 +8,75 @@
 	"github.com/sedgemast/sedgemast/internal/batchplan"
 )
 
-// mayWait is how long an online request may wait for an item.
-const mayWait = 50 * time.Millisecond
+// goalMaxWait is how long an online request may wait behind items without counting as late.
+const goalMaxWait = 50 * time.Millisecond
 
-// playPatience is how long an online request may wait for items.
-const playPatience = 60 * time.Millisecond
+// simMaxWait is how long an online request may wait for items by the planner's input.
+const simMaxWait = 60 * time.Millisecond
 
-// report lets a runner report and take its orders.
-func (d *day) report(r *playRunner) {
-	if d.now < d.silent || r.cut {
+// report lets a runner report and stores its orders.
+func (s *simulation) report(r *simRunner) {
+	if s.now < s.plannerBackAt || r.leaderless {
 		return
 	}
 	items := map[uint32]int{}
 	waiting := 0
 	for _, item := range r.items {
-		switch run := item.running; {
-		case run == nil && d.now >= item.resting:
+		switch run := item.run; {
+		case run == nil && s.now >= item.resumeAt:
 			waiting++
-		case run != nil && run.leaves == 0:
+		case run != nil && run.preemptAt == 0:
 			items[uint32(run.worker+1)]++
 		}
 	}
-	d.planner.ApplyReport(start.Add(d.now), r.name, waiting, items)
-	r.orders, r.ordered = d.planner.Plan(r.name, d.places()), d.now
+	s.planner.ApplyReport(start.Add(s.now), r.name, waiting, items)
+	r.orders, r.orderedAt = s.planner.Plan(r.name, s.workersForPlanner()), s.now
 }
 
-// planOf returns an item as the order sees it.
-func (d *day) planOf(item *playItem) batchplan.Item {
-	done := item.done
-	if item.running != nil {
-		done += int(max(d.now-item.running.begun-playReading, 0) / playEvent)
+// planItem returns an item as batchplan orders it.
+func (s *simulation) planItem(item *simItem) batchplan.Item {
+	completed := item.completed
+	if item.run != nil {
+		completed += int(max(s.now-item.run.startedAt-simPrefillTime, 0) / simEventTime)
 	}
-	remaining := d.mean.Remaining(done, 0)
-	age := d.now - item.submitted
-	return batchplan.Item{Number: item.number, Sequence: uint64(item.number), Remaining: remaining, Overdue: batchplan.Overdue(age, playDue, remaining), Slack: batchplan.Slack(age, playDue, remaining)}
+	remaining := s.meanRunTime.Remaining(completed, 0)
+	age := s.now - item.submitted
+	return batchplan.Item{Number: item.number, Sequence: uint64(item.number), Remaining: remaining, Overdue: batchplan.Overdue(age, simDue, remaining), Slack: batchplan.Slack(age, simDue, remaining)}
 }
 
-// lookOf lets a runner stop and start items.
-func (d *day) lookOf(r *playRunner) {
-	if r.cut {
+// poll lets a runner stop and start items by its orders.
+func (s *simulation) poll(r *simRunner) {
+	if r.leaderless {
 		return
 	}
-	if d.now-r.ordered > 400*time.Millisecond {
+	if s.now-r.orderedAt > 400*time.Millisecond {
 		r.orders = nil
 	}
-	d.stopOf(r)
-	d.startOf(r)
+	s.stopItems(r)
+	s.startItems(r)
 }
 
-func (d *day) stopOf(r *playRunner) {
+func (s *simulation) stopItems(r *simRunner) {
 	stops := map[int]int{}
 	for worker, order := range r.orders {
 		stops[int(worker)-1] = order.Stop
 	}
-	var running []*playItem
+	var running []*simItem
 	for _, item := range r.items {
-		if run := item.running; run != nil && run.leaves == 0 && stops[run.worker] > 0 && d.now-run.came >= leastStay {
+		if run := item.run; run != nil && run.preemptAt == 0 && stops[run.worker] > 0 && s.now-run.arrivedAt >= minRunTime {
 			running = append(running, item)
 		}
 	}
-	slices.SortFunc(running, func(a, b *playItem) int {
-		first, second := d.planOf(a), d.planOf(b)
+	slices.SortFunc(running, func(a, b *simItem) int {
+		first, second := s.planItem(a), s.planItem(b)
 		before, after := batchplan.PreemptedBefore(first, second), batchplan.PreemptedBefore(second, first)
-		if worker := a.running.worker; d.foresees && d.online[worker]+d.items[worker] <= d.slots {
-			before, after = batchplan.PreemptedInAdvanceBefore(first, second, d.mean.Mean()), batchplan.PreemptedInAdvanceBefore(second, first, d.mean.Mean())
+		if worker := a.run.worker; s.useForecast && s.online[worker]+s.items[worker] <= s.slots {
+			before, after = batchplan.PreemptedInAdvanceBefore(first, second, s.meanRunTime.Mean()), batchplan.PreemptedInAdvanceBefore(second, first, s.meanRunTime.Mean())
 		}
-		return cmp.Or(cmp.Compare(a.running.worker, b.running.worker), boolRank(after)-boolRank(before))
+		return cmp.Or(cmp.Compare(a.run.worker, b.run.worker), boolOrder(after)-boolOrder(before))
 	})
 	for _, item := range running {
-		worker := item.running.worker
+		worker := item.run.worker
 		if stops[worker] == 0 {
 			continue
 		}
@@ -84,35 +84,35 @@
 		order := r.orders[uint32(worker+1)]
 		order.Stop--
 		r.orders[uint32(worker+1)] = order
-		item.running.leaves = d.now + playTick
+		item.run.preemptAt = s.now + simTick
 	}
 }
 
-func boolRank(set bool) int {
+func boolOrder(set bool) int {
 	if set {
 		return 1
 	}
 	return 0
 }
 
-func (d *day) startOf(r *playRunner) {
-	var waiting []*playItem
-	plans := map[*playItem]batchplan.Item{}
+func (s *simulation) startItems(r *simRunner) {
+	var waiting []*simItem
+	plans := map[*simItem]batchplan.Item{}
 	for _, item := range r.items {
-		if item.running == nil && d.now >= item.resting {
+		if item.run == nil && s.now >= item.resumeAt {
 			waiting = append(waiting, item)
-			plans[item] = d.planOf(item)
+			plans[item] = s.planItem(item)
 		}
 	}
-	slices.SortFunc(waiting, func(a, b *playItem) int {
+	slices.SortFunc(waiting, func(a, b *simItem) int {
 		first, second := plans[a], plans[b]
 		if first.Overdue != second.Overdue {
-			return boolRank(first.Overdue) - boolRank(second.Overdue)
+			return boolOrder(first.Overdue) - boolOrder(second.Overdue)
 		}
 		return cmp.Or(cmp.Compare(first.Slack, second.Slack), cmp.Compare(a.number, b.number))
 	})
 	for _, item := range waiting {
-		worker := d.granted(r)
+		worker := s.grantedWorker(r)
 		if worker < 0 {
 			return
 		}
@@ -120,48 +120,49 @@
 		order.Start--
 		r.orders[uint32(worker+1)] = order
 		item.runs++
-		run := &playRun{item: item, worker: worker, came: d.now, runner: r}
-		item.running = run
-		d.enqueue(run)
-		d.result.starts++
+		run := &simRun{item: item, worker: worker, arrivedAt: s.now, runner: r}
+		item.run = run
+		s.enqueue(run)
+		s.result.starts++
 	}
 }
 
-// granted returns the least loaded worker where the runner may start an item, or -1.
-func (d *day) granted(r *playRunner) int {
+// grantedWorker returns the least loaded worker where the runner may start an item, or -1.
+func (s *simulation) grantedWorker(r *simRunner) int {
 	best, least := -1, 0
-	for worker := range d.running {
+	for worker := range s.running {
 		if r.orders[uint32(worker+1)].Start == 0 {
 			continue
 		}
-		if load := d.online[worker] + d.items[worker]; load < d.slots && (best < 0 || load < least) {
+		if load := s.online[worker] + s.items[worker]; load < s.slots && (best < 0 || load < least) {
 			best, least = worker, load
 		}
 	}
 	return best
 }
 
-// count adds up what is idle while items wait, and who waits behind items.
-func (d *day) count() {
+// measure adds up the slots that are idle while items wait, and marks the online requests that
+// wait behind items.
+func (s *simulation) measure() {
 	waiting := 0
-	for _, r := range d.runners {
+	for _, r := range s.runners {
 		for _, item := range r.items {
-			if item.running == nil && d.now >= item.resting {
+			if item.run == nil && s.now >= item.resumeAt {
 				waiting++
 			}
 		}
 	}
-	for worker := range d.running {
-		holds := slices.ContainsFunc(d.running[worker], func(run *playRun) bool { return run.item != nil })
-		for _, run := range d.queues[worker] {
-			run.behind = run.behind || holds && run.item == nil
+	for worker := range s.running {
+		holds := slices.ContainsFunc(s.running[worker], func(run *simRun) bool { return run.item != nil })
+		for _, run := range s.queues[worker] {
+			run.behindItem = run.behindItem || holds && run.item == nil
 		}
-		if d.now < d.from {
+		if s.now < s.measureFrom {
 			continue
 		}
-		d.slotTicks += float64(d.slots)
-		idle := min(d.slots-len(d.running[worker]), waiting)
-		d.idleTicks += float64(idle)
+		s.slotTicks += float64(s.slots)
+		idle := min(s.slots-len(s.running[worker]), waiting)
+		s.idleTicks += float64(idle)
 		waiting -= idle
 	}
 }
--- a/internal/batchroom/waves_test.go
+++ b/internal/batchroom/waves_test.go
@@ -10,13 +10,13 @@
 	"github.com/sedgemast/sedgemast/internal/forecast"
 )
 
-// plays is how many seeds each play is repeated with.
-const plays = 2
+// runsPerScenario is the number of seeds with which each scenario runs.
+const runsPerScenario = 2
 
-// sums returns what came of a play with several seeds, together.
-func (p *play) sums(t *testing.T, name string) outcome {
+// runAll runs a scenario with several seeds and returns the summed results.
+func (p *scenario) runAll(t *testing.T, name string) outcome {
 	t.Helper()
-	var results [plays]outcome
+	var results [runsPerScenario]outcome
 	var group sync.WaitGroup
 	for seed := range results {
 		group.Go(func() { results[seed] = p.run(int64(seed)) })
@@ -27,221 +27,222 @@
 		all.online += result.online
 		all.waited += result.waited
 		all.late += result.late
-		all.crossed += result.crossed
+		all.crossZone += result.crossZone
 		all.itemsDue += result.itemsDue
 		all.inTime += result.inTime
-		all.cuts += result.cuts
-		all.longest = max(all.longest, result.longest)
-		all.waiting += result.waiting
-		all.idle += result.idle / plays
+		all.preemptions += result.preemptions
+		all.maxWait = max(all.maxWait, result.maxWait)
+		all.totalWait += result.totalWait
+		all.idleShare += result.idleShare / runsPerScenario
 	}
-	t.Logf("%s: %.4f of %d items in time, %d cut; %.4f of %d online waited, %d too long, %s at most; idle %.4f; %d crossed zones", name, all.inTimePart(), all.itemsDue, all.cuts, all.waitedPart(), all.online, all.late, all.longest, all.idle, all.crossed)
+	t.Logf("%s: %.4f of %d items in time, %d preempted; %.4f of %d online requests waited, %d too long, %s at most; idle %.4f; %d in another zone", name, all.inTimeShare(), all.itemsDue, all.preemptions, all.waitedShare(), all.online, all.late, all.maxWait, all.idleShare, all.crossZone)
 	return all
 }
 
-// present is the same play without a forecast.
-func (p *play) present() *play {
+// withoutForecast returns the same scenario without a forecast.
+func (p *scenario) withoutForecast() *scenario {
 	other := *p
-	other.foresees = false
+	other.useForecast = false
 	return &other
 }
 
-// holds checks the bars of a pattern that is learnt.
-func (o outcome) holds(t *testing.T) {
+// checkGoals checks the goals that hold once the pattern of the waves is learnt.
+func (o outcome) checkGoals(t *testing.T) {
 	t.Helper()
-	const leastInTime, mostWaited, mostLate = 0.99, 0.01, 0.001
-	if late := float64(o.late) / float64(o.online); o.inTimePart() < leastInTime || o.waitedPart() > mostWaited || late > mostLate {
-		t.Errorf("%.4f of the items in time, %.4f of the online requests waited, %.4f too long", o.inTimePart(), o.waitedPart(), late)
+	const minInTime, maxWaited, maxLate = 0.99, 0.01, 0.001
+	if late := float64(o.late) / float64(o.online); o.inTimeShare() < minInTime || o.waitedShare() > maxWaited || late > maxLate {
+		t.Errorf("missed a goal: %.4f of the items in time, %.4f of the online requests waited, %.4f too long", o.inTimeShare(), o.waitedShare(), late)
 	}
 }
 
-// noWorse checks that a play is not worse than the present way.
-func (o outcome) noWorse(t *testing.T, present outcome) {
+// checkNoWorse checks that a result is no worse than the one without a forecast.
+func (o outcome) checkNoWorse(t *testing.T, baseline outcome) {
 	t.Helper()
 	const margin = 0.01
-	if o.inTimePart() < present.inTimePart()-margin || o.waitedPart() > present.waitedPart()+margin {
-		t.Errorf("%.4f of the items in time and %.4f of the online requests waited, %.4f and %.4f the present way", o.inTimePart(), o.waitedPart(), present.inTimePart(), present.waitedPart())
+	if o.inTimeShare() < baseline.inTimeShare()-margin || o.waitedShare() > baseline.waitedShare()+margin {
+		t.Errorf("%.4f of the items in time and %.4f of the online requests waited, %.4f and %.4f without a forecast", o.inTimeShare(), o.waitedShare(), baseline.inTimeShare(), baseline.waitedShare())
 	}
 }
 
-// TestWavesFindTheirRoom plays a day of waves that fit in beside the items.
-func TestWavesFindTheirRoom(t *testing.T) {
+// TestWavesFindFreeSlots simulates waves that fit in beside the items.
+func TestWavesFindFreeSlots(t *testing.T) {
 	t.Parallel()
 	p := fleet360()
-	p.present().sums(t, "present way")
-	result := p.sums(t, "forecast")
-	result.holds(t)
-	if mostIdle := 0.03; result.idle > mostIdle {
-		t.Errorf("%.4f of the slots idle while items wait", result.idle)
+	p.withoutForecast().runAll(t, "without forecast")
+	result := p.runAll(t, "forecast")
+	result.checkGoals(t)
+	if maxIdle := 0.03; result.idleShare > maxIdle {
+		t.Errorf("%.4f of the slots idle while items wait", result.idleShare)
 	}
 }
 
-// TestStopsGain plays waves that need more than all slots together with the items. Stops
-// ahead of them save requests more time of waiting than it takes to read the prompts of
-// those that stopped again.
-func TestStopsGain(t *testing.T) {
+// TestAdvanceStopsSaveTime simulates waves that, together with the items, need more than all
+// slots. Stops in advance must save online requests more waiting time than it takes to process
+// the prompts of the preempted items again.
+func TestAdvanceStopsSaveTime(t *testing.T) {
 	t.Parallel()
 	p := fleet576()
-	before, after := p.present().sums(t, "present way"), p.sums(t, "forecast")
-	after.holds(t)
-	saved := before.waiting - after.waiting
-	if cost := time.Duration(after.cuts-before.cuts) * playReading; saved <= max(cost, 0) {
-		t.Errorf("%s of waiting saved for %s of reading", saved, cost)
+	before, after := p.withoutForecast().runAll(t, "without forecast"), p.runAll(t, "forecast")
+	after.checkGoals(t)
+	saved := before.totalWait - after.totalWait
+	if cost := time.Duration(after.preemptions-before.preemptions) * simPrefillTime; saved <= max(cost, 0) {
+		t.Errorf("%s of waiting saved at the cost of %s of prefill", saved, cost)
 	}
 }
 
-// TestZonesKeepTheirRoom plays waves that come to zones unevenly: where the planner knows of
-// zones, fewer requests wait for items and fewer go to another zone than where it does not.
-func TestZonesKeepTheirRoom(t *testing.T) {
+// TestZonesKeepFreeSlots simulates waves that arrive unevenly in the zones. If the planner knows
+// the zones, fewer requests must wait for items and fewer must go to another zone than if it does
+// not.
+func TestZonesKeepFreeSlots(t *testing.T) {
 	t.Parallel()
 	p := fleet576()
-	p.zones = []float64{92, 82, 64, 63}
-	p.present().sums(t, "present way")
-	mixed := *p
-	mixed.mixed = true
-	without, with := mixed.sums(t, "without zones"), p.sums(t, "with zones")
-	if with.crossed >= without.crossed || with.waited >= without.waited {
-		t.Errorf("%d requests go to another zone and %d wait, %d and %d without zones", with.crossed, with.waited, without.crossed, without.waited)
+	p.zoneWeights = []float64{92, 82, 64, 63}
+	p.withoutForecast().runAll(t, "without forecast")
+	withoutZones := *p
+	withoutZones.ignoreZones = true
+	without, with := withoutZones.runAll(t, "without zones"), p.runAll(t, "with zones")
+	if with.crossZone >= without.crossZone || with.waited >= without.waited {
+		t.Errorf("%d requests go to another zone and %d wait; without zones it is %d and %d", with.crossZone, with.waited, without.crossZone, without.waited)
 	}
 }
 
-// TestDrawnWaves draws period, height and length by seed.
-func TestDrawnWaves(t *testing.T) {
+// TestRandomWaves simulates waves whose period, height and length depend on the seed.
+func TestRandomWaves(t *testing.T) {
 	t.Parallel()
-	const shortest, drawn = 1500 * time.Millisecond, 4000
+	const minLength, lengthRange = 1500 * time.Millisecond, 4000
 	for seed := range int64(6) {
 		random := rand.New(rand.NewSource(seed))
 		p := fleet360()
-		p.calm = shortest + time.Duration(random.Intn(drawn))*time.Millisecond
-		p.wave = shortest + time.Duration(random.Intn(drawn/2))*time.Millisecond
-		p.low = 0.2 + 0.4*random.Float64()
-		cycle := p.calm + p.wave
-		// So the mean is what it was, where the fleet has that many slots.
-		p.high = min((cycle.Seconds()-p.low*p.calm.Seconds())/p.wave.Seconds(), 2.3)
-		p.length = 12 * cycle
+		p.lowTime = minLength + time.Duration(random.Intn(lengthRange))*time.Millisecond
+		p.highTime = minLength + time.Duration(random.Intn(lengthRange/2))*time.Millisecond
+		p.lowRate = 0.2 + 0.4*random.Float64()
+		cycle := p.lowTime + p.highTime
+		// This keeps the mean rate, unless the fleet has too few slots for it.
+		p.highRate = min((cycle.Seconds()-p.lowRate*p.lowTime.Seconds())/p.highTime.Seconds(), 2.3)
+		p.duration = 12 * cycle
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			t.Logf("%s at %.2f, %s at %.2f", p.calm, p.low, p.wave, p.high)
-			p.sums(t, "forecast").holds(t)
+			t.Logf("%s at %.2f of the mean rate, %s at %.2f", p.lowTime, p.lowRate, p.highTime, p.highRate)
+			p.runAll(t, "forecast").checkGoals(t)
 		})
 	}
 }
 
-// TestNoPeriod plays waves without a period, and none at all.
+// TestNoPeriod simulates waves without a period, and a constant rate.
 func TestNoPeriod(t *testing.T) {
 	t.Parallel()
-	for _, fleet := range []*play{fleet360(), fleet576()} {
+	for _, fleet := range []*scenario{fleet360(), fleet576()} {
 		erratic, flat := *fleet, *fleet
 		erratic.erratic, flat.erratic = true, true
-		flat.wave, flat.length = 0, fleet.length/2
-		for name, p := range map[string]*play{"erratic": &erratic, "flat": &flat} {
+		flat.highTime, flat.duration = 0, fleet.duration/2
+		for name, p := range map[string]*scenario{"erratic": &erratic, "flat": &flat} {
 			t.Run(fmt.Sprint(name, " ", fleet.slots*fleet.workers), func(t *testing.T) {
 				t.Parallel()
-				p.sums(t, name).noWorse(t, p.present().sums(t, "present way"))
+				p.runAll(t, name).checkNoWorse(t, p.withoutForecast().runAll(t, "without forecast"))
 			})
 		}
 	}
 }
 
-// TestRisesAreSeen compares waves without a period with plays in which a rise that begins
-// is not looked at: fewer requests wait.
-func TestRisesAreSeen(t *testing.T) {
+// TestRisesAreDetected checks that fewer requests wait behind items in waves without a period if
+// the planner reacts to a rise that has just begun.
+func TestRisesAreDetected(t *testing.T) {
 	t.Parallel()
 	p := fleet576()
 	p.erratic = true
-	blind := *p
-	blind.blind = true
-	if seen, unseen := p.sums(t, "seen"), blind.sums(t, "not seen"); seen.waited >= unseen.waited {
-		t.Errorf("%d requests wait, %d where rises are not looked at", seen.waited, unseen.waited)
+	ignoring := *p
+	ignoring.ignoreRises = true
+	if detected, undetected := p.runAll(t, "seen"), ignoring.runAll(t, "rises ignored"); detected.waited >= undetected.waited {
+		t.Errorf("%d requests wait, %d if rises are ignored", detected.waited, undetected.waited)
 	}
 }
 
-// troubleAt is when things go wrong in a play: at the height of a wave, once the pattern is
+// faultAt is when the fault of a scenario occurs: at the height of a wave, once the pattern is
 // known.
-const troubleAt = 30 * time.Second
+const faultAt = 30 * time.Second
 
-// TestTrouble lets one thing go wrong in each play: it is no worse than the present way
-// with the same trouble.
-func TestTrouble(t *testing.T) {
+// TestFaults injects one fault in each scenario: the result must be no worse than without a
+// forecast under the same fault.
+func TestFaults(t *testing.T) {
 	t.Parallel()
-	once := func(act func(d *day)) func(d *day, now time.Duration) {
-		return func(d *day, now time.Duration) {
-			if now == troubleAt {
-				act(d)
+	once := func(inject func(s *simulation)) func(s *simulation, now time.Duration) {
+		return func(s *simulation, now time.Duration) {
+			if now == faultAt {
+				inject(s)
 			}
 		}
 	}
 	for _, test := range []struct {
 		name string
-		at   func(d *day, now time.Duration)
+		at   func(s *simulation, now time.Duration)
 	}{
-		{"the planner is lost in a wave", once(func(d *day) {
-			d.planner, d.forecast = New(), forecast.New()
-			d.silent = d.now + 500*time.Millisecond
+		{"the planner fails in a wave", once(func(s *simulation) {
+			s.planner, s.forecast = New(), forecast.New()
+			s.plannerBackAt = s.now + 500*time.Millisecond
 		})},
-		{"the forecast is wrong by half a period", once(func(d *day) { d.shift = (d.calm + d.wave) / 2 })},
-		{"waves end for good", once(func(d *day) { d.ended = true })},
-		{"a store elects while a valley begins", electing},
-		{"all items are due at once", once(func(d *day) {
+		{"the forecast is wrong by half a period", once(func(s *simulation) { s.shift = (s.lowTime + s.highTime) / 2 })},
+		{"the waves end", once(func(s *simulation) { s.wavesEnded = true })},
+		{"a store group elects a leader when a valley begins", simulateElection},
+		{"all items are due at once", once(func(s *simulation) {
 			for range 300 {
-				d.submit()
+				s.submit()
 			}
 		})},
-		{"items are far longer than expected", once(func(d *day) {
-			d.events = func(random *rand.Rand) int { return 200 + random.Intn(50) }
-			d.itemsPerSecond /= 2
+		{"items are far longer than expected", once(func(s *simulation) {
+			s.events = func(random *rand.Rand) int { return 200 + random.Intn(50) }
+			s.itemsPerSecond /= 2
 		})},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			p := fleet360()
-			p.at = test.at
-			p.sums(t, "forecast").noWorse(t, p.present().sums(t, "present way"))
+			p.onTick = test.at
+			p.runAll(t, "forecast").checkNoWorse(t, p.withoutForecast().runAll(t, "without forecast"))
 		})
 	}
 }
 
-// electing stops a runner's items for as long as an election takes when a valley begins.
-func electing(d *day, now time.Duration) {
-	const begins, takes = 31200 * time.Millisecond, 600 * time.Millisecond
-	r := d.runners[1]
-	r.cut = now >= begins && now < begins+takes
-	if now != begins {
+// simulateElection stops a runner's items when a valley begins, for as long as an election takes.
+func simulateElection(s *simulation, now time.Duration) {
+	const electionStart, electionTime = 31200 * time.Millisecond, 600 * time.Millisecond
+	r := s.runners[1]
+	r.leaderless = now >= electionStart && now < electionStart+electionTime
+	if now != electionStart {
 		return
 	}
 	for _, item := range r.items {
-		if item.running != nil && item.running.begun > 0 {
-			item.running.leaves = now
+		if item.run != nil && item.run.startedAt > 0 {
+			item.run.preemptAt = now
 		}
 	}
 	r.orders = nil
 }
 
-// TestSuccessorStartsLittleAtOnce loses the planner in a wave: its successor starts nothing
-// until all had time to report, and goes on within a second.
-func TestSuccessorStartsLittleAtOnce(t *testing.T) {
+// TestNewPlannerStartsAfterListening replaces the planner in a wave: the new one starts no item
+// until all processes have had time to report, and starts items within a second.
+func TestNewPlannerStartsAfterListening(t *testing.T) {
 	t.Parallel()
-	const silence, listens, goesOn = 100 * time.Millisecond, 250 * time.Millisecond, time.Second
+	const noPlanner, listenTime, resumeTime = 100 * time.Millisecond, 250 * time.Millisecond, time.Second
 	p := fleet360()
-	p.length = troubleAt + 2*time.Second
+	p.duration = faultAt + 2*time.Second
 	before, early, late := 0, 0, 0
-	p.at = func(d *day, now time.Duration) {
+	p.onTick = func(s *simulation, now time.Duration) {
 		switch now {
-		case troubleAt:
-			d.planner, d.forecast = New(), forecast.New()
-			d.silent = now + silence
-			for _, r := range d.runners {
+		case faultAt:
+			s.planner, s.forecast = New(), forecast.New()
+			s.plannerBackAt = now + noPlanner
+			for _, r := range s.runners {
 				r.orders = nil
 			}
-			before = d.result.starts
-		case troubleAt + silence + listens:
-			early = d.result.starts - before
-		case troubleAt + silence + goesOn:
-			late = d.result.starts - before
+			before = s.result.starts
+		case faultAt + noPlanner + listenTime:
+			early = s.result.starts - before
+		case faultAt + noPlanner + resumeTime:
+			late = s.result.starts - before
 		}
 	}
 	p.run(1)
 	if early > 0 || late == 0 {
-		t.Errorf("%d items start while the new planner listens, %d within a second", early, late)
+		t.Errorf("%d items start while the new planner listens, want 0; %d within a second, want some", early, late)
 	}
 }
--- a/internal/batchroom/zones.go
+++ b/internal/batchroom/zones.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// zoneTime is over how long the need by zone is a mean, about: long enough that calm parts
-// and waves are both in it, as most callers' zones are the same ones in both.
-const zoneTime = 10 * time.Second
+// zoneMeanTime is the time constant of the moving mean of the demand by zone. It is long enough
+// to cover waves as well as the quiet times between them, because most callers' zones are the
+// same in both.
+const zoneMeanTime = 10 * time.Second
 
 // poolZone names a zone of a pool.
 type poolZone struct{ pool, zone string }
 
-// zoneNeeds is the mean online need by zone. The zero value is ready for use.
-type zoneNeeds struct {
+// zoneDemand is the mean online demand by zone. The zero value is ready for use.
+type zoneDemand struct {
 	at    time.Time
 	means map[poolZone]float64
 }
 
-// take takes in the present need.
-func (z *zoneNeeds) take(now time.Time, places *Workers) {
-	passed := now.Sub(z.at)
-	if passed <= 0 || len(places.Forecasts) == 0 {
+// update adds the present demand to the means.
+func (z *zoneDemand) update(now time.Time, workers *Workers) {
+	elapsed := now.Sub(z.at)
+	if elapsed <= 0 || len(workers.Forecasts) == 0 {
 		return
 	}
-	part := min(float64(passed)/float64(zoneTime), 1)
+	weight := min(float64(elapsed)/float64(zoneMeanTime), 1)
 	z.at = now
 	present := map[poolZone]float64{}
-	for i := range places.Busy {
-		place := &places.Busy[i]
-		present[poolZone{place.Pool, place.Zone}] += float64(place.Online)
+	for i := range workers.Busy {
+		w := &workers.Busy[i]
+		present[poolZone{w.Pool, w.Zone}] += float64(w.Online)
 	}
 	if z.means == nil {
 		z.means = map[poolZone]float64{}
@@ -37,24 +38,24 @@
 		}
 	}
 	for zone := range z.means {
-		z.means[zone] += part * (present[zone] - z.means[zone])
+		z.means[zone] += weight * (present[zone] - z.means[zone])
 	}
 }
 
-// of returns by how many times the need of a slot in each zone differs from that in the
-// whole pool, nil where that is not known of all zones.
-func (z *zoneNeeds) of(outlook *Forecast) map[string]float64 {
-	need, slots := 0.0, 0
-	for zone, count := range outlook.ZoneSlots {
-		need += z.means[poolZone{outlook.Pool, zone}]
+// factors returns for each zone by how much its demand per slot differs from that of the whole
+// pool, as a factor. It returns nil if the pool has fewer than two zones, or no demand is known.
+func (z *zoneDemand) factors(poolForecast *Forecast) map[string]float64 {
+	demand, slots := 0.0, 0
+	for zone, count := range poolForecast.ZoneSlots {
+		demand += z.means[poolZone{poolForecast.Pool, zone}]
 		slots += count
 	}
-	if need <= 0 || len(outlook.ZoneSlots) < 2 {
+	if demand <= 0 || len(poolForecast.ZoneSlots) < 2 {
 		return nil
 	}
-	times := make(map[string]float64, len(outlook.ZoneSlots))
-	for zone, count := range outlook.ZoneSlots {
-		times[zone] = z.means[poolZone{outlook.Pool, zone}] / float64(count) * float64(slots) / need
+	factors := make(map[string]float64, len(poolForecast.ZoneSlots))
+	for zone, count := range poolForecast.ZoneSlots {
+		factors[zone] = z.means[poolZone{poolForecast.Pool, zone}] / float64(count) * float64(slots) / demand
 	}
-	return times
+	return factors
 }
