--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -11,40 +11,39 @@
 	tolerance = Tolerance{Window: 5 * time.Second, Excess: 0.1, Slack: 20}
 )
 
-// tenant is the tenant of the tests.
 const tenant = Tenant(7)
 
 func limits(limit Limit) map[Tenant]Limit { return map[Tenant]Limit{tenant: limit} }
 
-// allowed is how many requests may pass in a window.
+// allowed returns how many requests may be admitted in a window.
 func allowed(limit Limit) float64 {
 	return (limit.Rate*tolerance.Window.Seconds()+limit.Burst)*(1+tolerance.Excess) + tolerance.Slack
 }
 
-// fleet is a top and the hubs of three zones, with a network that loses, delays and
-// repeats. Times between messages are those of real processes.
+// fleet simulates a top and the hubs of three zones, with a network that loses, delays and
+// repeats messages. Reports have the period of real processes.
 type fleet struct {
 	random *rand.Rand
 	now    time.Time
 	limit  Limit
 	top    *Top
 	epoch  uint32
-	// topUp is from when on there is a top.
-	topUp    time.Time
-	hubs     []*Hub
-	zones    []string
-	nextDue  []time.Time
-	cutUntil []time.Time
-	downTil  []time.Time
-	loss     float64
-	messages []message
-	tickets  uint64
-	passed   []time.Time
-	// doubled counts questions that came twice and got two answers.
-	doubled int
-}
-
-// message is a call that comes to a side at a time.
+	// topBackAt is the time until which there is no top.
+	topBackAt         time.Time
+	hubs              []*Hub
+	zones             []string
+	nextReport        []time.Time
+	disconnectedUntil []time.Time
+	downUntil         []time.Time
+	lossRate          float64
+	messages          []message
+	lastTicket        uint64
+	admitted          []time.Time
+	// inconsistent counts the repeated token requests that got a different answer.
+	inconsistent int
+}
+
+// message is a call that is delivered at a time.
 type message struct {
 	at      time.Time
 	deliver func()
@@ -57,7 +56,7 @@
 )
 
 func newFleet(random *rand.Rand, limit Limit) *fleet {
-	f := &fleet{random: random, now: start, limit: limit, topUp: start, nextDue: make([]time.Time, hubs), cutUntil: make([]time.Time, hubs), downTil: make([]time.Time, hubs), zones: []string{"a", "b", "c"}}
+	f := &fleet{random: random, now: start, limit: limit, topBackAt: start, nextReport: make([]time.Time, hubs), disconnectedUntil: make([]time.Time, hubs), downUntil: make([]time.Time, hubs), zones: []string{"a", "b", "c"}}
 	f.newTop()
 	for range hubs {
 		f.hubs = append(f.hubs, nil)
@@ -68,9 +67,9 @@
 	return f
 }
 
-// loseTop takes the top away; another one begins after the pause.
-func (f *fleet) loseTop(pause time.Duration) {
-	f.topUp = f.now.Add(pause)
+// stopTop removes the top; a new one starts after the pause.
+func (f *fleet) stopTop(pause time.Duration) {
+	f.topBackAt = f.now.Add(pause)
 	f.top = nil
 }
 
@@ -96,14 +95,14 @@
 	}
 }
 
-// send delivers a message after a while, perhaps never, perhaps twice.
+// send delivers a message after a delay, unless it is lost. A message may be delivered twice.
 func (f *fleet) send(deliver func()) {
 	for copies := 1; copies > 0; copies-- {
-		if f.random.Float64() < f.loss {
+		if f.random.Float64() < f.lossRate {
 			continue
 		}
 		delay := time.Duration(1+f.random.Intn(4)) * time.Millisecond
-		if f.random.Float64() < f.loss {
+		if f.random.Float64() < f.lossRate {
 			delay += time.Duration(f.random.Intn(120)) * time.Millisecond
 			copies++
 		}
@@ -111,14 +110,14 @@
 	}
 }
 
-func (f *fleet) reach(i int) bool {
-	return f.now.After(f.cutUntil[i]) && f.now.After(f.downTil[i]) && f.top != nil && !f.now.Before(f.topUp)
+func (f *fleet) connected(i int) bool {
+	return f.now.After(f.disconnectedUntil[i]) && f.now.After(f.downUntil[i]) && f.top != nil && !f.now.Before(f.topBackAt)
 }
 
-// tick lets a step of time pass: messages come, hubs report.
+// tick advances the time by one step: messages are delivered and hubs report.
 func (f *fleet) tick() {
 	f.now = f.now.Add(step)
-	if f.top == nil && !f.now.Before(f.topUp) {
+	if f.top == nil && !f.now.Before(f.topBackAt) {
 		f.newTop()
 	}
 	due := f.messages
@@ -131,75 +130,75 @@
 		m.deliver()
 	}
 	for i := range f.hubs {
-		if f.now.Before(f.nextDue[i]) || !f.now.After(f.downTil[i]) {
+		if f.now.Before(f.nextReport[i]) || !f.now.After(f.downUntil[i]) {
 			continue
 		}
-		f.nextDue[i] = f.now.Add(reportPeriod)
+		f.nextReport[i] = f.now.Add(reportPeriod)
 		f.report(i)
 	}
 }
 
 func (f *fleet) report(i int) {
 	h, top := f.hubs[i], f.top
-	news := h.Report(f.now)
-	if !f.reach(i) {
+	update := h.Report(f.now)
+	if !f.connected(i) {
 		return
 	}
 	f.send(func() {
-		if f.top != top || !f.reach(i) {
+		if f.top != top || !f.connected(i) {
 			return
 		}
-		answer := top.ApplyReport(f.now, uint32(i+1), f.zones[i], 10, news)
+		answer := top.ApplyReport(f.now, uint32(i+1), f.zones[i], 10, update)
 		f.send(func() {
-			if f.hubs[i] == h && f.reach(i) {
+			if f.hubs[i] == h && f.connected(i) {
 				h.Apply(f.now, answer)
 			}
 		})
 	})
 }
 
-// ask sends a request by way of a hub and reports whether it passed.
-func (f *fleet) ask(i int) Verdict {
-	f.tickets++
-	verdict := f.hubs[i].Take(f.now, f.tickets, tenant)
-	if f.random.Float64() < f.loss {
-		// The same question again, because the answer was late.
-		again := f.hubs[i].Take(f.now, f.tickets, tenant)
+// takeToken asks a hub for a token and records whether it was granted.
+func (f *fleet) takeToken(i int) Verdict {
+	f.lastTicket++
+	verdict := f.hubs[i].Take(f.now, f.lastTicket, tenant)
+	if f.random.Float64() < f.lossRate {
+		// The call is repeated because its answer is late.
+		again := f.hubs[i].Take(f.now, f.lastTicket, tenant)
 		if again != verdict && !verdict.Uncertain {
-			f.doubled++
+			f.inconsistent++
 		}
 	}
 	if verdict.Granted {
-		f.passed = append(f.passed, f.now)
+		f.admitted = append(f.admitted, f.now)
 	}
 	return verdict
 }
 
-// askUntilSure asks again, as an edge does, while the hub can't be sure.
-func (f *fleet) askUntilSure(i int) Verdict {
-	verdict := f.ask(i)
+// takeUntilCertain asks again, as an edge does, while the verdict is uncertain.
+func (f *fleet) takeUntilCertain(i int) Verdict {
+	verdict := f.takeToken(i)
 	for tries := 0; verdict.Uncertain && tries < 9; tries++ {
 		f.tick()
 		f.tick()
-		verdict = f.ask(i)
+		verdict = f.takeToken(i)
 	}
 	return verdict
 }
 
-// most returns the most requests that passed in any window.
-func (f *fleet) most() int {
-	most, from := 0, 0
-	for to := range f.passed {
-		for f.passed[to].Sub(f.passed[from]) > tolerance.Window {
+// maxInWindow returns the highest number of requests admitted in any window.
+func (f *fleet) maxInWindow() int {
+	maxCount, from := 0, 0
+	for to := range f.admitted {
+		for f.admitted[to].Sub(f.admitted[from]) > tolerance.Window {
 			from++
 		}
-		most = max(most, to-from+1)
+		maxCount = max(maxCount, to-from+1)
 	}
-	return most
+	return maxCount
 }
 
-// draw makes up a limit: many tenants are small, a few large.
-func draw(random *rand.Rand) Limit {
+// randomLimit returns a random limit: many tenants are small, a few large.
+func randomLimit(random *rand.Rand) Limit {
 	rate := math.Exp(random.Float64() * math.Log(300))
 	return Limit{Rate: rate, Burst: rate * (0.3 + random.Float64())}
 }
--- a/internal/ratelimit/hub.go
+++ b/internal/ratelimit/hub.go
@@ -4,65 +4,65 @@
 	"time"
 )
 
-// leastUnconfirmed is how many tokens a hub may take between two reports however little is
-// left by its copy.
-const leastUnconfirmed = 2
+// minUnconfirmed is how many tokens a hub may take between two reports in addition to its part of
+// what is left.
+const minUnconfirmed = 2
 
 // Hub is a zone's copy of the buckets. It is not safe for concurrent use.
 type Hub struct {
 	tolerance Tolerance
 	limits    map[Tenant]Limit
-	// zones is among how many hubs the buckets are divided where nothing else is known.
-	zones    int
-	began    time.Time
-	epoch    uint32
-	accounts map[Tenant]*account
-	// mark counts the changes of accounts.
-	mark uint64
-	// top is what is known of the top: its epoch, the last of its changes that was
-	// learnt, and the last change here that it has taken in.
-	top       uint32
-	heard     uint64
-	confirmed uint64
-	heardAt   time.Time
-	// topSince is when the top was heard first.
+	// zones is the number of hubs among which the buckets are divided if nothing else is known.
+	zones     int
+	startedAt time.Time
+	epoch     uint32
+	accounts  map[Tenant]*account
+	// sequence counts the changes of accounts.
+	sequence uint64
+	// topEpoch is the epoch of the top, topSequence the last of its changes that was applied here,
+	// and ackedSequence the last change here that the top has applied.
+	topEpoch      uint32
+	topSequence   uint64
+	ackedSequence uint64
+	answeredAt    time.Time
+	// topSince is when the first answer of the top arrived.
 	topSince time.Time
-	// complete is set once hubs of all zones have joined the top.
-	complete bool
-	tickets  tickets
+	// allZonesJoined is set once hubs of all zones have joined the top.
+	allZonesJoined bool
+	verdicts       verdicts
 }
 
-// account is a hub's copy of one tenant's bucket.
+// account is a hub's copy of a tenant's bucket.
 type account struct {
 	bucket
-	// own counts the tokens ever taken here, less those given back, acked those of
-	// them that the top has counted.
-	own   int64
+	// taken is the number of tokens ever taken here, less those released. acked is how many of
+	// them the top has counted.
+	taken int64
 	acked int64
-	// changed is the hub's mark at the last change, joined the epoch of the top that
-	// counts what is taken here, zero for none.
-	changed uint64
-	joined  uint32
-	// counted is set once that top has said that it does.
+	// changedSequence is the hub's sequence at the last change. joinedEpoch is the epoch of the
+	// top that counts what is taken here, zero for none.
+	changedSequence uint64
+	joinedEpoch     uint32
+	// counted is set once that top has confirmed that it counts what is taken here.
 	counted bool
-	// share is the part of the bucket that is this hub's while it hears no top, and
-	// parted is set while level holds that part alone.
-	share  float64
-	parted bool
-	// refills is the part of the rate at which the bucket refills: without what silent
-	// hubs go on with.
-	refills float64
-	// promised is until when refused requests have been told to come back.
-	promised time.Time
+	// share is the part of the bucket that belongs to this hub while it is isolated from the top.
+	// shareOnly is set while level holds only that part.
+	share     float64
+	shareOnly bool
+	// refillShare is the part of the rate at which the bucket refills: the rate less what
+	// unresponsive hubs continue with.
+	refillShare float64
+	// promisedUntil is the latest time at which a rejected request was told to retry.
+	promisedUntil time.Time
 }
 
-// NewHub returns the hub of a process; the epoch tells its lives apart.
+// NewHub returns the hub of a process. The epoch distinguishes its incarnations.
 func NewHub(now time.Time, epoch uint32, tolerance Tolerance) *Hub {
-	return &Hub{tolerance: tolerance, limits: map[Tenant]Limit{}, zones: 1, began: now, epoch: epoch, accounts: map[Tenant]*account{}}
+	return &Hub{tolerance: tolerance, limits: map[Tenant]Limit{}, zones: 1, startedAt: now, epoch: epoch, accounts: map[Tenant]*account{}}
 }
 
-// SetLimits takes in the limits in force and among how many zones they are divided. What
-// is not named has none, and is forgotten.
+// SetLimits sets the limits in force and the number of zones among which they are divided. A
+// tenant that is absent has no limit, and its account is removed.
 func (h *Hub) SetLimits(limits map[Tenant]Limit, zones int) {
 	h.limits, h.zones = limits, max(zones, 1)
 	for tenant := range h.accounts {
@@ -72,162 +72,164 @@
 	}
 }
 
-// blind reports whether no top is heard, and since when.
-func (h *Hub) blind(now time.Time) (since time.Time, blind bool) {
-	if h.heardAt.IsZero() {
-		return h.began, true
+// isolated reports whether the hub is without recent answers from a top, and since when.
+func (h *Hub) isolated(now time.Time) (since time.Time, isolated bool) {
+	if h.answeredAt.IsZero() {
+		return h.startedAt, true
 	}
-	since = h.heardAt.Add(UpdateTTL)
+	since = h.answeredAt.Add(UpdateTTL)
 	return since, now.After(since)
 }
 
-// account returns the tenant's account, brought up to now, or nil for one without a limit.
+// account returns the tenant's account, refilled up to now, or nil if the tenant has no limit.
 func (h *Hub) account(now time.Time, tenant Tenant) *account {
 	limit, limited := h.limits[tenant]
 	if !limited {
 		return nil
 	}
-	known := h.accounts[tenant]
-	if known == nil {
-		// Had the top known of a request of this tenant, it would have told.
-		known = &account{bucket: bucket{level: h.tolerance.start(limit), at: h.began}, share: 1 / float64(h.zones), refills: 1, joined: h.top}
+	acct := h.accounts[tenant]
+	if acct == nil {
+		// If the top knew of any request of this tenant, it would have reported that.
+		acct = &account{bucket: bucket{level: h.tolerance.start(limit), at: h.startedAt}, share: 1 / float64(h.zones), refillShare: 1, joinedEpoch: h.topEpoch}
 		if !h.topSince.IsZero() {
-			known.at = h.topSince
+			acct.at = h.topSince
 		}
-		h.accounts[tenant] = known
+		h.accounts[tenant] = acct
 	}
-	h.advance(now, known, limit)
-	return known
+	h.advance(now, acct, limit)
+	return acct
 }
 
-// advance refills an account. From the moment that no top is heard it holds its share
-// alone.
-func (h *Hub) advance(now time.Time, known *account, limit Limit) {
+// advance refills an account. From the moment at which the hub becomes isolated, the account
+// holds only the hub's share.
+func (h *Hub) advance(now time.Time, acct *account, limit Limit) {
 	capacity := h.tolerance.capacity(limit)
-	since, blind := h.blind(now)
-	if !blind {
-		known.refill(now, limit.Rate*known.refills, capacity)
+	since, isolated := h.isolated(now)
+	if !isolated {
+		acct.refill(now, limit.Rate*acct.refillShare, capacity)
 		return
 	}
-	if !known.parted {
-		known.refill(since, limit.Rate*known.refills, capacity)
-		known.level, known.parted = known.part(), true
+	if !acct.shareOnly {
+		acct.refill(since, limit.Rate*acct.refillShare, capacity)
+		acct.level, acct.shareOnly = acct.ownLevel(), true
 	}
-	if lapsed := since.Add(lapse); now.After(lapsed) {
-		known.refill(lapsed, limit.Rate*known.share, capacity*known.share)
-		known.refill(now, limit.Rate*known.share/lapsedPart, max(capacity*known.share/lapsedPart, 1))
+	if expired := since.Add(fullShareTime); now.After(expired) {
+		acct.refill(expired, limit.Rate*acct.share, capacity*acct.share)
+		acct.refill(now, limit.Rate*acct.share/expiredShareDivisor, max(capacity*acct.share/expiredShareDivisor, 1))
 		return
 	}
-	known.refill(now, limit.Rate*known.share, max(capacity*known.share, 1))
+	acct.refill(now, limit.Rate*acct.share, max(capacity*acct.share, 1))
 }
 
-// part returns how much of the bucket is this hub's alone: its share of what was left when
-// the top counted last, less what it has taken since.
-func (a *account) part() float64 {
-	if a.parted {
+// ownLevel returns how much of the bucket belongs to this hub alone: its share of what was left
+// at the top's last count, less what the hub has taken since.
+func (a *account) ownLevel() float64 {
+	if a.shareOnly {
 		return a.level
 	}
-	unconfirmed := float64(a.own - a.acked)
-	left := a.level + unconfirmed
-	if left > 0 {
-		left *= a.share
+	unconfirmed := float64(a.taken - a.acked)
+	level := a.level + unconfirmed
+	if level > 0 {
+		level *= a.share
 	}
-	return left - unconfirmed
+	return level - unconfirmed
 }
 
-// Take takes a token for a request of the tenant. The ticket names the question, so that
-// one that comes twice takes one token.
+// Take takes a token for a request of the tenant. The ticket identifies the call, so that a
+// repeated call takes only one token.
 func (h *Hub) Take(now time.Time, ticket uint64, tenant Tenant) Verdict {
-	if before, asked := h.tickets.find(now, ticket); asked {
-		return before
+	if previous, found := h.verdicts.find(now, ticket); found {
+		return previous
 	}
-	verdict := h.take(now, tenant)
+	verdict := h.takeToken(now, tenant)
 	if !verdict.Uncertain {
-		h.tickets.add(now, ticket, verdict)
+		h.verdicts.add(now, ticket, verdict)
 	}
 	return verdict
 }
 
-func (h *Hub) take(now time.Time, tenant Tenant) Verdict {
-	known := h.account(now, tenant)
-	if known == nil {
+func (h *Hub) takeToken(now time.Time, tenant Tenant) Verdict {
+	acct := h.account(now, tenant)
+	if acct == nil {
 		return Verdict{Granted: true}
 	}
-	verdict := Verdict{Level: known.level, Age: h.age(now)}
-	if known.level < 1 || !h.mayTake(now, known) {
-		// Where a token is left by the copy, only news are wanting: with two reports lost in
-		// a row a tenant below its limit had taken all that may be taken between two.
-		verdict.Uncertain = known.level >= 1 || known.parted || !h.joined(known) || !h.complete
-		verdict.RetryAfter = h.promise(now, known, h.limits[tenant])
+	verdict := Verdict{Level: acct.level, Age: h.age(now)}
+	if acct.level < 1 || !h.mayTake(now, acct) {
+		// If the copy still has a token, only an update from the top is missing: after two lost
+		// reports in a row, a tenant below its limit had taken all tokens that may be taken between
+		// two reports.
+		verdict.Uncertain = acct.level >= 1 || acct.shareOnly || !h.isJoined(acct) || !h.allZonesJoined
+		verdict.RetryAfter = h.retryAfter(now, acct, h.limits[tenant])
 		return verdict
 	}
-	known.level--
-	h.change(known, 1)
+	acct.level--
+	h.recordChange(acct, 1)
 	verdict.Granted = true
 	return verdict
 }
 
-// age returns how old the news of the top are.
+// age returns the age of the last update from the top.
 func (h *Hub) age(now time.Time) time.Duration {
-	if h.heardAt.IsZero() {
-		return now.Sub(h.began)
+	if h.answeredAt.IsZero() {
+		return now.Sub(h.startedAt)
 	}
-	return now.Sub(h.heardAt)
+	return now.Sub(h.answeredAt)
 }
 
-// mayTake reports whether one more token may be taken before the top has counted those
-// taken so far: this hub's part of what was left then.
-func (h *Hub) mayTake(now time.Time, known *account) bool {
-	if _, blind := h.blind(now); blind {
+// mayTake reports whether one more token may be taken before the top has counted those taken so
+// far: they may not exceed this hub's part of what was left at the last count.
+func (h *Hub) mayTake(now time.Time, acct *account) bool {
+	if _, isolated := h.isolated(now); isolated {
 		return true
 	}
-	unconfirmed := float64(known.own - known.acked)
-	return unconfirmed < leastUnconfirmed+max(known.level+unconfirmed, 0)/float64(h.zones)
+	unconfirmed := float64(acct.taken - acct.acked)
+	return unconfirmed < minUnconfirmed+max(acct.level+unconfirmed, 0)/float64(h.zones)
 }
 
-// promise returns after which time to come back: once there is a token for this request
-// and for all those that were refused before it.
-func (h *Hub) promise(now time.Time, known *account, limit Limit) time.Duration {
+// retryAfter returns the time after which a rejected request may retry: once there is a token for
+// it and for all those that were rejected before it.
+func (h *Hub) retryAfter(now time.Time, acct *account, limit Limit) time.Duration {
 	rate := limit.Rate
-	if known.parted {
-		rate *= known.share
+	if acct.shareOnly {
+		rate *= acct.share
 	}
-	pause := time.Duration(float64(time.Second) / max(rate, 1))
-	next := now.Add(max(known.until(rate), pause))
-	if after := known.promised.Add(pause); after.After(next) {
+	interval := time.Duration(float64(time.Second) / max(rate, 1))
+	next := now.Add(max(acct.timeToToken(rate), interval))
+	if after := acct.promisedUntil.Add(interval); after.After(next) {
 		next = after
 	}
-	known.promised = next
+	acct.promisedUntil = next
 	return next.Sub(now)
 }
 
-// Release gives the token of a question back: its request did not run.
+// Release gives back the token of a ticket whose request did not run.
 func (h *Hub) Release(now time.Time, ticket uint64, tenant Tenant) {
-	verdict, asked := h.tickets.find(now, ticket)
-	if !asked || !verdict.Granted {
+	verdict, found := h.verdicts.find(now, ticket)
+	if !found || !verdict.Granted {
 		return
 	}
-	h.tickets.add(now, ticket, Verdict{})
-	if known := h.account(now, tenant); known != nil {
-		known.level++
-		h.change(known, -1)
+	h.verdicts.add(now, ticket, Verdict{})
+	if acct := h.account(now, tenant); acct != nil {
+		acct.level++
+		h.recordChange(acct, -1)
 	}
 }
 
-func (h *Hub) change(known *account, tokens int64) {
-	h.mark++
-	known.own += tokens
-	known.changed = h.mark
+func (h *Hub) recordChange(acct *account, tokens int64) {
+	h.sequence++
+	acct.taken += tokens
+	acct.changedSequence = h.sequence
 }
 
-// Update is what a hub and the top tell each other: what has changed since the last change
-// that the other side has heard of.
+// Update is a message between a hub and the top. It holds the changes after the last one that the
+// receiver has acknowledged.
 type Update struct {
-	// Epoch tells the lives of the sender apart, Mark counts its changes so far.
+	// Epoch distinguishes the incarnations of the sender. Sequence is the number of its changes so
+	// far.
 	Epoch    uint32
 	Sequence uint64
-	// AckEpoch and Heard name the last change of the receiver that the sender has
-	// taken in.
+	// AckEpoch and AckSequence identify the last change of the receiver that the sender has
+	// applied.
 	AckEpoch    uint32
 	AckSequence uint64
 	// AllZonesJoined is set by a top that hubs of all zones have joined.
@@ -235,84 +237,87 @@
 	Rows           []Row
 }
 
-// Row is the news of one tenant.
+// Row is the change of one tenant's bucket.
 type Row struct {
 	Tenant Tenant
-	// Taken is how many tokens the hub has taken, in the top's news as far as it knows.
+	// Taken is the number of tokens that the hub has taken; in an update from the top, as far as
+	// the top knows.
 	Taken int64
-	// Level is how many are left. A hub tells it only while it joins a top.
+	// Level is the number of tokens left. A hub sets it only while it joins a top.
 	Level float64
-	// Joining is set by a hub that has taken tokens under another top, or under none:
-	// Level is the part of the bucket that it holds alone, and brings. Counted is set
-	// by the top once it counts what the hub takes, and by a hub that knows that.
+	// Joining is set by a hub that has taken tokens under another top, or under none: Level is
+	// then the part of the bucket that belongs to this hub alone and that it contributes. Counted
+	// is set by the top once it counts what the hub takes, and by a hub that knows this.
 	Joining bool
 	Counted bool
-	// Share is the part that is the hub's while it hears no top. A hub tells it only
-	// while it joins one.
+	// Share is the part of the bucket that belongs to the hub while it is isolated from the top. A
+	// hub sets it only while it joins a top.
 	Share float64
 	// RefillShare is set by the top: the part of the rate at which the bucket refills.
 	RefillShare float64
 }
 
-// Report returns the news for the top.
+// Report returns the update for the top.
 func (h *Hub) Report(now time.Time) *Update {
-	news := &Update{Epoch: h.epoch, Sequence: h.mark, AckEpoch: h.top, AckSequence: h.heard}
-	if _, blind := h.blind(now); blind {
-		// Its copies hold its shares alone, so all of them are to be told.
-		news.AckSequence = 0
+	update := &Update{Epoch: h.epoch, Sequence: h.sequence, AckEpoch: h.topEpoch, AckSequence: h.topSequence}
+	if _, isolated := h.isolated(now); isolated {
+		// The copies hold only the hub's shares, so the top must send all rows.
+		update.AckSequence = 0
 	}
-	for tenant, known := range h.accounts {
-		if known.changed <= h.confirmed {
+	for tenant, acct := range h.accounts {
+		if acct.changedSequence <= h.ackedSequence {
 			continue
 		}
-		h.advance(now, known, h.limits[tenant])
-		row := Row{Tenant: tenant, Taken: known.own, Joining: !h.joined(known), Counted: h.joined(known) && known.counted}
+		h.advance(now, acct, h.limits[tenant])
+		row := Row{Tenant: tenant, Taken: acct.taken, Joining: !h.isJoined(acct), Counted: h.isJoined(acct) && acct.counted}
 		if row.Joining {
-			row.Level, row.Share = known.part(), known.share
+			row.Level, row.Share = acct.ownLevel(), acct.share
 		}
-		news.Rows = append(news.Rows, row)
+		update.Rows = append(update.Rows, row)
 	}
-	return news
+	return update
 }
 
-// joined reports whether the top counts what is taken from the account.
-func (h *Hub) joined(known *account) bool { return known.joined != 0 && known.joined == h.top }
+// isJoined reports whether the top counts what is taken from the account.
+func (h *Hub) isJoined(acct *account) bool {
+	return acct.joinedEpoch != 0 && acct.joinedEpoch == h.topEpoch
+}
 
-// Apply takes in the top's answer.
-func (h *Hub) Apply(now time.Time, news *Update) {
-	if news.AckEpoch != h.epoch {
-		// It is for another life of this process.
+// Apply applies the top's answer.
+func (h *Hub) Apply(now time.Time, update *Update) {
+	if update.AckEpoch != h.epoch {
+		// The answer is for another incarnation of this process.
 		return
 	}
-	if news.Epoch != h.top {
-		h.top, h.heard, h.confirmed, h.topSince = news.Epoch, 0, 0, now
-		for _, known := range h.accounts {
-			// The new top must hear of all of them.
-			h.change(known, 0)
+	if update.Epoch != h.topEpoch {
+		h.topEpoch, h.topSequence, h.ackedSequence, h.topSince = update.Epoch, 0, 0, now
+		for _, acct := range h.accounts {
+			// Every account must be reported to the new top.
+			h.recordChange(acct, 0)
 		}
-	} else if news.Sequence < h.heard {
-		// It was overtaken by a later one.
+	} else if update.Sequence < h.topSequence {
+		// A later answer has arrived before this one.
 		return
 	}
-	h.heard, h.complete = news.Sequence, news.AllZonesJoined
-	h.confirmed = max(h.confirmed, news.AckSequence)
-	// From now on the copies are those of a hub that hears the top.
-	h.heardAt = now
-	for i := range news.Rows {
-		h.learn(now, &news.Rows[i])
+	h.topSequence, h.allZonesJoined = update.Sequence, update.AllZonesJoined
+	h.ackedSequence = max(h.ackedSequence, update.AckSequence)
+	// From here on, the copies are those of a hub that is connected to the top.
+	h.answeredAt = now
+	for i := range update.Rows {
+		h.applyRow(now, &update.Rows[i])
 	}
-	for _, known := range h.accounts {
-		known.parted = known.parted && !h.joined(known)
+	for _, acct := range h.accounts {
+		acct.shareOnly = acct.shareOnly && !h.isJoined(acct)
 	}
 }
 
-func (h *Hub) learn(now time.Time, row *Row) {
-	known := h.account(now, row.Tenant)
-	if known == nil || !row.Counted && !h.joined(known) {
+func (h *Hub) applyRow(now time.Time, row *Row) {
+	acct := h.account(now, row.Tenant)
+	if acct == nil || !row.Counted && !h.isJoined(acct) {
 		return
 	}
-	known.joined, known.counted, known.parted = h.top, known.counted || row.Counted, false
-	known.acked, known.share, known.refills = row.Taken, row.Share, row.RefillShare
-	known.level = row.Level - float64(known.own-known.acked)
-	known.at = now
+	acct.joinedEpoch, acct.counted, acct.shareOnly = h.topEpoch, acct.counted || row.Counted, false
+	acct.acked, acct.share, acct.refillShare = row.Taken, row.Share, row.RefillShare
+	acct.level = row.Level - float64(acct.taken-acct.acked)
+	acct.at = now
 }
--- a/internal/ratelimit/reserve.go
+++ b/internal/ratelimit/reserve.go
@@ -7,50 +7,51 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Reserve is what an edge may let in while it hears no hub: its share of one part of the
-// tolerance (Tolerance.Spare), in each window. Shares are whole requests: where there are
-// fewer than edges, those edges have one that a hash names, so that the sum over all edges
-// is that part in the mean. It is not safe for concurrent use.
+// Reserve admits requests at an edge without answers from a hub. In each window it admits the
+// edge's share of one part of the tolerance (Tolerance.Spare). Shares are whole requests: if
+// there are fewer of them than edges, a hash decides which edges have one, so that the shares of
+// all edges add up to that part on average. It is not safe for concurrent use.
 type Reserve struct {
 	edge uint64
-	// spent holds when requests of each tenant were let in, in the last window.
-	spent map[Tenant][]time.Time
+	// admitted holds the times at which each tenant's requests of the last window were admitted.
+	admitted map[Tenant][]time.Time
 }
 
 // NewReserve returns the reserve of an edge.
 func NewReserve(edge string) *Reserve {
-	return &Reserve{edge: xxhash.Sum64String(edge), spent: map[Tenant][]time.Time{}}
+	return &Reserve{edge: xxhash.Sum64String(edge), admitted: map[Tenant][]time.Time{}}
 }
 
-// Take takes a request of the tenant from the reserve, of one of so many edges.
+// Take admits a request of the tenant if the reserve allows it, and reports whether it did. edges
+// is the number of edges that share the part.
 func (r *Reserve) Take(now time.Time, tenant Tenant, limit Limit, tolerance Tolerance, edges int) bool {
-	spent := r.spent[tenant]
-	for len(spent) > 0 && now.Sub(spent[0]) > tolerance.Window {
-		spent = spent[1:]
+	times := r.admitted[tenant]
+	for len(times) > 0 && now.Sub(times[0]) > tolerance.Window {
+		times = times[1:]
 	}
-	r.spent[tenant] = spent
-	if len(spent) >= r.part(tenant, tolerance.Spare(limit), max(edges, 1)) {
+	r.admitted[tenant] = times
+	if len(times) >= r.share(tenant, tolerance.Spare(limit), max(edges, 1)) {
 		return false
 	}
-	r.spent[tenant] = append(spent, now)
+	r.admitted[tenant] = append(times, now)
 	return true
 }
 
-// Retain forgets the tenants that are not kept.
+// Retain removes the tenants that are not in limits.
 func (r *Reserve) Retain(limits map[Tenant]Limit) {
-	for tenant := range r.spent {
+	for tenant := range r.admitted {
 		if _, limited := limits[tenant]; !limited {
-			delete(r.spent, tenant)
+			delete(r.admitted, tenant)
 		}
 	}
 }
 
-// part returns how many of so many requests are this edge's.
-func (r *Reserve) part(tenant Tenant, spare float64, edges int) int {
+// share returns how many of the spare requests are this edge's.
+func (r *Reserve) share(tenant Tenant, spare float64, edges int) int {
 	whole, fraction := math.Modf(spare / float64(edges))
-	lot := (r.edge ^ uint64(tenant)*0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9
-	lot ^= lot >> 31
-	if float64(lot%1000)/1000 < fraction {
+	hash := (r.edge ^ uint64(tenant)*0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9
+	hash ^= hash >> 31
+	if float64(hash%1000)/1000 < fraction {
 		whole++
 	}
 	return int(whole)
--- a/internal/ratelimit/tickets.go
+++ b/internal/ratelimit/tickets.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// ticketTime is how long a question is remembered at least: for longer than an edge
-// goes on asking, and than its request may come to nothing.
-const ticketTime = 6 * time.Second
+// minVerdictTime is how long a verdict is remembered at least: longer than an edge keeps asking
+// for a token, and longer than it may take until its request fails and the token is released.
+const minVerdictTime = 6 * time.Second
 
-// tickets remembers the questions of late. The zero value is ready for use.
-type tickets struct {
-	// began is when current was begun; before holds those of the time before.
-	began   time.Time
-	current map[uint64]Verdict
-	before  map[uint64]Verdict
+// verdicts remembers the recent verdicts by ticket. The zero value is ready for use.
+type verdicts struct {
+	// startedAt is when current was started. previous holds the verdicts of the period before.
+	startedAt time.Time
+	current   map[uint64]Verdict
+	previous  map[uint64]Verdict
 }
 
-func (t *tickets) turn(now time.Time) {
-	if t.current != nil && now.Sub(t.began) < ticketTime {
+func (v *verdicts) rotate(now time.Time) {
+	if v.current != nil && now.Sub(v.startedAt) < minVerdictTime {
 		return
 	}
-	t.before, t.current, t.began = t.current, map[uint64]Verdict{}, now
+	v.previous, v.current, v.startedAt = v.current, map[uint64]Verdict{}, now
 }
 
-// find returns the answer to a question that was asked before.
-func (t *tickets) find(now time.Time, ticket uint64) (Verdict, bool) {
-	t.turn(now)
-	if verdict, found := t.current[ticket]; found {
+// find returns the verdict of a ticket that was used before.
+func (v *verdicts) find(now time.Time, ticket uint64) (Verdict, bool) {
+	v.rotate(now)
+	if verdict, found := v.current[ticket]; found {
 		return verdict, true
 	}
-	verdict, found := t.before[ticket]
+	verdict, found := v.previous[ticket]
 	return verdict, found
 }
 
-func (t *tickets) add(now time.Time, ticket uint64, verdict Verdict) {
-	t.turn(now)
-	t.current[ticket] = verdict
+func (v *verdicts) add(now time.Time, ticket uint64, verdict Verdict) {
+	v.rotate(now)
+	v.current[ticket] = verdict
 }
--- a/internal/ratelimit/top.go
+++ b/internal/ratelimit/top.go
@@ -6,84 +6,86 @@
 )
 
 const (
-	// shareHalf is the time after which what a hub took counts half in its share.
-	shareHalf = 2 * time.Second
-	// evenPart is the part of all shares that is divided evenly, so that a zone that
-	// has had no request of a tenant yet has some of it.
-	evenPart = 0.1
+	// recentUseHalfLife is the half-life of the tokens that a hub has taken, in the calculation of
+	// its share.
+	recentUseHalfLife = 2 * time.Second
+	// evenShareFraction is the fraction of all shares that is divided evenly, so that a zone
+	// without any request of a tenant so far has a share of its bucket as well.
+	evenShareFraction = 0.1
 )
 
 // Top keeps the buckets of all tenants. It is not safe for concurrent use.
 //
-// Invariant: the level of a bucket, with the parts set aside for silent hubs, is what the
-// limit has let through since the top began, less what hubs have told that they took.
+// Invariant: the level of a bucket, together with the parts reserved for unresponsive hubs, is
+// what the limit has allowed since the top started, less the tokens that hubs have reported as
+// taken.
 type Top struct {
 	tolerance Tolerance
 	limits    map[Tenant]Limit
-	began     time.Time
+	startedAt time.Time
 	epoch     uint32
-	mark      uint64
-	buckets   map[Tenant]*shared
-	hubs      map[uint32]*hub
-	// zones is how many zones have a hub. Until all are heard, the buckets that hubs
-	// bring are taken to be divided among more hubs than those heard.
-	zones    int
-	complete bool
+	sequence  uint64
+	buckets   map[Tenant]*tenantBucket
+	hubs      map[uint32]*hubState
+	// zones is the number of zones that have a hub. Until hubs of all zones have joined, the
+	// buckets that hubs contribute count as divided among more hubs than those that have joined.
+	zones          int
+	allZonesJoined bool
 }
 
-// shared is a tenant's bucket and what each hub has to do with it.
-type shared struct {
+// tenantBucket is a tenant's bucket with its use by each hub.
+type tenantBucket struct {
 	bucket
-	changed uint64
-	// aside is the part of the rate that silent hubs go on with.
-	aside float64
-	// missing is the part of the rate that hubs go on with which have not joined.
-	missing float64
-	users   map[uint32]*user
+	changedSequence uint64
+	// reservedShare is the part of the rate that unresponsive hubs use on their own.
+	reservedShare float64
+	// unjoinedShare is the part of the rate that hubs use which have not joined yet.
+	unjoinedShare float64
+	usages        map[uint32]*usage
 }
 
-// user is what one hub has to do with a bucket.
-type user struct {
-	// joined is set once count, what it has taken, is counted.
+// usage is the use of a bucket by one hub.
+type usage struct {
+	// joined is set once the hub's tokens are counted. taken is how many it has taken.
 	joined bool
-	count  int64
-	// weight is what it took of late.
-	weight float64
-	at     time.Time
-	// told is the share that it was told last, with the change toldAt; share is the
-	// largest that it may go by.
-	told   float64
-	toldAt uint64
-	share  float64
-	// taken are the tokens that it has taken along as a silent hub.
-	taken float64
+	taken  int64
+	// recentUse is the number of tokens taken, with exponential decay.
+	recentUse float64
+	at        time.Time
+	// sentShare is the share that was last sent to the hub, at sequence sentSequence. maxShare is
+	// the largest share that the hub may use at present.
+	sentShare    float64
+	sentSequence uint64
+	maxShare     float64
+	// reservedTokens are the tokens reserved for the hub while it is unresponsive.
+	reservedTokens float64
 }
 
-// hub is a hub that reports.
-type hub struct {
+// hubState is the state of a hub that reports.
+type hubState struct {
 	epoch uint32
 	zone  string
 	at    time.Time
-	// silentSince is set while it does not report.
-	silentSince time.Time
-	released    bool
-	// joined is set once it has told what it brings.
+	// unresponsiveSince is set while the hub does not report.
+	unresponsiveSince time.Time
+	released          bool
+	// joined is set once the hub has reported what it contributes.
 	joined bool
-	// edges is how many edges reported to it last.
+	// edges is how many edges reported to the hub by its last report.
 	edges int
-	// heard is the last change of the top that the hub has taken in.
-	heard uint64
-	// confirmed is the last change of the hub that was taken in here.
-	confirmed uint64
+	// ackedSequence is the last change of the top that the hub has applied.
+	ackedSequence uint64
+	// appliedSequence is the last change of the hub that was applied here.
+	appliedSequence uint64
 }
 
-// NewTop returns a top that knows no hub. What was taken under another top it learns
-// from the hubs: each brings the part of the bucket that it held alone.
+// NewTop returns a top without hubs. It learns from the hubs what was taken under another top:
+// each hub contributes the part of the bucket that it held alone.
 func NewTop(now time.Time, epoch uint32, tolerance Tolerance) *Top {
-	return &Top{tolerance: tolerance, limits: map[Tenant]Limit{}, began: now, epoch: epoch, buckets: map[Tenant]*shared{}, hubs: map[uint32]*hub{}}
+	return &Top{tolerance: tolerance, limits: map[Tenant]Limit{}, startedAt: now, epoch: epoch, buckets: map[Tenant]*tenantBucket{}, hubs: map[uint32]*hubState{}}
 }
 
-// SetLimits takes in the limits in force, and how many zones have a hub.
+// SetLimits sets the limits in force and the number of zones that have a hub.
 func (t *Top) SetLimits(limits map[Tenant]Limit, zones int) {
 	t.limits, t.zones = limits, max(zones, 1)
 	for tenant := range t.buckets {
@@ -93,185 +95,186 @@
 	}
 }
 
-// ApplyReport takes in the report of a hub in a zone, to which so many edges report, and returns
-// the answer.
+// ApplyReport applies the report of a hub in a zone and returns the answer. edges is the number
+// of edges that report to the hub.
 func (t *Top) ApplyReport(now time.Time, source uint32, zone string, edges int, report *Update) *Update {
 	t.expire(now)
-	known := t.hubs[source]
-	if known == nil || known.epoch != report.Epoch {
-		if known != nil {
-			t.forget(source)
+	h := t.hubs[source]
+	if h == nil || h.epoch != report.Epoch {
+		if h != nil {
+			t.dropHub(source)
 		}
-		known = &hub{epoch: report.Epoch, zone: zone}
-		t.hubs[source] = known
+		h = &hubState{epoch: report.Epoch, zone: zone}
+		t.hubs[source] = h
 	}
-	if !known.silentSince.IsZero() {
-		t.heardAgain(now, source, known)
+	if !h.unresponsiveSince.IsZero() {
+		t.restoreHub(now, source, h)
 	}
-	known.at, known.edges = now, edges
+	h.at, h.edges = now, edges
 	if report.AckEpoch != t.epoch {
-		// It was counted for another top. Once the hub has heard of this one it says
-		// what it brings.
-		known.heard, known.confirmed = 0, 0
-		return t.answer(now, source, known)
+		// The rows were counted for another top. Once the hub knows this top, it reports what it
+		// contributes.
+		h.ackedSequence, h.appliedSequence = 0, 0
+		return t.answer(now, source, h)
 	}
-	known.heard, known.joined = report.AckSequence, true
-	if report.Sequence >= known.confirmed {
-		// One that was overtaken by a later one says nothing.
+	h.ackedSequence, h.joined = report.AckSequence, true
+	if report.Sequence >= h.appliedSequence {
+		// A report that a later one has overtaken is ignored.
 		for i := range report.Rows {
-			t.take(now, source, &report.Rows[i])
+			t.applyRow(now, source, &report.Rows[i])
 		}
-		known.confirmed = report.Sequence
+		h.appliedSequence = report.Sequence
 	}
-	return t.answer(now, source, known)
+	return t.answer(now, source, h)
 }
 
-// bucketOf returns the tenant's bucket, brought up to now, or nil for one without a limit.
-func (t *Top) bucketOf(now time.Time, tenant Tenant) *shared {
+// bucketOf returns the tenant's bucket, refilled up to now, or nil if the tenant has no limit.
+func (t *Top) bucketOf(now time.Time, tenant Tenant) *tenantBucket {
 	limit, limited := t.limits[tenant]
 	if !limited {
 		return nil
 	}
-	known := t.buckets[tenant]
-	if known == nil {
-		known = &shared{bucket: bucket{level: t.tolerance.start(limit), at: t.began}, users: map[uint32]*user{}}
-		t.buckets[tenant] = known
+	b := t.buckets[tenant]
+	if b == nil {
+		b = &tenantBucket{bucket: bucket{level: t.tolerance.start(limit), at: t.startedAt}, usages: map[uint32]*usage{}}
+		t.buckets[tenant] = b
 	}
-	known.refill(now, limit.Rate*known.refills(), t.tolerance.capacity(limit))
-	return known
+	b.refill(now, limit.Rate*b.refillShare(), t.tolerance.capacity(limit))
+	return b
 }
 
-// refills returns the part of the rate at which a bucket refills.
-func (s *shared) refills() float64 { return max(1-s.aside-s.missing, 0) }
+// refillShare returns the part of the rate at which the bucket refills.
+func (b *tenantBucket) refillShare() float64 { return max(1-b.reservedShare-b.unjoinedShare, 0) }
 
-// take takes in what a hub has taken of one bucket.
-func (t *Top) take(now time.Time, source uint32, row *Row) {
+// applyRow applies what a hub has taken from one bucket.
+func (t *Top) applyRow(now time.Time, source uint32, row *Row) {
 	first := t.buckets[row.Tenant] == nil
-	known := t.bucketOf(now, row.Tenant)
-	if known == nil {
+	b := t.bucketOf(now, row.Tenant)
+	if b == nil {
 		return
 	}
-	used := known.user(now, source)
-	if !used.joined {
-		used.joined = true
+	u := b.usageBy(now, source)
+	if !u.joined {
+		u.joined = true
 		switch {
 		case row.Joining:
-			t.join(known, used, row, first)
+			t.joinHub(b, u, row, first)
 		case row.Counted:
-			// The tenant's limit was gone here for a moment, and not there: what was
-			// taken before that has been counted.
-			used.count = row.Taken
+			// The tenant's limit was missing for a moment here, but not at the hub. The tokens taken
+			// before that have been counted already.
+			u.taken = row.Taken
 		}
 	}
-	taken := float64(row.Taken - used.count)
-	used.count = row.Taken
-	used.weigh(now)
-	used.weight = max(used.weight+taken, 0)
-	known.level -= taken
-	t.mark++
-	known.changed = t.mark
+	taken := float64(row.Taken - u.taken)
+	u.taken = row.Taken
+	u.decay(now)
+	u.recentUse = max(u.recentUse+taken, 0)
+	b.level -= taken
+	t.sequence++
+	b.changedSequence = t.sequence
 }
 
-// join takes in what a hub brings that has taken tokens before: the part that it held
-// alone. What it took is no part of that. Of a bucket that was not known here all that is
-// left is in such parts.
-func (t *Top) join(known *shared, used *user, row *Row, first bool) {
+// joinHub applies the contribution of a hub that has taken tokens before: the part of the bucket
+// that it held alone. The tokens that it took are not in that part. If the bucket was unknown
+// here, all of its tokens are in such parts.
+func (t *Top) joinHub(b *tenantBucket, u *usage, row *Row, first bool) {
 	if first {
-		known.level = 0
-		if !t.complete {
-			known.missing = 1
+		b.level = 0
+		if !t.allZonesJoined {
+			b.unjoinedShare = 1
 		}
 	}
-	known.missing = max(known.missing-row.Share, 0)
-	// What it took of late is known by its share alone.
-	used.weight = row.Share * t.limits[row.Tenant].Rate * shareHalf.Seconds()
-	used.told, used.share = row.Share, row.Share
-	known.level = min(known.level+row.Level, t.tolerance.capacity(t.limits[row.Tenant]))
-	used.count = row.Taken
+	b.unjoinedShare = max(b.unjoinedShare-row.Share, 0)
+	// The hub's recent use is known only by its share.
+	u.recentUse = row.Share * t.limits[row.Tenant].Rate * recentUseHalfLife.Seconds()
+	u.sentShare, u.maxShare = row.Share, row.Share
+	b.level = min(b.level+row.Level, t.tolerance.capacity(t.limits[row.Tenant]))
+	u.taken = row.Taken
 }
 
-func (u *user) weigh(now time.Time) {
-	if passed := now.Sub(u.at); passed > 0 {
-		u.weight *= math.Exp2(-float64(passed) / float64(shareHalf))
+func (u *usage) decay(now time.Time) {
+	if elapsed := now.Sub(u.at); elapsed > 0 {
+		u.recentUse *= math.Exp2(-float64(elapsed) / float64(recentUseHalfLife))
 		u.at = now
 	}
 }
 
-// user returns what a hub has to do with the bucket.
-func (s *shared) user(now time.Time, source uint32) *user {
-	used := s.users[source]
-	if used == nil {
-		used = &user{at: now}
-		s.users[source] = used
+// usageBy returns the use of the bucket by a hub.
+func (b *tenantBucket) usageBy(now time.Time, source uint32) *usage {
+	u := b.usages[source]
+	if u == nil {
+		u = &usage{at: now}
+		b.usages[source] = u
 	}
-	return used
+	return u
 }
 
-// tell returns the part of a bucket that a hub is to go on with on its own: by what it
-// took of late, and no more than what the others may go by leaves of the whole. A hub that
-// was told less goes by what it was told before until it says that it has heard.
-func (t *Top) tell(now time.Time, known *shared, source uint32, heard uint64) float64 {
-	own := known.user(now, source)
-	if heard >= own.toldAt {
-		own.share = own.told
+// assignShare returns the part of a bucket with which a hub continues if it becomes isolated: by
+// its recent use, and at most what the largest shares that the other hubs may use leave of the
+// whole. A hub that was sent a smaller share may use its previous one until it acknowledges the
+// new one.
+func (t *Top) assignShare(now time.Time, b *tenantBucket, source uint32, ackedSequence uint64) float64 {
+	own := b.usageBy(now, source)
+	if ackedSequence >= own.sentSequence {
+		own.maxShare = own.sentShare
 	}
-	sum, others, users := 0.0, 0.0, 0
-	for name, used := range known.users {
-		used.weigh(now)
-		sum += used.weight
+	sum, otherShares, users := 0.0, 0.0, 0
+	for name, u := range b.usages {
+		u.decay(now)
+		sum += u.recentUse
 		users++
 		if name != source {
-			others += used.share
+			otherShares += u.maxShare
 		}
 	}
 	share := 1 / float64(max(t.zones, users))
 	if sum > 0 {
-		share = evenPart*share + (1-evenPart)*own.weight/sum
+		share = evenShareFraction*share + (1-evenShareFraction)*own.recentUse/sum
 	}
-	// Who has heard nothing of the tenant yet would go by an even share.
-	unheard := float64(max(t.zones-users, 0)) / float64(t.zones)
-	share = min(share, max(1-others-known.missing-unheard, 0))
-	own.told, own.toldAt, own.share = share, t.mark, max(own.share, share)
+	// Hubs that do not know the tenant yet would use an even share.
+	unawareShare := float64(max(t.zones-users, 0)) / float64(t.zones)
+	share = min(share, max(1-otherShares-b.unjoinedShare-unawareShare, 0))
+	own.sentShare, own.sentSequence, own.maxShare = share, t.sequence, max(own.maxShare, share)
 	return share
 }
 
-// answer returns what the hub has not heard of yet.
-func (t *Top) answer(now time.Time, source uint32, known *hub) *Update {
-	news := &Update{Epoch: t.epoch, Sequence: t.mark, AckEpoch: known.epoch, AckSequence: known.confirmed, AllZonesJoined: t.complete}
+// answer returns the changes that the hub has not acknowledged yet.
+func (t *Top) answer(now time.Time, source uint32, h *hubState) *Update {
+	update := &Update{Epoch: t.epoch, Sequence: t.sequence, AckEpoch: h.epoch, AckSequence: h.appliedSequence, AllZonesJoined: t.allZonesJoined}
 	for tenant, b := range t.buckets {
-		if b.changed <= known.heard {
+		if b.changedSequence <= h.ackedSequence {
 			continue
 		}
 		t.bucketOf(now, tenant)
-		share := t.tell(now, b, source, known.heard)
-		used := b.users[source]
-		news.Rows = append(news.Rows, Row{Tenant: tenant, Taken: used.count, Counted: used.joined, Level: b.level, Share: share, RefillShare: b.refills()})
+		share := t.assignShare(now, b, source, h.ackedSequence)
+		u := b.usages[source]
+		update.Rows = append(update.Rows, Row{Tenant: tenant, Taken: u.taken, Counted: u.joined, Level: b.level, Share: share, RefillShare: b.refillShare()})
 	}
-	return news
+	return update
 }
 
-// expire sets aside the parts of hubs that have become silent, and gives those out again
-// that are not waited for any more.
+// expire reserves the shares of hubs that have become unresponsive, and releases the shares of
+// hubs that are not waited for any longer.
 func (t *Top) expire(now time.Time) {
-	t.gather(now)
-	for source, known := range t.hubs {
-		if known.silentSince.IsZero() && now.Sub(known.at) > UpdateTTL {
-			known.silentSince = now
-			if known.released = t.hasSuccessor(now, source, known); !known.released {
-				t.setAside(now, source)
+	t.checkAllJoined(now)
+	for source, h := range t.hubs {
+		if h.unresponsiveSince.IsZero() && now.Sub(h.at) > UpdateTTL {
+			h.unresponsiveSince = now
+			if h.released = t.hasSuccessor(now, source, h); !h.released {
+				t.reserveShare(now, source)
 			}
 		}
-		if !known.silentSince.IsZero() && !known.released && t.isLost(now, source, known) {
-			known.released = true
-			t.release(now, source)
+		if !h.unresponsiveSince.IsZero() && !h.released && t.isLost(now, source, h) {
+			h.released = true
+			t.releaseShare(now, source)
 		}
 	}
 }
 
-// gather ends the wait for hubs that have not joined: once all zones have one that has,
-// or those that are missing have had their time.
-func (t *Top) gather(now time.Time) {
-	if t.complete {
+// checkAllJoined ends the wait for hubs that have not joined: once a hub of each zone has joined,
+// or after the time for which isolated hubs keep their full shares plus UpdateTTL.
+func (t *Top) checkAllJoined(now time.Time) {
+	if t.allZonesJoined {
 		return
 	}
 	zones := map[string]bool{}
@@ -280,114 +283,115 @@
 			zones[h.zone] = true
 		}
 	}
-	if len(zones) < t.zones && now.Sub(t.began) <= lapse+UpdateTTL {
+	if len(zones) < t.zones && now.Sub(t.startedAt) <= fullShareTime+UpdateTTL {
 		return
 	}
-	t.complete = true
+	t.allZonesJoined = true
 	for tenant := range t.buckets {
-		known := t.bucketOf(now, tenant)
-		known.missing = 0
-		t.touch(known)
+		b := t.bucketOf(now, tenant)
+		b.unjoinedShare = 0
+		t.markChanged(b)
 	}
 }
 
-// isLost reports whether a silent hub is not waited for any more.
-func (t *Top) isLost(now time.Time, source uint32, known *hub) bool {
-	silent := now.Sub(known.silentSince)
-	if silent > lapse {
+// isLost reports whether an unresponsive hub is not waited for any longer.
+func (t *Top) isLost(now time.Time, source uint32, h *hubState) bool {
+	unresponsiveTime := now.Sub(h.unresponsiveSince)
+	if unresponsiveTime > fullShareTime {
 		return true
 	}
-	return t.hasSuccessor(now, source, known)
+	return t.hasSuccessor(now, source, h)
 }
 
-// successorPart is the part of a silent hub's edges, in hundredths, that must report to
-// other hubs of its zone for it to be out of use.
-const successorPart = 75
+// successorEdgePercent is the percentage of an unresponsive hub's edges that must report to other
+// hubs of its zone for it to count as replaced.
+const successorEdgePercent = 75
 
-// hasSuccessor reports whether most of the edges of a silent hub report to others of its
-// zone now, so that it has nobody left to give tokens to.
-func (t *Top) hasSuccessor(now time.Time, source uint32, known *hub) bool {
-	const hundredths = 100
+// hasSuccessor reports whether most edges of an unresponsive hub now report to other hubs of its
+// zone, so that it has no edge left to give tokens to.
+func (t *Top) hasSuccessor(now time.Time, source uint32, target *hubState) bool {
+	const hundredPercent = 100
 	edges := 0
 	for other, h := range t.hubs {
-		if other != source && h.zone == known.zone && now.Sub(h.at) <= UpdateTTL {
+		if other != source && h.zone == target.zone && now.Sub(h.at) <= UpdateTTL {
 			edges += h.edges
 		}
 	}
-	return edges*hundredths >= known.edges*successorPart
+	return edges*hundredPercent >= target.edges*successorEdgePercent
 }
 
-// RemoveHub takes in that no edge reports to a hub any more.
+// RemoveHub records that no edge reports to a hub any longer.
 func (t *Top) RemoveHub(now time.Time, source uint32) {
-	if known := t.hubs[source]; known != nil && known.silentSince.IsZero() {
-		known.silentSince, known.released = now, true
+	if h := t.hubs[source]; h != nil && h.unresponsiveSince.IsZero() {
+		h.unresponsiveSince, h.released = now, true
 	}
 }
 
-// setAside takes the part of a silent hub out of all buckets.
-func (t *Top) setAside(now time.Time, source uint32) {
+// reserveShare takes the share of an unresponsive hub out of all buckets.
+func (t *Top) reserveShare(now time.Time, source uint32) {
 	for tenant := range t.buckets {
-		known := t.bucketOf(now, tenant)
-		used := known.users[source]
-		if used == nil {
+		b := t.bucketOf(now, tenant)
+		u := b.usages[source]
+		if u == nil {
 			continue
 		}
-		used.taken = max(known.level, 0) * used.share
-		known.level -= used.taken
-		known.aside = min(known.aside+used.share, 1)
-		t.touch(known)
+		u.reservedTokens = max(b.level, 0) * u.maxShare
+		b.level -= u.reservedTokens
+		b.reservedShare = min(b.reservedShare+u.maxShare, 1)
+		t.markChanged(b)
 	}
 }
 
-// release lets what was set aside for a hub come back at the bucket's rate.
-func (t *Top) release(now time.Time, source uint32) {
+// releaseShare lets the tokens reserved for a hub return at the bucket's refill rate.
+func (t *Top) releaseShare(now time.Time, source uint32) {
 	for tenant := range t.buckets {
-		known := t.bucketOf(now, tenant)
-		if used := known.users[source]; used != nil {
-			known.aside = max(known.aside-used.share, 0)
-			used.taken = 0
-			t.touch(known)
+		b := t.bucketOf(now, tenant)
+		if u := b.usages[source]; u != nil {
+			b.reservedShare = max(b.reservedShare-u.maxShare, 0)
+			u.reservedTokens = 0
+			t.markChanged(b)
 		}
 	}
 }
 
-// heardAgain puts back what was set aside for a hub; its report says what it took of it.
-func (t *Top) heardAgain(now time.Time, source uint32, known *hub) {
-	silent := now.Sub(known.silentSince)
-	if !known.released {
+// restoreHub returns the tokens reserved for a hub to the buckets. The hub's report says how many
+// of them it has taken.
+func (t *Top) restoreHub(now time.Time, source uint32, h *hubState) {
+	unresponsiveTime := now.Sub(h.unresponsiveSince)
+	if !h.released {
 		for tenant := range t.buckets {
 			b := t.bucketOf(now, tenant)
-			used := b.users[source]
-			if used == nil {
+			u := b.usages[source]
+			if u == nil {
 				continue
 			}
 			limit := t.limits[tenant]
-			b.aside = max(b.aside-used.share, 0)
-			b.level = min(b.level+used.taken+used.share*limit.Rate*silent.Seconds(), t.tolerance.capacity(limit))
-			used.taken = 0
-			t.touch(b)
+			b.reservedShare = max(b.reservedShare-u.maxShare, 0)
+			b.level = min(b.level+u.reservedTokens+u.maxShare*limit.Rate*unresponsiveTime.Seconds(), t.tolerance.capacity(limit))
+			u.reservedTokens = 0
+			t.markChanged(b)
 		}
 	}
-	known.silentSince, known.released = time.Time{}, false
+	h.unresponsiveSince, h.released = time.Time{}, false
 }
 
-// forget drops a hub that has begun a new life.
-func (t *Top) forget(source uint32) {
-	for _, known := range t.buckets {
-		used := known.users[source]
-		if used == nil {
+// dropHub removes a hub that has restarted with a new incarnation.
+func (t *Top) dropHub(source uint32) {
+	for _, b := range t.buckets {
+		u := b.usages[source]
+		if u == nil {
 			continue
 		}
-		if h := t.hubs[source]; h != nil && !h.silentSince.IsZero() && !h.released {
-			known.aside = max(known.aside-used.share, 0)
+		if h := t.hubs[source]; h != nil && !h.unresponsiveSince.IsZero() && !h.released {
+			b.reservedShare = max(b.reservedShare-u.maxShare, 0)
 		}
-		delete(known.users, source)
-		t.touch(known)
+		delete(b.usages, source)
+		t.markChanged(b)
 	}
 	delete(t.hubs, source)
 }
 
-func (t *Top) touch(known *shared) {
-	t.mark++
-	known.changed = t.mark
+func (t *Top) markChanged(b *tenantBucket) {
+	t.sequence++
+	b.changedSequence = t.sequence
 }
