--- a/internal/batchroom/ahead.go
+++ b/internal/batchroom/ahead.go
@@ -92,7 +92,7 @@
 type poolBudget struct {
 	forecast *Forecast
 	// demandShare is the share of each worker's slots that the demand needs, and zoneFactors the
-	// factor by which that differs in each zone. startsLeft is how many items may still start,
+	// factor to apply to it in each zone. startsLeft is how many items may still start,
 	// offeredSlots how many slots were found for them at busy workers.
 	demandShare  float64
 	zoneFactors  map[string]float64
--- a/internal/batchroom/zones.go
+++ b/internal/batchroom/zones.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// factors returns for each zone by how much its demand per slot differs from that of the whole
-// pool, as a factor. It returns nil if the pool has fewer than two zones, or no demand is known.
+// factors returns for each zone the ratio of its demand per slot to that of the whole pool. It
+// returns nil if the pool has fewer than two zones, or no demand is known.
 func (z *zoneDemand) factors(poolForecast *Forecast) map[string]float64 {
 	demand, slots := 0.0, 0
 	for zone, count := range poolForecast.ZoneSlots {
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -4,8 +4,8 @@
 // Each group admits jobs by itself. While a group has recent reports of all others, it may use
 // what they leave of the limit. Otherwise it keeps to an even share. An unresponsive group counts
 // with its even share, or with its last report if that is more. The sum over the groups thus
-// stays within the limit, except for what is accepted while reports are in transit, and within
-// ReportTTL after reports cease.
+// stays within the limit, except for jobs that are accepted while reports are in transit, or
+// within ReportTTL after reports cease.
 package quota
 
 import "time"
