--- a/internal/consensus/append.go
+++ b/internal/consensus/append.go
@@ -7,7 +7,7 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// appendEntry adds an entry to a leader's log.
+// appendEntry appends an entry to the log of the leader.
 func (r *Replica) appendEntry(kind wire.EntryKind, data []byte) {
 	entry := wire.LogEntry{Index: r.log.lastIndex() + 1, Term: r.term, Kind: kind, Data: data}
 	r.log.push([]wire.LogEntry{entry})
@@ -16,8 +16,8 @@
 	}
 }
 
-// broadcast sends every follower what it may be sent now; with always set also
-// those to whom there is nothing to send, as a heartbeat.
+// broadcast sends pending entries to every other member. If always is set, members
+// without pending entries receive a message too, as a heartbeat.
 func (r *Replica) broadcast(always bool) {
 	for _, member := range Members(&r.membership) {
 		if member.ID != r.config.ID {
@@ -26,32 +26,32 @@
 	}
 }
 
-// sendAppend sends a follower entries that it lacks. With always set it sends a
-// message in any case, as a heartbeat.
+// sendAppend sends a follower the next entries that it lacks. If always is set, it
+// sends a message even without entries, as a heartbeat.
 func (r *Replica) sendAppend(to uint64, always bool) {
 	progress := r.progress[to]
 	if progress.State == Snapshot {
 		if always {
-			r.sendNow(wire.PeerMessage{Kind: wire.MessageHeartbeat, To: to})
+			r.sendBeforeSync(wire.PeerMessage{Kind: wire.MessageHeartbeat, To: to})
 		}
 		return
 	}
-	if progress.State == Probe && progress.waiting && !always {
+	if progress.State == Probe && progress.probeSent && !always {
 		return
 	}
 	previous := progress.Next - 1
 	previousTerm, known := r.log.term(previous)
 	if !known {
 		progress.State = Snapshot
-		r.snapshotsTo = append(r.snapshotsTo, to)
-		r.sendNow(wire.PeerMessage{Kind: wire.MessageHeartbeat, To: to})
+		r.snapshotTargets = append(r.snapshotTargets, to)
+		r.sendBeforeSync(wire.PeerMessage{Kind: wire.MessageHeartbeat, To: to})
 		return
 	}
 	entries := r.entriesFor(progress)
 	if len(entries) == 0 && !always {
 		return
 	}
-	r.sendNow(wire.PeerMessage{
+	r.sendBeforeSync(wire.PeerMessage{
 		Kind:    wire.MessageAppend,
 		To:      to,
 		Index:   previous,
@@ -60,7 +60,7 @@
 		Entries: entries,
 	})
 	if progress.State == Probe {
-		progress.waiting = true
+		progress.probeSent = true
 		return
 	}
 	progress.Next += uint64(len(entries))
@@ -74,8 +74,8 @@
 	return r.log.slice(progress.Next, r.log.lastIndex(), r.config.MaxAppendBytes)
 }
 
-// takeAppend is a follower's part of replication (thesis 3.5).
-func (r *Replica) takeAppend(message *wire.PeerMessage) {
+// handleAppend processes an append message as a follower (thesis 3.5).
+func (r *Replica) handleAppend(message *wire.PeerMessage) {
 	response := wire.PeerMessage{Kind: wire.MessageAppendResponse, To: message.From, SentNanos: message.SentNanos}
 	switch {
 	case message.Index < r.log.commit:
@@ -83,22 +83,22 @@
 	case !r.log.matches(message.Index, message.LogTerm):
 		response.Reject = true
 		response.Index = message.Index
-		response.Hint = r.agreeableIndex(message.Index, message.LogTerm)
+		response.Hint = r.conflictHint(message.Index, message.LogTerm)
 	default:
-		last := r.takeEntries(message)
+		last := r.acceptEntries(message)
 		r.log.commit = max(r.log.commit, min(message.Commit, last))
 		response.Index = last
 	}
-	r.sendDurable(response)
+	r.sendAfterSync(response)
 }
 
-// agreeableIndex returns the last index at or before index whose term is not
-// newer than term: the logs can't agree after it.
-func (r *Replica) agreeableIndex(index, term uint64) uint64 {
+// conflictHint returns the last index at or before index whose term is at most
+// term, but not less than the commit index. The logs cannot match after the hint.
+func (r *Replica) conflictHint(index, term uint64) uint64 {
 	hint := min(index, r.log.lastIndex())
 	for hint > r.log.commit {
-		known, ok := r.log.term(hint)
-		if !ok || known <= term {
+		hintTerm, ok := r.log.term(hint)
+		if !ok || hintTerm <= term {
 			break
 		}
 		hint--
@@ -106,43 +106,44 @@
 	return hint
 }
 
-func (r *Replica) takeEntries(message *wire.PeerMessage) uint64 {
+func (r *Replica) acceptEntries(message *wire.PeerMessage) uint64 {
 	last := message.Index + uint64(len(message.Entries))
 	conflict := r.log.firstConflict(message.Entries)
 	if conflict == 0 {
 		return last
 	}
 	if conflict <= r.log.lastIndex() {
-		r.noteTruncation(conflict, r.log.lastIndex())
+		r.recordTruncation(conflict, r.log.lastIndex())
 		r.log.truncate(conflict)
 	}
-	fresh := message.Entries[conflict-message.Index-1:]
-	r.log.push(fresh)
-	// Finding the newest membership looks through the whole log.
-	if conflict <= r.membershipIndex || holdsMembership(fresh) {
+	newEntries := message.Entries[conflict-message.Index-1:]
+	r.log.push(newEntries)
+	// adoptMembership scans the whole log, so call it only if the membership may have changed.
+	if conflict <= r.membershipIndex || containsMembership(newEntries) {
 		r.adoptMembership()
 	}
 	return last
 }
 
-func holdsMembership(entries []wire.LogEntry) bool {
+func containsMembership(entries []wire.LogEntry) bool {
 	return slices.ContainsFunc(entries, func(entry wire.LogEntry) bool { return entry.Kind == wire.EntryMembership })
 }
 
-// noteTruncation remembers which stored entries must be removed.
-func (r *Replica) noteTruncation(first, last uint64) {
+// recordTruncation extends the range of stored entries that the next Ready removes.
+func (r *Replica) recordTruncation(first, last uint64) {
 	if r.truncateFrom == 0 || first < r.truncateFrom {
 		r.truncateFrom = first
 	}
 	r.truncateTo = max(r.truncateTo, last)
 }
 
-func (r *Replica) answerHeartbeat(message *wire.PeerMessage) {
-	r.sendDurable(wire.PeerMessage{Kind: wire.MessageHeartbeatResponse, To: message.From, SentNanos: message.SentNanos})
+func (r *Replica) handleHeartbeat(message *wire.PeerMessage) {
+	r.sendAfterSync(wire.PeerMessage{Kind: wire.MessageHeartbeatResponse, To: message.From, SentNanos: message.SentNanos})
 }
 
-// heard takes in that a follower has answered, and returns its progress.
-func (r *Replica) heard(message *wire.PeerMessage) *Progress {
+// recordResponse records that a follower responded, and returns the follower's
+// progress; nil if this replica is not the leader or the sender is not a member.
+func (r *Replica) recordResponse(message *wire.PeerMessage) *Progress {
 	if r.role != Leader {
 		return nil
 	}
@@ -150,31 +151,32 @@
 	if progress == nil {
 		return nil
 	}
-	progress.heardAt = r.now
-	// Answers to an old term's messages carry none of this leader's times.
-	if sent := r.started.Add(time.Duration(message.SentNanos)); message.SentNanos > 0 && sent.After(progress.ackedAt) {
-		progress.ackedAt = sent
+	progress.lastResponse = r.now
+	// The response to a message of an older term carries no SentNanos: it does not show that
+	// the follower has heard from this leader in the current term.
+	if sent := r.started.Add(time.Duration(message.SentNanos)); message.SentNanos > 0 && sent.After(progress.ackedSendTime) {
+		progress.ackedSendTime = sent
 	}
 	return progress
 }
 
-func (r *Replica) takeHeartbeatResponse(message *wire.PeerMessage) { r.heard(message) }
+func (r *Replica) handleHeartbeatResponse(message *wire.PeerMessage) { r.recordResponse(message) }
 
-func (r *Replica) takeAppendResponse(message *wire.PeerMessage) {
-	progress := r.heard(message)
+func (r *Replica) handleAppendResponse(message *wire.PeerMessage) {
+	progress := r.recordResponse(message)
 	if progress == nil {
 		return
 	}
 	if message.Reject {
-		if progress.refuse(message.Index, message.Hint) {
+		if progress.handleReject(message.Index, message.Hint) {
 			r.sendAppend(message.From, false)
 		}
 		return
 	}
 	wasProbe := progress.State == Probe
-	news := progress.acknowledge(message.Index)
+	advanced := progress.acknowledge(message.Index)
 	if progress.State == Snapshot {
-		if !r.coveredByLog(progress) {
+		if !r.canResumeFromLog(progress) {
 			return
 		}
 		progress.becomeProbe()
@@ -183,27 +185,28 @@
 	if wasProbe {
 		progress.becomeReplicate()
 	}
-	if news {
+	if advanced {
 		r.advanceCommit()
 	}
 	if r.role != Leader || r.progress[message.From] == nil {
-		// The commit ended this leadership, or the sender's membership.
+		// Committing the entry ended this leadership or the sender's membership.
 		return
 	}
 	r.sendAppend(message.From, false)
 	r.continueTransfer(message.From)
 }
 
-// coveredByLog reports whether the follower can go on from the log alone.
-func (r *Replica) coveredByLog(progress *Progress) bool {
+// canResumeFromLog reports whether the log still holds the entry at the follower's
+// match index, so that the follower needs no snapshot.
+func (r *Replica) canResumeFromLog(progress *Progress) bool {
 	_, known := r.log.term(progress.Match)
 	return known
 }
 
-// advanceCommit commits what a majority has stored, provided that it is an entry
-// of the leader's own term (thesis 3.6.2).
+// advanceCommit advances the commit index to the last entry that a majority has
+// stored, if that entry is of the leader's own term (thesis 3.6.2).
 func (r *Replica) advanceCommit() {
-	index := uint64(quorumValue(&r.membership, func(id uint64) int64 { return int64(r.storedAt(id)) }))
+	index := uint64(quorumValue(&r.membership, func(id uint64) int64 { return int64(r.storedIndex(id)) }))
 	if index <= r.log.commit {
 		return
 	}
@@ -213,14 +216,14 @@
 	r.log.commit = index
 	r.leaveJoint()
 	if r.membershipIndex <= r.log.commit && len(r.membership.Outgoing) == 0 && !IsVoter(&r.membership, r.config.ID) {
-		// The leader has been replaced by the change that it has committed, or is a learner: then
-		// a voter has its log now, and what it refused before is no reason to stand again.
-		r.refusedAt = time.Time{}
+		// Either the committed change removed this leader, or the leader is a learner. A
+		// voter now has its whole log, so an earlier rejection no longer justifies a campaign.
+		r.voteRejectedAt = time.Time{}
 		r.becomeFollower(r.now, r.term, 0)
 	}
 }
 
-func (r *Replica) storedAt(id uint64) uint64 {
+func (r *Replica) storedIndex(id uint64) uint64 {
 	if id == r.config.ID {
 		return r.log.persisted
 	}
--- a/internal/consensus/doc.go
+++ b/internal/consensus/doc.go
@@ -1,19 +1,20 @@
-// Package consensus is the replicated log core of one group, after Raft. It is a
-// pure state machine: Step takes a message, Tick a moment, Propose a command;
-// Ready returns what must be stored, sent and applied. Clocks, sockets, disks and
-// random numbers stay outside.
+// Package consensus implements the Raft consensus algorithm for one group of
+// replicas. It is a pure state machine without clock, network, disk or source of
+// randomness: Step handles a message, Tick advances the time, Propose appends a
+// command, and Ready returns what the caller must store, send and apply.
 //
-// "Thesis" in comments is D. Ongaro, Consensus: Bridging Theory and Practice
+// "Thesis" in comments refers to D. Ongaro, Consensus: Bridging Theory and Practice
 // (2014).
 //
-// Invariants, beside those of thesis figure 3.2:
-//   - a replica is its storage: messages to another identity are ignored, so
-//     that an emptied disk never answers for what it has lost;
-//   - a replica that heard a leader within the election timeout grants no vote,
-//     unless that leader itself asked for the election (thesis 4.2.3, 6.4.1);
-//     a restarted replica counts its start as such a contact;
-//   - a leader's lease ends before any other replica can win an election,
-//     provided that clocks run at rates within a fifth of each other;
-//   - a membership counts from the moment it is in the log (thesis 4.3); at most
-//     one change is under way.
+// Invariants, in addition to those of thesis figure 3.2:
+//   - a replica is identified by its storage: it ignores messages addressed to
+//     another identity, so that a replica whose disk was erased never responds on
+//     behalf of the data it lost;
+//   - a replica that heard from a leader within the election timeout grants no
+//     vote, unless that leader itself requested the election (thesis 4.2.3, 6.4.1);
+//     a restarted replica treats its start as such a contact;
+//   - a leader's lease expires before any other replica can win an election,
+//     provided that the rates of their clocks differ by at most a fifth;
+//   - a membership takes effect as soon as it is in the log (thesis 4.3); at most
+//     one membership change is in progress.
 package consensus
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -6,57 +6,62 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// campaign asks whether votes would be given, without disturbing anyone
-// (thesis 9.6).
-func (r *Replica) campaign(now time.Time) {
+// startPreVote asks the voters whether they would grant a vote. It doesn't increase
+// the term, so it cannot depose a leader (thesis 9.6).
+func (r *Replica) startPreVote(now time.Time) {
 	r.role = PreCandidate
 	r.leader = 0
 	r.votes = map[uint64]bool{r.config.ID: true}
-	r.askVotes(wire.MessagePreVote, r.term+1, false)
+	r.requestVotes(wire.MessagePreVote, r.term+1, false)
 	r.tally(now, PreCandidate)
 }
 
-// earlyTries is how often a replica that may be elected early asks for votes within a
-// heartbeat interval: after a start of all at once the others come one by one.
-const earlyTries = 2
+// earlyCampaignsPerHeartbeat is how often per heartbeat interval a replica that may be
+// elected early starts a pre-vote. It retries because after a restart of the whole group
+// the other replicas come up one by one.
+const earlyCampaignsPerHeartbeat = 2
 
-// mayPrecede reports whether a replica may be elected before the time is over for which a
-// lease may be in force that this one granted in its last life. That lease can only be the
-// holder's, who stands for election and so does not count on it any more: it began anew, or
-// it stepped down. Nobody else may, and nobody once another leader has been followed.
-func (r *Replica) mayPrecede(id uint64) bool { return r.holder != 0 && r.holder == id }
+// canBeElectedEarly reports whether the replica with the given ID may be elected although
+// a lease that this replica granted before its restart may still be valid. Only the holder
+// of that lease may: by campaigning it shows that it no longer relies on the lease, because
+// it restarted or stepped down. Once this replica has followed another leader, or become
+// leader itself, no replica may.
+func (r *Replica) canBeElectedEarly(id uint64) bool {
+	return r.priorLeaseHolder != 0 && r.priorLeaseHolder == id
+}
 
-// standsEarly reports whether the replica is to stand for election before the shortest
-// election timeout after its start: it led before, and asks again until it has won, heard
-// another leader, or waited as long as all others.
-func (r *Replica) standsEarly(now time.Time) bool {
-	if !r.mayPrecede(r.config.ID) || r.role == Candidate || now.Before(r.earlyDue) {
+// shouldCampaignEarly reports whether the replica should campaign before the shortest
+// election timeout after its start has passed. It does if it was the leader before its
+// restart, and it retries until it wins, hears from another leader, or that timeout has
+// passed.
+func (r *Replica) shouldCampaignEarly(now time.Time) bool {
+	if !r.canBeElectedEarly(r.config.ID) || r.role == Candidate || now.Before(r.nextEarlyCampaign) {
 		return false
 	}
-	r.earlyDue = now.Add(r.config.HeartbeatInterval / earlyTries)
+	r.nextEarlyCampaign = now.Add(r.config.HeartbeatInterval / earlyCampaignsPerHeartbeat)
 	return now.Sub(r.started) < r.config.ElectionTimeout
 }
 
-// stand asks for votes in a new term. A forced candidate was named by the leader
-// itself.
-func (r *Replica) stand(now time.Time, forced bool) {
+// startElection requests votes in a new term. It is forced if the current leader asked
+// for the election, to transfer its leadership.
+func (r *Replica) startElection(now time.Time, forced bool) {
 	r.role = Candidate
 	r.leader = 0
 	r.term++
 	r.vote = r.config.ID
-	r.followed = 0
+	r.termLeader = 0
 	r.votes = map[uint64]bool{r.config.ID: true}
 	r.resetElectionDeadline(now)
-	r.askVotes(wire.MessageVote, r.term, forced)
+	r.requestVotes(wire.MessageVote, r.term, forced)
 	r.tally(now, Candidate)
 }
 
-func (r *Replica) askVotes(kind wire.MessageKind, term uint64, forced bool) {
+func (r *Replica) requestVotes(kind wire.MessageKind, term uint64, forced bool) {
 	for _, member := range Members(&r.membership) {
 		if member.ID == r.config.ID || !IsVoter(&r.membership, member.ID) {
 			continue
 		}
-		r.sendDurable(wire.PeerMessage{
+		r.sendAfterSync(wire.PeerMessage{
 			Kind:    kind,
 			To:      member.ID,
 			Term:    term,
@@ -67,16 +72,16 @@
 	}
 }
 
-// answerVote gives at most one vote per term, and only to a candidate whose log
-// is at least as complete (thesis 3.6.1).
-func (r *Replica) answerVote(now time.Time, message *wire.PeerMessage) {
+// handleVoteRequest grants at most one vote per term, and only to a candidate whose log
+// is at least as up to date as this replica's (thesis 3.6.1).
+func (r *Replica) handleVoteRequest(now time.Time, message *wire.PeerMessage) {
 	preVote := message.Kind == wire.MessagePreVote
-	free := r.vote == message.From || (r.vote == 0 && r.leader == 0) || (preVote && message.Term > r.term)
-	complete := r.log.upToDate(message.Index, message.LogTerm)
-	if !complete {
-		r.refusedAt = now
+	canVote := r.vote == message.From || (r.vote == 0 && r.leader == 0) || (preVote && message.Term > r.term)
+	upToDate := r.log.upToDate(message.Index, message.LogTerm)
+	if !upToDate {
+		r.voteRejectedAt = now
 	}
-	grant := free && complete
+	grant := canVote && upToDate
 	response := wire.PeerMessage{Kind: wire.MessageVoteResponse, To: message.From, Reject: !grant}
 	if preVote {
 		response.Kind = wire.MessagePreVoteResponse
@@ -87,10 +92,10 @@
 		r.vote = message.From
 		r.resetElectionDeadline(now)
 	}
-	r.sendDurable(response)
+	r.sendAfterSync(response)
 }
 
-func (r *Replica) countVote(now time.Time, message *wire.PeerMessage, role Role) {
+func (r *Replica) handleVoteResponse(now time.Time, message *wire.PeerMessage, role Role) {
 	if r.role != role {
 		return
 	}
@@ -101,44 +106,44 @@
 	r.tally(now, role)
 }
 
-// tally ends the election once a majority has decided.
+// tally ends the pre-vote or election once it is won or can no longer be won.
 func (r *Replica) tally(now time.Time, role Role) {
-	won := quorumOf(&r.membership, func(id uint64) bool { return r.votes[id] })
+	won := hasQuorum(&r.membership, func(id uint64) bool { return r.votes[id] })
 	switch {
 	case won && role == PreCandidate:
-		r.stand(now, false)
+		r.startElection(now, false)
 	case won:
 		r.becomeLeader(now)
-	case r.lost():
+	case r.electionLost():
 		r.becomeFollower(now, r.term, 0)
 	}
 }
 
-// lost reports whether so many have refused that no majority can be reached.
-func (r *Replica) lost() bool {
-	return !quorumOf(&r.membership, func(id uint64) bool {
+// electionLost reports whether the rejections make a majority impossible.
+func (r *Replica) electionLost() bool {
+	return !hasQuorum(&r.membership, func(id uint64) bool {
 		granted, answered := r.votes[id]
 		return granted || !answered
 	})
 }
 
-// becomeLeader opens the term with an empty entry: older entries count as
-// committed only with one of the leader's own (thesis 3.6.2).
+// becomeLeader appends an empty entry: a leader may commit entries of older terms only
+// together with an entry of its own term (thesis 3.6.2).
 func (r *Replica) becomeLeader(now time.Time) {
 	r.role = Leader
 	r.leader = r.config.ID
-	r.followed = r.config.ID
-	r.holder = 0
+	r.termLeader = r.config.ID
+	r.priorLeaseHolder = 0
 	r.leaderSince = now
-	r.yielded = false
+	r.timeoutNowSent = false
 	r.transferee = 0
 	r.votes = nil
-	r.heartbeatDue = now.Add(r.config.HeartbeatInterval)
+	r.nextHeartbeat = now.Add(r.config.HeartbeatInterval)
 	r.progress = map[uint64]*Progress{}
 	for _, member := range Members(&r.membership) {
-		r.progress[member.ID] = &Progress{Next: r.log.lastIndex() + 1, heardAt: now}
+		r.progress[member.ID] = &Progress{Next: r.log.lastIndex() + 1, lastResponse: now}
 	}
-	r.termStart = r.log.lastIndex() + 1
+	r.termStartIndex = r.log.lastIndex() + 1
 	r.appendEntry(wire.EntryNoop, nil)
 	r.broadcast(false)
 }
--- a/internal/consensus/lease.go
+++ b/internal/consensus/lease.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// leaseShare is the part of the election timeout, in fifths, for which a leader
-// may answer reads after a majority has heard it. The rest covers clocks that
-// run at different rates (thesis 6.4.1).
-const leaseShare = 4
+// leaseFifths is the duration of a leader's lease in fifths of the election timeout,
+// counted from its last contact with a majority. The remaining fifth allows for clocks
+// that run at different rates (thesis 6.4.1).
+const leaseFifths = 4
 
-// quorumContact returns the newest moment such that a majority has answered a
-// message which the leader sent then or later.
-func (r *Replica) quorumContact(now time.Time) time.Time {
+// lastQuorumContact returns the latest time t such that a majority has responded to a
+// message that the leader sent at t or later; the zero time if there is none.
+func (r *Replica) lastQuorumContact(now time.Time) time.Time {
 	nanos := quorumValue(&r.membership, func(id uint64) int64 {
 		if id == r.config.ID {
 			return int64(now.Sub(r.started)) + 1
 		}
-		if progress := r.progress[id]; progress != nil && !progress.ackedAt.IsZero() {
-			return int64(progress.ackedAt.Sub(r.started)) + 1
+		if progress := r.progress[id]; progress != nil && !progress.ackedSendTime.IsZero() {
+			return int64(progress.ackedSendTime.Sub(r.started)) + 1
 		}
 		return 0
 	})
@@ -25,17 +25,16 @@
 	return r.started.Add(time.Duration(nanos - 1))
 }
 
-// LeaseExpiry returns the moment until which the replica may answer reads from
-// its own state; the zero time if it may not. It may not before it has applied
-// an entry of its term (thesis 6.4), nor once it has begun to hand leadership
-// over.
+// LeaseExpiry returns the time until which the replica may serve reads from its own
+// state; the zero time if it may not. It may not before it has applied an entry of its
+// term (thesis 6.4), nor after it has told another replica to take over leadership.
 func (r *Replica) LeaseExpiry(now time.Time) time.Time {
-	if r.role != Leader || r.yielded || r.log.applied < r.termStart {
+	if r.role != Leader || r.timeoutNowSent || r.log.applied < r.termStartIndex {
 		return time.Time{}
 	}
-	contact := r.quorumContact(now)
+	contact := r.lastQuorumContact(now)
 	if contact.IsZero() {
 		return time.Time{}
 	}
-	return contact.Add(r.config.ElectionTimeout * leaseShare / 5)
+	return contact.Add(r.config.ElectionTimeout * leaseFifths / 5)
 }
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -2,18 +2,18 @@
 
 import "github.com/sedgemast/sedgemast/internal/wire"
 
-// replicaLog holds the entries after the base in memory. Entries up to the base
-// have been compacted: their effects are in the state machine.
+// replicaLog holds in memory the entries after the base. Entries up to the base have
+// been compacted; their effects are in the state machine.
 type replicaLog struct {
 	base      wire.LogBase
 	entries   []wire.LogEntry
-	sizes     []int // sizes[i] is the bytes of entries[:i+1]
+	sizes     []int // sizes[i] is the size of entries[:i+1] in bytes
 	commit    uint64
 	applied   uint64
 	persisted uint64
 }
 
-// entryOverhead is counted for each entry besides its data, in bytes.
+// entryOverhead is the number of bytes counted per entry in addition to its data.
 const entryOverhead = 32
 
 func newLog(base wire.LogBase, entries []wire.LogEntry, applied uint64) *replicaLog {
@@ -42,8 +42,8 @@
 	return term
 }
 
-// term returns the term of the entry at index; false if it is compacted or not
-// there yet.
+// term returns the term of the entry at index; false if the entry is compacted or
+// not in the log yet.
 func (l *replicaLog) term(index uint64) (uint64, bool) {
 	switch {
 	case index == l.base.Index:
@@ -55,19 +55,19 @@
 }
 
 func (l *replicaLog) matches(index, term uint64) bool {
-	known, ok := l.term(index)
-	return ok && known == term
+	entryTerm, ok := l.term(index)
+	return ok && entryTerm == term
 }
 
-// upToDate reports whether a log that ends with the entry named is at least as
-// complete as this one (thesis 3.6.1).
+// upToDate reports whether a log whose last entry has the given index and term is at
+// least as up to date as this one (thesis 3.6.1).
 func (l *replicaLog) upToDate(index, term uint64) bool {
 	lastTerm := l.lastTerm()
 	return term > lastTerm || (term == lastTerm && index >= l.lastIndex())
 }
 
-// slice returns the entries from first to last, both included, as far as they
-// fit into maxBytes; at least one.
+// slice returns the entries from first to last, both inclusive, limited to maxBytes
+// but at least one.
 func (l *replicaLog) slice(first, last uint64, maxBytes int) []wire.LogEntry {
 	if first > last {
 		return nil
@@ -88,8 +88,8 @@
 	return l.sizes[position-1]
 }
 
-// bytesBetween returns the size of the entries after the index after, up to and
-// including last.
+// bytesBetween returns the size in bytes of the entries after the index after, up to
+// and including last.
 func (l *replicaLog) bytesBetween(after, last uint64) int {
 	after = max(after, l.base.Index)
 	if last <= after {
@@ -98,8 +98,8 @@
 	return l.sizeBefore(int(last-l.base.Index)) - l.sizeBefore(int(after-l.base.Index))
 }
 
-// firstConflict returns the index of the first of the entries that is not in
-// the log with the same term; zero if all are.
+// firstConflict returns the index of the first of the given entries that the log does
+// not hold with the same term; zero if the log holds all.
 func (l *replicaLog) firstConflict(entries []wire.LogEntry) uint64 {
 	for i := range entries {
 		if !l.matches(entries[i].Index, entries[i].Term) {
@@ -109,19 +109,19 @@
 	return 0
 }
 
-// truncate drops the entries from index on. Committed entries are never dropped.
+// truncate removes the entries from index on. It panics if one of them is committed.
 func (l *replicaLog) truncate(index uint64) {
 	if index <= l.commit {
-		panic("consensus: a committed entry would be dropped")
+		panic("consensus: truncation of a committed entry")
 	}
 	keep := int(index - l.base.Index - 1)
-	// A new backing array: slices of the old one may be on their way to peers.
+	// Copy the entries: messages to peers may still refer to the old backing array.
 	l.entries = append([]wire.LogEntry(nil), l.entries[:keep]...)
 	l.sizes = l.sizes[:keep]
 	l.persisted = min(l.persisted, index-1)
 }
 
-// compact drops the entries up to index, which must be applied.
+// compact drops the entries up to the new base, which must be applied.
 func (l *replicaLog) compact(base wire.LogBase) {
 	drop := int(base.Index - l.base.Index)
 	dropped := l.sizeBefore(drop)
@@ -136,8 +136,8 @@
 
 func (l *replicaLog) bytes() int { return l.sizeBefore(len(l.entries)) }
 
-// membershipAt returns the membership in force at index and the index of the
-// entry that set it.
+// membershipAt returns the membership in effect at index and the index of the entry
+// that set it.
 func (l *replicaLog) membershipAt(index uint64) (wire.Membership, uint64) {
 	for i := index; i > l.base.Index; i-- {
 		entry := &l.entries[i-l.base.Index-1]
@@ -146,7 +146,7 @@
 		}
 		var membership wire.Membership
 		if _, err := membership.UnmarshalMsg(entry.Data); err != nil {
-			panic("consensus: a membership entry does not decode: " + err.Error())
+			panic("consensus: decode membership entry: " + err.Error())
 		}
 		return membership, i
 	}
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -7,7 +7,7 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// Contains reports whether the identity is among the replicas.
+// Contains reports whether one of the replicas has the given ID.
 func Contains(replicas []wire.Replica, id uint64) bool {
 	for i := range replicas {
 		if replicas[i].ID == id {
@@ -17,17 +17,18 @@
 	return false
 }
 
-// IsVoter reports whether the replica counts for majorities.
+// IsVoter reports whether the replica counts towards majorities. In a joint
+// membership the outgoing voters do too.
 func IsVoter(membership *wire.Membership, id uint64) bool {
 	return Contains(membership.Voters, id) || Contains(membership.Outgoing, id)
 }
 
-// IsMember reports whether the replica receives the log.
+// IsMember reports whether the replica is a voter or a learner, and so receives the log.
 func IsMember(membership *wire.Membership, id uint64) bool {
 	return IsVoter(membership, id) || Contains(membership.Learners, id)
 }
 
-// Members returns every replica of the membership once.
+// Members returns the voters and learners of the membership, without duplicates.
 func Members(membership *wire.Membership) []wire.Replica {
 	var members []wire.Replica
 	for _, list := range [][]wire.Replica{membership.Voters, membership.Outgoing, membership.Learners} {
@@ -40,8 +41,8 @@
 	return members
 }
 
-// quorumValue returns the largest value that a majority of the replicas has
-// reached; in a joint membership, a majority of both lists (thesis 4.3).
+// quorumValue returns the largest value that a majority of the voters has reached; in
+// a joint membership, a majority of both the new and the outgoing voters (thesis 4.3).
 func quorumValue(membership *wire.Membership, value func(id uint64) int64) int64 {
 	result := majorityValue(membership.Voters, value)
 	if len(membership.Outgoing) > 0 {
@@ -62,17 +63,17 @@
 	return values[len(values)/2]
 }
 
-// quorumOf reports whether a majority satisfies the condition.
-func quorumOf(membership *wire.Membership, holds func(id uint64) bool) bool {
+// hasQuorum reports whether a majority of the voters satisfies the condition.
+func hasQuorum(membership *wire.Membership, satisfies func(id uint64) bool) bool {
 	return quorumValue(membership, func(id uint64) int64 {
-		if holds(id) {
+		if satisfies(id) {
 			return 1
 		}
 		return 0
 	}) == 1
 }
 
-// sameReplicas reports whether two lists name the same identities.
+// sameReplicas reports whether two lists hold the same IDs, in any order.
 func sameReplicas(first, second []wire.Replica) bool {
 	if len(first) != len(second) {
 		return false
@@ -85,17 +86,17 @@
 	return true
 }
 
-// ProposeMembership begins the change to the voters and learners given. Where
-// the voters differ the change goes through a joint membership, which the leader
-// leaves by itself once it is committed.
+// ProposeMembership starts a change to the given voters and learners. If the voters
+// change, the group passes through a joint membership, which the leader ends by itself
+// once it is committed.
 //
-// It fails with NotRun while the replica is not a leader that has committed an
-// entry of its term, or while another change is under way.
+// It fails with NotRun if this replica is not a leader that has committed an entry of
+// its term, or if another membership change is in progress.
 func (r *Replica) ProposeMembership(voters, learners []wire.Replica) error {
 	switch {
-	case !r.mayPropose():
+	case !r.canPropose():
 		return r.notLeader()
-	case r.log.commit < r.termStart:
+	case r.log.commit < r.termStartIndex:
 		return failure.New(failure.NotRun, "try again", "the leader's term has not begun yet")
 	case r.membershipIndex > r.log.commit || len(r.membership.Outgoing) > 0:
 		return failure.New(failure.NotRun, "try again", "another change of membership is under way")
@@ -112,12 +113,12 @@
 func (r *Replica) appendMembership(next wire.Membership) {
 	data, err := next.MarshalMsg(nil)
 	if err != nil {
-		panic("consensus: a membership does not encode: " + err.Error())
+		panic("consensus: encode membership: " + err.Error())
 	}
 	r.appendEntry(wire.EntryMembership, data)
 }
 
-// leaveJoint ends a committed joint membership.
+// leaveJoint appends the final membership once the joint membership is committed.
 func (r *Replica) leaveJoint() {
 	if r.role != Leader || len(r.membership.Outgoing) == 0 || r.membershipIndex > r.log.commit {
 		return
@@ -126,7 +127,8 @@
 	r.broadcast(false)
 }
 
-// adoptMembership takes the newest membership of the log into use.
+// adoptMembership puts the newest membership in the log into effect. A leader starts
+// tracking new members and drops removed ones.
 func (r *Replica) adoptMembership() {
 	r.membership, r.membershipIndex = r.log.membershipAt(r.log.lastIndex())
 	if r.role != Leader {
@@ -136,7 +138,7 @@
 	for _, member := range Members(&r.membership) {
 		kept[member.ID] = r.progress[member.ID]
 		if kept[member.ID] == nil {
-			kept[member.ID] = &Progress{Next: r.log.lastIndex() + 1, heardAt: r.now}
+			kept[member.ID] = &Progress{Next: r.log.lastIndex() + 1, lastResponse: r.now}
 		}
 	}
 	r.progress = kept
--- a/internal/consensus/progress.go
+++ b/internal/consensus/progress.go
@@ -2,62 +2,62 @@
 
 import "time"
 
-// ProgressState is how a leader feeds a follower.
+// ProgressState is the way in which a leader sends the log to a follower.
 type ProgressState uint8
 
 const (
-	// Probe sends one append and waits for the answer, until the logs' last
-	// common entry is found.
+	// Probe sends one append at a time and waits for the response, to find the last
+	// entry that the two logs have in common.
 	Probe ProgressState = iota
-	// Replicate sends appends one after the other without waiting.
+	// Replicate sends appends without waiting for the responses.
 	Replicate
-	// Snapshot waits until the follower has taken in a snapshot.
+	// Snapshot sends no entries until the follower has installed a snapshot.
 	Snapshot
 )
 
-// Progress is a leader's view of one follower.
+// Progress is the leader's view of one follower's log.
 //
-// Invariant: Match < Next; everything up to Match is known to be stored there.
+// Invariant: Match < Next; the follower has stored every entry up to Match.
 type Progress struct {
 	State ProgressState
 	Match uint64
 	Next  uint64
-	// waiting is set while an answer to a probe is due.
-	waiting bool
-	// ackedAt is when the leader sent the newest message that was answered.
-	ackedAt time.Time
-	// heardAt is when the last answer came.
-	heardAt time.Time
+	// probeSent is set while the response to a probe is outstanding.
+	probeSent bool
+	// ackedSendTime is when the leader sent the newest message that the follower has answered.
+	ackedSendTime time.Time
+	// lastResponse is when the follower's last response arrived.
+	lastResponse time.Time
 }
 
 func (p *Progress) becomeProbe() {
 	p.State = Probe
 	p.Next = p.Match + 1
-	p.waiting = false
+	p.probeSent = false
 }
 
 func (p *Progress) becomeReplicate() {
 	p.State = Replicate
 	p.Next = max(p.Next, p.Match+1)
-	p.waiting = false
+	p.probeSent = false
 }
 
-// acknowledge takes in that the follower holds everything up to index. It
-// reports whether that was news.
+// acknowledge records that the follower has stored every entry up to index. It
+// reports whether Match advanced.
 func (p *Progress) acknowledge(index uint64) bool {
 	if index <= p.Match {
 		return false
 	}
 	p.Match = index
 	p.Next = max(p.Next, index+1)
-	p.waiting = false
+	p.probeSent = false
 	return true
 }
 
-// refuse takes in that the follower lacks the entry at index and may agree at
-// hint. Refusals of older messages are ignored; it reports whether this was not
-// one.
-func (p *Progress) refuse(index, hint uint64) bool {
+// handleReject processes the rejection of an append whose previous entry was at index;
+// the logs may match at hint. It reports whether Next changed: rejections of outdated
+// messages are ignored.
+func (p *Progress) handleReject(index, hint uint64) bool {
 	if index <= p.Match {
 		return false
 	}
@@ -70,6 +70,6 @@
 		return false
 	}
 	p.Next = max(min(index, hint+1), p.Match+1)
-	p.waiting = false
+	p.probeSent = false
 	return true
 }
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -6,9 +6,10 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// Ready is what the caller must do, in this order: send Immediate; store
-// HardState, the removal of entries from TruncateFrom to TruncateTo, and
-// Entries, with a sync; send Durable; apply Committed; call Advance.
+// Ready holds the work that the caller must do, in this order: send
+// MessagesBeforeSync; store HardState, the removal of the entries from TruncateFrom to
+// TruncateTo, and Entries, with a sync; send MessagesAfterSync; apply Committed; call
+// Advance.
 type Ready struct {
 	MessagesBeforeSync []wire.PeerMessage
 	HardState          *wire.HardState
@@ -17,42 +18,42 @@
 	Entries            []wire.LogEntry
 	MessagesAfterSync  []wire.PeerMessage
 	Committed          []wire.LogEntry
-	// SnapshotTargets names the followers that need a snapshot.
+	// SnapshotTargets lists the IDs of the followers that need a snapshot.
 	SnapshotTargets []uint64
 }
 
-// Empty reports whether there is nothing to do.
+// Empty reports whether there is no work.
 func (r *Ready) Empty() bool {
 	return len(r.MessagesBeforeSync)+len(r.MessagesAfterSync)+len(r.Entries)+len(r.Committed)+len(r.SnapshotTargets) == 0 &&
 		r.HardState == nil && r.TruncateFrom == 0
 }
 
-// maxApplyBytes bounds what is applied between two rounds.
+// maxApplyBytes limits the committed entries of one Ready.
 const maxApplyBytes = 16 << 20
 
-// Ready returns what is to be done since the last call.
+// Ready returns the work that arose since the last call.
 func (r *Replica) Ready() Ready {
 	ready := Ready{
-		MessagesBeforeSync: r.immediate,
-		MessagesAfterSync:  r.durable,
+		MessagesBeforeSync: r.messagesBeforeSync,
+		MessagesAfterSync:  r.messagesAfterSync,
 		TruncateFrom:       r.truncateFrom,
 		TruncateTo:         r.truncateTo,
-		SnapshotTargets:    r.snapshotsTo,
-		Entries:            r.unstored(),
+		SnapshotTargets:    r.snapshotTargets,
+		Entries:            r.unpersistedEntries(),
 	}
-	if hard := (wire.HardState{Term: r.term, Vote: r.vote, Leader: r.followed}); hard != r.storedHard {
+	if hard := (wire.HardState{Term: r.term, Vote: r.vote, Leader: r.termLeader}); hard != r.persistedHardState {
 		ready.HardState = &hard
-		r.storedHard = hard
+		r.persistedHardState = hard
 	}
 	if r.log.commit > r.log.applied {
 		ready.Committed = r.log.slice(r.log.applied+1, r.log.commit, maxApplyBytes)
 	}
-	r.immediate, r.durable, r.snapshotsTo = nil, nil, nil
+	r.messagesBeforeSync, r.messagesAfterSync, r.snapshotTargets = nil, nil, nil
 	r.truncateFrom, r.truncateTo = 0, 0
 	return ready
 }
 
-func (r *Replica) unstored() []wire.LogEntry {
+func (r *Replica) unpersistedEntries() []wire.LogEntry {
 	if r.log.persisted == r.log.lastIndex() {
 		return nil
 	}
@@ -60,7 +61,7 @@
 	return r.log.entries[first:len(r.log.entries):len(r.log.entries)]
 }
 
-// Advance takes in that everything of the Ready has been done.
+// Advance records that the caller has done all the work of a Ready.
 func (r *Replica) Advance(now time.Time, done *Ready) {
 	r.now = now
 	if count := len(done.Entries); count > 0 {
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -8,21 +8,21 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// Role is what a replica currently is.
+// Role is the role of a replica in its group.
 type Role uint8
 
 const (
-	// Follower takes entries from a leader.
+	// Follower receives entries from a leader.
 	Follower Role = iota
-	// PreCandidate asks whether it could win an election.
+	// PreCandidate asks the voters whether it could win an election.
 	PreCandidate
-	// Candidate stands for election.
+	// Candidate requests votes.
 	Candidate
-	// Leader appends entries and decides what is committed.
+	// Leader appends entries, replicates them and advances the commit index.
 	Leader
 )
 
-// String returns the role as used in logs.
+// String returns the role's name as written to logs.
 func (r Role) String() string {
 	return [...]string{"follower", "pre_candidate", "candidate", "leader"}[r]
 }
@@ -33,94 +33,98 @@
 	IntN(n int) int
 }
 
-// Config describes a replica.
+// Config holds the settings of a replica.
 type Config struct {
 	// ID is the identity of the replica's storage.
 	ID uint64
-	// Group is put into every message.
+	// Group is the number of the group, set in every message that the replica sends.
 	Group int
-	// ElectionTimeout is the shortest time without a leader after which a
-	// replica stands for election; the longest is twice as long.
+	// ElectionTimeout is the shortest time without a leader after which a replica
+	// campaigns. The actual time is random, up to twice as long.
 	ElectionTimeout time.Duration
 	// HeartbeatInterval is the time between a leader's heartbeats.
 	HeartbeatInterval time.Duration
-	// MaxAppendBytes bounds the entries of one message, MaxInflightBytes those
-	// sent to one follower and not yet answered.
+	// MaxAppendBytes limits the entries of one message, MaxInflightBytes the entries
+	// sent to one follower and not yet acknowledged.
 	MaxAppendBytes   int
 	MaxInflightBytes int
 	Random           Random
 }
 
-// PersistedState is what storage holds of a replica.
+// PersistedState is the state of a replica as read from storage.
 type PersistedState struct {
 	HardState wire.HardState
 	Base      wire.LogBase
 	Entries   []wire.LogEntry
-	// AppliedIndex is the index up to which the stored state has come.
+	// AppliedIndex is the index of the last entry applied to the stored state.
 	AppliedIndex uint64
 }
 
-// Replica is the state of one replica of one group.
+// Replica is one replica of a group.
 type Replica struct {
 	config Config
 	log    *replicaLog
 
 	term uint64
 	vote uint64
-	// followed is who was followed in term, or led it, zero for nobody yet.
-	followed   uint64
-	storedHard wire.HardState
-	role       Role
-	leader     uint64
+	// termLeader is the ID of the leader of term: the one that this replica followed, or
+	// itself. It is zero if none is known yet.
+	termLeader         uint64
+	persistedHardState wire.HardState
+	role               Role
+	leader             uint64
 
 	membership      wire.Membership
 	membershipIndex uint64
 
-	// holder is who alone may hold a lease that this replica granted in its last life, zero
-	// if that is not known, and once it has followed a leader in this one.
-	holder uint64
-	// earlyDue is from when on it may stand early again (standsEarly).
-	earlyDue         time.Time
-	started          time.Time
-	lastContact      time.Time
-	electionDeadline time.Time
-	// refusedAt is when a candidate was last refused because this log is more complete.
-	refusedAt time.Time
+	// priorLeaseHolder is the ID of the only replica that may hold a lease which this
+	// replica granted before its restart. It is zero if that is not known, or if this
+	// replica has followed a leader or become leader since.
+	priorLeaseHolder uint64
+	// nextEarlyCampaign is the earliest time of the next early campaign (shouldCampaignEarly).
+	nextEarlyCampaign time.Time
+	started           time.Time
+	lastContact       time.Time
+	electionDeadline  time.Time
+	// voteRejectedAt is when this replica last rejected a candidate because its own log was
+	// more up to date.
+	voteRejectedAt time.Time
 
 	votes map[uint64]bool
 
-	// The following are a leader's.
-	progress     map[uint64]*Progress
-	termStart    uint64
-	leaderSince  time.Time
-	heartbeatDue time.Time
-	transferee   uint64
-	transferEnds time.Time
-	yielded      bool
-	now          time.Time
-
-	immediate    []wire.PeerMessage
-	durable      []wire.PeerMessage
-	truncateFrom uint64
-	truncateTo   uint64
-	snapshotsTo  []uint64
+	// The fields from here to timeoutNowSent are used by a leader only.
+	progress         map[uint64]*Progress
+	termStartIndex   uint64
+	leaderSince      time.Time
+	nextHeartbeat    time.Time
+	transferee       uint64
+	transferDeadline time.Time
+	timeoutNowSent   bool
+	now              time.Time
+
+	messagesBeforeSync []wire.PeerMessage
+	messagesAfterSync  []wire.PeerMessage
+	truncateFrom       uint64
+	truncateTo         uint64
+	snapshotTargets    []uint64
 }
 
-// New returns a replica in the state that storage holds. Its start counts as
-// contact with a leader, so that it can't break a lease that it has forgotten. Only the
-// holder of that lease may be elected before; see mayPrecede.
+// New returns a replica in the state read from storage. Its start counts as contact with
+// a leader, so that it doesn't help to elect another leader while a lease that it granted
+// before the restart may be valid. Only the holder of that lease may be elected earlier;
+// see canBeElectedEarly.
 func New(config Config, restored PersistedState, now time.Time) *Replica {
 	r := &Replica{
-		config:      config,
-		log:         newLog(restored.Base, restored.Entries, restored.AppliedIndex),
-		term:        restored.HardState.Term,
-		vote:        restored.HardState.Vote,
-		followed:    restored.HardState.Leader,
-		holder:      restored.HardState.Leader,
-		storedHard:  restored.HardState,
-		started:     now,
-		lastContact: now,
-		now:         now,
+		config:             config,
+		log:                newLog(restored.Base, restored.Entries, restored.AppliedIndex),
+		term:               restored.HardState.Term,
+		vote:               restored.HardState.Vote,
+		termLeader:         restored.HardState.Leader,
+		priorLeaseHolder:   restored.HardState.Leader,
+		persistedHardState: restored.HardState,
+		started:            now,
+		lastContact:        now,
+		now:                now,
 	}
 	r.adoptMembership()
 	r.resetElectionDeadline(now)
@@ -134,71 +138,73 @@
 	r.adoptMembership()
 }
 
-// Tick lets time pass. It must be called a few times per heartbeat interval.
+// Tick advances the time: it starts elections and sends heartbeats that are due. It must be
+// called several times per heartbeat interval.
 func (r *Replica) Tick(now time.Time) {
 	r.now = now
 	if r.role == Leader {
 		r.tickLeader(now)
 		return
 	}
-	if !r.mayStand(now) {
+	if !r.canCampaign(now) {
 		return
 	}
 	switch {
-	case r.soleVoter() || !now.Before(r.electionDeadline):
+	case r.isSoleVoter() || !now.Before(r.electionDeadline):
 		r.resetElectionDeadline(now)
-		r.campaign(now)
-	case r.standsEarly(now):
-		r.campaign(now)
+		r.startPreVote(now)
+	case r.shouldCampaignEarly(now):
+		r.startPreVote(now)
 	}
 }
 
-// refusalCounts is how many of the shortest election timeouts the refusal of a candidate
-// lets a learner stand: candidates stand again within two of them.
-const refusalCounts = 3
-
-// mayStand reports whether the replica may stand for election: a voter, or a learner that
-// has lately refused a candidate whose log is less complete. Where a voter's disk is lost
-// within a change of membership, a learner may hold the one log that can win: voters who
-// know it as a voter need its vote, which it can't give. It counts the votes of the
-// membership in its log, its own not among them, and gives up its lead once its first
-// entry is committed; then a voter has that log, too.
-func (r *Replica) mayStand(now time.Time) bool {
+// learnerCampaignTimeouts is how long a learner may campaign after it rejected a candidate,
+// in shortest election timeouts. A candidate campaigns again within two of them.
+const learnerCampaignTimeouts = 3
+
+// canCampaign reports whether the replica may start an election: a voter may, and so may a
+// learner that recently rejected a candidate because its own log is more up to date. If a
+// voter loses its disk during a membership change, the only log that can win may be that of
+// a learner: voters whose log already makes it a voter need its vote, which it must deny to
+// less complete logs. Such a learner counts the votes of the membership in its own log,
+// where its own vote does not count, and steps down once the first entry of its term is
+// committed. By then a voter has that log too.
+func (r *Replica) canCampaign(now time.Time) bool {
 	if IsVoter(&r.membership, r.config.ID) {
 		return true
 	}
-	refused := !r.refusedAt.IsZero() && now.Sub(r.refusedAt) < refusalCounts*r.config.ElectionTimeout
-	return refused && Contains(r.membership.Learners, r.config.ID)
+	rejectedRecently := !r.voteRejectedAt.IsZero() && now.Sub(r.voteRejectedAt) < learnerCampaignTimeouts*r.config.ElectionTimeout
+	return rejectedRecently && Contains(r.membership.Learners, r.config.ID)
 }
 
-func (r *Replica) soleVoter() bool {
+func (r *Replica) isSoleVoter() bool {
 	return len(r.membership.Voters) == 1 && len(r.membership.Outgoing) == 0 && r.membership.Voters[0].ID == r.config.ID
 }
 
 func (r *Replica) tickLeader(now time.Time) {
-	lastQuorum := r.quorumContact(now)
+	lastQuorum := r.lastQuorumContact(now)
 	if lastQuorum.Before(r.leaderSince) {
 		lastQuorum = r.leaderSince
 	}
 	if now.Sub(lastQuorum) > r.config.ElectionTimeout {
-		// Check quorum (thesis 6.2): a leader that hears no majority must not
-		// keep callers waiting for it.
+		// Check quorum (thesis 6.2): a leader without contact to a majority steps down, so
+		// that callers don't wait for commits that it cannot make.
 		r.becomeFollower(now, r.term, 0)
 		return
 	}
-	if r.transferee != 0 && !now.Before(r.transferEnds) {
-		r.endTransfer(now)
+	if r.transferee != 0 && !now.Before(r.transferDeadline) {
+		r.handleTransferTimeout(now)
 		if r.role != Leader {
 			return
 		}
 	}
-	if !now.Before(r.heartbeatDue) {
-		r.heartbeatDue = now.Add(r.config.HeartbeatInterval)
+	if !now.Before(r.nextHeartbeat) {
+		r.nextHeartbeat = now.Add(r.config.HeartbeatInterval)
 		r.broadcast(true)
 	}
 }
 
-// Step takes in a message.
+// Step processes a message.
 func (r *Replica) Step(now time.Time, message *wire.PeerMessage) {
 	r.now = now
 	if message.To != r.config.ID || !r.acceptTerm(now, message) {
@@ -206,69 +212,70 @@
 	}
 	switch message.Kind {
 	case wire.MessagePreVote, wire.MessageVote:
-		r.answerVote(now, message)
+		r.handleVoteRequest(now, message)
 	case wire.MessagePreVoteResponse:
-		r.countVote(now, message, PreCandidate)
+		r.handleVoteResponse(now, message, PreCandidate)
 	case wire.MessageVoteResponse:
-		r.countVote(now, message, Candidate)
+		r.handleVoteResponse(now, message, Candidate)
 	case wire.MessageAppend:
 		r.followLeader(now, message)
-		r.takeAppend(message)
+		r.handleAppend(message)
 	case wire.MessageHeartbeat, wire.MessageSnapshotChunk:
 		r.followLeader(now, message)
 		if message.Kind == wire.MessageHeartbeat {
-			r.answerHeartbeat(message)
+			r.handleHeartbeat(message)
 		}
 	case wire.MessageAppendResponse:
-		r.takeAppendResponse(message)
+		r.handleAppendResponse(message)
 	case wire.MessageHeartbeatResponse:
-		r.takeHeartbeatResponse(message)
+		r.handleHeartbeatResponse(message)
 	case wire.MessageTimeoutNow:
 		if message.From == r.leader && IsVoter(&r.membership, r.config.ID) {
-			r.stand(now, true)
+			r.startElection(now, true)
 		}
 	}
 }
 
-// acceptTerm compares the message's term with the replica's own and reports
-// whether the message is to be taken in.
+// acceptTerm compares the message's term with the replica's own and reports whether to
+// process the message. A newer term makes the replica a follower in that term, unless the
+// message belongs to a pre-vote.
 func (r *Replica) acceptTerm(now time.Time, message *wire.PeerMessage) bool {
-	asksVote := message.Kind == wire.MessagePreVote || message.Kind == wire.MessageVote
+	isVoteRequest := message.Kind == wire.MessagePreVote || message.Kind == wire.MessageVote
 	switch {
 	case message.Term > r.term:
-		if asksVote && !message.Forced && r.hasLeader(now) && !r.mayPrecede(message.From) {
+		if isVoteRequest && !message.Forced && r.hasLeader(now) && !r.canBeElectedEarly(message.From) {
 			return false
 		}
-		granted := message.Kind == wire.MessagePreVoteResponse && !message.Reject
-		if message.Kind == wire.MessagePreVote || granted {
+		isPreVoteGrant := message.Kind == wire.MessagePreVoteResponse && !message.Reject
+		if message.Kind == wire.MessagePreVote || isPreVoteGrant {
 			return true
 		}
 		r.becomeFollower(now, message.Term, 0)
 		return true
 	case message.Term < r.term:
-		r.answerOldTerm(message)
+		r.respondStaleTerm(message)
 		return false
 	}
 	return true
 }
 
-// answerOldTerm tells the sender of a leader's or pre-candidate's message of the
-// newer term, so that it stops.
-func (r *Replica) answerOldTerm(message *wire.PeerMessage) {
+// respondStaleTerm tells a leader or pre-candidate with an outdated term about the newer
+// term, so that it stops.
+func (r *Replica) respondStaleTerm(message *wire.PeerMessage) {
 	switch message.Kind {
 	case wire.MessageAppend, wire.MessageHeartbeat, wire.MessageSnapshotChunk:
-		r.sendDurable(wire.PeerMessage{Kind: wire.MessageAppendResponse, To: message.From, Reject: true})
+		r.sendAfterSync(wire.PeerMessage{Kind: wire.MessageAppendResponse, To: message.From, Reject: true})
 	case wire.MessagePreVote:
-		r.sendDurable(wire.PeerMessage{Kind: wire.MessagePreVoteResponse, To: message.From, Reject: true})
+		r.sendAfterSync(wire.PeerMessage{Kind: wire.MessagePreVoteResponse, To: message.From, Reject: true})
 	}
 }
 
-// hasLeader reports whether a leader has been heard within the shortest
-// election timeout. A leader is in contact with itself through its majority.
+// hasLeader reports whether the replica heard from a leader within the shortest election
+// timeout. For a leader, its last contact with a majority counts.
 func (r *Replica) hasLeader(now time.Time) bool {
 	contact := r.lastContact
 	if r.role == Leader {
-		contact = r.quorumContact(now)
+		contact = r.lastQuorumContact(now)
 	}
 	return now.Sub(contact) < r.config.ElectionTimeout
 }
@@ -278,8 +285,8 @@
 		r.becomeFollower(now, r.term, message.From)
 	}
 	r.leader = message.From
-	r.followed = message.From
-	r.holder = 0
+	r.termLeader = message.From
+	r.priorLeaseHolder = 0
 	r.lastContact = now
 	r.resetElectionDeadline(now)
 }
@@ -288,14 +295,14 @@
 	if term > r.term {
 		r.term = term
 		r.vote = 0
-		r.followed = 0
+		r.termLeader = 0
 	}
 	r.role = Follower
 	r.leader = leader
 	r.progress = nil
 	r.votes = nil
 	r.transferee = 0
-	r.yielded = false
+	r.timeoutNowSent = false
 	r.resetElectionDeadline(now)
 }
 
@@ -304,10 +311,11 @@
 	r.electionDeadline = now.Add(r.config.ElectionTimeout + spread)
 }
 
-// Propose appends a command to the log and returns its index and term. It fails
-// with NotRun on a replica that does not lead, naming the leader if it is known.
+// Propose appends a command to the log and returns its index and term. It fails with NotRun
+// if this replica is not the leader or is transferring leadership; the error names the leader
+// if another replica is known to lead.
 func (r *Replica) Propose(command []byte) (index, term uint64, err error) {
-	if !r.mayPropose() {
+	if !r.canPropose() {
 		return 0, 0, r.notLeader()
 	}
 	r.appendEntry(wire.EntryCommand, command)
@@ -315,12 +323,14 @@
 	return r.log.lastIndex(), r.term, nil
 }
 
-func (r *Replica) mayPropose() bool { return r.role == Leader && r.transferee == 0 && !r.yielded }
+func (r *Replica) canPropose() bool {
+	return r.role == Leader && r.transferee == 0 && !r.timeoutNowSent
+}
 
-// LeaderFieldPrefix is the prefix of the failure field that names the leader.
+// LeaderFieldPrefix is the prefix in an error's Field that precedes the leader's address.
 const LeaderFieldPrefix = "leader="
 
-// LeaderFromError returns the address of the leader that a refusal names, or nothing.
+// LeaderFromError returns the leader's address that the error names, or an empty string.
 func LeaderFromError(err error) string {
 	address, named := strings.CutPrefix(failure.From(err).Field, LeaderFieldPrefix)
 	if !named {
@@ -330,22 +340,22 @@
 }
 
 func (r *Replica) notLeader() error {
-	refusal := failure.New(failure.NotRun, "ask the leader", "this replica of group %d does not lead", r.config.Group)
+	err := failure.New(failure.NotRun, "ask the leader", "this replica of group %d does not lead", r.config.Group)
 	for _, member := range Members(&r.membership) {
 		if member.ID == r.leader && r.leader != r.config.ID {
-			return refusal.WithField(LeaderFieldPrefix + member.Address)
+			return err.WithField(LeaderFieldPrefix + member.Address)
 		}
 	}
-	return refusal
+	return err
 }
 
-func (r *Replica) sendDurable(message wire.PeerMessage) {
-	r.durable = append(r.durable, r.stamp(message))
+func (r *Replica) sendAfterSync(message wire.PeerMessage) {
+	r.messagesAfterSync = append(r.messagesAfterSync, r.stamp(message))
 }
 
-func (r *Replica) sendNow(message wire.PeerMessage) {
+func (r *Replica) sendBeforeSync(message wire.PeerMessage) {
 	message.SentNanos = int64(r.now.Sub(r.started))
-	r.immediate = append(r.immediate, r.stamp(message))
+	r.messagesBeforeSync = append(r.messagesBeforeSync, r.stamp(message))
 }
 
 func (r *Replica) stamp(message wire.PeerMessage) wire.PeerMessage {
--- a/internal/consensus/replica_test.go
+++ b/internal/consensus/replica_test.go
@@ -20,40 +20,41 @@
 	}, restored, testStart)
 }
 
-func three() wire.LogBase {
+func threeVoterBase() wire.LogBase {
 	return wire.LogBase{Membership: wire.Membership{Voters: replicas(3)}}
 }
 
-// vote asks the replica for its vote and reports whether it gave it.
-func vote(r *Replica, now time.Time, from, term uint64, forced bool) bool {
+// requestVote sends the replica a vote request and reports whether it grants the vote.
+func requestVote(r *Replica, now time.Time, from, term uint64, forced bool) bool {
 	r.Step(now, &wire.PeerMessage{Kind: wire.MessageVote, From: from, To: r.ID(), Term: term, Forced: forced})
 	ready := r.Ready()
 	r.Advance(now, &ready)
 	return len(ready.MessagesAfterSync) == 1 && !ready.MessagesAfterSync[0].Reject
 }
 
-// TestOneVotePerTerm shows that the stored vote is what keeps a restarted replica
-// from voting twice: without it the second vote is given.
+// TestOneVotePerTerm checks that a replica votes once per term, also after a restart. The
+// last case restarts without the stored vote: that the second vote is then granted shows that
+// the test detects a vote that is not stored.
 func TestOneVotePerTerm(t *testing.T) {
 	later := testStart.Add(time.Second)
-	r := testReplica(1, PersistedState{Base: three()})
-	if !vote(r, later, 2, 5, false) {
-		t.Fatal("the first vote of a term was refused")
+	r := testReplica(1, PersistedState{Base: threeVoterBase()})
+	if !requestVote(r, later, 2, 5, false) {
+		t.Fatal("the first vote of a term was rejected")
 	}
-	if vote(r, later, 3, 5, false) {
-		t.Error("a second vote was given in the same term")
+	if requestVote(r, later, 3, 5, false) {
+		t.Error("a second vote was granted in the same term")
 	}
-	restarted := testReplica(1, PersistedState{Base: three(), HardState: wire.HardState{Term: 5, Vote: 2}})
-	if vote(restarted, later, 3, 5, false) {
-		t.Error("a second vote was given after a restart")
+	restarted := testReplica(1, PersistedState{Base: threeVoterBase(), HardState: wire.HardState{Term: 5, Vote: 2}})
+	if requestVote(restarted, later, 3, 5, false) {
+		t.Error("a second vote was granted after a restart")
 	}
-	forgetful := testReplica(1, PersistedState{Base: three()})
-	if !vote(forgetful, later, 3, 5, false) {
-		t.Error("the mutation without a stored vote is not seen")
+	withoutStoredVote := testReplica(1, PersistedState{Base: threeVoterBase()})
+	if !requestVote(withoutStoredVote, later, 3, 5, false) {
+		t.Error("without a stored vote, the second vote was not granted: the test would not detect the fault")
 	}
 }
 
-// TestVotes lists when a vote is given.
+// TestVotes checks under which conditions a replica grants its vote.
 func TestVotes(t *testing.T) {
 	entries := []wire.LogEntry{{Index: 1, Term: 2}, {Index: 2, Term: 3}}
 	cases := []struct {
@@ -68,12 +69,12 @@
 		{"older last term", time.Second, wire.PeerMessage{Term: 4, Index: 9, LogTerm: 2}, false},
 		{"older term", time.Second, wire.PeerMessage{Term: 2, Index: 9, LogTerm: 9}, false},
 		{"within an election timeout of the start", testElection / 2, wire.PeerMessage{Term: 4, Index: 3, LogTerm: 3}, false},
-		{"the same, named by the leader", testElection / 2, wire.PeerMessage{Term: 4, Index: 3, LogTerm: 3, Forced: true}, true},
+		{"within an election timeout of the start, forced by the leader", testElection / 2, wire.PeerMessage{Term: 4, Index: 3, LogTerm: 3, Forced: true}, true},
 		{"for another identity", time.Second, wire.PeerMessage{Term: 4, Index: 3, LogTerm: 3, To: 99}, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			r := testReplica(1, PersistedState{Base: three(), Entries: entries, HardState: wire.HardState{Term: 3}})
+			r := testReplica(1, PersistedState{Base: threeVoterBase(), Entries: entries, HardState: wire.HardState{Term: 3}})
 			message := test.message
 			message.Kind, message.From = wire.MessageVote, 2
 			if message.To == 0 {
@@ -89,21 +90,21 @@
 	}
 }
 
-// TestSnapshotKeepsMatchingEntries: entries after a snapshot's position may have
-// been counted for a majority and must stay.
+// TestSnapshotKeepsMatchingEntries checks that a snapshot whose base the log already holds
+// is not installed: the entries after the base may have been counted towards a majority.
 func TestSnapshotKeepsMatchingEntries(t *testing.T) {
 	entries := []wire.LogEntry{{Index: 1, Term: 1}, {Index: 2, Term: 1}, {Index: 3, Term: 1}}
-	r := testReplica(1, PersistedState{Base: three(), Entries: entries})
+	r := testReplica(1, PersistedState{Base: threeVoterBase(), Entries: entries})
 	base := wire.LogBase{Index: 2, Term: 1}
 	if r.ShouldInstallSnapshot(2, &base) {
-		t.Error("a snapshot is wanted that the log holds already")
+		t.Error("a snapshot would be installed whose base is in the log")
 	}
 	if r.log.lastIndex() != 3 || r.CommitIndex() != 2 {
 		t.Errorf("last %d, commit %d; want 3 and 2", r.log.lastIndex(), r.CommitIndex())
 	}
 	other := wire.LogBase{Index: 3, Term: 2}
 	if !r.ShouldInstallSnapshot(2, &other) {
-		t.Error("a snapshot of another term's entry is not wanted")
+		t.Error("a snapshot whose base has another term than the log's entry would not be installed")
 	}
 }
 
@@ -130,26 +131,28 @@
 	}
 }
 
-// TestCommitThatRemovesTheSender: the answer that commits a membership may come
-// from a replica that the membership lacks. Simulation seed 1 of
-// control_leader_killed panicked here.
+// TestCommitThatRemovesTheSender checks that a leader survives a response that commits a
+// membership without the sender of that response. The leader panicked, because it went on to
+// send entries to a replica that it no longer tracked (simulation control_leader_killed,
+// seed 1).
 func TestCommitThatRemovesTheSender(t *testing.T) {
 	c := newTestCluster(3)
-	c.pass(300 * time.Millisecond)
+	c.advance(300 * time.Millisecond)
 	c.cut[[2]uint64{1, 2}] = true
 	c.replace(3, 4)
-	c.pass(200 * time.Millisecond)
+	c.advance(200 * time.Millisecond)
 	delete(c.cut, [2]uint64{1, 2})
-	c.pass(300 * time.Millisecond)
+	c.advance(300 * time.Millisecond)
 	if leader := c.replicas[1]; leader.role != Leader || Contains(leader.membership.Voters, 3) || len(leader.membership.Outgoing) > 0 {
 		t.Errorf("membership %+v under %s", leader.membership, leader.role)
 	}
 }
 
-// lostWithinAChange is a group of voters 1, 2 and 4 with the learner 3. Leader 1 has appended
-// the change that lets 3 take the place of 2, and told nobody; 4 led after it, told its first
-// entry to the learner alone, and lost its disk.
-func lostWithinAChange(t *testing.T) *testCluster {
+// newClusterLostDuringChange returns a group of the voters 1, 2 and 4 and the learner 3 after
+// a disk loss during a membership change. Leader 1 appended the change that replaces 2 by 3
+// but sent it to nobody. Replica 4 led next, sent its first entry only to the learner, and
+// lost its disk, so it is not started.
+func newClusterLostDuringChange(t *testing.T) *testCluster {
 	t.Helper()
 	voters := wire.Membership{Voters: []wire.Replica{{ID: 1}, {ID: 2}, {ID: 4}}, Learners: []wire.Replica{{ID: 3}}}
 	change := wire.Membership{Voters: []wire.Replica{{ID: 1}, {ID: 3}, {ID: 4}}, Outgoing: voters.Voters}
@@ -169,11 +172,12 @@
 	return c
 }
 
-// TestLearnerStandsWhereNobodyElseCan: without it the group had no leader for good. A voter
-// leads in the end, and the entry that a majority may have had is kept.
+// TestLearnerStandsWhereNobodyElseCan checks that a learner campaigns if its log is the only
+// one that can win; otherwise the group would stay without a leader for ever. In the end a
+// voter leads, and the entry that a majority may have stored is kept.
 func TestLearnerStandsWhereNobodyElseCan(t *testing.T) {
-	c := lostWithinAChange(t)
-	c.pass(20 * testElection)
+	c := newClusterLostDuringChange(t)
+	c.advance(20 * testElection)
 	leader := uint64(0)
 	for _, id := range c.ids() {
 		if c.replicas[id].Role() == Leader {
@@ -181,50 +185,50 @@
 		}
 	}
 	if leader != 1 && leader != 2 {
-		t.Fatalf("%d leads:\n%s", leader, c.state())
+		t.Fatalf("replica %d leads, want 1 or 2:\n%s", leader, c.state())
 	}
 	for _, id := range c.ids() {
 		if term, _ := c.replicas[id].log.term(2); term != 2 {
-			t.Errorf("n%d has the entry of term %d at 2", id, term)
+			t.Errorf("n%d has an entry of term %d at index 2, want term 2", id, term)
 		}
 	}
 }
 
-// TestLearnerLeadsOnce: a learner that has led and stepped down leaves the lead to the voters,
-// which have its log by then.
+// TestLearnerLeadsOnce checks that a learner that has led and stepped down doesn't campaign
+// again: by then the voters have its log.
 func TestLearnerLeadsOnce(t *testing.T) {
-	c := lostWithinAChange(t)
+	c := newClusterLostDuringChange(t)
 	r := c.replicas[3]
 	for step := 0; r.leaderSince.IsZero() || r.Role() == Leader; step++ {
 		if step > 1000 {
-			t.Fatalf("the learner has not led and stepped down:\n%s", c.state())
+			t.Fatalf("the learner did not lead and step down:\n%s", c.state())
 		}
-		c.pass(time.Millisecond)
+		c.advance(time.Millisecond)
 	}
-	if r.mayStand(r.now) {
-		t.Error("it may stand again")
+	if r.canCampaign(r.now) {
+		t.Error("the learner may campaign again")
 	}
-	led := r.leaderSince
-	c.pass(20 * testElection)
-	if !r.leaderSince.Equal(led) {
-		t.Error("it has led again")
+	firstLed := r.leaderSince
+	c.advance(20 * testElection)
+	if !r.leaderSince.Equal(firstLed) {
+		t.Error("the learner became leader again")
 	}
 }
 
-// TestLearnerStandsForNothing: a learner that refused nobody does not stand, however long it
-// hears no leader, and neither does one whose group has a leader.
-func TestLearnerStandsForNothing(t *testing.T) {
-	c := lostWithinAChange(t)
+// TestLearnerDoesNotCampaignWithoutRejection checks that a learner that rejected no candidate
+// does not campaign, however long it hears from no leader.
+func TestLearnerDoesNotCampaignWithoutRejection(t *testing.T) {
+	c := newClusterLostDuringChange(t)
 	delete(c.replicas, 1)
 	delete(c.replicas, 2)
-	c.pass(20 * testElection)
+	c.advance(20 * testElection)
 	if role := c.replicas[3].Role(); role != Follower {
 		t.Errorf("the learner is %s", role)
 	}
 }
 
-// TestEarlyVotes lists who is voted for within the shortest election timeout after a start:
-// the one alone who may hold a lease that this replica granted before.
+// TestEarlyVotes checks which candidate gets a vote within the shortest election timeout after
+// a start: only the one that may hold a lease which this replica granted before its restart.
 func TestEarlyVotes(t *testing.T) {
 	entries := []wire.LogEntry{{Index: 1, Term: 2}, {Index: 2, Term: 3}}
 	early := testStart.Add(testElection / 2)
@@ -241,15 +245,15 @@
 		granted bool
 	}{
 		{"the leader followed last", wire.HardState{Term: 3, Vote: 3, Leader: 2}, nil, 2, true},
-		{"another, even one voted for", wire.HardState{Term: 3, Vote: 3, Leader: 2}, nil, 3, false},
-		{"who led is not known", wire.HardState{Term: 3, Vote: 2}, nil, 2, false},
+		{"another replica, even the one voted for", wire.HardState{Term: 3, Vote: 3, Leader: 2}, nil, 3, false},
+		{"the last leader is not known", wire.HardState{Term: 3, Vote: 2}, nil, 2, false},
 		{"a leader has been followed since", wire.HardState{Term: 3, Leader: 2}, func(r *Replica) { follow(r, 3, 4) }, 2, false},
-		{"the same has been followed since", wire.HardState{Term: 3, Leader: 2}, func(r *Replica) { follow(r, 2, 3) }, 2, false},
+		{"the same leader has been followed since", wire.HardState{Term: 3, Leader: 2}, func(r *Replica) { follow(r, 2, 3) }, 2, false},
 		{"this replica led", wire.HardState{Term: 3, Leader: 1}, nil, 2, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			for _, kind := range []wire.MessageKind{wire.MessagePreVote, wire.MessageVote} {
-				r := testReplica(1, PersistedState{Base: three(), Entries: entries, HardState: test.hard})
+				r := testReplica(1, PersistedState{Base: threeVoterBase(), Entries: entries, HardState: test.hard})
 				if test.before != nil {
 					test.before(r)
 				}
@@ -263,27 +267,28 @@
 	}
 }
 
-// TestLeaderIsStoredBeforeItIsAnswered: the state that names a leader goes to the disk with
-// the first answer to it, or before, and a new term names nobody.
+// TestLeaderIsStoredBeforeItIsAnswered checks that the hard state that names the leader is
+// stored no later than the first response to the leader is sent, and that a new term resets
+// it.
 func TestLeaderIsStoredBeforeItIsAnswered(t *testing.T) {
 	for _, kind := range []wire.MessageKind{wire.MessageHeartbeat, wire.MessageAppend} {
-		r := testReplica(1, PersistedState{Base: three(), HardState: wire.HardState{Term: 3}})
+		r := testReplica(1, PersistedState{Base: threeVoterBase(), HardState: wire.HardState{Term: 3}})
 		r.Step(testStart, &wire.PeerMessage{Kind: kind, From: 2, To: 1, Term: 3})
 		ready := r.Ready()
 		if len(ready.MessagesAfterSync) != 1 || ready.HardState == nil || *ready.HardState != (wire.HardState{Term: 3, Leader: 2}) {
-			t.Errorf("%d: %d answers, stored %+v", kind, len(ready.MessagesAfterSync), ready.HardState)
+			t.Errorf("message kind %d: %d responses, stored %+v", kind, len(ready.MessagesAfterSync), ready.HardState)
 		}
 		r.Advance(testStart, &ready)
-		if !vote(r, testStart.Add(time.Second), 3, 5, false) {
-			t.Fatal("no vote was given")
+		if !requestVote(r, testStart.Add(time.Second), 3, 5, false) {
+			t.Fatal("the vote was rejected")
 		}
-		if r.storedHard != (wire.HardState{Term: 5, Vote: 3}) {
-			t.Errorf("%d: stored %+v with the vote", kind, r.storedHard)
+		if r.persistedHardState != (wire.HardState{Term: 5, Vote: 3}) {
+			t.Errorf("message kind %d: stored %+v with the vote", kind, r.persistedHardState)
 		}
 	}
-	alone := testReplica(1, PersistedState{Base: wire.LogBase{Membership: wire.Membership{Voters: replicas(1)}}})
-	alone.Tick(testStart)
-	ready := alone.Ready()
+	soleVoter := testReplica(1, PersistedState{Base: wire.LogBase{Membership: wire.Membership{Voters: replicas(1)}}})
+	soleVoter.Tick(testStart)
+	ready := soleVoter.Ready()
 	if ready.HardState == nil || *ready.HardState != (wire.HardState{Term: 1, Vote: 1, Leader: 1}) {
 		t.Errorf("a leader stored %+v", ready.HardState)
 	}
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -6,7 +6,7 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// Status is a replica's state for operators and for the repair of groups.
+// Status is the state of a replica, for operators and for the repair of groups.
 type Status struct {
 	Role         Role
 	Term         uint64
@@ -15,27 +15,27 @@
 	AppliedIndex uint64
 	LastIndex    uint64
 	Membership   wire.Membership
-	// MembershipStable is set while no change of membership is under way.
+	// MembershipStable is set while no membership change is in progress.
 	MembershipStable bool
-	// Peers holds a leader's followers.
+	// Peers describes the other members; only a leader sets it.
 	Peers []PeerStatus
 }
 
-// PeerStatus is a leader's view of one follower.
+// PeerStatus is a leader's view of another member.
 type PeerStatus struct {
 	Replica wire.Replica
-	// SinceResponse is the time since the follower's last answer.
+	// SinceResponse is the time since the member's last response.
 	SinceResponse time.Duration
-	// Lag is the number of entries that it has not stored yet.
+	// Lag is the number of entries that the member has not stored yet.
 	Lag uint64
-	// Replicating is set while it takes entries from the log.
+	// Replicating is set while the member receives entries in state Replicate.
 	Replicating bool
 }
 
-// ID returns the replica's identity.
+// ID returns the identity of the replica's storage.
 func (r *Replica) ID() uint64 { return r.config.ID }
 
-// Role returns what the replica currently is.
+// Role returns the current role.
 func (r *Replica) Role() Role { return r.role }
 
 // Term returns the current term.
@@ -50,10 +50,11 @@
 // Membership returns the newest membership in the log.
 func (r *Replica) Membership() wire.Membership { return r.membership }
 
-// NotLeaderError returns the refusal that names the leader.
+// NotLeaderError returns the error for requests that only a leader can serve. It names
+// the leader if another replica is known to lead.
 func (r *Replica) NotLeaderError() error { return r.notLeader() }
 
-// Status returns the replica's state.
+// Status returns the current state of the replica.
 func (r *Replica) Status(now time.Time) Status {
 	status := Status{
 		Role:             r.role,
@@ -75,7 +76,7 @@
 		}
 		status.Peers = append(status.Peers, PeerStatus{
 			Replica:       member,
-			SinceResponse: now.Sub(progress.heardAt),
+			SinceResponse: now.Sub(progress.lastResponse),
 			Lag:           r.log.lastIndex() - min(progress.Match, r.log.lastIndex()),
 			Replicating:   progress.State == Replicate,
 		})
--- a/internal/consensus/trace_test.go
+++ b/internal/consensus/trace_test.go
@@ -12,21 +12,21 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// Traces are whole interactions written as text: commands, and after each the
-// state that they lead to. `SEDGEMAST_REWRITE_TRACES=1 go test` writes what the
-// code does into the files, for review.
+// A trace is a test scenario as text: commands, each followed by the resulting state of
+// all replicas. `SEDGEMAST_REWRITE_TRACES=1 go test` rewrites the trace files with the
+// current behaviour, for review.
 
 const (
 	testElection  = 100 * time.Millisecond
 	testHeartbeat = 20 * time.Millisecond
 )
 
-// fixedRandom gives each replica an election timeout of its own.
+// fixedRandom is a Random that gives each replica a different, fixed election timeout.
 type fixedRandom int
 
 func (f fixedRandom) IntN(n int) int { return int(f) * n / 10 }
 
-// testCluster runs replicas over a network that the trace controls.
+// testCluster runs replicas over a simulated network that the test controls.
 type testCluster struct {
 	now      time.Time
 	replicas map[uint64]*Replica
@@ -70,7 +70,7 @@
 	}, *c.stored[id], c.now)
 }
 
-// flush does what the replicas have ready.
+// flush does all the work that the replicas have ready, and queues their messages.
 func (c *testCluster) flush() {
 	for busy := true; busy; {
 		busy = false
@@ -116,7 +116,7 @@
 	return ids
 }
 
-// deliver passes on all messages, and those that follow from them.
+// deliver delivers the queued messages and those sent in response, until none is left.
 func (c *testCluster) deliver() {
 	for c.flush(); len(c.queue) > 0; c.flush() {
 		message := c.queue[0]
@@ -127,10 +127,10 @@
 	}
 }
 
-// pass lets time pass in small steps.
-func (c *testCluster) pass(length time.Duration) {
+// advance advances the time in small steps, and delivers the messages after each.
+func (c *testCluster) advance(duration time.Duration) {
 	const step = 10 * time.Millisecond
-	for end := c.now.Add(length); c.now.Before(end); {
+	for end := c.now.Add(duration); c.now.Before(end); {
 		c.now = c.now.Add(step)
 		for _, id := range c.ids() {
 			c.replicas[id].Tick(c.now)
@@ -152,7 +152,7 @@
 	return text.String()
 }
 
-// run executes one command of a trace.
+// run executes one command of a trace and returns the resulting state.
 func (c *testCluster) run(command string) (output string) {
 	fields := strings.Fields(command)
 	var first, second uint64
@@ -171,11 +171,11 @@
 	}
 	switch fields[0] {
 	case "pass":
-		length, err := time.ParseDuration(fields[1])
+		duration, err := time.ParseDuration(fields[1])
 		if err != nil {
 			panic(err)
 		}
-		c.pass(length)
+		c.advance(duration)
 	case "propose":
 		if _, _, err := c.replicas[first].Propose([]byte(fields[2])); err != nil {
 			output = "refused\n"
@@ -198,7 +198,7 @@
 	case "forget-vote":
 		c.stored[first].HardState = wire.HardState{}
 	case "forget-leader":
-		// As a build writes it that knows no such field.
+		// A hard state written by a version that does not store the leader.
 		c.stored[first].HardState.Leader = 0
 	case "transfer":
 		c.replicas[first].TransferLeadership(c.now)
@@ -212,8 +212,8 @@
 	return output + c.state()
 }
 
-// replace puts the second replica in the first one's place.
-func (c *testCluster) replace(gone, fresh uint64) {
+// replace makes each leader propose a membership with newID in place of oldID.
+func (c *testCluster) replace(oldID, newID uint64) {
 	for _, id := range c.ids() {
 		r := c.replicas[id]
 		if r.role != Leader {
@@ -221,16 +221,16 @@
 		}
 		var voters []wire.Replica
 		for _, voter := range r.membership.Voters {
-			if voter.ID != gone {
+			if voter.ID != oldID {
 				voters = append(voters, voter)
 			}
 		}
-		added := wire.Replica{ID: fresh, Name: fmt.Sprintf("n%d", fresh)}
-		if c.stored[fresh] == nil {
-			c.stored[fresh] = &PersistedState{}
-			c.start(fresh)
+		newVoter := wire.Replica{ID: newID, Name: fmt.Sprintf("n%d", newID)}
+		if c.stored[newID] == nil {
+			c.stored[newID] = &PersistedState{}
+			c.start(newID)
 		}
-		if err := r.ProposeMembership(append(voters, added), nil); err != nil {
+		if err := r.ProposeMembership(append(voters, newVoter), nil); err != nil {
 			panic(err)
 		}
 	}
@@ -240,7 +240,7 @@
 func TestTraces(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no traces: %v", err)
+		t.Fatalf("no trace files found: %v", err)
 	}
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) {
@@ -256,14 +256,14 @@
 				return
 			}
 			if got != string(data) {
-				t.Errorf("the trace has changed; it is now\n%s", got)
+				t.Errorf("the trace differs from the file; check it and rewrite the file with SEDGEMAST_REWRITE_TRACES=1. It is now\n%s", got)
 			}
 		})
 	}
 }
 
-// replay runs the commands of a trace, the lines that begin with "> ", and
-// returns the trace with what they lead to.
+// replay runs the commands of a trace, which are the lines that begin with "> ", and
+// returns the trace with the state after each command.
 func replay(trace string) string {
 	var cluster *testCluster
 	var text strings.Builder
