--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -24,7 +24,7 @@
 // canBeElectedEarly reports whether the replica with the given ID may be elected although
 // a lease that this replica granted before its restart may still be valid. Only the holder
 // of that lease may: by campaigning it shows that it no longer relies on the lease, because
-// it restarted or stepped down. Once this replica has followed another leader, or become
+// it restarted or stepped down. Once this replica has followed a leader again, or become
 // leader itself, no replica may.
 func (r *Replica) canBeElectedEarly(id uint64) bool {
 	return r.priorLeaseHolder != 0 && r.priorLeaseHolder == id
@@ -42,8 +42,8 @@
 	return now.Sub(r.started) < r.config.ElectionTimeout
 }
 
-// startElection requests votes in a new term. It is forced if the current leader asked
-// for the election, to transfer its leadership.
+// startElection requests votes in a new term. forced is set if the current leader asked for
+// the election, to transfer its leadership.
 func (r *Replica) startElection(now time.Time, forced bool) {
 	r.role = Candidate
 	r.leader = 0
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -187,7 +187,7 @@
 		lastQuorum = r.leaderSince
 	}
 	if now.Sub(lastQuorum) > r.config.ElectionTimeout {
-		// Check quorum (thesis 6.2): a leader without contact to a majority steps down, so
+		// Check quorum (thesis 6.2): a leader without contact with a majority steps down, so
 		// that callers don't wait for commits that it cannot make.
 		r.becomeFollower(now, r.term, 0)
 		return
--- a/internal/replication/discovery.go
+++ b/internal/replication/discovery.go
@@ -13,90 +13,92 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// BootstrapMode says how the first membership of a cluster comes about.
+// BootstrapMode selects how a cluster gets its first membership.
 type BootstrapMode uint8
 
 const (
-	// BootstrapStatic takes it from the list of all processes, which is the same
-	// everywhere.
+	// BootstrapStatic takes it from the configured list of all processes, which must be
+	// the same in every process.
 	BootstrapStatic BootstrapMode = iota
-	// BootstrapFromSeeds makes the processes at the first addresses the first voters.
-	// All others join; processes find one another by asking.
+	// BootstrapFromSeeds makes the processes at the first configured addresses the initial
+	// voters. All others join. Processes learn each other's addresses from hellos.
 	BootstrapFromSeeds
-	// BootstrapManual waits for Form to be called.
+	// BootstrapManual waits for a call of Bootstrap.
 	BootstrapManual
 )
 
-// forgetAfter is how long an address may be silent before it is asked no more.
-const forgetAfter = 20 * time.Second
+// forgetPeerAfter is how long an address may be unresponsive before it is removed from the
+// peers.
+const forgetPeerAfter = 20 * time.Second
 
-// AddPeers takes in addresses of further processes.
+// AddPeers adds addresses of other processes.
 func (n *Node) AddPeers(now time.Time, addresses []string) {
 	for _, address := range addresses {
 		if address == "" || slices.Contains(n.peers, address) {
 			continue
 		}
 		n.peers = append(n.peers, address)
-		n.candidates[address] = now
+		n.peerAddedAt[address] = now
 	}
 }
 
-// SetPeers takes in the whole list of the processes that live, as it is known
-// elsewhere. With FormByOrder, processes are found by it alone.
+// SetPeers sets the complete list of live processes, as maintained outside this
+// package. With BootstrapManual, processes find each other only through this list.
 func (n *Node) SetPeers(now time.Time, addresses []string) {
-	n.listed = make(map[string]bool, len(addresses))
+	n.listedPeers = make(map[string]bool, len(addresses))
 	for _, address := range addresses {
-		n.listed[address] = true
+		n.listedPeers[address] = true
 	}
 	n.AddPeers(now, addresses)
 }
 
 const (
-	// greetAll is up to how many peers a process says hello to all of them.
-	greetAll = 8
-	// wantedSpares is how many living processes beyond the members a member of a
-	// group stays acquainted with: one more than the learners that a group may take
-	// in. maxGreeted bounds how many it tries for that.
-	wantedSpares = maxLearners + 1
-	maxGreeted   = 3 * wantedSpares
+	// defaultFullMeshLimit is the number of peers up to which every process exchanges
+	// hellos with all others.
+	defaultFullMeshLimit = 8
+	// targetSpares is the number of live processes outside its groups with which a member
+	// exchanges hellos: one more than the learners that a group may have. To find them, it
+	// contacts at most maxSparesContacted processes.
+	targetSpares       = maxLearners + 1
+	maxSparesContacted = 3 * targetSpares
 )
 
-// Peers returns the addresses of the processes to say hello to. Where all processes
-// are listed elsewhere, only members say hello, to the members of their groups and to
-// some spares: it is members that repair groups, and hellos of all to all grow with
-// the square of their number.
+// Peers returns the addresses to send hellos to. With BootstrapManual and more peers than
+// the full mesh limit, only members send hellos: to the members of their groups and to some
+// spares. Only members repair groups, and hellos between all processes would grow with the
+// square of their number.
 func (n *Node) Peers(now time.Time) []string {
-	if n.options.BootstrapMode != BootstrapManual || len(n.peers) <= n.greetAll() {
+	if n.options.BootstrapMode != BootstrapManual || len(n.peers) <= n.fullMeshLimit() {
 		return append([]string(nil), n.peers...)
 	}
 	members := n.memberAddresses()
 	if len(members) == 0 {
 		return nil
 	}
-	greeted := slices.Collect(maps.Keys(members))
+	targets := slices.Collect(maps.Keys(members))
 	spares := 0
-	for _, address := range n.sparesInOrder(members) {
-		if spares >= wantedSpares || len(greeted) >= len(members)+maxGreeted {
+	for _, address := range n.sparesByRank(members) {
+		if spares >= targetSpares || len(targets) >= len(members)+maxSparesContacted {
 			break
 		}
-		greeted = append(greeted, address)
-		if known := n.known[address]; known != nil && now.Sub(known.at) <= helloFresh {
+		targets = append(targets, address)
+		if received := n.receivedHellos[address]; received != nil && now.Sub(received.receivedAt) <= helloTTL {
 			spares++
 		}
 	}
-	slices.Sort(greeted)
-	return greeted
+	slices.Sort(targets)
+	return targets
 }
 
-func (n *Node) greetAll() int {
+func (n *Node) fullMeshLimit() int {
 	if n.options.FullMeshLimit > 0 {
 		return n.options.FullMeshLimit
 	}
-	return greetAll
+	return defaultFullMeshLimit
 }
 
-// memberAddresses returns the addresses of all members of the groups that this
-// process is a member of.
+// memberAddresses returns the addresses of all members of the groups that this process
+// is a member of.
 func (n *Node) memberAddresses() map[string]bool {
 	addresses := map[string]bool{}
 	for _, g := range n.groups {
@@ -111,12 +113,12 @@
 	return addresses
 }
 
-// sparesInOrder returns the listed peers that are no members, each process's in an order of
-// its own, so that the hellos spread over all.
-func (n *Node) sparesInOrder(members map[string]bool) []string {
+// sparesByRank returns the listed peers that are not among the members. Each process ranks
+// them differently, so that the hellos spread over all of them.
+func (n *Node) sparesByRank(members map[string]bool) []string {
 	var spares []string
 	for _, address := range n.peers {
-		if n.listed[address] && !members[address] && address != n.options.Address {
+		if n.listedPeers[address] && !members[address] && address != n.options.Address {
 			spares = append(spares, address)
 		}
 	}
@@ -125,27 +127,27 @@
 	return spares
 }
 
-// forgetPeers drops the addresses that have been silent for long. Seeds and
-// members stay.
+// forgetPeers removes the addresses that have been unresponsive for longer than
+// forgetPeerAfter. Configured peers, listed peers and members stay.
 func (n *Node) forgetPeers(now time.Time) {
 	if n.options.BootstrapMode == BootstrapStatic {
 		return
 	}
 	n.peers = slices.DeleteFunc(n.peers, func(address string) bool {
-		since := n.candidates[address]
-		if known := n.known[address]; known != nil && known.at.After(since) {
-			since = known.at
+		since := n.peerAddedAt[address]
+		if received := n.receivedHellos[address]; received != nil && received.receivedAt.After(since) {
+			since = received.receivedAt
 		}
-		if now.Sub(since) <= forgetAfter || n.listed[address] || slices.Contains(n.options.Peers, address) || n.memberAt(address) {
+		if now.Sub(since) <= forgetPeerAfter || n.listedPeers[address] || slices.Contains(n.options.Peers, address) || n.isMemberAddress(address) {
 			return false
 		}
-		delete(n.known, address)
-		delete(n.candidates, address)
+		delete(n.receivedHellos, address)
+		delete(n.peerAddedAt, address)
 		return true
 	})
 }
 
-func (n *Node) memberAt(address string) bool {
+func (n *Node) isMemberAddress(address string) bool {
 	for _, g := range n.groups {
 		membership := g.replica.Membership()
 		for _, member := range consensus.Members(&membership) {
@@ -157,9 +159,10 @@
 	return false
 }
 
-// Bootstrap ends the state of a process that belongs to no cluster yet, with
-// FormByOrder. The first voters are listed by group; a process waits to be taken in by
-// the groups whose list does not name it by identity.
+// Bootstrap makes a process with BootstrapManual part of a cluster; it has no effect if the
+// process already belongs to one. groups holds the initial voters of each group. If the list
+// of a group doesn't contain this process's identity, the process waits until the group adds
+// it as a learner.
 func (n *Node) Bootstrap(now time.Time, groups [][]wire.Replica) {
 	if n.identity.Formed || len(groups) == 0 {
 		return
@@ -170,10 +173,10 @@
 			own[number] = groups[number]
 		}
 	}
-	n.formGroups(own, now)
+	n.bootstrapGroups(own, now)
 }
 
-// SetRetiring names the processes whose replicas are to move elsewhere.
+// SetRetiring sets the names of the processes whose replicas must move to other processes.
 func (n *Node) SetRetiring(names []string) {
 	n.retiring = make(map[string]bool, len(names))
 	for _, name := range names {
@@ -181,16 +184,16 @@
 	}
 }
 
-// discover says hello to every process that this one hears of.
+// discover exchanges hellos with the peers of the node, and follows changes of that list.
 func (h *Host) discover(ctx context.Context) {
 	defer h.loops.Done()
-	introduced := map[string]context.CancelFunc{}
+	helloLoops := map[string]context.CancelFunc{}
 	for ctx.Err() == nil {
-		peers, err := ask(ctx, h, h.node.Peers)
+		peers, err := query(ctx, h, h.node.Peers)
 		if err != nil {
 			return
 		}
-		h.introduceOnly(ctx, introduced, peers)
+		h.updateHelloLoops(ctx, helloLoops, peers)
 		select {
 		case <-ctx.Done():
 		case <-time.After(helloInterval):
@@ -198,44 +201,45 @@
 	}
 }
 
-// introduceOnly goes on saying hello to the peers, and to nobody else.
-func (h *Host) introduceOnly(ctx context.Context, introduced map[string]context.CancelFunc, peers []string) {
-	for peer, cancel := range introduced {
+// updateHelloLoops starts a hello loop for each new peer and stops the loops for addresses
+// that are no longer peers.
+func (h *Host) updateHelloLoops(ctx context.Context, helloLoops map[string]context.CancelFunc, peers []string) {
+	for peer, cancel := range helloLoops {
 		if !slices.Contains(peers, peer) {
 			cancel()
-			delete(introduced, peer)
+			delete(helloLoops, peer)
 		}
 	}
 	for _, peer := range peers {
-		if introduced[peer] == nil {
+		if helloLoops[peer] == nil {
 			peerContext, cancel := context.WithCancel(ctx)
-			introduced[peer] = cancel
-			h.introduceAll(peerContext, []string{peer})
+			helloLoops[peer] = cancel
+			h.startHelloLoops(peerContext, []string{peer})
 		}
 	}
 }
 
-// SetPeers is Node.SetPeers.
+// SetPeers calls Node.SetPeers in the event loop.
 func (h *Host) SetPeers(ctx context.Context, addresses []string) error {
-	return h.enter(ctx, func(now time.Time) { h.node.SetPeers(now, addresses) })
+	return h.submit(ctx, func(now time.Time) { h.node.SetPeers(now, addresses) })
 }
 
-// AddPeers takes in addresses of further processes.
+// AddPeers calls Node.AddPeers in the event loop.
 func (h *Host) AddPeers(ctx context.Context, addresses []string) error {
-	return h.enter(ctx, func(now time.Time) { h.node.AddPeers(now, addresses) })
+	return h.submit(ctx, func(now time.Time) { h.node.AddPeers(now, addresses) })
 }
 
-// Bootstrap is Node.Bootstrap.
+// Bootstrap calls Node.Bootstrap in the event loop.
 func (h *Host) Bootstrap(ctx context.Context, groups [][]wire.Replica) error {
-	return h.enter(ctx, func(now time.Time) { h.node.Bootstrap(now, groups) })
+	return h.submit(ctx, func(now time.Time) { h.node.Bootstrap(now, groups) })
 }
 
-// SetRetiring is Node.SetRetiring.
+// SetRetiring calls Node.SetRetiring in the event loop.
 func (h *Host) SetRetiring(ctx context.Context, names []string) error {
-	return h.enter(ctx, func(time.Time) { h.node.SetRetiring(names) })
+	return h.submit(ctx, func(time.Time) { h.node.SetRetiring(names) })
 }
 
-// Hello returns who this process is to others.
+// Hello returns the message with which this process introduces itself to others.
 func (h *Host) Hello(ctx context.Context) (wire.Hello, error) {
-	return ask(ctx, h, func(time.Time) wire.Hello { return h.node.Hello() })
+	return query(ctx, h, func(time.Time) wire.Hello { return h.node.Hello() })
 }
--- a/internal/replication/discovery_test.go
+++ b/internal/replication/discovery_test.go
@@ -13,8 +13,8 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// joiningHost starts a host that finds the others by asking the seeds.
-func joiningHost(t *testing.T, network *localNetwork, address string, id uint64, seeds []string, bootstrap bool) *Host {
+// startSeededHost starts a host that finds the others through the seeds.
+func startSeededHost(t *testing.T, network *localNetwork, address string, id uint64, seeds []string, bootstrap bool) *Host {
 	t.Helper()
 	host, err := NewHost(Options{
 		Store:             storage.NewMemory(),
@@ -43,7 +43,8 @@
 	return host
 }
 
-// awaitVoters waits until some host leads a settled group with the voters.
+// awaitVoters waits until a host leads a group with exactly these voters and no membership
+// change in progress.
 func awaitVoters(t *testing.T, hosts []*Host, want ...uint64) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
@@ -70,28 +71,28 @@
 	t.Fatalf("voters %s, want %v", last, want)
 }
 
-// TestGroupFormsFromSeeds starts five hosts of which three are seeds: all become
-// voters. One is then lost for good and another comes at a new address with an
-// empty disk: it takes the place.
-func TestGroupFormsFromSeeds(t *testing.T) {
+// TestBootstrapFromSeeds starts five hosts, three of them seeds, and checks that all become
+// voters. Then one host is lost for good, and a new one with an empty store and another
+// address must replace it.
+func TestBootstrapFromSeeds(t *testing.T) {
 	network := &localNetwork{hosts: map[string]*Host{}}
 	seeds := []string{"h1", "h2", "h3"}
 	var hosts []*Host
 	for id := uint64(5); id >= 1; id-- {
-		hosts = append(hosts, joiningHost(t, network, fmt.Sprintf("h%d", id), id, seeds, true))
+		hosts = append(hosts, startSeededHost(t, network, fmt.Sprintf("h%d", id), id, seeds, true))
 	}
 	awaitVoters(t, hosts, 1, 2, 3, 4, 5)
 	hosts[0].Close()
 	network.mutex.Lock()
 	delete(network.hosts, "h5")
 	network.mutex.Unlock()
-	hosts = append(hosts[1:], joiningHost(t, network, "h6", 6, seeds, false))
+	hosts = append(hosts[1:], startSeededHost(t, network, "h6", 6, seeds, false))
 	awaitVoters(t, hosts, 1, 2, 3, 4, 6)
 }
 
-// TestNobodyFormsWithoutBootstrap checks that hosts with empty disks never begin
-// a second group.
-func TestNobodyFormsWithoutBootstrap(t *testing.T) {
+// TestNoClusterWithoutBootstrap checks that a process with an empty store does not bootstrap
+// a cluster unless Options.Bootstrap is set, so that no second cluster begins.
+func TestNoClusterWithoutBootstrap(t *testing.T) {
 	node, err := Open(Options{
 		Store:         storage.NewMemory(),
 		Machines:      []StateMachine{&register{}},
@@ -113,24 +114,24 @@
 		node.Tick(time.Unix(second, 0))
 	}
 	if node.Hello().Formed {
-		t.Error("a group was formed")
+		t.Error("a cluster was bootstrapped without Options.Bootstrap")
 	}
 }
 
-// TestFormByOrder checks that only the identities named form each group, and that
-// a later order changes nothing.
-func TestFormByOrder(t *testing.T) {
+// TestManualBootstrap checks that a group gets its initial voters only on processes whose
+// identity is among them, and that a second call of Bootstrap has no effect.
+func TestManualBootstrap(t *testing.T) {
 	groups := [][]wire.Replica{{replica(1, "a"), replica(2, "b")}, {replica(7, "a"), replica(2, "b")}}
 	for id, want := range map[uint64][2]int{1: {2, 0}, 7: {0, 2}, 9: {0, 0}} {
-		node := ordered(t, id, "a", 3)
+		node := newManualNode(t, id, "a", 3)
 		node.Bootstrap(time.Unix(1, 0), nil)
 		if node.Hello().Formed {
-			t.Error("an empty order formed a group")
+			t.Error("an empty list of groups bootstrapped a cluster")
 		}
 		node.Bootstrap(time.Unix(1, 0), groups)
 		node.Bootstrap(time.Unix(2, 0), [][]wire.Replica{{replica(id, "z")}})
 		if !node.Hello().Formed {
-			t.Errorf("identity %d has not formed", id)
+			t.Errorf("identity %d belongs to no cluster", id)
 		}
 		for number, status := range node.Statuses(time.Unix(2, 0)) {
 			wanted := 0
@@ -144,12 +145,12 @@
 	}
 }
 
-// TestPlanDrops lists what a group that finds its members by itself does with
-// voters that are silent or to retire.
-func TestPlanDrops(t *testing.T) {
+// TestPlanRepairDropsVoters checks when a group with minVoters removes unresponsive and
+// retiring voters without replacing them.
+func TestPlanRepairDropsVoters(t *testing.T) {
 	voters := []wire.Replica{replica(1, "a"), replica(2, "b"), replica(3, "c"), replica(4, "d")}
-	silent := func(r wire.Replica, silence time.Duration) consensus.PeerStatus {
-		return consensus.PeerStatus{Replica: r, Replicating: true, SinceResponse: silence}
+	peerStatus := func(r wire.Replica, sinceResponse time.Duration) consensus.PeerStatus {
+		return consensus.PeerStatus{Replica: r, Replicating: true, SinceResponse: sinceResponse}
 	}
 	policy := func(retiring ...string) repairPolicy {
 		names := map[string]bool{}
@@ -159,37 +160,37 @@
 		return repairPolicy{voters: 9, replaceAfter: time.Second, minVoters: 3, retiring: names}
 	}
 	cases := []struct {
-		name    string
-		voters  []wire.Replica
-		silence time.Duration
-		policy  repairPolicy
-		want    []uint64
+		name          string
+		voters        []wire.Replica
+		sinceResponse time.Duration
+		policy        repairPolicy
+		want          []uint64
 	}{
-		{"a voter silent for a moment stays", voters, time.Second * 2, policy(), nil},
-		{"a voter silent for long goes", voters, time.Second * 4, policy(), []uint64{1, 2, 3}},
-		{"not below the least number", voters[1:], time.Second * 4, policy(), nil},
-		{"a retiring voter goes", voters, 0, policy("b"), []uint64{1, 3, 4}},
-		{"a retiring voter stays where too few are left", voters[1:], 0, policy("b"), nil},
+		{"a voter unresponsive for a short time stays", voters, time.Second * 2, policy(), nil},
+		{"a voter unresponsive for long is removed", voters, time.Second * 4, policy(), []uint64{1, 2, 3}},
+		{"not below the minimum number", voters[1:], time.Second * 4, policy(), nil},
+		{"a retiring voter is removed", voters, 0, policy("b"), []uint64{1, 3, 4}},
+		{"a retiring voter stays if too few are left", voters[1:], 0, policy("b"), nil},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			status := &consensus.Status{MembershipStable: true, Membership: wire.Membership{Voters: test.voters}}
 			for _, voter := range test.voters {
-				status.Peers = append(status.Peers, silent(voter, 0))
+				status.Peers = append(status.Peers, peerStatus(voter, 0))
 			}
-			status.Peers[len(status.Peers)-1].SinceResponse = test.silence
+			status.Peers[len(status.Peers)-1].SinceResponse = test.sinceResponse
 			got, _, change := planRepair(status, nil, test.policy)
 			if change != (test.want != nil) {
-				t.Fatalf("change %t: %v", change, got)
+				t.Fatalf("change %t with voters %v", change, got)
 			}
 			checkIDs(t, "voters", got, test.want, change)
 		})
 	}
 }
 
-// TestNothingIsTakenInBeforeForming checks that a process that belongs to no
-// group yet answers no message of one: forming begins its log anew, and what it
-// had acknowledged before would be gone.
+// TestNothingIsTakenInBeforeForming checks that a process that belongs to no cluster yet does
+// not respond to messages. Bootstrapping replaces its log, so that entries which it had
+// acknowledged before would be lost.
 func TestNothingIsTakenInBeforeForming(t *testing.T) {
 	sent := 0
 	node, err := Open(Options{
@@ -212,18 +213,18 @@
 	node.Receive(now, &wire.PeerMessage{Kind: wire.MessageAppend, From: 1, To: 2, Term: 1, Entries: entries})
 	node.Flush(now)
 	if sent > 0 {
-		t.Error("a message was answered")
+		t.Error("a message was answered before the bootstrap")
 	}
 	node.Bootstrap(now, [][]wire.Replica{{replica(1, "a"), replica(2, "b")}})
 	node.Receive(now, &wire.PeerMessage{Kind: wire.MessageAppend, From: 1, To: 2, Term: 1, Entries: entries})
 	node.Flush(now)
 	if sent != 1 || node.Statuses(now)[0].LastIndex != 1 {
-		t.Errorf("after forming %d answers, last index %d", sent, node.Statuses(now)[0].LastIndex)
+		t.Errorf("after the bootstrap %d responses and last index %d, want 1 and 1", sent, node.Statuses(now)[0].LastIndex)
 	}
 }
 
-// ordered opens a node of a cluster formed by order.
-func ordered(t *testing.T, id uint64, name string, groups int) *Node {
+// newManualNode opens a node with BootstrapManual.
+func newManualNode(t *testing.T, id uint64, name string, groups int) *Node {
 	t.Helper()
 	var machines []StateMachine
 	for range groups {
@@ -246,30 +247,30 @@
 	return node
 }
 
-// TestFewHellosAmongMany lists three hundred processes, three of them members: a
-// member says hello to the other members and to a few living spares, replaces those
-// that fall silent, and forgets none that is listed. Who is no member says hello to
-// nobody. Before, each said hello to all.
-func TestFewHellosAmongMany(t *testing.T) {
+// TestHellosLimitedAmongManyProcesses lists 300 processes, three of them members. A member must
+// send hellos only to the other members and a few live spares, find others when those become
+// unresponsive, and forget no listed process. A process that is not a member must send none.
+// Without the limit each process sent hellos to all others.
+func TestHellosLimitedAmongManyProcesses(t *testing.T) {
 	voters := []wire.Replica{replica(1, "p1"), replica(2, "p2"), replica(3, "p3")}
 	var listed []string
 	for number := 1; number <= 300; number++ {
 		listed = append(listed, fmt.Sprintf("p%d", number))
 	}
 	now := time.Unix(1, 0)
-	member, spare := ordered(t, 1, "p1", 1), ordered(t, 300, "p300", 1)
+	member, spare := newManualNode(t, 1, "p1", 1), newManualNode(t, 300, "p300", 1)
 	for _, node := range []*Node{member, spare} {
 		node.SetPeers(now, listed)
 		node.Bootstrap(now, [][]wire.Replica{voters})
 	}
 	if peers := spare.Peers(now); len(peers) != 0 {
-		t.Errorf("who is no member says hello to %v", peers)
+		t.Errorf("a process that is not a member sends hellos to %v", peers)
 	}
-	silent := map[string]bool{}
-	hear := func() []string {
+	unresponsive := map[string]bool{}
+	exchangeHellos := func() []string {
 		peers := member.Peers(now)
 		for _, address := range peers {
-			if !silent[address] {
+			if !unresponsive[address] {
 				member.HandleHello(now, &wire.Hello{Replica: replica(uint64(len(address)), address), Formed: true})
 			}
 		}
@@ -277,35 +278,35 @@
 	}
 	for range 10 {
 		now = now.Add(helloInterval)
-		hear()
+		exchangeHellos()
 	}
-	peers := hear()
-	if len(peers) != len(voters)+wantedSpares {
-		t.Errorf("hellos to %v", peers)
+	peers := exchangeHellos()
+	if len(peers) != len(voters)+targetSpares {
+		t.Errorf("a member sends hellos to %v", peers)
 	}
 	for _, voter := range voters {
 		if !slices.Contains(peers, voter.Address) {
-			t.Errorf("no hello to member %s", voter.Address)
+			t.Errorf("a member sends no hello to member %s", voter.Address)
 		}
 	}
 	for _, address := range peers {
-		silent[address] = true
+		unresponsive[address] = true
 	}
-	living := 0
+	live := 0
 	for range 200 {
 		now = now.Add(helloInterval)
 		member.forgetPeers(now)
-		hear()
+		exchangeHellos()
 	}
 	for _, process := range member.Processes(now) {
-		if fresh(&process) && process.Hello.Replica.Address != "p1" {
-			living++
+		if isRecent(&process) && process.Hello.Replica.Address != "p1" {
+			live++
 		}
 	}
-	if living < maxLearners {
-		t.Errorf("%d living spares are known once all known ones fell silent", living)
+	if live < maxLearners {
+		t.Errorf("only %d live spares are known after the first ones became unresponsive", live)
 	}
 	if len(member.peers) != len(listed) {
-		t.Errorf("%d of %d listed processes are remembered", len(member.peers), len(listed))
+		t.Errorf("%d of %d listed processes are known", len(member.peers), len(listed))
 	}
 }
--- a/internal/replication/doc.go
+++ b/internal/replication/doc.go
@@ -1,10 +1,11 @@
-// Package replication runs the consensus cores of a control process's groups
-// over one store, and applies what they commit to the groups' state machines.
+// Package replication runs the Raft replicas of a control process, one per group, over
+// one store, and applies committed commands to the state machine of each group.
 //
-// Node is deterministic: it is driven by moments and messages, and writes to a
-// store; all groups' changes of one round go into one batch with one sync. Host
-// runs a node in a real process, with a loop and connections to the peers.
+// Node is deterministic: it is driven by timestamps and messages and writes to a store.
+// It writes the changes of all groups in one batch with one sync. Host runs a node in a
+// real process, with an event loop and connections to the peers.
 //
-// A command is committed once a majority has it in its synced log; its effects
-// are then stored without a sync of their own, because the log can replay them.
+// A command is committed once a majority has synced it to its log. The effects of the
+// command are stored without a sync of their own, because they can be replayed from the
+// log.
 package replication
--- a/internal/replication/formation.go
+++ b/internal/replication/formation.go
@@ -8,10 +8,10 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// helloFresh is how long an introduction counts as news of a living process.
-const helloFresh = 2 * time.Second
+// helloTTL is how long after a hello its sender counts as alive.
+const helloTTL = 2 * time.Second
 
-// openIdentity reads the identity of the data folder, or makes one.
+// openIdentity reads the identity from the store, or creates one if the store has none.
 func (n *Node) openIdentity() error {
 	if err := readMessage(n.options.Store, identityKey, &n.identity); err != nil {
 		return err
@@ -25,85 +25,85 @@
 	return nil
 }
 
-// Hello introduces this process to others.
+// Hello returns the message with which this process introduces itself to others.
 func (n *Node) Hello() wire.Hello {
 	hello := n.identity
 	switch n.options.BootstrapMode {
 	case BootstrapFromSeeds:
 		hello.Known = append([]string(nil), n.peers...)
 	case BootstrapManual:
-		// Who forms a cluster, and who lives, is known from elsewhere.
+		// The initial voters and the live processes are distributed outside this package.
 		hello.Initial = nil
 	}
 	return hello
 }
 
-// HandleHello takes in the introduction of another control process.
+// HandleHello records the hello of another control process.
 func (n *Node) HandleHello(now time.Time, hello *wire.Hello) {
-	n.known[hello.Replica.Address] = &heard{hello: *hello, at: now}
-	n.addresses[hello.Replica.ID] = hello.Replica.Address
+	n.receivedHellos[hello.Replica.Address] = &receivedHello{hello: *hello, receivedAt: now}
+	n.replicaAddresses[hello.Replica.ID] = hello.Replica.Address
 	if n.options.BootstrapMode != BootstrapStatic {
 		n.AddPeers(now, []string{hello.Replica.Address})
 		n.AddPeers(now, hello.Known)
 	}
 }
 
-// Processes returns the control processes that have introduced themselves.
+// Processes returns this process, followed by the peers that have sent a hello.
 func (n *Node) Processes(now time.Time) []wire.Process {
 	processes := []wire.Process{{Hello: n.identity}}
 	for _, address := range n.peers {
-		if known := n.known[address]; known != nil && address != n.options.Address {
-			processes = append(processes, wire.Process{Hello: known.hello, SilentMillis: now.Sub(known.at).Milliseconds()})
+		if received := n.receivedHellos[address]; received != nil && address != n.options.Address {
+			processes = append(processes, wire.Process{Hello: received.hello, SilentMillis: now.Sub(received.receivedAt).Milliseconds()})
 		}
 	}
 	return processes
 }
 
-// tryForm ends the state of a process that belongs to no cluster yet.
+// tryBootstrap makes a process part of a cluster if it belongs to none yet.
 //
-// A cluster forms once only: its first process lists the first voters by
-// identity after all of them have said that they belong to none. The others take
-// the list over from any process that has it, provided that it names them by
-// identity; so a process whose folder was emptied meanwhile does not count as
-// one of them. Every other process waits to be taken in as a learner.
-func (n *Node) tryForm(now time.Time) {
+// A cluster is bootstrapped only once: its first process records the identities of the
+// initial voters after all of them have reported that they belong to no cluster. The
+// others copy that list from any process that has it, but only if it contains their own
+// identity. So a process whose data folder was erased in the meantime does not count as
+// an initial voter. Every other process waits until a group adds it as a learner.
+func (n *Node) tryBootstrap(now time.Time) {
 	if n.identity.Formed || n.options.BootstrapMode == BootstrapManual {
 		return
 	}
 	for _, address := range n.peers {
-		known := n.known[address]
-		if known == nil || !known.hello.Formed {
+		received := n.receivedHellos[address]
+		if received == nil || !received.hello.Formed {
 			continue
 		}
-		if consensus.Contains(known.hello.Initial, n.identity.Replica.ID) {
-			n.form(known.hello.Initial, now)
+		if consensus.Contains(received.hello.Initial, n.identity.Replica.ID) {
+			n.bootstrapCluster(received.hello.Initial, now)
 			return
 		}
 	}
 	if n.clusterExists() {
-		n.form(nil, now)
+		n.bootstrapCluster(nil, now)
 		return
 	}
-	if voters := n.firstVoters(now); voters != nil {
-		n.form(voters, now)
+	if voters := n.initialVoters(now); voters != nil {
+		n.bootstrapCluster(voters, now)
 	}
 }
 
-// clusterExists reports whether any process belongs to a cluster. One that forms
-// later than this is heard of before, because forming needs this process's own
-// answer or it is no first voter.
+// clusterExists reports whether any known process belongs to a cluster. A cluster that is
+// bootstrapped later either does not have this process as an initial voter or needs a hello
+// from it first.
 func (n *Node) clusterExists() bool {
-	for _, known := range n.known {
-		if known.hello.Formed {
+	for _, received := range n.receivedHellos {
+		if received.hello.Formed {
 			return true
 		}
 	}
 	return false
 }
 
-// firstVoters returns the list of first voters if this process is the one to
-// make it and all of them are there.
-func (n *Node) firstVoters(now time.Time) []wire.Replica {
+// initialVoters returns the initial voters if this process is responsible for bootstrapping
+// the cluster and all of them have sent a recent hello; nil otherwise.
+func (n *Node) initialVoters(now time.Time) []wire.Replica {
 	if n.options.BootstrapMode == BootstrapFromSeeds && !n.options.Bootstrap {
 		return nil
 	}
@@ -112,28 +112,29 @@
 	}
 	voters := []wire.Replica{n.identity.Replica}
 	for _, address := range n.options.Peers[1:min(n.options.Voters, len(n.options.Peers))] {
-		known := n.known[address]
-		if known == nil || now.Sub(known.at) > helloFresh {
+		received := n.receivedHellos[address]
+		if received == nil || now.Sub(received.receivedAt) > helloTTL {
 			return nil
 		}
-		voters = append(voters, known.hello.Replica)
+		voters = append(voters, received.hello.Replica)
 	}
 	return voters
 }
 
-// form stores that this process belongs to the cluster of the first voters; an
-// empty list means that it waits to be taken in.
-func (n *Node) form(initial []wire.Replica, now time.Time) {
+// bootstrapCluster stores that this process belongs to the cluster with the given initial
+// voters. If the list is empty, the process waits until a group adds it.
+func (n *Node) bootstrapCluster(initial []wire.Replica, now time.Time) {
 	n.identity.Initial = initial
 	groups := make([][]wire.Replica, len(n.groups))
 	for number := range groups {
 		groups[number] = initial
 	}
-	n.formGroups(groups, now)
+	n.bootstrapGroups(groups, now)
 }
 
-// formGroups is form with first voters for each group, in one write.
-func (n *Node) formGroups(groups [][]wire.Replica, now time.Time) {
+// bootstrapGroups stores the initial voters of each group and that this process belongs to
+// the cluster, in one write.
+func (n *Node) bootstrapGroups(groups [][]wire.Replica, now time.Time) {
 	n.identity.Formed = true
 	batch := []storage.Mutation{{Key: identityKey, Value: encode(&n.identity)}}
 	for _, g := range n.groups {
--- a/internal/replication/group.go
+++ b/internal/replication/group.go
@@ -14,55 +14,55 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// StateMachine is the deterministic state of one group.
+// StateMachine is the replicated state of one group. It must be deterministic.
 type StateMachine interface {
-	// Apply executes a committed command and returns its answer and the
-	// changes of stored state, with keys relative to the group.
+	// Apply executes a committed command. It returns the answer for the proposer and
+	// the changes to the stored state, with keys relative to the group.
 	Apply(command []byte) (answer []byte, mutations []storage.Mutation)
-	// Restore loads the state from storage.
+	// Restore loads the state from the store.
 	Restore(reader storage.Reader) error
 }
 
-// Done receives the answer to a proposed command, or why there is none.
+// Done receives the answer to a proposed command, or the error if there is none.
 type Done func(answer []byte, err error)
 
-// group is one replicated state machine.
+// group is the local replica of one group, with its state machine.
 type group struct {
-	number     int
-	machine    StateMachine
-	replica    *consensus.Replica
-	generation uint64
-	waiting    map[uint64]waiter
-	wasLeader  bool
-	sending    map[uint64]*sender
-	receiving  *receiver
+	number          int
+	machine         StateMachine
+	replica         *consensus.Replica
+	generation      uint64
+	pending         map[uint64]pendingProposal
+	wasLeader       bool
+	snapshotSenders map[uint64]*snapshotSender
+	receiver        *snapshotReceiver
 
 	// mutex guards the machine and its stored state against readers.
 	mutex sync.RWMutex
-	// leadership is what readers outside the node's loop go by.
+	// leadership is a copy of the leader state for readers outside the event loop.
 	leadership atomic.Pointer[leadership]
-	// applied is the index of the last entry in the machine's state; it changes
-	// under the mutex only.
+	// applied is the index of the last entry applied to the machine. It is changed only
+	// with the mutex held.
 	applied atomic.Uint64
 }
 
-// waiter is a proposal whose entry is on its way.
-type waiter struct {
+// pendingProposal is a proposal whose entry is not applied yet.
+type pendingProposal struct {
 	term uint64
 	done Done
 }
 
-// leadership says whether, and until when, the replica answers reads.
+// leadership states whether, and until when, the replica may serve reads.
 type leadership struct {
-	term       uint64
-	leaseUntil time.Time
-	refusal    error
+	term        uint64
+	leaseExpiry time.Time
+	err         error
 }
 
-// open restores the group from the store.
+// open restores a group from the store.
 func (n *Node) open(number int, machine StateMachine, now time.Time) (*group, error) {
-	g := &group{number: number, machine: machine, waiting: map[uint64]waiter{}, sending: map[uint64]*sender{}}
-	restored, err := n.restored(number)
+	g := &group{number: number, machine: machine, pending: map[uint64]pendingProposal{}, snapshotSenders: map[uint64]*snapshotSender{}}
+	restored, err := n.loadPersistedState(number)
 	if err != nil {
 		return nil, err
 	}
@@ -92,8 +92,8 @@
 	}
 }
 
-// restored reads a group's part of the log.
-func (n *Node) restored(number int) (consensus.PersistedState, error) {
+// loadPersistedState reads the Raft state of a group from the store.
+func (n *Node) loadPersistedState(number int) (consensus.PersistedState, error) {
 	var restored consensus.PersistedState
 	store := n.options.Store
 	applied, err := store.Get(groupKey(number, sectionApplied))
@@ -122,12 +122,12 @@
 	return restored, errors.CombineErrors(err, decodeErr)
 }
 
-func (n *Node) reader(of *group) storage.Reader {
-	return storage.WithPrefix(n.options.Store, statePrefix(of.number, of.generation))
+func (n *Node) reader(g *group) storage.Reader {
+	return storage.WithPrefix(n.options.Store, statePrefix(g.number, g.generation))
 }
 
-// stage adds to the batch what the Ready wants stored.
-func (g *group) stage(batch []storage.Mutation, ready *consensus.Ready) []storage.Mutation {
+// stageReady adds to the batch the writes that the Ready requires.
+func (g *group) stageReady(batch []storage.Mutation, ready *consensus.Ready) []storage.Mutation {
 	if ready.HardState != nil {
 		batch = append(batch, storage.Mutation{Key: groupKey(g.number, sectionHardState), Value: encode(ready.HardState)})
 	}
@@ -141,20 +141,20 @@
 	return batch
 }
 
-// answered is a proposal that has come to its end.
-type answered struct {
+// completedProposal is a proposal with its result.
+type completedProposal struct {
 	done   Done
 	answer []byte
 	err    error
 }
 
-// apply executes committed entries. The answers go out once their effects are
-// stored.
-func (g *group) apply(batch []storage.Mutation, entries []wire.LogEntry) ([]storage.Mutation, []answered) {
+// apply executes committed entries. The caller must store the batch before it delivers
+// the answers.
+func (g *group) apply(batch []storage.Mutation, entries []wire.LogEntry) ([]storage.Mutation, []completedProposal) {
 	if len(entries) == 0 {
 		return batch, nil
 	}
-	var answers []answered
+	var completions []completedProposal
 	prefix := statePrefix(g.number, g.generation)
 	for i := range entries {
 		entry := &entries[i]
@@ -162,34 +162,34 @@
 		if entry.Kind == wire.EntryCommand {
 			var mutations []storage.Mutation
 			answer, mutations = g.machine.Apply(entry.Data)
-			batch = appendScoped(batch, prefix, mutations)
+			batch = appendWithPrefix(batch, prefix, mutations)
 		}
-		if waits, found := g.waiting[entry.Index]; found {
-			delete(g.waiting, entry.Index)
-			answers = append(answers, waits.answer(entry, answer))
+		if proposal, found := g.pending[entry.Index]; found {
+			delete(g.pending, entry.Index)
+			completions = append(completions, proposal.complete(entry, answer))
 		}
 	}
 	last := entries[len(entries)-1].Index
 	batch = append(batch, storage.Mutation{Key: groupKey(g.number, sectionApplied), Value: encodeUint64(last)})
-	return batch, answers
+	return batch, completions
 }
 
-// noteApplied takes in that the entries are in the state.
-func (g *group) noteApplied(entries []wire.LogEntry) {
+// recordApplied records that the entries are part of the state.
+func (g *group) recordApplied(entries []wire.LogEntry) {
 	if len(entries) > 0 {
 		g.applied.Store(entries[len(entries)-1].Index)
 	}
 }
 
-func (w waiter) answer(entry *wire.LogEntry, answer []byte) answered {
-	if entry.Term != w.term {
-		refusal := failure.New(failure.NotRun, "send it again", "another leader's entry took the command's place")
-		return answered{done: w.done, err: refusal}
+func (p pendingProposal) complete(entry *wire.LogEntry, answer []byte) completedProposal {
+	if entry.Term != p.term {
+		err := failure.New(failure.NotRun, "send it again", "another leader's entry took the command's place")
+		return completedProposal{done: p.done, err: err}
 	}
-	return answered{done: w.done, answer: answer}
+	return completedProposal{done: p.done, answer: answer}
 }
 
-func appendScoped(batch []storage.Mutation, prefix []byte, mutations []storage.Mutation) []storage.Mutation {
+func appendWithPrefix(batch []storage.Mutation, prefix []byte, mutations []storage.Mutation) []storage.Mutation {
 	for _, mutation := range mutations {
 		mutation.Key = append(append([]byte{}, prefix...), mutation.Key...)
 		if mutation.DeleteTo != nil {
@@ -200,27 +200,26 @@
 	return batch
 }
 
-// publish lets readers know whether this replica leads.
+// publish updates the leader state for readers.
 func (g *group) publish(now time.Time) {
-	next := &leadership{term: g.replica.Term(), leaseUntil: g.replica.LeaseExpiry(now)}
-	if next.leaseUntil.IsZero() {
-		next.refusal = g.replica.NotLeaderError()
+	next := &leadership{term: g.replica.Term(), leaseExpiry: g.replica.LeaseExpiry(now)}
+	if next.leaseExpiry.IsZero() {
+		next.err = g.replica.NotLeaderError()
 	}
 	g.leadership.Store(next)
 }
 
-// failWaiting ends all proposals on their way: whether they are committed is for
-// the next leader to decide.
-func (g *group) failWaiting() {
-	waiting := g.waiting
-	g.waiting = map[uint64]waiter{}
-	for _, index := range sortedKeys(waiting) {
-		waiting[index].done(nil, failure.New(failure.OutcomeUnknown, "send the same command again", "leadership of group %d changed while the command was on its way", g.number))
+// failProposals ends all pending proposals with an unknown outcome: the next leader
+// may still commit their entries.
+func (g *group) failProposals() {
+	pending := g.pending
+	g.pending = map[uint64]pendingProposal{}
+	for _, index := range sortedKeys(pending) {
+		pending[index].done(nil, failure.New(failure.OutcomeUnknown, "send the same command again", "leadership of group %d changed while the command was on its way", g.number))
 	}
 }
 
-// sortedKeys returns the keys in order, so that a node's actions depend on
-// nothing but its inputs.
+// sortedKeys returns the keys in ascending order, which keeps a node's actions deterministic.
 func sortedKeys[Value any](from map[uint64]Value) []uint64 {
 	keys := make([]uint64, 0, len(from))
 	for key := range from {
--- a/internal/replication/host.go
+++ b/internal/replication/host.go
@@ -16,27 +16,26 @@
 	tickInterval  = 10 * time.Millisecond
 	helloInterval = 200 * time.Millisecond
 	helloTimeout  = time.Second
-	// seldomHelloInterval follows acquaintedAfter exchanges without a failure; it
-	// must stay well below helloFresh.
-	seldomHelloInterval = 800 * time.Millisecond
-	acquaintedAfter     = 15
-	// maxEvents bounds the events between two flushes, and so the size of one
-	// sync.
+	// slowHelloInterval is the interval after slowHelloAfter consecutive successful
+	// exchanges. It must stay well below helloTTL.
+	slowHelloInterval = 800 * time.Millisecond
+	slowHelloAfter    = 15
+	// maxEvents limits the events between two flushes, and so the size of one sync.
 	maxEvents = 1024
-	// transferPoll is the time between looks at a hand-over of leadership.
+	// transferPoll is the interval between checks whether a leadership transfer is complete.
 	transferPoll = 10 * time.Millisecond
 )
 
 // Transport carries messages between control processes.
 type Transport interface {
-	// Send sends a message without waiting; it may be lost.
+	// Send sends a message without blocking; the message may be lost.
 	Send(address string, message wire.PeerMessage)
-	// Hello introduces this process and returns who the other is.
+	// Hello sends this process's hello and returns that of the other process.
 	Hello(ctx context.Context, address string, hello *wire.Hello) (*wire.Hello, error)
 	Close()
 }
 
-// Host runs a node: one goroutine feeds it with time, messages and proposals.
+// Host runs a node in a single goroutine, which processes ticks, messages and proposals.
 type Host struct {
 	node      *Node
 	transport Transport
@@ -50,7 +49,7 @@
 	loops     sync.WaitGroup
 }
 
-// NewHost opens a node and runs it until Close. options.Send is set by it.
+// NewHost opens a node and runs it until Close. It sets options.Send.
 func NewHost(options Options, transport Transport) (*Host, error) {
 	options.Send = transport.Send
 	now := clock.Exact()
@@ -76,7 +75,7 @@
 	if options.BootstrapMode == BootstrapStatic {
 		go func() {
 			defer h.loops.Done()
-			h.introduceAll(ctx, h.peers)
+			h.startHelloLoops(ctx, h.peers)
 		}()
 		return h, nil
 	}
@@ -102,8 +101,7 @@
 	}
 }
 
-// runEvents runs the first event and those that wait behind it, so that they
-// share a sync.
+// runEvents runs the first event and those queued behind it, so that they share a sync.
 func (h *Host) runEvents(first func(time.Time)) {
 	now := clock.Exact()
 	first(now)
@@ -129,8 +127,8 @@
 	}
 }
 
-// enter hands an event to the loop.
-func (h *Host) enter(ctx context.Context, event func(now time.Time)) error {
+// submit queues an event for the event loop.
+func (h *Host) submit(ctx context.Context, event func(now time.Time)) error {
 	select {
 	case h.events <- event:
 		return nil
@@ -141,29 +139,30 @@
 	}
 }
 
-func (h *Host) introduceAll(ctx context.Context, peers []string) {
+func (h *Host) startHelloLoops(ctx context.Context, peers []string) {
 	for _, peer := range peers {
 		if peer != h.address {
 			h.loops.Add(1)
-			go h.introduce(ctx, peer)
+			go h.runHelloLoop(ctx, peer)
 		}
 	}
 }
 
-// introduce says hello to a peer again and again: often while either is new to
-// the other, and seldom once they have known each other for a while.
-func (h *Host) introduce(ctx context.Context, peer string) {
+// runHelloLoop exchanges hellos with a peer until ctx ends. It uses helloInterval at first,
+// after a failure, and while either process belongs to no cluster; otherwise
+// slowHelloInterval.
+func (h *Host) runHelloLoop(ctx context.Context, peer string) {
 	defer h.loops.Done()
-	acquainted := 0
+	successes := 0
 	for ctx.Err() == nil {
 		if h.exchangeHello(ctx, peer) {
-			acquainted++
+			successes++
 		} else {
-			acquainted = 0
+			successes = 0
 		}
 		interval := helloInterval
-		if acquainted > acquaintedAfter {
-			interval = seldomHelloInterval
+		if successes > slowHelloAfter {
+			interval = slowHelloInterval
 		}
 		select {
 		case <-ctx.Done():
@@ -172,9 +171,10 @@
 	}
 }
 
-// exchangeHello reports whether both belong to a cluster.
+// exchangeHello exchanges hellos with a peer. It reports whether that succeeded and both
+// processes belong to a cluster.
 func (h *Host) exchangeHello(ctx context.Context, peer string) bool {
-	own, err := ask(ctx, h, func(time.Time) wire.Hello { return h.node.Hello() })
+	own, err := query(ctx, h, func(time.Time) wire.Hello { return h.node.Hello() })
 	if err != nil {
 		return false
 	}
@@ -184,65 +184,65 @@
 	if err != nil {
 		return false
 	}
-	// An error means that the host is closing.
-	_ = h.enter(ctx, func(now time.Time) { h.node.HandleHello(now, answer) })
+	// The only possible errors are that the host is closing or that ctx has ended.
+	_ = h.submit(ctx, func(now time.Time) { h.node.HandleHello(now, answer) })
 	return own.Formed && answer.Formed
 }
 
-// HandleHello answers the introduction of another process.
+// HandleHello records the hello of another process and returns this process's own.
 func (h *Host) HandleHello(ctx context.Context, hello *wire.Hello) (*wire.Hello, error) {
-	own, err := ask(ctx, h, func(now time.Time) wire.Hello {
+	own, err := query(ctx, h, func(now time.Time) wire.Hello {
 		h.node.HandleHello(now, hello)
 		return h.node.Hello()
 	})
 	return &own, err
 }
 
-// Receive takes in messages of another process.
+// Receive processes a batch of messages from another process.
 func (h *Host) Receive(ctx context.Context, batch *wire.PeerBatch) error {
-	return h.enter(ctx, func(now time.Time) {
+	return h.submit(ctx, func(now time.Time) {
 		for i := range batch.Messages {
 			h.node.Receive(now, &batch.Messages[i])
 		}
 	})
 }
 
-// ask runs a question in the loop and returns its answer.
-func ask[Answer any](ctx context.Context, h *Host, question func(now time.Time) Answer) (Answer, error) {
+// query runs a function in the event loop and returns its result.
+func query[Answer any](ctx context.Context, h *Host, call func(now time.Time) Answer) (Answer, error) {
 	answers := make(chan Answer, 1)
-	var none Answer
-	if err := h.enter(ctx, func(now time.Time) { answers <- question(now) }); err != nil {
-		return none, err
+	var zero Answer
+	if err := h.submit(ctx, func(now time.Time) { answers <- call(now) }); err != nil {
+		return zero, err
 	}
 	select {
 	case answer := <-answers:
 		return answer, nil
 	case <-h.stopped:
-		return none, failure.New(failure.NotRun, "try another control process", "control has stopped")
+		return zero, failure.New(failure.NotRun, "try another control process", "control has stopped")
 	case <-ctx.Done():
-		return none, failure.Wrap(ctx.Err(), failure.NotRun, "try again", "control did not answer in time")
+		return zero, failure.Wrap(ctx.Err(), failure.NotRun, "try again", "control did not answer in time")
 	}
 }
 
-// outcome is the end of a proposal.
+// outcome is the result of a proposal.
 type outcome struct {
 	answer []byte
 	err    error
 }
 
-// Propose commits a command and returns the state machine's answer. If ctx ends
-// first the outcome is not known: the command may still be committed.
+// Propose commits a command and returns the state machine's answer. If ctx ends after the
+// command is queued, the outcome is unknown: the command may still be committed.
 func (h *Host) Propose(ctx context.Context, number int, command []byte) ([]byte, error) {
 	outcomes := make(chan outcome, 1)
-	err := h.enter(ctx, func(time.Time) {
+	err := h.submit(ctx, func(time.Time) {
 		h.node.Propose(number, command, func(answer []byte, err error) { outcomes <- outcome{answer, err} })
 	})
 	if err != nil {
 		return nil, err
 	}
 	select {
-	case ended := <-outcomes:
-		return ended.answer, ended.err
+	case result := <-outcomes:
+		return result.answer, result.err
 	case <-h.stopped:
 		return nil, failure.New(failure.OutcomeUnknown, "send the same command again", "control stopped while the command was on its way")
 	case <-ctx.Done():
@@ -250,24 +250,24 @@
 	}
 }
 
-// Statuses returns the state of every replica.
+// Statuses returns the status of the local replica of every group.
 func (h *Host) Statuses(ctx context.Context) ([]consensus.Status, error) {
-	return ask(ctx, h, h.node.Statuses)
+	return query(ctx, h, h.node.Statuses)
 }
 
-// Processes returns the control processes known here, this one first.
+// Processes returns this process, followed by the peers that have sent a hello.
 func (h *Host) Processes(ctx context.Context) ([]wire.Process, error) {
-	return ask(ctx, h, h.node.Processes)
+	return query(ctx, h, h.node.Processes)
 }
 
 // GroupCount returns the number of groups.
 func (h *Host) GroupCount() int { return len(h.node.groups) }
 
-// TransferAllLeadership gives the leadership of all groups to other processes, until ctx
-// ends.
+// TransferAllLeadership transfers the leadership of all groups to other processes. It returns
+// when that is done or ctx ends.
 func (h *Host) TransferAllLeadership(ctx context.Context) {
 	for ctx.Err() == nil {
-		done, err := ask(ctx, h, h.node.TransferAllLeadership)
+		done, err := query(ctx, h, h.node.TransferAllLeadership)
 		if err != nil || done {
 			return
 		}
@@ -278,13 +278,13 @@
 	}
 }
 
-// TransferLeadership hands leadership of a group to another process, and reports whether that
-// has begun.
+// TransferLeadership transfers the leadership of a group to the given replica, and reports
+// whether the transfer started.
 func (h *Host) TransferLeadership(ctx context.Context, number int, to uint64) (bool, error) {
-	return ask(ctx, h, func(now time.Time) bool { return h.node.TransferLeadership(now, number, to) })
+	return query(ctx, h, func(now time.Time) bool { return h.node.TransferLeadership(now, number, to) })
 }
 
-// Close stops taking events and waits for those on their way.
+// Close rejects further events, and waits until the queued events and the loops have ended.
 func (h *Host) Close() {
 	h.closeOnce.Do(func() {
 		h.cancel()
--- a/internal/replication/host_test.go
+++ b/internal/replication/host_test.go
@@ -16,14 +16,14 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// localNetwork connects the hosts of a test directly.
+// localNetwork connects the hosts of a test without sockets.
 type localNetwork struct {
 	mutex sync.Mutex
 	hosts map[string]*Host
 }
 
-// localTransport is one host's end of a localNetwork. Messages to one host keep
-// their order and are handed over in batches.
+// localTransport is the Transport of one host in a localNetwork. It delivers messages to a
+// host in order and in batches.
 type localTransport struct {
 	network *localNetwork
 	context context.Context
@@ -48,7 +48,7 @@
 	l.mutex.Lock()
 	queue := l.queues[address]
 	if queue == nil {
-		queue = make(chan wire.PeerMessage, maxQueued)
+		queue = make(chan wire.PeerMessage, maxQueuedMessages)
 		l.queues[address] = queue
 		go l.serve(address, queue)
 	}
@@ -66,20 +66,20 @@
 			return
 		case first := <-queue:
 			if host := l.network.host(address); host != nil {
-				// A closing host loses the messages.
-				_ = host.Receive(l.context, gather(first, queue))
+				// The host returns an error if it is closing; the messages are lost then.
+				_ = host.Receive(l.context, collectBatch(first, queue))
 			}
 		}
 	}
 }
 
-var errNobody = errors.New("nobody listens")
+var errNoHost = errors.New("no host at this address")
 
 // Hello implements Transport.
 func (l *localTransport) Hello(ctx context.Context, address string, hello *wire.Hello) (*wire.Hello, error) {
 	host := l.network.host(address)
 	if host == nil {
-		return nil, errNobody
+		return nil, errNoHost
 	}
 	return host.HandleHello(ctx, hello)
 }
@@ -87,7 +87,7 @@
 // Close implements Transport.
 func (l *localTransport) Close() { l.cancel() }
 
-// countingStore counts syncs.
+// countingStore counts the commits with a sync.
 type countingStore struct {
 	storage.Store
 	syncs *atomic.Int64
@@ -101,7 +101,7 @@
 	return c.Store.Commit(mutations, sync)
 }
 
-// register is a state machine that keeps the last command.
+// register is a state machine that stores the last command.
 type register struct{ last []byte }
 
 // Apply implements StateMachine.
@@ -116,7 +116,7 @@
 	return err
 }
 
-// startHosts runs voters over the store that open makes for each.
+// startHosts starts the hosts of a cluster; open returns the store of each.
 func startHosts(tb testing.TB, voters, groups int, open func(number int) storage.Store) []*Host {
 	tb.Helper()
 	network := &localNetwork{hosts: map[string]*Host{}}
@@ -156,7 +156,8 @@
 	return hosts
 }
 
-// proposeAnywhere commits a command through whichever host leads the group.
+// proposeAnywhere commits a command through the leader of the group. It tries the hosts in
+// turn and updates leaders.
 func proposeAnywhere(ctx context.Context, hosts []*Host, leaders []int, group int, command []byte) error {
 	for ctx.Err() == nil {
 		_, err := hosts[leaders[group]].Propose(ctx, group, command)
@@ -169,8 +170,8 @@
 	return ctx.Err()
 }
 
-// TestHostsAgree commits commands in several groups on three hosts and reads
-// them back from the leaders.
+// TestHostsAgree commits commands in several groups on three hosts and checks that the
+// leaders return the last one.
 func TestHostsAgree(t *testing.T) {
 	const groups = 3
 	hosts := startHosts(t, 3, groups, func(int) storage.Store { return storage.NewMemory() })
@@ -196,9 +197,9 @@
 	}
 }
 
-// BenchmarkWrites commits commands of 256 bytes on five hosts with stores on
-// disk: 256 writers at a time, over 1, 4 and 16 groups. It reports accepted
-// writes a second, and syncs a second of one host.
+// BenchmarkWrites commits commands of 256 bytes on five hosts with stores on disk: 256
+// concurrent writers, spread over 1, 4 and 16 groups. It reports the committed writes per
+// second, and the syncs per second of one host.
 func BenchmarkWrites(b *testing.B) {
 	for _, groups := range []int{1, 4, 16} {
 		b.Run(fmt.Sprintf("groups=%d", groups), func(b *testing.B) {
@@ -218,9 +219,9 @@
 func benchmarkWrites(b *testing.B, hosts []*Host, groups int, syncs *atomic.Int64) {
 	const writers = 256
 	ctx := context.Background()
-	warm := make([]int, groups)
-	for group := range warm {
-		if err := proposeAnywhere(ctx, hosts, warm, group, []byte("warm")); err != nil {
+	initialLeaders := make([]int, groups)
+	for group := range initialLeaders {
+		if err := proposeAnywhere(ctx, hosts, initialLeaders, group, []byte("warm")); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -233,7 +234,7 @@
 		running.Add(1)
 		go func() {
 			defer running.Done()
-			leaders := append([]int(nil), warm...)
+			leaders := append([]int(nil), initialLeaders...)
 			for next.Add(1) <= int64(b.N) {
 				if err := proposeAnywhere(ctx, hosts, leaders, writer%groups, command); err != nil {
 					b.Error(err)
--- a/internal/replication/keys.go
+++ b/internal/replication/keys.go
@@ -2,7 +2,7 @@
 
 import "encoding/binary"
 
-// Sections of a group's keys.
+// Sections of a group's key space.
 const (
 	sectionLog        = 'l'
 	sectionBase       = 'b'
@@ -12,16 +12,15 @@
 	sectionState      = 's'
 )
 
-// identityKey holds the identity of the data folder.
+// identityKey is the key of the identity of the data folder.
 var identityKey = []byte("identity")
 
 func groupKey(number int, section byte) []byte {
 	return append(binary.BigEndian.AppendUint16([]byte{'g'}, uint16(number)), section)
 }
 
-// statePrefix begins the keys of one generation of a group's state. A snapshot
-// is taken in as the next generation, so that the change from the old state to
-// the new one is a single write.
+// statePrefix returns the key prefix of one generation of a group's state. The state of a
+// snapshot is stored as the next generation, so that a single write replaces the old state.
 func statePrefix(number int, generation uint64) []byte {
 	return binary.BigEndian.AppendUint64(groupKey(number, sectionState), generation)
 }
@@ -32,7 +31,7 @@
 
 func encodeUint64(value uint64) []byte { return binary.BigEndian.AppendUint64(nil, value) }
 
-// decodeUint64 returns zero for a key that is not there.
+// decodeUint64 returns zero if the value is missing.
 func decodeUint64(value []byte) uint64 {
 	if len(value) != 8 {
 		return 0
--- a/internal/replication/node.go
+++ b/internal/replication/node.go
@@ -16,76 +16,75 @@
 	maxInflightBytes = 8 << 20
 )
 
-// Options describe a node.
+// Options configures a node.
 type Options struct {
 	Store    storage.Store
 	Machines []StateMachine
-	// Name and Address are this process's.
+	// Name and Address identify this process to its peers.
 	Name    string
 	Address string
-	// Peers are the addresses of all control processes, this one's included.
-	// The first Voters of them form the cluster. With another Formation than
-	// FormFixed they are only the addresses to ask first, and Voters is the
-	// largest number of voters.
+	// Peers are the addresses of all control processes, including this one. The first
+	// Voters of them are the initial voters. With a BootstrapMode other than
+	// BootstrapStatic they are only the addresses to contact first, and Voters is the
+	// maximum number of voters.
 	Peers  []string
 	Voters int
-	// BootstrapMode says how the first membership comes about.
+	// BootstrapMode selects how the cluster gets its first membership.
 	BootstrapMode BootstrapMode
-	// Bootstrap is set while the whole system starts for the first time; only
-	// then may FormBySeeds form a cluster.
+	// Bootstrap is set only for the first start of the whole system. Without it,
+	// BootstrapFromSeeds doesn't bootstrap a cluster.
 	Bootstrap bool
-	// MinVoters is how many voters silence alone never takes a group below.
+	// MinVoters limits the removal of voters: only a group with more voters may remove an
+	// unresponsive or retiring voter without replacing it.
 	MinVoters int
-	// NewID makes the identity of an empty data folder.
+	// NewID creates the identity of an empty data folder.
 	NewID             func() uint64
 	ElectionTimeout   time.Duration
 	HeartbeatInterval time.Duration
-	// ReplaceAfter is how long a voter may be silent before a spare takes its
-	// place.
+	// ReplaceAfter is how long a voter may be unresponsive before a learner replaces it.
 	ReplaceAfter time.Duration
-	// FullMeshLimit is up to how many peers a process says hello to all of them, with
-	// FormByOrder; zero means greetAll.
+	// FullMeshLimit applies to BootstrapManual: up to this number of peers, every process
+	// exchanges hellos with all others. Zero means defaultFullMeshLimit.
 	FullMeshLimit int
-	// RetainedLogBytes is how much of each group's log is kept for slow followers.
+	// RetainedLogBytes is the size of each group's log that is kept for slow followers.
 	RetainedLogBytes int
 	Random           consensus.Random
-	// Send sends a message to the process at the address; it may be lost.
+	// Send sends a message to the process at the address; the message may be lost.
 	Send func(address string, message wire.PeerMessage)
-	// OnApplied, if it is set, is told of every entry that is applied, for
-	// checkers.
+	// OnApplied, if set, is called for every applied entry, for checks of invariants.
 	OnApplied func(group int, entry *wire.LogEntry)
 }
 
 // Node holds the replicas of one control process.
 type Node struct {
-	options    Options
-	identity   wire.Hello
-	peers      []string
-	candidates map[string]time.Time
-	// listed names the peers of the last whole list.
-	listed     map[string]bool
-	retiring   map[string]bool
-	groups     []*group
-	known      map[string]*heard
-	addresses  map[uint64]string
-	repairDue  time.Time
-	transferID uint64
+	options     Options
+	identity    wire.Hello
+	peers       []string
+	peerAddedAt map[string]time.Time
+	// listedPeers is the set of peers in the last call of SetPeers.
+	listedPeers      map[string]bool
+	retiring         map[string]bool
+	groups           []*group
+	receivedHellos   map[string]*receivedHello
+	replicaAddresses map[uint64]string
+	nextRepair       time.Time
+	lastTransferID   uint64
 }
 
-// heard is what is known of the process at an address.
-type heard struct {
-	hello wire.Hello
-	at    time.Time
+// receivedHello is the last hello of another process.
+type receivedHello struct {
+	hello      wire.Hello
+	receivedAt time.Time
 }
 
-// Open restores a node from its store, which gets an identity if it is empty.
+// Open restores a node from its store. If the store is empty, the node gets a new identity.
 func Open(options Options, now time.Time) (*Node, error) {
 	n := &Node{
-		options:    options,
-		peers:      append([]string(nil), options.Peers...),
-		candidates: map[string]time.Time{},
-		known:      map[string]*heard{},
-		addresses:  map[uint64]string{},
+		options:          options,
+		peers:            append([]string(nil), options.Peers...),
+		peerAddedAt:      map[string]time.Time{},
+		receivedHellos:   map[string]*receivedHello{},
+		replicaAddresses: map[uint64]string{},
 	}
 	if err := n.openIdentity(); err != nil {
 		return nil, err
@@ -93,12 +92,12 @@
 	for number, machine := range options.Machines {
 		opened, err := n.open(number, machine, now)
 		if err != nil {
-			return nil, errors.Wrapf(err, "group %d does not restore", number)
+			return nil, errors.Wrapf(err, "restore group %d from the store", number)
 		}
 		n.groups = append(n.groups, opened)
 	}
 	if n.soleProcess() {
-		n.form([]wire.Replica{n.identity.Replica}, now)
+		n.bootstrapCluster([]wire.Replica{n.identity.Replica}, now)
 	}
 	return n, nil
 }
@@ -107,23 +106,23 @@
 	return !n.identity.Formed && n.options.BootstrapMode == BootstrapStatic && len(n.options.Peers) == 1 && n.options.Peers[0] == n.options.Address
 }
 
-// Tick lets time pass.
+// Tick advances the time: it runs the timers of the replicas, bootstrap and repair.
 func (n *Node) Tick(now time.Time) {
-	n.tryForm(now)
+	n.tryBootstrap(now)
 	for _, g := range n.groups {
 		g.replica.Tick(now)
 		n.tickSenders(g, now)
 	}
-	if !now.Before(n.repairDue) {
-		n.repairDue = now.Add(repairInterval)
+	if !now.Before(n.nextRepair) {
+		n.nextRepair = now.Add(repairInterval)
 		n.forgetPeers(now)
 		n.repair(now)
 	}
 }
 
-// Receive takes in a message of another control process. A process that belongs
-// to no cluster yet takes none: forming begins its log anew, and an entry that it
-// had acknowledged before would be lost.
+// Receive processes a message from another control process. A process that belongs to no
+// cluster yet ignores all messages: bootstrapping replaces its log, so that an entry which
+// it had acknowledged before would be lost.
 func (n *Node) Receive(now time.Time, message *wire.PeerMessage) {
 	if !n.identity.Formed {
 		return
@@ -135,13 +134,13 @@
 	g.replica.Step(now, message)
 	switch message.Kind {
 	case wire.MessageSnapshotChunk:
-		n.takeChunk(g, now, message)
+		n.handleChunk(g, now, message)
 	case wire.MessageSnapshotResponse:
-		n.takeChunkResponse(g, now, message)
+		n.handleChunkResponse(g, now, message)
 	}
 }
 
-// Propose appends a command to the group's log; done is called once.
+// Propose appends a command to the group's log; done is called exactly once.
 func (n *Node) Propose(number int, command []byte, done Done) {
 	g, err := n.group(number)
 	if err != nil {
@@ -153,11 +152,11 @@
 		done(nil, err)
 		return
 	}
-	g.waiting[index] = waiter{term: term, done: done}
+	g.pending[index] = pendingProposal{term: term, done: done}
 }
 
-// TransferAllLeadership hands leadership of every group to another process, and reports
-// whether this one leads none any more.
+// TransferAllLeadership starts to transfer the leadership of every group to another process.
+// It returns true if no leadership is left here that can be transferred.
 func (n *Node) TransferAllLeadership(now time.Time) bool {
 	done := true
 	for _, g := range n.groups {
@@ -168,14 +167,14 @@
 	return done
 }
 
-// TransferLeadership hands leadership of a group to another replica, and reports whether
-// that has begun.
+// TransferLeadership transfers the leadership of a group to the given replica, and reports
+// whether the transfer started.
 func (n *Node) TransferLeadership(now time.Time, number int, to uint64) bool {
 	g, err := n.group(number)
 	return err == nil && g.replica.TransferLeadershipTo(now, to)
 }
 
-// Statuses returns the state of every replica.
+// Statuses returns the status of the local replica of every group.
 func (n *Node) Statuses(now time.Time) []consensus.Status {
 	statuses := make([]consensus.Status, 0, len(n.groups))
 	for _, g := range n.groups {
@@ -187,51 +186,51 @@
 // ID returns the identity of the node's data folder.
 func (n *Node) ID() uint64 { return n.identity.Replica.ID }
 
-// round is one group's share of a flush.
-type round struct {
+// groupReady is a group together with its pending Ready.
+type groupReady struct {
 	group *group
 	ready consensus.Ready
 }
 
-// Flush stores, sends and applies what the replicas have ready, with one sync
-// for all groups of a round, until nothing is left. A store that fails makes it
-// panic: a log that can't be written makes every later answer a lie.
+// Flush stores, sends and applies what the replicas have ready, repeatedly until nothing is
+// left. Each round stores the changes of all groups with one sync. Flush panics if the store
+// fails, because without a written log every later response would be wrong.
 func (n *Node) Flush(now time.Time) {
 	for {
-		rounds := n.rounds(now)
-		if len(rounds) == 0 {
+		pending := n.collectReady(now)
+		if len(pending) == 0 {
 			break
 		}
-		n.persist(rounds)
-		n.applyAll(rounds, now)
+		n.persist(pending)
+		n.applyAll(pending, now)
 	}
 	for _, g := range n.groups {
 		n.compact(g)
-		n.noticeRole(g)
+		n.checkLeadership(g)
 		g.publish(now)
 	}
 }
 
-func (n *Node) rounds(now time.Time) []round {
-	var rounds []round
+func (n *Node) collectReady(now time.Time) []groupReady {
+	var pending []groupReady
 	for _, g := range n.groups {
 		ready := g.replica.Ready()
 		if ready.Empty() {
 			continue
 		}
-		// A lease that is given up must be gone before the message that lets
-		// another replica lead is sent.
+		// If the replica gave up its lease, readers must know before the message is sent that
+		// lets another replica become leader.
 		g.publish(now)
 		n.sendAll(ready.MessagesBeforeSync)
-		rounds = append(rounds, round{group: g, ready: ready})
+		pending = append(pending, groupReady{group: g, ready: ready})
 	}
-	return rounds
+	return pending
 }
 
-func (n *Node) persist(rounds []round) {
+func (n *Node) persist(pending []groupReady) {
 	var batch []storage.Mutation
-	for i := range rounds {
-		batch = rounds[i].group.stage(batch, &rounds[i].ready)
+	for i := range pending {
+		batch = pending[i].group.stageReady(batch, &pending[i].ready)
 	}
 	if len(batch) > 0 {
 		n.commit(batch, true)
@@ -244,29 +243,29 @@
 	}
 }
 
-func (n *Node) applyAll(rounds []round, now time.Time) {
-	for i := range rounds {
-		g, ready := rounds[i].group, &rounds[i].ready
+func (n *Node) applyAll(pending []groupReady, now time.Time) {
+	for i := range pending {
+		g, ready := pending[i].group, &pending[i].ready
 		n.sendAll(ready.MessagesAfterSync)
 		g.mutex.Lock()
-		batch, answers := g.apply(nil, ready.Committed)
-		n.tellApplied(g, ready.Committed)
+		batch, completions := g.apply(nil, ready.Committed)
+		n.notifyApplied(g, ready.Committed)
 		if len(batch) > 0 {
 			n.commit(batch, false)
 		}
-		g.noteApplied(ready.Committed)
+		g.recordApplied(ready.Committed)
 		g.mutex.Unlock()
 		g.replica.Advance(now, ready)
-		for _, ended := range answers {
-			ended.done(ended.answer, ended.err)
+		for _, completed := range completions {
+			completed.done(completed.answer, completed.err)
 		}
 		for _, to := range ready.SnapshotTargets {
-			n.beginSnapshot(g, to, now)
+			n.startSnapshot(g, to, now)
 		}
 	}
 }
 
-func (n *Node) tellApplied(g *group, entries []wire.LogEntry) {
+func (n *Node) notifyApplied(g *group, entries []wire.LogEntry) {
 	if n.options.OnApplied == nil {
 		return
 	}
@@ -283,29 +282,29 @@
 	}
 }
 
-// addressOf returns where the replica is: as it says itself, or else as the
-// membership says.
+// addressOf returns the address of a replica: the one in its process's last hello, or else
+// the one in the membership.
 func (n *Node) addressOf(number int, id uint64) string {
-	if address := n.addresses[id]; address != "" {
+	if address := n.replicaAddresses[id]; address != "" {
 		return address
 	}
 	membership := n.groups[number].replica.Membership()
 	for _, member := range consensus.Members(&membership) {
-		n.addresses[member.ID] = member.Address
+		n.replicaAddresses[member.ID] = member.Address
 	}
-	return n.addresses[id]
+	return n.replicaAddresses[id]
 }
 
-// noticeRole ends the proposals of a replica that no longer leads.
-func (n *Node) noticeRole(g *group) {
-	leads := g.replica.Role() == consensus.Leader
-	if g.wasLeader && !leads {
-		g.failWaiting()
+// checkLeadership fails the pending proposals of a group that has lost its leadership.
+func (n *Node) checkLeadership(g *group) {
+	isLeader := g.replica.Role() == consensus.Leader
+	if g.wasLeader && !isLeader {
+		g.failProposals()
 	}
-	g.wasLeader = leads
+	g.wasLeader = isLeader
 }
 
-// compact drops the oldest part of a log that has grown to twice what is kept.
+// compact drops the oldest part of a log once the log has twice the size to retain.
 func (n *Node) compact(g *group) {
 	if g.replica.LogBytes() < 2*n.options.RetainedLogBytes {
 		return
@@ -329,7 +328,8 @@
 	return data
 }
 
-// readMessage decodes what is stored under key; nothing leaves it unchanged.
+// readMessage decodes the value stored under key. If there is none, message stays
+// unchanged.
 func readMessage(reader storage.Reader, key []byte, message msgp.Unmarshaler) error {
 	value, err := reader.Get(key)
 	if err != nil || value == nil {
--- a/internal/replication/notify.go
+++ b/internal/replication/notify.go
@@ -7,8 +7,8 @@
 	"github.com/sedgemast/sedgemast/internal/storage"
 )
 
-// NotifyingStateMachine is a state machine that tells of every applied command, before the
-// command's effects are stored.
+// NotifyingStateMachine wraps a state machine and calls Notify after each applied command,
+// before the effects of the command are stored.
 type NotifyingStateMachine struct {
 	StateMachine
 	Notify func()
@@ -20,11 +20,11 @@
 	return n.StateMachine.Apply(command)
 }
 
-// NewID returns the identity of an empty data folder. It must never be
-// given twice, hence the system's source of randomness.
+// NewID returns an identity for an empty data folder. Identities must be unique, hence the
+// random numbers of the operating system.
 func NewID() uint64 {
 	var identity [8]byte
-	// Read never fails, by its documentation.
+	// Read never returns an error; see its documentation.
 	_, _ = rand.Read(identity[:])
 	return binary.BigEndian.Uint64(identity[:]) | 1
 }
--- a/internal/replication/reads.go
+++ b/internal/replication/reads.go
@@ -12,25 +12,25 @@
 	"github.com/sedgemast/sedgemast/internal/storage"
 )
 
-// readPoll is the time between looks whether a replica has come far enough.
+// readPoll is the interval between checks whether a replica has applied an index.
 const readPoll = 5 * time.Millisecond
 
-// errLapsed marks the refusals of a leader whose lease is over.
-var errLapsed = errors.New("the lease is over")
+// errLeaseExpired marks the errors of a leader whose lease has expired.
+var errLeaseExpired = errors.New("the lease is over")
 
-// IsLeaseExpired reports whether a refusal says that a leader's lease is over. It may still
-// lead, and hear a majority again in a moment.
-func IsLeaseExpired(err error) bool { return errors.Is(err, errLapsed) }
+// IsLeaseExpired reports whether an error says that the lease of a leader has expired. The
+// replica may still be the leader and renew its lease shortly.
+func IsLeaseExpired(err error) bool { return errors.Is(err, errLeaseExpired) }
 
-// Read calls read while the group's state does not change. It fails with NotRun
-// unless this replica leads the group and holds its lease; the term that it
-// leads in is handed to read.
+// Read calls read while the group's state cannot change. It passes the term in which this
+// replica leads. It fails with NotRun unless this replica leads the group and holds its
+// lease.
 func (n *Node) Read(now time.Time, number int, read func(term uint64, reader storage.Reader) error) error {
 	g, err := n.group(number)
 	if err != nil {
 		return err
 	}
-	term, err := g.leads(now)
+	term, err := g.leaderTerm(now)
 	if err != nil {
 		return err
 	}
@@ -39,23 +39,23 @@
 	return read(term, n.reader(g))
 }
 
-// ReadIndex returns how far a replica must have come to know all that had been
-// acknowledged when the call began. It fails with NotRun unless this replica leads
-// the group and holds its lease.
+// ReadIndex returns the index that a replica must have applied to reflect every command that
+// was acknowledged before the call. It fails with NotRun unless this replica leads the group
+// and holds its lease.
 func (n *Node) ReadIndex(now time.Time, number int) (uint64, error) {
 	g, err := n.group(number)
 	if err != nil {
 		return 0, err
 	}
-	if _, err := g.leads(now); err != nil {
+	if _, err := g.leaderTerm(now); err != nil {
 		return 0, err
 	}
-	// Answers to commands go out once their effects are in the state.
+	// A command is acknowledged only after its effects are in the state.
 	return g.applied.Load(), nil
 }
 
-// ReadStale calls read while the group's state here does not change. The state
-// may be old: applied says how far it has come.
+// ReadStale calls read while the group's state here cannot change. The state may lag behind
+// the leader's; applied is the index of the last applied entry.
 func (n *Node) ReadStale(number int, read func(applied uint64, reader storage.Reader) error) error {
 	g, err := n.group(number)
 	if err != nil {
@@ -73,35 +73,35 @@
 	return n.groups[number], nil
 }
 
-// leads returns the term in which this replica leads and holds its lease. The
-// lease must be checked after a request has come: what is read then is the newest
-// state at that moment or later.
-func (g *group) leads(now time.Time) (term uint64, err error) {
+// leaderTerm returns the term in which this replica leads, or an error if it does not lead or
+// its lease has expired. Callers must check the lease after the request has arrived: then
+// the state that they read is at least as new as the request.
+func (g *group) leaderTerm(now time.Time) (term uint64, err error) {
 	current := g.leadership.Load()
-	if current.refusal != nil {
-		return 0, current.refusal
+	if current.err != nil {
+		return 0, current.err
 	}
-	if !now.Before(current.leaseUntil) {
-		return 0, failure.Wrap(errLapsed, failure.NotRun, "try again", "the leader of group %d has not heard a majority lately", g.number)
+	if !now.Before(current.leaseExpiry) {
+		return 0, failure.Wrap(errLeaseExpired, failure.NotRun, "try again", "the leader of group %d has not heard a majority lately", g.number)
 	}
 	return current.term, nil
 }
 
-// Read calls read as Node.Read does; it may be called from any goroutine.
+// Read calls Node.Read; it is safe for concurrent use.
 func (h *Host) Read(number int, read func(term uint64, reader storage.Reader) error) error {
 	return h.node.Read(clock.Exact(), number, read)
 }
 
-// ReadIndex is Node.ReadIndex; it may be called from any goroutine.
+// ReadIndex calls Node.ReadIndex; it is safe for concurrent use.
 func (h *Host) ReadIndex(number int) (uint64, error) { return h.node.ReadIndex(clock.Exact(), number) }
 
-// ReadStale is Node.ReadStale; it may be called from any goroutine.
+// ReadStale calls Node.ReadStale; it is safe for concurrent use.
 func (h *Host) ReadStale(number int, read func(applied uint64, reader storage.Reader) error) error {
 	return h.node.ReadStale(number, read)
 }
 
-// WaitApplied waits until the replica here has come to the index, and fails with
-// NotRun if ctx ends first.
+// WaitApplied waits until the local replica has applied the index. It fails with NotRun if
+// ctx ends first.
 func (h *Host) WaitApplied(ctx context.Context, number int, index uint64) error {
 	g, err := h.node.group(number)
 	if err != nil {
--- a/internal/replication/reads_test.go
+++ b/internal/replication/reads_test.go
@@ -11,9 +11,8 @@
 	"github.com/sedgemast/sedgemast/internal/storage"
 )
 
-// TestReplicasCatchUpForReads commits commands at the leader and checks that every
-// replica has them once it has come to the leader's index, and that no other
-// replica gives an index or waits for ever.
+// TestReplicasCatchUpForReads commits commands through the leader and checks that every
+// replica returns the latest one after it has applied the leader's read index.
 func TestReplicasCatchUpForReads(t *testing.T) {
 	hosts := startHosts(t, 3, 1, func(int) storage.Store { return storage.NewMemory() })
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
@@ -26,7 +25,7 @@
 		}
 		index, err := hosts[leaders[0]].ReadIndex(0)
 		if err != nil {
-			// Leadership has moved on since the command; the next round asks anew.
+			// Leadership changed after the command; the next round finds the new leader.
 			continue
 		}
 		for number, host := range hosts {
@@ -36,7 +35,7 @@
 			err := host.ReadStale(0, func(applied uint64, reader storage.Reader) error {
 				got, err := reader.Get([]byte("last"))
 				if string(got) != want || applied < index {
-					t.Errorf("replica %d has come to %d of %d and reads %q, not %q", number, applied, index, got, want)
+					t.Errorf("replica %d has applied %d, read index %d, and returns %q, want %q", number, applied, index, got, want)
 				}
 				return err
 			})
@@ -47,20 +46,20 @@
 	}
 }
 
-// TestIndexIsTheLeadersAlone checks that a replica that is no leader gives no
-// index, and that a wait for an index that never comes ends with its context.
-func TestIndexIsTheLeadersAlone(t *testing.T) {
+// TestReadIndexOnlyFromLeader checks that a replica that does not lead returns no read index,
+// that waiting for an index ends with the context, and that an unknown group is an error.
+func TestReadIndexOnlyFromLeader(t *testing.T) {
 	network := &localNetwork{hosts: map[string]*Host{}}
-	host := joiningHost(t, network, "a", 1, []string{"b"}, false)
+	host := startSeededHost(t, network, "a", 1, []string{"b"}, false)
 	if _, err := host.ReadIndex(0); !failure.Is(err, failure.NotRun) {
-		t.Errorf("an index without a group: %v", err)
+		t.Errorf("ReadIndex on a host without a leader: %v, want NotRun", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if err := host.WaitApplied(ctx, 0, 7); !failure.Is(err, failure.NotRun) || !errors.Is(err, context.Canceled) {
-		t.Errorf("a wait without end: %v", err)
+		t.Errorf("WaitApplied with a cancelled context: %v, want NotRun", err)
 	}
 	if err := host.ReadStale(5, nil); !failure.Is(err, failure.NotFound) {
-		t.Errorf("a group that does not exist: %v", err)
+		t.Errorf("ReadStale of a group that does not exist: %v, want NotFound", err)
 	}
 }
--- a/internal/replication/repair.go
+++ b/internal/replication/repair.go
@@ -10,42 +10,46 @@
 
 const (
 	repairInterval = 200 * time.Millisecond
-	// maxLearners bounds the spares of a group where no number of losses is told.
+	// maxLearners limits the learners of a group.
 	maxLearners = 3
-	// maxBehind is how many entries a learner may lack when it becomes a voter.
-	maxBehind = 256
-	// maxLearnerSilence is how lately a learner must have answered then.
-	maxLearnerSilence = time.Second
+	// maxPromotionLag is the largest number of entries that a learner may lack when it
+	// becomes a voter.
+	maxPromotionLag = 256
+	// maxPromotionSinceResponse is the longest time since a learner's last response when it
+	// becomes a voter.
+	maxPromotionSinceResponse = time.Second
 )
 
-// repairPolicy says when the membership of a group is to change.
+// repairPolicy holds the rules for changes to the membership of a group.
 type repairPolicy struct {
 	voters       int
 	replaceAfter time.Duration
-	// minVoters, where it is set, lets a voter go that has been silent for
-	// dropAfter times replaceAfter while more than minVoters are left.
+	// minVoters, if not zero, allows a group with more than minVoters voters to remove one
+	// without replacing it: a retiring voter, or one that has been unresponsive for
+	// dropAfterFactor times replaceAfter.
 	minVoters int
-	// spares bounds the learners: as many as replicas may be lost at once. Each takes
-	// the whole log, so more would be paid for by every entry.
-	spares int
-	// group is the number of the group, by which its joiners are chosen.
+	// learnerLimit is the maximum number of learners: the number of replicas that may be
+	// lost at once. More would cost bandwidth and storage for every entry, because each
+	// learner receives the whole log.
+	learnerLimit int
+	// group is the number of the group; each group ranks new learners differently.
 	group int
-	// retiring names the processes that are to hold nothing any more.
+	// retiring holds the names of the processes that must not keep any replica.
 	retiring map[string]bool
 }
 
-// of returns the policy as it is for one group.
-func (p repairPolicy) of(group int) repairPolicy {
+// forGroup returns the policy for one group.
+func (p repairPolicy) forGroup(group int) repairPolicy {
 	p.group = group
 	return p
 }
 
-// dropAfter is how many times replaceAfter a voter is silent before it is let
-// go without a successor.
-const dropAfter = 3
+// dropAfterFactor is the multiple of replaceAfter after which an unresponsive voter is
+// removed without a replacement.
+const dropAfterFactor = 3
 
-// repair changes the membership of the groups that this process leads, one step
-// at a time.
+// repair changes the membership of the groups that this process leads, one change at a
+// time per group.
 func (n *Node) repair(now time.Time) {
 	policy := n.repairPolicy()
 	processes := n.Processes(now)
@@ -57,91 +61,93 @@
 			continue
 		}
 		status := g.replica.Status(now)
-		if voters, learners, change := planRepair(&status, processes, policy.of(g.number)); change {
-			// A refusal means that another change is under way; the next round
-			// tries again.
+		if voters, learners, change := planRepair(&status, processes, policy.forGroup(g.number)); change {
+			// An error means that another change is in progress; the next call of repair tries
+			// again.
 			_ = g.replica.ProposeMembership(voters, learners)
 		}
 	}
 }
 
 func (n *Node) repairPolicy() repairPolicy {
-	policy := repairPolicy{voters: n.options.Voters, replaceAfter: n.options.ReplaceAfter, spares: maxLearners, retiring: n.retiring}
+	policy := repairPolicy{voters: n.options.Voters, replaceAfter: n.options.ReplaceAfter, learnerLimit: maxLearners, retiring: n.retiring}
 	if n.options.BootstrapMode == BootstrapStatic {
 		policy.voters = min(n.options.Voters, len(n.options.Peers))
 		return policy
 	}
 	policy.minVoters = n.options.MinVoters
 	if n.options.BootstrapMode == BootstrapManual {
-		// Elsewhere learners are taken in to become voters soon.
-		policy.spares = min(max((n.options.MinVoters-1)/2, 1), maxLearners)
+		// In the other modes learners become voters soon, so that the number of losses doesn't
+		// limit them.
+		policy.learnerLimit = min(max((n.options.MinVoters-1)/2, 1), maxLearners)
 	}
 	return policy
 }
 
-// planRepair returns the next membership of a group, seen from its leader. A
-// voter whose storage is gone, or that has been silent for too long, gives its
-// place to a learner that has caught up; both happen in one change, so that the
-// group is never short of a voter that it counts. Processes that are no members
-// become learners.
+// planRepair returns the next membership of a group, as seen by its leader. A voter whose
+// storage was lost, or that has been unresponsive for too long, is replaced by a learner that
+// has caught up. Both happen in one change, so that the group always has its full number of
+// voters. Processes that are not members are added as learners.
 func planRepair(status *consensus.Status, processes []wire.Process, policy repairPolicy) (voters, learners []wire.Replica, change bool) {
 	membership := &status.Membership
 	if !status.MembershipStable {
 		return nil, nil, false
 	}
 	plan := repairPlan{status: status, processes: processes, policy: policy}
-	if lost := plan.lostOf(membership.Learners); lost != 0 {
-		return membership.Voters, without(membership.Learners, lost), true
+	if lostID := plan.firstLost(membership.Learners); lostID != 0 {
+		return membership.Voters, without(membership.Learners, lostID), true
 	}
-	if ready, found := plan.readyLearner(); found {
-		rest := without(membership.Learners, ready.ID)
-		if lost := plan.lostOf(membership.Voters); lost != 0 {
-			return append(without(membership.Voters, lost), ready), rest, true
+	if promoted, found := plan.promotableLearner(); found {
+		remainingLearners := without(membership.Learners, promoted.ID)
+		if lostID := plan.firstLost(membership.Voters); lostID != 0 {
+			return append(without(membership.Voters, lostID), promoted), remainingLearners, true
 		}
 		if len(membership.Voters) < policy.voters {
-			return append(without(membership.Voters, 0), ready), rest, true
+			return append(without(membership.Voters, 0), promoted), remainingLearners, true
 		}
 	}
-	if dropped := plan.droppable(); dropped != 0 {
-		return without(membership.Voters, dropped), membership.Learners, true
+	if droppedID := plan.voterToDrop(); droppedID != 0 {
+		return without(membership.Voters, droppedID), membership.Learners, true
 	}
-	if joiner, found := plan.joiner(); found && len(membership.Learners) < policy.spares {
-		return membership.Voters, append(without(membership.Learners, 0), joiner), true
+	if learner, found := plan.newLearner(); found && len(membership.Learners) < policy.learnerLimit {
+		return membership.Voters, append(without(membership.Learners, 0), learner), true
 	}
 	return nil, nil, false
 }
 
-// repairPlan holds what a plan goes by.
+// repairPlan holds the input of planRepair.
 type repairPlan struct {
 	status    *consensus.Status
 	processes []wire.Process
 	policy    repairPolicy
 }
 
-// lostOf returns the identity of a replica of the list that is gone, or zero.
-func (p *repairPlan) lostOf(replicas []wire.Replica) uint64 {
+// firstLost returns the ID of the first of the replicas that must be replaced, or zero: its
+// process retires, its storage was lost, or it has been unresponsive for longer than
+// replaceAfter.
+func (p *repairPlan) firstLost(replicas []wire.Replica) uint64 {
 	for _, replica := range replicas {
 		if p.policy.retiring[replica.Name] {
 			return replica.ID
 		}
 		peer, isPeer := p.peer(replica.ID)
-		if isPeer && (p.storageGone(replica) || peer.SinceResponse > p.policy.replaceAfter) {
+		if isPeer && (p.storageReplaced(replica) || peer.SinceResponse > p.policy.replaceAfter) {
 			return replica.ID
 		}
 	}
 	return 0
 }
 
-// droppable returns a voter that the group is better off without, or zero: one
-// that is to retire, or that has been silent for long, while enough are left.
-func (p *repairPlan) droppable() uint64 {
+// voterToDrop returns the ID of a voter to remove without a replacement, or zero: one that
+// retires or has been unresponsive for long, if the group has more than minVoters.
+func (p *repairPlan) voterToDrop() uint64 {
 	voters := p.status.Membership.Voters
 	if p.policy.minVoters == 0 || len(voters) <= p.policy.minVoters {
 		return 0
 	}
 	for _, replica := range voters {
 		peer, isPeer := p.peer(replica.ID)
-		if p.policy.retiring[replica.Name] || isPeer && peer.SinceResponse > dropAfter*p.policy.replaceAfter {
+		if p.policy.retiring[replica.Name] || isPeer && peer.SinceResponse > dropAfterFactor*p.policy.replaceAfter {
 			return replica.ID
 		}
 	}
@@ -157,46 +163,46 @@
 	return consensus.PeerStatus{}, false
 }
 
-// storageGone reports whether the replica's process has come back with another
-// identity.
-func (p *repairPlan) storageGone(replica wire.Replica) bool {
+// storageReplaced reports whether a process at the replica's address recently sent a hello
+// with another identity.
+func (p *repairPlan) storageReplaced(replica wire.Replica) bool {
 	for _, process := range p.processes {
-		if process.Hello.Replica.Address == replica.Address && process.Hello.Replica.ID != replica.ID && fresh(&process) {
+		if process.Hello.Replica.Address == replica.Address && process.Hello.Replica.ID != replica.ID && isRecent(&process) {
 			return true
 		}
 	}
 	return false
 }
 
-func fresh(process *wire.Process) bool { return process.SilentMillis <= helloFresh.Milliseconds() }
+func isRecent(process *wire.Process) bool { return process.SilentMillis <= helloTTL.Milliseconds() }
 
-// readyLearner returns a learner that lacks next to nothing.
-func (p *repairPlan) readyLearner() (wire.Replica, bool) {
+// promotableLearner returns a learner that has caught up and is responsive.
+func (p *repairPlan) promotableLearner() (wire.Replica, bool) {
 	for _, learner := range p.status.Membership.Learners {
 		peer, found := p.peer(learner.ID)
-		if found && peer.Replicating && peer.Lag <= maxBehind && peer.SinceResponse <= maxLearnerSilence {
+		if found && peer.Replicating && peer.Lag <= maxPromotionLag && peer.SinceResponse <= maxPromotionSinceResponse {
 			return learner, true
 		}
 	}
 	return wire.Replica{}, false
 }
 
-// joiner returns a living process that is no member. Groups choose differently, so that
-// what they hold spreads over the processes.
-func (p *repairPlan) joiner() (joiner wire.Replica, found bool) {
+// newLearner returns a live process that is not a member. Each group ranks the processes
+// differently, so that the replicas spread over all of them.
+func (p *repairPlan) newLearner() (learner wire.Replica, found bool) {
 	for _, process := range p.processes {
 		replica := process.Hello.Replica
-		if p.policy.retiring[replica.Name] || !process.Hello.Formed || !fresh(&process) || consensus.IsMember(&p.status.Membership, replica.ID) {
+		if p.policy.retiring[replica.Name] || !process.Hello.Formed || !isRecent(&process) || consensus.IsMember(&p.status.Membership, replica.ID) {
 			continue
 		}
-		if !found || placement.Rank(p.policy.group, replica.ID) < placement.Rank(p.policy.group, joiner.ID) {
-			joiner, found = replica, true
+		if !found || placement.Rank(p.policy.group, replica.ID) < placement.Rank(p.policy.group, learner.ID) {
+			learner, found = replica, true
 		}
 	}
-	return joiner, found
+	return learner, found
 }
 
-// without returns a copy of the list less the identity.
+// without returns a copy of the list without the replica with the given ID.
 func without(replicas []wire.Replica, id uint64) []wire.Replica {
 	kept := make([]wire.Replica, 0, len(replicas)+1)
 	for _, replica := range replicas {
--- a/internal/replication/snapshot.go
+++ b/internal/replication/snapshot.go
@@ -11,59 +11,59 @@
 
 const (
 	snapshotChunkBytes = 256 << 10
-	// chunkTimeout is when an unanswered chunk is sent again, transferTimeout
-	// when the transfer is given up.
+	// chunkTimeout is the time after which an unacknowledged chunk is sent again.
+	// transferTimeout is the time without a response after which the transfer is aborted.
 	chunkTimeout    = time.Second
 	transferTimeout = 10 * time.Second
 )
 
-// sender is the leader's side of one snapshot transfer. One chunk is on its way
-// at a time.
-type sender struct {
-	to       uint64
-	transfer uint64
-	base     wire.LogBase
-	view     storage.Snapshot
-	prefix   []byte
-	cursor   []byte
-	chunk    wire.SnapshotChunk
-	sentAt   time.Time
-	heardAt  time.Time
+// snapshotSender is the leader's side of a snapshot transfer. At most one chunk is
+// unacknowledged at a time.
+type snapshotSender struct {
+	to           uint64
+	transfer     uint64
+	base         wire.LogBase
+	snapshot     storage.Snapshot
+	prefix       []byte
+	cursor       []byte
+	chunk        wire.SnapshotChunk
+	sentAt       time.Time
+	lastResponse time.Time
 }
 
-// receiver is a follower's side of a transfer, whose chunks go into the next
-// generation of the state.
-type receiver struct {
+// snapshotReceiver is the follower's side of a snapshot transfer. It stores the chunks as the
+// next generation of the state.
+type snapshotReceiver struct {
 	from     uint64
 	transfer uint64
 	next     uint64
 }
 
-func (n *Node) beginSnapshot(g *group, to uint64, now time.Time) {
-	if g.sending[to] != nil {
+func (n *Node) startSnapshot(g *group, to uint64, now time.Time) {
+	if g.snapshotSenders[to] != nil {
 		return
 	}
-	n.transferID++
+	n.lastTransferID++
 	prefix := statePrefix(g.number, g.generation)
-	s := &sender{
-		to:       to,
-		transfer: uint64(now.UnixNano()) + n.transferID,
-		base:     g.replica.AppliedBase(),
-		view:     n.options.Store.Snapshot(),
-		prefix:   prefix,
-		cursor:   prefix,
-		heardAt:  now,
-	}
-	g.sending[to] = s
-	s.nextChunk(0)
+	s := &snapshotSender{
+		to:           to,
+		transfer:     uint64(now.UnixNano()) + n.lastTransferID,
+		base:         g.replica.AppliedBase(),
+		snapshot:     n.options.Store.Snapshot(),
+		prefix:       prefix,
+		cursor:       prefix,
+		lastResponse: now,
+	}
+	g.snapshotSenders[to] = s
+	s.loadChunk(0)
 	n.sendChunk(g, s, now)
 }
 
-// nextChunk reads the chunk with the given number from the view.
-func (s *sender) nextChunk(sequence uint64) {
+// loadChunk reads the chunk with the given sequence number from the store snapshot.
+func (s *snapshotSender) loadChunk(sequence uint64) {
 	s.chunk = wire.SnapshotChunk{Base: s.base, Transfer: s.transfer, Sequence: sequence, Last: true}
 	size := 0
-	err := s.view.Scan(s.cursor, storage.PrefixEnd(s.prefix), func(key, value []byte) bool {
+	err := s.snapshot.Scan(s.cursor, storage.PrefixEnd(s.prefix), func(key, value []byte) bool {
 		if size >= snapshotChunkBytes {
 			s.cursor = append([]byte(nil), key...)
 			s.chunk.Last = false
@@ -81,7 +81,7 @@
 	}
 }
 
-func (n *Node) sendChunk(g *group, s *sender, now time.Time) {
+func (n *Node) sendChunk(g *group, s *snapshotSender, now time.Time) {
 	s.sentAt = now
 	chunk := s.chunk
 	n.sendAll([]wire.PeerMessage{{
@@ -94,12 +94,12 @@
 	}})
 }
 
-// tickSenders sends lost chunks again and ends the transfers that lead nowhere.
+// tickSenders resends unacknowledged chunks and ends the transfers that are stale or timed out.
 func (n *Node) tickSenders(g *group, now time.Time) {
-	for _, to := range sortedKeys(g.sending) {
-		s := g.sending[to]
+	for _, to := range sortedKeys(g.snapshotSenders) {
+		s := g.snapshotSenders[to]
 		switch {
-		case !g.replica.AwaitsSnapshot(s.to) || now.Sub(s.heardAt) > transferTimeout:
+		case !g.replica.AwaitsSnapshot(s.to) || now.Sub(s.lastResponse) > transferTimeout:
 			n.endSnapshot(g, s)
 		case now.Sub(s.sentAt) > chunkTimeout:
 			n.sendChunk(g, s, now)
@@ -107,39 +107,39 @@
 	}
 }
 
-func (n *Node) endSnapshot(g *group, s *sender) {
-	delete(g.sending, s.to)
-	if err := s.view.Close(); err != nil {
+func (n *Node) endSnapshot(g *group, s *snapshotSender) {
+	delete(g.snapshotSenders, s.to)
+	if err := s.snapshot.Close(); err != nil {
 		panic(errors.Wrap(err, "the store can't be read"))
 	}
 	g.replica.SnapshotTransferEnded(s.to)
 }
 
-func (n *Node) takeChunkResponse(g *group, now time.Time, message *wire.PeerMessage) {
-	s := g.sending[message.From]
+func (n *Node) handleChunkResponse(g *group, now time.Time, message *wire.PeerMessage) {
+	s := g.snapshotSenders[message.From]
 	if s == nil || message.Snapshot == nil || message.Snapshot.Transfer != s.transfer || message.Snapshot.Sequence != s.chunk.Sequence {
 		return
 	}
-	s.heardAt = now
+	s.lastResponse = now
 	if s.chunk.Last {
 		n.endSnapshot(g, s)
 		return
 	}
-	s.nextChunk(s.chunk.Sequence + 1)
+	s.loadChunk(s.chunk.Sequence + 1)
 	n.sendChunk(g, s, now)
 }
 
-// takeChunk stores a chunk of a snapshot, and puts the snapshot in the state's
-// place once it is whole.
-func (n *Node) takeChunk(g *group, now time.Time, message *wire.PeerMessage) {
+// handleChunk stores a chunk of a snapshot, and replaces the state by the snapshot when the
+// last chunk has arrived.
+func (n *Node) handleChunk(g *group, now time.Time, message *wire.PeerMessage) {
 	chunk := message.Snapshot
 	if chunk == nil || !g.replica.IsFromLeader(message) {
 		return
 	}
-	if chunk.Sequence == 0 && !n.beginReceiving(g, message) {
+	if chunk.Sequence == 0 && !n.startReceiving(g, message) {
 		return
 	}
-	r := g.receiving
+	r := g.receiver
 	if r == nil || r.from != message.From || r.transfer != chunk.Transfer || chunk.Sequence > r.next {
 		return
 	}
@@ -148,11 +148,11 @@
 		r.next++
 	}
 	if chunk.Last {
-		g.receiving = nil
+		g.receiver = nil
 		if !g.replica.ShouldInstallSnapshot(message.From, &chunk.Base) {
 			return
 		}
-		n.install(g, now, message)
+		n.installSnapshot(g, now, message)
 	}
 	n.sendAll([]wire.PeerMessage{{
 		Kind:     wire.MessageSnapshotResponse,
@@ -164,14 +164,14 @@
 	}})
 }
 
-func (n *Node) beginReceiving(g *group, message *wire.PeerMessage) bool {
-	if r := g.receiving; r != nil && r.transfer == message.Snapshot.Transfer {
+func (n *Node) startReceiving(g *group, message *wire.PeerMessage) bool {
+	if r := g.receiver; r != nil && r.transfer == message.Snapshot.Transfer {
 		return true
 	}
 	if !g.replica.ShouldInstallSnapshot(message.From, &message.Snapshot.Base) {
 		return false
 	}
-	g.receiving = &receiver{from: message.From, transfer: message.Snapshot.Transfer}
+	g.receiver = &snapshotReceiver{from: message.From, transfer: message.Snapshot.Transfer}
 	n.commit([]storage.Mutation{{Key: statePrefix(g.number, g.generation+1), DeletePrefix: true}}, false)
 	return true
 }
@@ -188,9 +188,9 @@
 	}
 }
 
-// install makes the received generation the state. The sync covers the chunks,
-// which were stored before it.
-func (n *Node) install(g *group, now time.Time, message *wire.PeerMessage) {
+// installSnapshot makes the received generation the current state. Its sync also covers
+// the chunks, which were written before it.
+func (n *Node) installSnapshot(g *group, now time.Time, message *wire.PeerMessage) {
 	base := message.Snapshot.Base
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -203,7 +203,7 @@
 	}, true)
 	g.generation++
 	if err := g.machine.Restore(n.reader(g)); err != nil {
-		panic(errors.Wrapf(err, "the snapshot of group %d does not restore", g.number))
+		panic(errors.Wrapf(err, "restore the snapshot of group %d", g.number))
 	}
 	g.applied.Store(base.Index)
 	g.replica.InstallSnapshot(now, message.From, base)
--- a/internal/replication/transport.go
+++ b/internal/replication/transport.go
@@ -10,25 +10,25 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// Methods of control processes among themselves.
+// RPC methods between control processes.
 const (
 	MethodHello    = "peer_hello"
 	MethodMessages = "peer_messages"
 )
 
 const (
-	// maxQueued bounds the messages that wait for a peer; later ones are lost,
-	// as on a bad link.
-	maxQueued = 4096
-	// maxBatchMessages bounds the messages of one call.
+	// maxQueuedMessages limits the queue of each peer. Messages beyond it are dropped.
+	maxQueuedMessages = 4096
+	// maxBatchMessages limits the messages of one call.
 	maxBatchMessages = 256
-	// maxBatchBytes bounds their entries and chunks.
+	// maxBatchBytes is the size of entries and snapshot chunks from which on no further message
+	// is added to a call.
 	maxBatchBytes = 4 << 20
 	sendTimeout   = time.Second
 )
 
-// PeerTransport is the Transport of real processes. Each peer has a queue and
-// one call on its way, which carries all that has gathered meanwhile.
+// PeerTransport is a Transport over RPC. Each peer has a queue and at most one call in
+// progress. The next call carries the messages that were queued during the previous one.
 type PeerTransport struct {
 	client  *rpc.Client
 	context context.Context
@@ -38,8 +38,8 @@
 	senders sync.WaitGroup
 }
 
-// NewPeerTransport returns a transport without connections. The meter, which may be
-// nil, counts what it sends.
+// NewPeerTransport returns a transport without open connections. The meter counts the
+// traffic that it sends; it may be nil.
 func NewPeerTransport(meter *traffic.Meter) *PeerTransport {
 	ctx, cancel := context.WithCancel(context.Background())
 	client := rpc.NewClientWithDialTimeout(rpc.ShortDial)
@@ -60,7 +60,7 @@
 	defer p.mutex.Unlock()
 	queue := p.queues[address]
 	if queue == nil {
-		queue = make(chan wire.PeerMessage, maxQueued)
+		queue = make(chan wire.PeerMessage, maxQueuedMessages)
 		p.queues[address] = queue
 		p.senders.Add(1)
 		go p.serve(address, queue)
@@ -75,13 +75,13 @@
 		case <-p.context.Done():
 			return
 		case first := <-queue:
-			p.post(address, gather(first, queue))
+			p.sendBatch(address, collectBatch(first, queue))
 		}
 	}
 }
 
-// gather takes the messages that wait, up to the size of one call.
-func gather(first wire.PeerMessage, queue <-chan wire.PeerMessage) *wire.PeerBatch {
+// collectBatch returns a batch of the first message and those queued, up to the size of a call.
+func collectBatch(first wire.PeerMessage, queue <-chan wire.PeerMessage) *wire.PeerBatch {
 	batch := &wire.PeerBatch{Messages: []wire.PeerMessage{first}}
 	size := messageBytes(&first)
 	for len(batch.Messages) < maxBatchMessages && size < maxBatchBytes {
@@ -107,8 +107,9 @@
 	return size
 }
 
-// post sends a batch. A failure loses it; consensus sends again what matters.
-func (p *PeerTransport) post(address string, batch *wire.PeerBatch) {
+// sendBatch sends a batch. It ignores errors: the messages are lost, and consensus retries
+// those that matter.
+func (p *PeerTransport) sendBatch(address string, batch *wire.PeerBatch) {
 	ctx, cancel := context.WithTimeout(p.context, sendTimeout)
 	defer cancel()
 	_, _ = rpc.Call[wire.Empty](ctx, p.client, address, MethodMessages, batch)
