--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -14,289 +14,300 @@
 )
 
 const (
-	// ownTime is how long this process remembers an end that no coordinator has taken in.
-	ownTime = time.Minute
-	// maxOwn bounds the reports that wait for a coordinator: 16 KB.
-	maxOwn = 1024
+	// ownRunTTL is how long this process remembers a run that no coordinator has acknowledged.
+	ownRunTTL = time.Minute
+	// maxOwnRuns bounds the runs that wait for a coordinator: 16 KB.
+	maxOwnRuns = 1024
 )
 
-// Cache is what a process knows of the requests under which workers ended: what the
-// coordinators tell, and what it saw itself and they have not taken in yet. A process that
-// hears no coordinator refuses by what it has. It is safe for concurrent use.
+// Cache is one process's view of the requests under which workers exited: the rows reported by
+// the coordinators, and the runs that the process observed itself and that no coordinator has
+// acknowledged yet. Without a reachable coordinator the process refuses requests based on what
+// it has. Cache is safe for concurrent use.
 type Cache struct {
-	// used is set while anything at all is known; otherwise no request is looked up.
-	used atomic.Bool
+	// inUse is set while any request is known. Otherwise lookups are skipped.
+	inUse atomic.Bool
 
 	mutex    sync.Mutex
 	revision uint64
-	told     map[Fingerprint]wire.QuarantineRow
-	own      []ownRun
-	// sent is how many of own, from the first, are on their way.
-	sent int
-	// waits holds until when not to ask for a trial of a refused request again.
-	waits map[Fingerprint]time.Time
-	// lost counts reports for which there was no room.
-	lost    uint64
+	rows     map[Fingerprint]wire.QuarantineRow
+	ownRuns  []ownRun
+	// inFlight is the number of runs, from the start of ownRuns, that the last Report returned
+	// and that RecordAnswer has not handled yet.
+	inFlight int
+	// trialNotBefore holds, by refused request, the earliest time of the next trial request.
+	trialNotBefore map[Fingerprint]time.Time
+	// dropped counts the runs that were discarded because ownRuns was full.
+	dropped uint64
 	pending chan struct{}
 }
 
-// ownRun is a run that this process saw. It began at began, zero for unknown, and at is
-// when its end was seen.
+// ownRun is a run that this process observed. startedAt is zero if the start is unknown;
+// observedAt is when the process saw the run's outcome.
 type ownRun struct {
-	report wire.RunReport
-	at     time.Time
-	began  time.Time
+	report     wire.RunReport
+	observedAt time.Time
+	startedAt  time.Time
 }
 
-// NewCache returns an empty book.
+// NewCache returns an empty cache.
 func NewCache() *Cache {
-	return &Cache{told: map[Fingerprint]wire.QuarantineRow{}, waits: map[Fingerprint]time.Time{}, pending: make(chan struct{}, 1)}
+	return &Cache{rows: map[Fingerprint]wire.QuarantineRow{}, trialNotBefore: map[Fingerprint]time.Time{}, pending: make(chan struct{}, 1)}
 }
 
-// Standing is how a request is known.
+// Standing says whether a request is suspected of making workers exit.
 type Standing uint8
 
 const (
-	// Unknown means that no worker ended under the request.
+	// Unknown means that no worker is known to have exited under the request.
 	Unknown Standing = iota
-	// Suspect means that some did: whether it comes to a good end is to be told.
+	// Suspect means that workers exited under the request, but fewer than Threshold. The outcome
+	// of its next run must be reported.
 	Suspect
-	// Refused means that it must not go to a worker.
+	// Refused means that the request must not be sent to a worker.
 	Refused
 )
 
-// InUse reports whether any request is known. While none is, no fingerprint is needed.
-func (b *Cache) InUse() bool { return b.used.Load() }
+// InUse reports whether any request is known. If none is, callers need not compute fingerprints.
+func (c *Cache) InUse() bool { return c.inUse.Load() }
 
-// Standing returns how the request is known at now.
-func (b *Cache) Standing(now time.Time, request Fingerprint) Standing {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return b.standing(now, request)
+// Standing returns the request's standing at now.
+func (c *Cache) Standing(now time.Time, request Fingerprint) Standing {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.standingLocked(now, request)
 }
 
-func (b *Cache) standing(now time.Time, request Fingerprint) Standing {
-	row := b.told[request]
-	told := map[uint32]int{}
+func (c *Cache) standingLocked(now time.Time, request Fingerprint) Standing {
+	row := c.rows[request]
+	exits := map[uint32]int{}
 	for _, worker := range row.Ended {
-		told[worker]++
+		exits[worker]++
 	}
-	own := map[uint32]ownEnds{}
-	for i := range b.own {
-		run := &b.own[i]
+	observed := map[uint32]observedExits{}
+	for i := range c.ownRuns {
+		run := &c.ownRuns[i]
 		switch {
-		case run.report.Request != uint64(request) || now.Sub(run.at) > ownTime:
+		case run.report.Request != uint64(request) || now.Sub(run.observedAt) > ownRunTTL:
 		case run.report.Worker == 0:
 			row.Refused = false
-			clear(told)
-			clear(own)
+			clear(exits)
+			clear(observed)
 		default:
-			own[run.report.Worker] = own[run.report.Worker].with(run)
+			observed[run.report.Worker] = observed[run.report.Worker].add(run)
 		}
 	}
-	// What was told may hold what this process reported.
-	ends := 0
-	for worker, seen := range own {
-		told[worker] = max(told[worker], seen.count)
+	// The rows of the coordinators may include exits that this process reported, so the larger
+	// count of each worker applies, not the sum.
+	total := 0
+	for worker, seen := range observed {
+		exits[worker] = max(exits[worker], seen.count)
 	}
-	for _, count := range told {
-		ends += count
+	for _, count := range exits {
+		total += count
 	}
 	switch {
-	case row.Refused || ends >= Threshold:
+	case row.Refused || total >= Threshold:
 		return Refused
-	case ends > 0:
+	case total > 0:
 		return Suspect
 	}
 	return Unknown
 }
 
-// ownEnds counts the ends of a worker that this process saw.
-type ownEnds struct {
-	count int
-	last  time.Time
+// observedExits counts the exits of one worker that this process observed.
+type observedExits struct {
+	count  int
+	lastAt time.Time
 }
 
-// with counts a run that broke off: it tells of another end where it began after the last.
-func (e ownEnds) with(run *ownRun) ownEnds {
-	if e.count == 0 || run.began.After(e.last) {
+// add counts a run that a worker's exit broke off. A run is evidence of another exit only if it
+// started after the previous one was observed.
+func (e observedExits) add(run *ownRun) observedExits {
+	if e.count == 0 || run.startedAt.After(e.lastAt) {
 		e.count++
 	}
-	e.last = run.at
+	e.lastAt = run.observedAt
 	return e
 }
 
-// WorkerHash returns the short name of a worker in reports; it is never zero.
+// WorkerHash returns the hash that identifies a worker in reports. It is never zero, which
+// stands for a run without an exit.
 func WorkerHash(id string) uint32 { return max(uint32(xxhash.Sum64String(id)), 1) }
 
-// RecordExit takes in that the worker ended under a run of the request that began at began, zero
-// for unknown.
-func (b *Cache) RecordExit(now time.Time, request Fingerprint, worker string, began time.Time) {
-	b.add(ownRun{wire.RunReport{Request: uint64(request), Worker: WorkerHash(worker)}, now, began})
+// RecordExit records that the worker exited during a run of the request that started at
+// startedAt, zero if unknown.
+func (c *Cache) RecordExit(now time.Time, request Fingerprint, worker string, startedAt time.Time) {
+	c.addRun(ownRun{wire.RunReport{Request: uint64(request), Worker: WorkerHash(worker)}, now, startedAt})
 }
 
-// RecordSuccess takes in that a run of the request came to a good end. It is told only where some
-// worker is known to have ended under the request.
-func (b *Cache) RecordSuccess(now time.Time, request Fingerprint) {
-	if b.Standing(now, request) != Unknown {
-		b.add(ownRun{wire.RunReport{Request: uint64(request)}, now, time.Time{}})
+// RecordSuccess records that a run of the request succeeded. The success is reported only if a
+// worker is known to have exited under the request.
+func (c *Cache) RecordSuccess(now time.Time, request Fingerprint) {
+	if c.Standing(now, request) != Unknown {
+		c.addRun(ownRun{wire.RunReport{Request: uint64(request)}, now, time.Time{}})
 	}
 }
 
-func (b *Cache) add(run ownRun) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if len(b.own) >= maxOwn {
-		// The newest are those that coming requests are judged by. What is on its way stays
-		// where it is, because the answer takes as many off.
-		b.lost++
-		if b.sent >= len(b.own) {
+func (c *Cache) addRun(run ownRun) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if len(c.ownRuns) >= maxOwnRuns {
+		// Keep the newest runs, because the next requests are judged by them. Runs in flight
+		// stay in place, because RecordAnswer removes them by their count.
+		c.dropped++
+		if c.inFlight >= len(c.ownRuns) {
 			return
 		}
-		b.own = slices.Delete(b.own, b.sent, b.sent+1)
+		c.ownRuns = slices.Delete(c.ownRuns, c.inFlight, c.inFlight+1)
 	}
-	b.own = append(b.own, run)
-	b.used.Store(true)
+	c.ownRuns = append(c.ownRuns, run)
+	c.inUse.Store(true)
 	select {
-	case b.pending <- struct{}{}:
+	case c.pending <- struct{}{}:
 	default:
-		// Whoever sends is awake already.
+		// The sender has a wake-up signal already.
 	}
 }
 
-// Pending wakes whoever sends reports.
-func (b *Cache) Pending() <-chan struct{} { return b.pending }
+// Pending returns a channel that signals the sender that there are runs to report.
+func (c *Cache) Pending() <-chan struct{} { return c.pending }
 
-// DroppedReportCount returns how many reports were dropped, because no coordinator took any for long.
-func (b *Cache) DroppedReportCount() uint64 {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return b.lost
+// DroppedReportCount returns how many runs were discarded because coordinators did not
+// acknowledge earlier ones in time.
+func (c *Cache) DroppedReportCount() uint64 {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.dropped
 }
 
-// Report returns what a coordinator is to be told, nil for nothing. It must be followed by
-// Sent.
-func (b *Cache) Report(now time.Time) *wire.QuarantineReport {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	fresh := b.own[:0]
-	for _, run := range b.own {
-		if now.Sub(run.at) <= ownTime {
-			fresh = append(fresh, run)
+// Report returns the report to send to a coordinator, nil if there is none. Each call must be
+// followed by RecordAnswer.
+func (c *Cache) Report(now time.Time) *wire.QuarantineReport {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	kept := c.ownRuns[:0]
+	for _, run := range c.ownRuns {
+		if now.Sub(run.observedAt) <= ownRunTTL {
+			kept = append(kept, run)
 		}
 	}
-	b.own = fresh
-	b.look()
-	if b.sent = len(b.own); b.sent == 0 {
+	c.ownRuns = kept
+	c.updateInUse()
+	if c.inFlight = len(c.ownRuns); c.inFlight == 0 {
 		return nil
 	}
-	report := &wire.QuarantineReport{Known: b.revision}
-	for i := range b.own {
-		report.Runs = append(report.Runs, b.own[i].reportAt(now))
+	report := &wire.QuarantineReport{Known: c.revision}
+	for i := range c.ownRuns {
+		report.Runs = append(report.Runs, c.ownRuns[i].reportAt(now))
 	}
 	return report
 }
 
-// reportAt returns the report of a run as it is sent at now.
+// reportAt returns the report of the run with the age of its start at now.
 func (r *ownRun) reportAt(now time.Time) wire.RunReport {
 	report := r.report
-	if !r.began.IsZero() {
-		report.AgoMillis = uint32(min(max(now.Sub(r.began).Milliseconds(), 1), math.MaxUint32))
+	if !r.startedAt.IsZero() {
+		report.AgoMillis = uint32(min(max(now.Sub(r.startedAt).Milliseconds(), 1), math.MaxUint32))
 	}
 	return report
 }
 
-// RecordAnswer takes in the answer to the last Report; nil means that there was none.
-func (b *Cache) RecordAnswer(news *wire.QuarantineNews) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if news != nil {
-		b.own = append([]ownRun(nil), b.own[b.sent:]...)
-		b.learn(news)
+// RecordAnswer handles the answer to the last Report: it removes the acknowledged runs and
+// applies the update. A nil update means that no coordinator answered, so the runs are reported
+// again.
+func (c *Cache) RecordAnswer(update *wire.QuarantineNews) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if update != nil {
+		c.ownRuns = append([]ownRun(nil), c.ownRuns[c.inFlight:]...)
+		c.applyLocked(update)
 	}
-	b.sent = 0
-	b.look()
+	c.inFlight = 0
+	c.updateInUse()
 }
 
-// Revision returns the revision that this process knows.
-func (b *Cache) Revision() uint64 {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return b.revision
+// Revision returns the revision of the coordinators' table that this process has.
+func (c *Cache) Revision() uint64 {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.revision
 }
 
-// Apply takes in what a coordinator tells.
-func (b *Cache) Apply(news *wire.QuarantineNews) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	b.learn(news)
-	b.look()
+// Apply applies an update from a coordinator.
+func (c *Cache) Apply(update *wire.QuarantineNews) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.applyLocked(update)
+	c.updateInUse()
 }
 
-func (b *Cache) learn(news *wire.QuarantineNews) {
-	if news.Revision < b.revision && !news.Whole {
-		// Answers may overtake one another. Only coordinators that have lost what they
-		// knew tell all of an earlier revision.
+func (c *Cache) applyLocked(update *wire.QuarantineNews) {
+	if update.Revision < c.revision && !update.Whole {
+		// Answers may arrive out of order. A full update of an older revision is applied: it
+		// comes only from coordinators that have lost state.
 		return
 	}
-	b.revision = news.Revision
-	if news.Whole {
-		clear(b.told)
+	c.revision = update.Revision
+	if update.Whole {
+		clear(c.rows)
 	}
-	for _, row := range news.Rows {
+	for _, row := range update.Rows {
 		request := Fingerprint(row.Request)
 		if len(row.Ended) == 0 {
-			delete(b.told, request)
+			delete(c.rows, request)
 		} else {
-			b.told[request] = row
+			c.rows[request] = row
 		}
 		if !row.Refused {
-			delete(b.waits, request)
+			delete(c.trialNotBefore, request)
 		}
 	}
 }
 
-// UpdateSince returns all that the coordinators have told, for a process that knows a revision of
-// it; nil where that one is as new. A process that knows more than the coordinators lost
-// hears of it from the leader, never from who only follows it.
-func (b *Cache) UpdateSince(known uint64) *wire.QuarantineNews {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if b.revision <= known {
+// UpdateSince returns a full update with the coordinators' rows for a process that has the known
+// revision, nil if that revision is not older than this cache's. A process with a newer
+// revision, because the coordinators have lost state, gets its update from the leader
+// (Table.Since), never from a process that follows the leader.
+func (c *Cache) UpdateSince(known uint64) *wire.QuarantineNews {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.revision <= known {
 		return nil
 	}
-	news := &wire.QuarantineNews{Revision: b.revision, Whole: true, Rows: make([]wire.QuarantineRow, 0, len(b.told))}
-	for _, row := range b.told {
-		news.Rows = append(news.Rows, row)
+	update := &wire.QuarantineNews{Revision: c.revision, Whole: true, Rows: make([]wire.QuarantineRow, 0, len(c.rows))}
+	for _, row := range c.rows {
+		update.Rows = append(update.Rows, row)
 	}
-	slices.SortFunc(news.Rows, func(a, b wire.QuarantineRow) int { return cmp.Compare(a.Request, b.Request) })
-	return news
+	slices.SortFunc(update.Rows, func(a, b wire.QuarantineRow) int { return cmp.Compare(a.Request, b.Request) })
+	return update
 }
 
-func (b *Cache) look() { b.used.Store(len(b.told)+len(b.own) > 0) }
+func (c *Cache) updateInUse() { c.inUse.Store(len(c.rows)+len(c.ownRuns) > 0) }
 
-// reportPause is when to come back with a request of which the coordinators have not taken
-// in yet what this process saw.
-const reportPause = 150 * time.Millisecond
+// reportRetryAfter is the retry time of a request with an exit that this process has observed
+// and the coordinators have not acknowledged yet.
+const reportRetryAfter = 150 * time.Millisecond
 
-// TrialDelay returns after which time a trial of a refused request may be asked for, zero for now.
-func (b *Cache) TrialDelay(now time.Time, request Fingerprint) time.Duration {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	for i := range b.own {
-		if b.own[i].report.Request == uint64(request) && b.own[i].report.Worker != 0 {
-			return reportPause
+// TrialDelay returns how long to wait before requesting a trial of a refused request, zero for
+// none.
+func (c *Cache) TrialDelay(now time.Time, request Fingerprint) time.Duration {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	for i := range c.ownRuns {
+		if c.ownRuns[i].report.Request == uint64(request) && c.ownRuns[i].report.Worker != 0 {
+			return reportRetryAfter
 		}
 	}
-	return max(b.waits[request].Sub(now), 0)
+	return max(c.trialNotBefore[request].Sub(now), 0)
 }
 
-// DenyTrial takes in that a refused request is not to be tried before the wait is over.
-func (b *Cache) DenyTrial(now time.Time, request Fingerprint, wait time.Duration) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if len(b.waits) >= maxRows {
-		clear(b.waits)
+// DenyTrial records that no trial of the refused request may be requested before wait is over.
+func (c *Cache) DenyTrial(now time.Time, request Fingerprint, wait time.Duration) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if len(c.trialNotBefore) >= maxRows {
+		clear(c.trialNotBefore)
 	}
-	b.waits[request] = now.Add(wait)
+	c.trialNotBefore[request] = now.Add(wait)
 }
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -1,6 +1,6 @@
-// Package quarantine keeps requests from workers that end under them: a request that
-// ended several workers, and that none has run to a good end since, is refused until
-// it may be tried once more. It is pure: times come from the caller.
+// Package quarantine protects workers from requests that make them exit. A request under which
+// several workers exited, without a successful run since, is refused until a trial run is
+// granted. The package performs no I/O; callers pass in the time.
 package quarantine
 
 import (
@@ -15,15 +15,15 @@
 	"github.com/sedgemast/sedgemast/internal/tenancy"
 )
 
-// Fingerprint is the identity of a request: two requests with the same fingerprint have
-// the same owner, host, method, target and body. Ids, deadlines and all other headers
-// differ from one arrival to the next and are left out.
+// Fingerprint identifies a request. Two requests with the same fingerprint have the same owner,
+// host, method, target and body. Ids, deadlines and all other headers differ between arrivals of
+// the same request and are left out.
 type Fingerprint uint64
 
-// String returns the fingerprint as it stands in logs.
+// String returns the fingerprint in the form used in logs.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(f)) }
 
-// ParseFingerprint reads a fingerprint as it stands in logs. It fails with BadRequest.
+// ParseFingerprint parses a fingerprint in the form used in logs. It fails with BadRequest.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	value, err := strconv.ParseUint(text, 16, 64)
 	if err != nil {
@@ -32,20 +32,21 @@
 	return Fingerprint(value), nil
 }
 
-// FingerprintOf returns a request's fingerprint. It is cut from a SHA-256, so that nobody can make a
-// request that has the fingerprint of another's: the other would be refused with it.
+// FingerprintOf returns a request's fingerprint. It is taken from a SHA-256 digest, so that
+// nobody can craft a request with the fingerprint of another one, which would then be refused as
+// well.
 func FingerprintOf(owner tenancy.Name, host, method, target string, body []byte) Fingerprint {
 	digest := sha256.New()
 	for _, part := range []string{string(owner), host, method, target} {
 		writePart(digest, part)
 	}
-	// A hash takes all that is written.
+	// Writing to a hash never fails.
 	_, _ = digest.Write(body)
 	var sum [sha256.Size]byte
 	return Fingerprint(binary.LittleEndian.Uint64(digest.Sum(sum[:0])))
 }
 
-// writePart writes a part behind its length, so that parts can't run into one another.
+// writePart writes a part after its length, so that the border between two parts is unambiguous.
 func writePart(digest hash.Hash, part string) {
 	var length [4]byte
 	binary.LittleEndian.PutUint32(length[:], uint32(len(part)))
--- a/internal/quarantine/gate.go
+++ b/internal/quarantine/gate.go
@@ -7,64 +7,66 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// Gate keeps commands of the quarantine out of the log while a replica would pass over
-// them: what a replica executes must depend on the log alone, never on its build. Once all
-// can read them, and at the begin of a term, what is known is restated, so that replicas
-// that passed over something have the same again. The zero Gate is open. It is pure, and
-// not safe for concurrent use.
+// Gate keeps quarantine commands out of the log while some replica runs an older build that
+// would skip them: the state of a replica must depend on the log alone, never on its build. Once
+// every replica can execute the commands, and at the start of each term, the leader restates the
+// whole table, so that replicas that skipped commands converge. The zero Gate is open. Gate
+// performs no I/O and is not safe for concurrent use.
 type Gate struct {
-	older   string
-	restate bool
+	olderProcess string
+	restateDue   bool
 }
 
-// goneAfter is how long a process must have been silent to keep the gate closed no longer:
-// a machine that was taken away on the older build would close it for good. If it comes
-// back, what it passed over is restated.
-const goneAfter = 20 * time.Second
+// unresponsiveLimit is how long a process must be unresponsive before it no longer keeps the
+// gate closed. Otherwise a machine that was removed while it ran the older build would close the
+// gate forever. If it returns, the restated table makes up for the commands that it skipped.
+const unresponsiveLimit = 20 * time.Second
 
-// ApplyProcesses takes in the processes that hold replicas, also those that are silent, and reports
-// whether that opened or closed the gate.
+// ApplyProcesses updates the gate from the processes that hold replicas, unresponsive ones
+// included, and reports whether the gate opened or closed.
 func (g *Gate) ApplyProcesses(processes []wire.Process) bool {
-	before := g.older
-	g.older = ""
+	before := g.olderProcess
+	g.olderProcess = ""
 	for i := range processes {
 		process := &processes[i]
 		if process.Hello.Generation() >= wire.GenerationCurrent {
 			continue
 		}
-		g.restate = true
-		if process.SilentMillis < goneAfter.Milliseconds() {
-			g.older = process.Hello.Replica.Address
+		g.restateDue = true
+		if process.SilentMillis < unresponsiveLimit.Milliseconds() {
+			g.olderProcess = process.Hello.Replica.Address
 		}
 	}
-	return (g.older == "") != (before == "")
+	return (g.olderProcess == "") != (before == "")
 }
 
-// StartTerm takes in that this process begins to lead with the table.
-func (g *Gate) StartTerm(t *Table) { g.restate = g.restate || t.Revision() > 0 }
+// StartTerm marks the table to be restated when this process becomes the leader, unless the
+// table has never changed.
+func (g *Gate) StartTerm(t *Table) { g.restateDue = g.restateDue || t.Revision() > 0 }
 
-// OlderProcess returns the address of a process whose build would pass over commands, empty for none.
-func (g *Gate) OlderProcess() string { return g.older }
+// OlderProcess returns the address of a process whose build would skip quarantine commands,
+// empty if there is none.
+func (g *Gate) OlderProcess() string { return g.olderProcess }
 
-// Err returns why no command may be written now, or nil.
+// Err returns why no quarantine command may be written now, or nil if the gate is open.
 func (g *Gate) Err() error {
-	if g.older == "" {
+	if g.olderProcess == "" {
 		return nil
 	}
-	return failure.New(failure.NotRun, "replace the coordinators of the older build", "%s, of an older build, would pass over what is known of requests under which workers ended", g.older)
+	return failure.New(failure.NotRun, "replace the coordinators of the older build", "%s, of an older build, would pass over what is known of requests under which workers ended", g.olderProcess)
 }
 
-// Command returns the command that is due, nil for none: what is known is restated, or
-// what follows from the time that has passed is carried out.
+// Command returns the command to write now, nil for none: a restatement if one is due, else the
+// due command of the timers.
 func (g *Gate) Command(due *wire.QuarantineCommand, t *Table) *wire.QuarantineCommand {
 	switch {
-	case g.older != "":
+	case g.olderProcess != "":
 		return nil
-	case g.restate:
+	case g.restateDue:
 		return &wire.QuarantineCommand{Restated: t.State()}
 	}
 	return due
 }
 
-// RecordRestatement takes in that what is known has been restated.
-func (g *Gate) RecordRestatement() { g.restate = false }
+// RecordRestatement records that the table has been restated.
+func (g *Gate) RecordRestatement() { g.restateDue = false }
--- a/internal/quarantine/gate_test.go
+++ b/internal/quarantine/gate_test.go
@@ -7,9 +7,9 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// TestGate lets processes of both generations be known: while one of the first is, silent
-// ones included, no command is written, and what is known is restated once it is replaced,
-// and again by each new leader that knows anything.
+// TestGate mixes processes of both generations. While one of the first generation is present,
+// including one that became unresponsive recently, no command is written. Once it is replaced
+// the table is restated, and again by each new leader whose table is not empty.
 func TestGate(t *testing.T) {
 	process := func(address string, generation wire.Generation) wire.Process {
 		known := wire.Process{Hello: wire.Hello{Replica: wire.Replica{Address: address}}}
@@ -18,39 +18,39 @@
 	}
 	own, newer, older := process("a", 0), process("b", wire.GenerationCurrent), process("c", wire.GenerationFirst)
 	older.SilentMillis = 6_000
-	gone := older
-	gone.SilentMillis = 60_000
+	removed := older
+	removed.SilentMillis = 60_000
 	due, table := &wire.QuarantineCommand{Expired: []uint64{1}}, NewTable()
 	var gate Gate
 	for _, step := range []struct {
-		name               string
-		processes          []wire.Process
-		turned, closed     bool
-		restated, carryOut bool
+		name              string
+		processes         []wire.Process
+		changed, closed   bool
+		restated, wantDue bool
 	}{
-		{"all of this build", []wire.Process{own, newer}, false, false, false, true},
-		{"one of the first, silent", []wire.Process{own, older, newer}, true, true, false, false},
-		{"it is still there", []wire.Process{own, older, newer}, false, true, false, false},
-		{"it is gone", []wire.Process{own, gone, newer}, true, false, true, false},
+		{"all of the current generation", []wire.Process{own, newer}, false, false, false, true},
+		{"one of the first generation, unresponsive", []wire.Process{own, older, newer}, true, true, false, false},
+		{"it is still present", []wire.Process{own, older, newer}, false, true, false, false},
+		{"it has been unresponsive for longer than the limit", []wire.Process{own, removed, newer}, true, false, true, false},
 		{"it is replaced", []wire.Process{own, newer}, false, false, true, false},
 	} {
-		if turned := gate.ApplyProcesses(step.processes); turned != step.turned {
-			t.Errorf("%s: turned %t", step.name, turned)
+		if changed := gate.ApplyProcesses(step.processes); changed != step.changed {
+			t.Errorf("%s: gate changed %t", step.name, changed)
 		}
-		if refusal := gate.Err(); (refusal != nil) != step.closed || refusal != nil && (!failure.Is(refusal, failure.NotRun) || gate.OlderProcess() != "c") {
-			t.Errorf("%s: %v, older %q", step.name, refusal, gate.OlderProcess())
+		if err := gate.Err(); (err != nil) != step.closed || err != nil && (!failure.Is(err, failure.NotRun) || gate.OlderProcess() != "c") {
+			t.Errorf("%s: %v, older %q", step.name, err, gate.OlderProcess())
 		}
 		command := gate.Command(due, table)
-		if (command == due) != step.carryOut || (command != nil && command.Restated != nil) != step.restated {
+		if (command == due) != step.wantDue || (command != nil && command.Restated != nil) != step.restated {
 			t.Errorf("%s: %+v", step.name, command)
 		}
 	}
 	gate.RecordRestatement()
 	if gate.StartTerm(table); gate.Command(due, table) != due {
-		t.Error("a leader that knows nothing restates it")
+		t.Error("a leader with an empty table restates it")
 	}
-	table.Apply(&wire.QuarantineCommand{Runs: []wire.RunReport{end(1, 11)}})
+	table.Apply(&wire.QuarantineCommand{Runs: []wire.RunReport{exitReport(1, 11)}})
 	if gate.StartTerm(table); gate.Command(due, table).Restated == nil {
-		t.Error("a new leader does not restate what it knows")
+		t.Error("a new leader does not restate its table")
 	}
 }
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -9,36 +9,37 @@
 )
 
 const (
-	// Threshold is how many workers must have ended under a request, without a good end
-	// of it between, for it to be refused: with two, one crash of a rack would be enough
-	// for all that was retried within it.
+	// Threshold is how many workers must have exited under a request, without a successful run
+	// in between, for the request to be refused. With two, the crash of one rack would be enough
+	// to refuse every request that was retried within that rack.
 	Threshold = 3
-	// sameEndMillis is how far apart two reports of one worker's end may be, from the
-	// processes that saw it: the time that a report may take through an election.
-	sameEndMillis = 1500
-	// restartMillis is how long a worker takes at least from an end to a run of its next
-	// life. A run that began later than that after an end was not broken off by it.
-	restartMillis = 50
-	// maxEnds bounds the ends that are kept of a request, maxRows the requests: 150 KB.
-	maxEnds = 8
-	maxRows = 1024
-	// maxChanges bounds the changes of which the news can be told apart.
+	// sameExitMillis is how far apart the reports of one worker's exit by different processes
+	// may arrive: the time that a report may take during an election.
+	sameExitMillis = 1500
+	// minRestartMillis is the least time from a worker's exit to a run of its next incarnation.
+	// A run that started later than this after an exit was not broken off by that exit.
+	minRestartMillis = 50
+	// maxExits bounds the exits stored per request and maxRows the requests: 150 KB in all.
+	maxExits = 8
+	maxRows  = 1024
+	// maxChanges bounds the remembered changes. A process that lacks older ones gets a full
+	// update.
 	maxChanges = 2048
 )
 
-// Table is what the fleet knows of the requests under which workers ended. It is
-// replicated: the same commands make the same table.
+// Table holds the requests under which workers of the fleet exited. It is replicated: the same
+// commands give the same table.
 //
 // Invariants:
-//   - a request is refused from its Threshold-th end on, until it is run to a good end or
+//   - a request is refused from its Threshold-th exit on, until a run of it succeeds or it is
 //     forgotten;
-//   - the revision never falls, and every change raises it.
+//   - the revision never decreases, and every change increases it.
 type Table struct {
 	rows     map[Fingerprint]*wire.QuarantineEntry
 	revision uint64
-	// urgent is the revision at which a request was refused or let in again last.
-	urgent uint64
-	// changes holds the last changes, the oldest first; before floor they are not known.
+	// urgentRevision is the last revision in which a request became refused or was readmitted.
+	urgentRevision uint64
+	// changes holds all changes after revision floor, oldest first.
 	changes []change
 	floor   uint64
 }
@@ -51,14 +52,14 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{rows: map[Fingerprint]*wire.QuarantineEntry{}} }
 
-// Apply executes a command and returns the requests that changed, in order.
+// Apply executes a command and returns the changed requests in ascending order.
 func (t *Table) Apply(command *wire.QuarantineCommand) []Fingerprint {
 	if command.Restated != nil {
 		return t.restate(command.Restated)
 	}
 	touched := map[Fingerprint]bool{}
 	for _, run := range command.Runs {
-		if request := Fingerprint(run.Request); t.take(request, &run, command.AtMillis) {
+		if request := Fingerprint(run.Request); t.applyRun(request, &run, command.AtMillis) {
 			touched[request] = true
 		}
 	}
@@ -75,23 +76,23 @@
 			touched[Fingerprint(request)] = true
 		}
 	}
-	t.bound(touched)
+	t.evict(touched)
 	changed := make([]Fingerprint, 0, len(touched))
 	for request := range touched {
 		changed = append(changed, request)
 	}
 	slices.Sort(changed)
-	t.note(changed)
+	t.recordChanges(changed)
 	return changed
 }
 
-// State returns all that is known, as a command restates it.
+// State returns the whole table in the form of a restatement command.
 func (t *Table) State() *wire.QuarantineState {
 	return &wire.QuarantineState{Revision: t.revision, Entries: t.Entries()}
 }
 
-// restate puts what a leader knows in place of this table, and returns the requests of
-// both, in order. Replicas that differed are the same after it.
+// restate replaces the table with the leader's and returns the requests of both in ascending
+// order. Replicas that differed are equal afterwards.
 func (t *Table) restate(state *wire.QuarantineState) []Fingerprint {
 	changed := make([]Fingerprint, 0, len(t.rows)+len(state.Entries))
 	for request := range t.rows {
@@ -105,12 +106,12 @@
 	return slices.Compact(changed)
 }
 
-// take takes one run in and reports whether anything changed.
-func (t *Table) take(request Fingerprint, run *wire.RunReport, at int64) bool {
+// applyRun applies the report of one run and reports whether the table changed.
+func (t *Table) applyRun(request Fingerprint, run *wire.RunReport, at int64) bool {
 	row := t.rows[request]
-	worker, began := run.Worker, int64(math.MinInt64)
+	worker, startedAt := run.Worker, int64(math.MinInt64)
 	if run.AgoMillis > 0 {
-		began = at - int64(run.AgoMillis)
+		startedAt = at - int64(run.AgoMillis)
 	}
 	if worker == 0 {
 		if row == nil {
@@ -119,7 +120,7 @@
 		t.remove(request)
 		return true
 	}
-	if t.has(row, worker, at, began) || t.explained(request, worker, at, began) {
+	if t.hasExit(row, worker, at, startedAt) || t.explainedByOther(request, worker, at, startedAt) {
 		return false
 	}
 	if row == nil {
@@ -127,41 +128,43 @@
 		t.rows[request] = row
 	}
 	row.Ends = append(row.Ends, wire.WorkerEnd{Worker: worker, AtMillis: at})
-	if len(row.Ends) > maxEnds {
+	if len(row.Ends) > maxExits {
 		row.Ends = row.Ends[1:]
 	}
 	if len(row.Ends) >= Threshold && !row.Refused {
 		row.Refused = true
-		t.urgent = t.revision + 1
+		t.urgentRevision = t.revision + 1
 	}
 	return true
 }
 
-// has reports whether the end of a run that began at began is among the row's.
-func (t *Table) has(row *wire.QuarantineEntry, worker uint32, at, began int64) bool {
+// hasExit reports whether the row already has the worker's exit that is reported at the time at:
+// an exit close to at that can have broken off a run started at startedAt. Times are in Unix
+// milliseconds.
+func (t *Table) hasExit(row *wire.QuarantineEntry, worker uint32, at, startedAt int64) bool {
 	if row == nil {
 		return false
 	}
 	return slices.ContainsFunc(row.Ends, func(end wire.WorkerEnd) bool {
-		near := max(end.AtMillis-at, at-end.AtMillis) < sameEndMillis
-		return end.Worker == worker && near && began <= end.AtMillis+restartMillis
+		sameTime := max(end.AtMillis-at, at-end.AtMillis) < sameExitMillis
+		return end.Worker == worker && sameTime && startedAt <= end.AtMillis+minRestartMillis
 	})
 }
 
-// explained reports whether the worker ended under another request that is known for it.
-// Whoever was on the worker with that one is not to blame. What was refused just now
-// explains nothing yet: of two requests that were on the same workers, the harmless one may
-// have come first.
-func (t *Table) explained(request Fingerprint, worker uint32, at, began int64) bool {
+// explainedByOther reports whether the worker's exit is attributed to another request, one that
+// is settled. Requests that ran on the worker beside that one are not to blame. A request that
+// was refused only now explains no exit yet: of two requests that ran on the same workers, the
+// harmless one may have been refused first.
+func (t *Table) explainedByOther(request Fingerprint, worker uint32, at, startedAt int64) bool {
 	for other, row := range t.rows {
-		if other != request && row.Settled && t.has(row, worker, at, began) {
+		if other != request && row.Settled && t.hasExit(row, worker, at, startedAt) {
 			return true
 		}
 	}
 	return false
 }
 
-// settle takes the ends of a refused request off all that are not refused by then.
+// settle removes the exits of a refused request from all requests that are not refused by then.
 func (t *Table) settle(request Fingerprint, touched map[Fingerprint]bool) {
 	culprit := t.rows[request]
 	if culprit == nil || !culprit.Refused || culprit.Settled {
@@ -173,14 +176,14 @@
 		if row.Refused {
 			continue
 		}
-		left := slices.DeleteFunc(slices.Clone(row.Ends), func(end wire.WorkerEnd) bool {
-			return t.has(culprit, end.Worker, end.AtMillis, math.MinInt64)
+		remaining := slices.DeleteFunc(slices.Clone(row.Ends), func(end wire.WorkerEnd) bool {
+			return t.hasExit(culprit, end.Worker, end.AtMillis, math.MinInt64)
 		})
-		if len(left) == len(row.Ends) {
+		if len(remaining) == len(row.Ends) {
 			continue
 		}
 		touched[other] = true
-		if row.Ends = left; len(left) == 0 {
+		if row.Ends = remaining; len(remaining) == 0 {
 			t.remove(other)
 		}
 	}
@@ -188,18 +191,18 @@
 
 func (t *Table) remove(request Fingerprint) {
 	if t.rows[request].Refused {
-		t.urgent = t.revision + 1
+		t.urgentRevision = t.revision + 1
 	}
 	delete(t.rows, request)
 }
 
-// bound forgets what changed longest ago where there is too much, first what is not
-// refused.
-func (t *Table) bound(touched map[Fingerprint]bool) {
+// evict removes rows beyond maxRows: those that are not refused first, then those that changed
+// longest ago.
+func (t *Table) evict(touched map[Fingerprint]bool) {
 	for len(t.rows) > maxRows {
 		var oldest *wire.QuarantineEntry
 		for _, row := range t.rows {
-			if oldest == nil || before(row, oldest, touched) {
+			if oldest == nil || evictedBefore(row, oldest, touched) {
 				oldest = row
 			}
 		}
@@ -208,8 +211,8 @@
 	}
 }
 
-// before orders rows by which is forgotten first.
-func before(a, b *wire.QuarantineEntry, touched map[Fingerprint]bool) bool {
+// evictedBefore orders rows by which one is evicted first.
+func evictedBefore(a, b *wire.QuarantineEntry, touched map[Fingerprint]bool) bool {
 	if a.Refused != b.Refused {
 		return b.Refused
 	}
@@ -222,8 +225,8 @@
 	return a.Request < b.Request
 }
 
-// note counts the changes.
-func (t *Table) note(changed []Fingerprint) {
+// recordChanges starts a new revision with the changed requests.
+func (t *Table) recordChanges(changed []Fingerprint) {
 	if len(changed) == 0 {
 		return
 	}
@@ -240,18 +243,18 @@
 	}
 }
 
-// Revision returns how often the table has changed.
+// Revision returns the number of the last change, zero for a new table.
 func (t *Table) Revision() uint64 { return t.revision }
 
-// UrgentRevision returns the revision from which on a process must know the table at once: a
-// request was refused or let in again in it.
-func (t *Table) UrgentRevision() uint64 { return t.urgent }
+// UrgentRevision returns the last revision in which a request became refused or was readmitted.
+// Processes with an older revision must be updated at once.
+func (t *Table) UrgentRevision() uint64 { return t.urgentRevision }
 
-// Entry returns what is stored of a request, nil for nothing. The caller must not change it.
+// Entry returns the stored entry of a request, nil if there is none. The caller must not change
+// it.
 func (t *Table) Entry(request Fingerprint) *wire.QuarantineEntry { return t.rows[request] }
 
-// Entries returns what is stored of all requests: those that are refused first, then what
-// changed last.
+// Entries returns all entries: refused requests first, then by the latest change.
 func (t *Table) Entries() []wire.QuarantineEntry {
 	entries := make([]wire.QuarantineEntry, 0, len(t.rows))
 	for _, row := range t.rows {
@@ -271,12 +274,13 @@
 	return entries
 }
 
-// Since returns what differs from the revision that a process knows.
+// Since returns the update for a process that has the known revision: a full one if the changes
+// since then are not remembered, or if the process's revision is newer than the table's.
 func (t *Table) Since(known uint64) wire.QuarantineNews {
-	news := wire.QuarantineNews{Revision: t.revision}
+	update := wire.QuarantineNews{Revision: t.revision}
 	requests := map[Fingerprint]bool{}
 	if known < t.floor || known > t.revision {
-		news.Whole = true
+		update.Whole = true
 		for request := range t.rows {
 			requests[request] = true
 		}
@@ -288,24 +292,24 @@
 		}
 	}
 	for request := range requests {
-		told := wire.QuarantineRow{Request: uint64(request)}
+		reported := wire.QuarantineRow{Request: uint64(request)}
 		if row := t.rows[request]; row != nil {
-			told.Refused = row.Refused
+			reported.Refused = row.Refused
 			for _, end := range row.Ends {
-				told.Ended = append(told.Ended, end.Worker)
+				reported.Ended = append(reported.Ended, end.Worker)
 			}
 		}
-		news.Rows = append(news.Rows, told)
+		update.Rows = append(update.Rows, reported)
 	}
-	sort.Slice(news.Rows, func(a, b int) bool { return news.Rows[a].Request < news.Rows[b].Request })
-	return news
+	sort.Slice(update.Rows, func(a, b int) bool { return update.Rows[a].Request < update.Rows[b].Request })
+	return update
 }
 
-// Restore puts a stored table in place of this one. What changed when is not stored, so
-// the news of it are whole.
+// Restore replaces the table with a stored one. The history of changes is not stored, so
+// processes with an older revision get a full update.
 func (t *Table) Restore(revision uint64, entries []wire.QuarantineEntry) {
 	*t = *NewTable()
-	t.revision, t.floor, t.urgent = revision, revision, revision
+	t.revision, t.floor, t.urgentRevision = revision, revision, revision
 	for i := range entries {
 		t.rows[Fingerprint(entries[i].Request)] = &entries[i]
 	}
--- a/internal/quarantine/warden.go
+++ b/internal/quarantine/warden.go
@@ -8,72 +8,74 @@
 )
 
 const (
-	// settleTime is how long a request has been refused when the ends that it shares with
-	// others are no longer held against them: long enough for another that was on the
-	// same workers to be refused as well.
-	settleTime = 1500 * time.Millisecond
-	// firstTrial is how long after its refusal a request may be tried: by then those that
-	// were on the same workers by chance have come to a good end elsewhere. A harmless one
-	// is let in again then, a deadly one ends one more worker.
-	firstTrial = time.Second
-	// nextTrial follows a trial that went wrong; each further pause is twice as long, up
-	// to lastTrial, so that a request ends three more workers in the first quarter of an
-	// hour and one an hour later on.
-	nextTrial = time.Minute
-	lastTrial = time.Hour
-	// trialTime is how long a trial may take until its outcome is known, as a rule, and
-	// trialPoll when to ask again within it: if it goes well the request is let in.
-	trialTime = 2 * time.Second
-	trialPoll = 300 * time.Millisecond
-	// suspectTime is how long the ends of a request that is not refused are remembered,
-	// refusedTime those of a refused one after its last change.
-	suspectTime = time.Minute
-	refusedTime = 24 * time.Hour
+	// settleDelay is the time from a request's refusal until the exits that it shares with other
+	// requests no longer count against those. It is long enough for another request that ran on
+	// the same workers to be refused as well.
+	settleDelay = 1500 * time.Millisecond
+	// firstTrialDelay is the time from a request's refusal to its first trial. By then, requests
+	// that ran on the same workers by coincidence have succeeded elsewhere. The trial readmits a
+	// harmless request; a harmful one makes one more worker exit.
+	firstTrialDelay = time.Second
+	// secondTrialDelay is the time from the first failed trial to the next one. Each further
+	// delay is twice as long, up to maxTrialDelay, so that a request makes three more workers
+	// exit in the first quarter of an hour and one an hour later on.
+	secondTrialDelay = time.Minute
+	maxTrialDelay    = time.Hour
+	// trialTimeout is the usual upper bound of the time until a trial's outcome is known.
+	// trialPollInterval is the retry time during a trial: if the trial succeeds, the request is
+	// readmitted.
+	trialTimeout      = 2 * time.Second
+	trialPollInterval = 300 * time.Millisecond
+	// suspectTTL is how long the exits of a request that is not refused are remembered,
+	// refusedTTL how long a refused request is remembered after its last change.
+	suspectTTL = time.Minute
+	refusedTTL = 24 * time.Hour
 )
 
-// Timers counts the terms of a table's rows while its process leads: by package clock from
-// when this leader knew of them, so that a new leader begins anew and no term is shorter
-// than it should be. It is not safe for concurrent use.
+// Timers tracks the deadlines of a table's rows while its process leads. Times come from package
+// clock and start when this leader first saw the row's state, so a new leader starts all
+// deadlines again and none is shorter than intended. Timers is not safe for concurrent use.
 type Timers struct {
-	terms map[Fingerprint]*term
-	// trying is the request that was granted a trial last, at tryingAt, ended what had
-	// ended last under it by then.
-	trying   Fingerprint
-	tryingAt time.Time
-	ended    wire.WorkerEnd
+	rowTimers map[Fingerprint]*rowTimer
+	// trialRequest is the request that was granted a trial last, at trialStartedAt.
+	// exitBeforeTrial is the last exit of that request at the time.
+	trialRequest    Fingerprint
+	trialStartedAt  time.Time
+	exitBeforeTrial wire.WorkerEnd
 }
 
-// term is since when this leader knows a row as it is.
-type term struct {
-	revision uint64
-	changed  time.Time
-	// refused is since when it is known as refused, trialAt when it may be tried.
-	refused time.Time
-	trialAt time.Time
-	trials  int
-	// granted is when a trial was granted last.
-	granted time.Time
+// rowTimer holds the times since when this leader has known a row in its present state.
+type rowTimer struct {
+	revision  uint64
+	changedAt time.Time
+	// refusedAt is the time since when the row is known to be refused, nextTrialAt the time from
+	// which on its next trial may start.
+	refusedAt   time.Time
+	nextTrialAt time.Time
+	trials      int
+	// grantedAt is the time of the last granted trial.
+	grantedAt time.Time
 }
 
-// NewTimers returns the warden of a new leader.
-func NewTimers() *Timers { return &Timers{terms: map[Fingerprint]*term{}} }
+// NewTimers returns the timers of a new leader.
+func NewTimers() *Timers { return &Timers{rowTimers: map[Fingerprint]*rowTimer{}} }
 
-// Tick takes in the table as it is now and returns the command that follows from the time
-// that has passed, nil for none.
-func (w *Timers) Tick(now time.Time, t *Table) *wire.QuarantineCommand {
+// Tick updates the timers from the table and returns the command with the rows that are due to
+// settle or to expire, nil for none.
+func (tm *Timers) Tick(now time.Time, t *Table) *wire.QuarantineCommand {
 	command := &wire.QuarantineCommand{}
 	for request, row := range t.rows {
-		known := w.term(now, request, row)
-		switch age := now.Sub(known.changed); {
-		case row.Refused && age > refusedTime, !row.Refused && age > suspectTime:
+		timer := tm.rowTimer(now, request, row)
+		switch age := now.Sub(timer.changedAt); {
+		case row.Refused && age > refusedTTL, !row.Refused && age > suspectTTL:
 			command.Expired = append(command.Expired, uint64(request))
-		case row.Refused && !row.Settled && now.Sub(known.refused) >= settleTime:
+		case row.Refused && !row.Settled && now.Sub(timer.refusedAt) >= settleDelay:
 			command.Settled = append(command.Settled, uint64(request))
 		}
 	}
-	for request := range w.terms {
+	for request := range tm.rowTimers {
 		if t.rows[request] == nil {
-			delete(w.terms, request)
+			delete(tm.rowTimers, request)
 		}
 	}
 	if len(command.Expired)+len(command.Settled) == 0 {
@@ -84,76 +86,76 @@
 	return command
 }
 
-// term returns the term of a row, brought up to date.
-func (w *Timers) term(now time.Time, request Fingerprint, row *wire.QuarantineEntry) *term {
-	known := w.terms[request]
-	if known == nil {
-		known = &term{}
-		w.terms[request] = known
+// rowTimer returns the timer of a row, updated to the row's state.
+func (tm *Timers) rowTimer(now time.Time, request Fingerprint, row *wire.QuarantineEntry) *rowTimer {
+	timer := tm.rowTimers[request]
+	if timer == nil {
+		timer = &rowTimer{}
+		tm.rowTimers[request] = timer
 	}
-	if known.changed.IsZero() || known.revision != row.Revision {
-		known.revision, known.changed = row.Revision, now
+	if timer.changedAt.IsZero() || timer.revision != row.Revision {
+		timer.revision, timer.changedAt = row.Revision, now
 	}
-	if row.Refused && (known.refused.IsZero() || known.trials != row.Trials) {
-		if known.refused.IsZero() {
-			known.refused = now
+	if row.Refused && (timer.refusedAt.IsZero() || timer.trials != row.Trials) {
+		if timer.refusedAt.IsZero() {
+			timer.refusedAt = now
 		}
-		known.trials = row.Trials
-		known.trialAt = now.Add(trialPause(row.Trials))
+		timer.trials = row.Trials
+		timer.nextTrialAt = now.Add(trialDelay(row.Trials))
 	}
-	return known
+	return timer
 }
 
-// trialPause returns how long a request rests after so many trials.
-func trialPause(trials int) time.Duration {
+// trialDelay returns the time to the next trial after the given number of trials.
+func trialDelay(trials int) time.Duration {
 	if trials == 0 {
-		return firstTrial
+		return firstTrialDelay
 	}
-	pause := nextTrial
+	delay := secondTrialDelay
 	for range trials - 1 {
-		if pause = 2 * pause; pause >= lastTrial {
-			return lastTrial
+		if delay = 2 * delay; delay >= maxTrialDelay {
+			return maxTrialDelay
 		}
 	}
-	return pause
+	return delay
 }
 
-// GrantTrial reports whether a request may be tried now, or else after which time to ask again.
-// Whoever is granted it must commit the trial before it tells.
-func (w *Timers) GrantTrial(now time.Time, t *Table, request Fingerprint) (granted bool, wait time.Duration) {
+// GrantTrial reports whether a trial of the request may start now, and if not, after which time
+// to ask again. The caller must commit a granted trial before it answers the process that asked.
+func (tm *Timers) GrantTrial(now time.Time, t *Table, request Fingerprint) (granted bool, wait time.Duration) {
 	row := t.rows[request]
 	if row == nil || !row.Refused {
 		return true, 0
 	}
-	known := w.term(now, request, row)
-	if now.Before(known.trialAt) {
-		wait = known.trialAt.Sub(now)
-		if now.Sub(known.granted) < trialTime {
-			wait = min(wait, trialPoll)
+	timer := tm.rowTimer(now, request, row)
+	if now.Before(timer.nextTrialAt) {
+		wait = timer.nextTrialAt.Sub(now)
+		if now.Sub(timer.grantedAt) < trialTimeout {
+			wait = min(wait, trialPollInterval)
 		}
 		return false, wait
 	}
-	if w.isTrying(now, t, request) {
-		return false, trialPoll
+	if tm.otherTrialRuns(now, t, request) {
+		return false, trialPollInterval
 	}
-	known.trialAt, known.granted = now.Add(trialPause(row.Trials+1)), now
-	w.trying, w.tryingAt, w.ended = request, now, lastEnd(row)
+	timer.nextTrialAt, timer.grantedAt = now.Add(trialDelay(row.Trials+1)), now
+	tm.trialRequest, tm.trialStartedAt, tm.exitBeforeTrial = request, now, lastExit(row)
 	return true, 0
 }
 
-// isTrying reports whether another request is on trial. Requests that were refused together
-// are due together, too: on one worker a harmless one would be taken for deadly once more,
-// and rest for nextTrial.
-func (w *Timers) isTrying(now time.Time, t *Table, request Fingerprint) bool {
-	other := t.rows[w.trying]
-	if w.trying == request || other == nil || !other.Refused || now.Sub(w.tryingAt) >= trialTime {
+// otherTrialRuns reports whether another request is on trial. Requests that were refused
+// together are also due for a trial together: on the same worker a harmless one would be taken
+// for harmful again and wait for secondTrialDelay.
+func (tm *Timers) otherTrialRuns(now time.Time, t *Table, request Fingerprint) bool {
+	other := t.rows[tm.trialRequest]
+	if tm.trialRequest == request || other == nil || !other.Refused || now.Sub(tm.trialStartedAt) >= trialTimeout {
 		return false
 	}
-	return lastEnd(other) == w.ended
+	return lastExit(other) == tm.exitBeforeTrial
 }
 
-// lastEnd returns what ended last under the request of a row.
-func lastEnd(row *wire.QuarantineEntry) wire.WorkerEnd {
+// lastExit returns the row's last exit, the zero value if there is none.
+func lastExit(row *wire.QuarantineEntry) wire.WorkerEnd {
 	if len(row.Ends) == 0 {
 		return wire.WorkerEnd{}
 	}
