--- a/internal/fleetview/first_test.go
+++ b/internal/fleetview/first_test.go
@@ -10,21 +10,21 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// firstReader is a process of wire.GenerationFirst: what it does with an answer is that
-// build's code.
-type firstReader struct {
+// firstGenReader is a process of wire.GenerationFirst. Its method apply is copied from that
+// build.
+type firstGenReader struct {
 	view  uint64
 	fleet wire.FleetView
 }
 
-func (r *firstReader) learn(view uint64, news *wire.FleetView) {
+func (r *firstGenReader) apply(view uint64, update *wire.FleetView) {
 	before := r.fleet
-	r.view, r.fleet = view, *news
+	r.view, r.fleet = view, *update
 	r.fleet.SameWorkers, r.fleet.SameStores = false, false
-	if news.SameWorkers || !news.Listed {
+	if update.SameWorkers || !update.Listed {
 		r.fleet.Workers, r.fleet.Listed = before.Workers, before.Listed
 	}
-	if news.SameStores {
+	if update.SameStores {
 		r.fleet.Coordinators, r.fleet.Stores, r.fleet.Groups = before.Coordinators, before.Stores, before.Groups
 		r.fleet.Initial, r.fleet.Retiring = before.Initial, before.Retiring
 	}
@@ -33,13 +33,14 @@
 	}
 }
 
-// TestFirstGenerationFollows changes workers and stores at random, a part of the list
-// before the whole, and lets processes of the first generation ask: what they have after
-// an answer is the leader's view, and nothing in it is of a form that they can't read.
+// TestFirstGenerationFollows changes workers and stores at random, starting with a partial list
+// of workers, and lets processes of the first generation poll. After an answer a process must
+// have the leader's view, and the answer must not contain a field that its generation can't
+// read.
 func TestFirstGenerationFollows(t *testing.T) {
 	random := rand.New(rand.NewPCG(8, 8))
 	v, now := New(1), start
-	readers := make([]firstReader, 5)
+	readers := make([]firstGenReader, 5)
 	for step := range 2000 {
 		now = now.Add(time.Duration(random.IntN(500)) * time.Millisecond)
 		rows := []wire.PoolWorker{{ID: fmt.Sprint(random.IntN(3))}, {ID: "x", Leaving: random.IntN(2) == 0}}
@@ -56,11 +57,11 @@
 		if reader.view == v.Number {
 			continue
 		}
-		news := v.SinceGenerationFirst(reader.view)
-		if news.News != nil {
-			t.Fatalf("step %d: the answer holds %+v", step, news.News)
+		update := v.SinceGenerationFirst(reader.view)
+		if update.News != nil {
+			t.Fatalf("step %d: the answer holds %+v", step, update.News)
 		}
-		reader.learn(v.Number, news)
+		reader.apply(v.Number, update)
 		if reader.fleet.Listed != v.Current.Listed || v.Current.Listed && !reflect.DeepEqual(reader.fleet.Workers, v.Workers().Rows()) {
 			t.Fatalf("step %d: workers %+v (listed %v), want %+v (%v)", step, reader.fleet.Workers, reader.fleet.Listed, v.Workers().Rows(), v.Current.Listed)
 		}
--- a/internal/fleetview/groups.go
+++ b/internal/fleetview/groups.go
@@ -7,22 +7,22 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// maxGroups bounds the numbers of store groups that reports may name.
+// maxGroups bounds the group numbers that are accepted in reports.
 const maxGroups = 1024
 
-// claim is a process's report that it leads a group.
-type claim struct {
+// leaderReport is a process's report that it leads a group.
+type leaderReport struct {
 	process *process
 	report  *wire.GroupReport
 }
 
-// groups returns where the store groups are, by the reports of their leaders. The
-// members of a group whose leader is gone stay known, so that callers look for the
-// next leader among them.
-func (v *View) groups(now time.Time) []wire.GroupPlace {
-	claims := v.claims(now)
+// groupPlaces returns the leader and members of each store group, from the reports of the
+// leaders. The members of a group without a leader are kept, so that callers look for the next
+// leader among them.
+func (v *View) groupPlaces(now time.Time) []wire.GroupPlace {
+	leaders := v.leaderReports(now)
 	count := len(v.Current.Groups)
-	for number := range claims {
+	for number := range leaders {
 		count = max(count, number+1)
 	}
 	if count == 0 {
@@ -33,35 +33,35 @@
 		if number < len(v.Current.Groups) {
 			places[number].Members = v.Current.Groups[number].Members
 		}
-		if won, found := claims[number]; found {
-			places[number] = wire.GroupPlace{Leader: won.process.report.Replica.Address, Members: v.addressesOf(won.report.Members)}
+		if leader, found := leaders[number]; found {
+			places[number] = wire.GroupPlace{Leader: leader.process.report.Replica.Address, Members: v.addressesOf(leader.report.Members)}
 		}
 	}
 	return places
 }
 
-// claims returns who leads each group: of several that say so the one of the newest
-// term.
-func (v *View) claims(now time.Time) map[int]claim {
-	claims := map[int]claim{}
-	for _, known := range v.processes {
-		if known.report.Kind != wire.ProcessStore || now.Sub(known.at) > ProcessTTL {
+// leaderReports returns the report of each group's leader. If several processes report to lead a
+// group, the one with the newest term counts.
+func (v *View) leaderReports(now time.Time) map[int]leaderReport {
+	leaders := map[int]leaderReport{}
+	for _, reporter := range v.processes {
+		if reporter.report.Kind != wire.ProcessStore || now.Sub(reporter.lastSeenAt) > ProcessTTL {
 			continue
 		}
-		for i := range known.report.Led {
-			led := &known.report.Led[i]
+		for i := range reporter.report.Led {
+			led := &reporter.report.Led[i]
 			if led.Group < 0 || led.Group >= maxGroups {
 				continue
 			}
-			if before, found := claims[led.Group]; !found || led.Term > before.report.Term {
-				claims[led.Group] = claim{process: known, report: led}
+			if previous, found := leaders[led.Group]; !found || led.Term > previous.report.Term {
+				leaders[led.Group] = leaderReport{process: reporter, report: led}
 			}
 		}
 	}
-	return claims
+	return leaders
 }
 
-// addressesOf returns the addresses of the stores of the names, in order.
+// addressesOf returns the addresses of the named stores in ascending order.
 func (v *View) addressesOf(names []string) []string {
 	var addresses []string
 	for _, name := range names {
--- a/internal/fleetview/mirror.go
+++ b/internal/fleetview/mirror.go
@@ -7,84 +7,84 @@
 	"github.com/sedgemast/sedgemast/internal/workerset"
 )
 
-// Mirror is a relay's copy of the leader's view, from which it tells edges what they lack.
-// What the leader sends and does for its watches then grows with relays and stores, not
-// with edges, and one copy of each change crosses a zone's border for each relay. It is
-// not safe for concurrent use.
+// Mirror is a relay's copy of the leader's view, from which the relay answers the polls of
+// edges. The leader's traffic and work for watches then grow with the number of relays and
+// stores, not of edges, and each change crosses a zone's border once for each relay. It is not
+// safe for concurrent use.
 type Mirror struct {
 	fleet wire.FleetView
-	// mark and storesAt are the marks of the newest view, and of the one in which all but
-	// workers and edges changed last.
-	mark     uint64
-	storesAt uint64
-	workers  *workerset.Log
-	// edges holds when the relay's edges were last heard.
+	// version is the version of the newest view, processesVersion that of the last view in which
+	// anything but workers and edges changed.
+	version          uint64
+	processesVersion uint64
+	workers          *workerset.Log
+	// edges holds, by name, when each edge polled this relay last.
 	edges map[string]time.Time
 }
 
-// NewMirror returns a mirror that has seen no view.
+// NewMirror returns an empty mirror.
 func NewMirror() *Mirror { return &Mirror{edges: map[string]time.Time{}} }
 
-// termShift divides a mark between term and number: a leader that changes its view a
-// thousand times a second needs 12 days for a term's numbers.
+// termShift divides a version into term and view number. The numbers of one term suffice for 12
+// days if a leader changes its view a thousand times a second.
 const termShift = 40
 
-// markOf orders the views of all terms.
-func markOf(term, view uint64) uint64 { return term<<termShift | view }
+// viewVersion returns a number that orders the views of all terms.
+func viewVersion(term, view uint64) uint64 { return term<<termShift | view }
 
-// Put takes in the view of a leader's term. One that is not newer is left out.
+// Put stores a view of a leader's term, unless a newer one is stored already.
 func (m *Mirror) Put(term, view uint64, fleet *wire.FleetView, workers *workerset.Set) {
-	mark := markOf(term, view)
-	if mark <= m.mark {
+	version := viewVersion(term, view)
+	if version <= m.version {
 		return
 	}
 	if m.workers == nil {
-		// What came before this view is not known here.
-		m.workers = workerset.NewLog(mark)
+		// The changes before this view are unknown.
+		m.workers = workerset.NewLog(version)
 	}
-	m.workers.Put(mark, workers)
-	if m.mark == 0 || !sameProcesses(fleet, &m.fleet) {
-		m.storesAt = mark
+	m.workers.Put(version, workers)
+	if m.version == 0 || !sameProcesses(fleet, &m.fleet) {
+		m.processesVersion = version
 	}
-	m.mark, m.fleet = mark, *fleet
+	m.version, m.fleet = version, *fleet
 }
 
-// UpdateFor returns what an edge lacks that has a leader's view, nil where it lacks nothing: a
-// relay never tells of an older view than the edge has seen.
+// UpdateFor returns what differs from the view that the edge has, nil if nothing does or if the
+// edge has a newer view than the relay.
 func (m *Mirror) UpdateFor(request *wire.WatchRequest) *wire.FleetView {
-	known := markOf(request.Term, request.View)
-	if m.mark == 0 || known > m.mark || known == m.mark && !request.Lost {
+	known := viewVersion(request.Term, request.View)
+	if m.version == 0 || known > m.version || known == m.version && !request.Lost {
 		return nil
 	}
-	news := m.fleet
-	workersKnown := known
+	update := m.fleet
+	workersVersion := known
 	if request.Lost || len(request.Digests) > 0 {
-		// The digests say more surely than the mark what the edge has.
-		workersKnown = 0
+		// The digests say more reliably than the view's number which list the edge has.
+		workersVersion = 0
 	}
-	if tellsWorkers(&m.fleet) {
-		workers := m.workers.Since(workersKnown, request.Digests)
-		news.News = &workers
+	if hasWorkers(&m.fleet) {
+		workers := m.workers.Since(workersVersion, request.Digests)
+		update.News = &workers
 	}
-	if known > 0 && m.storesAt <= known {
-		leaveOutProcesses(&news)
+	if known > 0 && m.processesVersion <= known {
+		omitProcesses(&update)
 	}
-	return &news
+	return &update
 }
 
-// Term is the leader's term of the newest view.
-func (m *Mirror) Term() uint64 { return m.mark >> termShift }
+// Term returns the leader's term of the newest view.
+func (m *Mirror) Term() uint64 { return m.version >> termShift }
 
-// View is the number of the newest view in its term.
-func (m *Mirror) View() uint64 { return m.mark & (1<<termShift - 1) }
+// View returns the number of the newest view within its term.
+func (m *Mirror) View() uint64 { return m.version & (1<<termShift - 1) }
 
-// RecordWatch takes in that an edge watches here.
+// RecordWatch records that an edge polled this relay.
 func (m *Mirror) RecordWatch(now time.Time, name string) { m.edges[name] = now }
 
-// EdgeCount counts the edges that watch here.
+// EdgeCount returns the number of edges that poll this relay.
 func (m *Mirror) EdgeCount(now time.Time) int {
 	for name, at := range m.edges {
-		if now.Sub(at) > edgeFresh {
+		if now.Sub(at) > edgeTTL {
 			delete(m.edges, name)
 		}
 	}
--- a/internal/fleetview/mirror_test.go
+++ b/internal/fleetview/mirror_test.go
@@ -16,43 +16,43 @@
 	term, view uint64
 	fleet      wire.FleetView
 	workers    *workerset.Set
-	told       int
+	source     int
 	lost       bool
 }
 
-// request asks whoever is at a place, which may be another one than that told last.
-func (f *follower) request(place int) *wire.WatchRequest {
+// request returns the request to a source, which may differ from the one of the last update.
+func (f *follower) request(source int) *wire.WatchRequest {
 	request := &wire.WatchRequest{Term: f.term, View: f.view, Lost: f.lost}
-	if f.lost || place != f.told {
+	if f.lost || source != f.source {
 		request.Digests = f.workers.Digests()
 	}
 	return request
 }
 
-// learn takes in an answer. It reports whether the follower went back.
-func (f *follower) learn(place int, term, view uint64, news *wire.FleetView) (back bool) {
-	if news == nil {
+// apply applies an answer and reports whether the follower went back to an older view.
+func (f *follower) apply(source int, term, view uint64, update *wire.FleetView) (wentBack bool) {
+	if update == nil {
 		return false
 	}
-	back = markOf(term, view) < markOf(f.term, f.view)
-	f.told, f.lost = place, false
+	wentBack = viewVersion(term, view) < viewVersion(f.term, f.view)
+	f.source, f.lost = source, false
 	switch {
-	case news.News == nil:
-	case news.Partial && f.fleet.Listed:
-		f.told = nowhere
+	case update.News == nil:
+	case update.Partial && f.fleet.Listed:
+		f.source = noSource
 	default:
-		learnt := f.workers.Apply(news.News)
-		if f.lost = learnt.Digest() != news.News.Digest; f.lost {
+		updated := f.workers.Apply(update.News)
+		if f.lost = updated.Digest() != update.News.Digest; f.lost {
 			return false
 		}
-		f.workers = learnt
+		f.workers = updated
 	}
-	f.fleet = news.Upon(&f.fleet)
+	f.fleet = update.Upon(&f.fleet)
 	f.term, f.view = term, view
-	return back
+	return wentBack
 }
 
-// mirrorFleet is a leader, relays of it and edges of these.
+// mirrorFleet consists of a leader, its relays and their edges.
 type mirrorFleet struct {
 	t       *testing.T
 	random  *rand.Rand
@@ -65,13 +65,14 @@
 	edges   []follower
 }
 
-// leaderPlace is the place of the leader among those that are asked, nowhere none of them.
+// leaderSource stands for the leader as a source of updates, noSource for none. Relays have the
+// numbers from 0 on.
 const (
-	leaderPlace = -1
-	nowhere     = -2
+	leaderSource = -1
+	noSource     = -2
 )
 
-// change changes workers, and now and then the stores.
+// change changes workers at random, and sometimes the stores.
 func (f *mirrorFleet) change() {
 	for range f.random.IntN(4) {
 		f.rows[f.next] = wire.PoolWorker{ID: fmt.Sprint(f.next), Zone: "z"}
@@ -93,18 +94,18 @@
 	}
 	f.leader.Refresh(f.now, nil, nil, nil)
 	if !f.leader.Current.Listed && f.random.IntN(3) > 0 {
-		// It has read a part only.
+		// The leader has read only a part of the list.
 		for _, row := range f.rows {
 			f.leader.AddWorkers([]wire.PoolWorker{row})
 			break
 		}
 		return
 	}
-	f.read()
+	f.readList()
 }
 
-// read lets the leader read the list.
-func (f *mirrorFleet) read() {
+// readList gives the leader the whole list of workers.
+func (f *mirrorFleet) readList() {
 	var rows []wire.PoolWorker
 	for _, row := range f.rows {
 		rows = append(rows, row)
@@ -112,8 +113,8 @@
 	f.leader.SetWorkers(rows)
 }
 
-// askLeader is what the coordinator does for a watch.
-func (f *mirrorFleet) askLeader(request *wire.WatchRequest) *wire.FleetView {
+// watchLeader does what the coordinator does for a watch request.
+func (f *mirrorFleet) watchLeader(request *wire.WatchRequest) *wire.FleetView {
 	v, known := f.leader, request.View
 	if v.Number == 0 || request.Term == v.Term && request.View == v.Number && !request.Lost {
 		return nil
@@ -124,32 +125,33 @@
 	return v.Since(known, request.Digests)
 }
 
-func (f *mirrorFleet) relayAsks(number int) {
+func (f *mirrorFleet) pollFromRelay(number int) {
 	relay := &f.relays[number]
-	if relay.learn(leaderPlace, f.leader.Term, f.leader.Number, f.askLeader(relay.request(leaderPlace))) {
-		f.t.Fatal("a relay went back")
+	if relay.apply(leaderSource, f.leader.Term, f.leader.Number, f.watchLeader(relay.request(leaderSource))) {
+		f.t.Fatal("a relay went back to an older view")
 	}
 	f.mirrors[number].Put(relay.term, relay.view, &relay.fleet, relay.workers)
 }
 
-func (f *mirrorFleet) edgeAsks(edge *follower) {
-	place := f.random.IntN(len(f.relays)+1) - 1
-	request := edge.request(place)
-	if place == leaderPlace {
-		if edge.learn(place, f.leader.Term, f.leader.Number, f.askLeader(request)) {
-			f.t.Fatal("an edge went back at the leader")
+func (f *mirrorFleet) pollFromEdge(edge *follower) {
+	source := f.random.IntN(len(f.relays)+1) - 1
+	request := edge.request(source)
+	if source == leaderSource {
+		if edge.apply(source, f.leader.Term, f.leader.Number, f.watchLeader(request)) {
+			f.t.Fatal("an edge went back to an older view at the leader")
 		}
 		return
 	}
-	m := f.mirrors[place]
-	if edge.learn(place, m.Term(), m.View(), m.UpdateFor(request)) {
-		f.t.Fatal("an edge went back at a relay")
+	m := f.mirrors[source]
+	if edge.apply(source, m.Term(), m.View(), m.UpdateFor(request)) {
+		f.t.Fatal("an edge went back to an older view at a relay")
 	}
 }
 
-// TestNobodyGoesBack lets leaders, relays and edges come and go: edges ask leader and relays
-// in any order, relays lag, lose everything, or have seen what no other leader knows. No
-// edge ever goes to an older view, and once all is calm all have the leader's view.
+// TestNobodyGoesBack restarts leaders, relays and edges at random. Edges poll the leader and the
+// relays in any order; relays lag, lose their state, or have a view that the next leader does
+// not know. No edge may go back to an older view, and once changes stop all must reach the
+// leader's view.
 func TestNobodyGoesBack(t *testing.T) {
 	for seed := range uint64(100) {
 		f := &mirrorFleet{t: t, random: rand.New(rand.NewPCG(seed, 7)), now: start, leader: New(1), rows: map[int]wire.PoolWorker{}}
@@ -160,7 +162,7 @@
 			case 0, 1, 2:
 				f.change()
 			case 3, 4, 5:
-				f.relayAsks(f.random.IntN(3))
+				f.pollFromRelay(f.random.IntN(3))
 			case 6:
 				if f.random.IntN(4) == 0 {
 					f.leader = New(f.leader.Term + 1)
@@ -175,25 +177,25 @@
 					f.edges[f.random.IntN(6)] = follower{}
 				}
 			default:
-				f.edgeAsks(&f.edges[f.random.IntN(6)])
+				f.pollFromEdge(&f.edges[f.random.IntN(6)])
 			}
 		}
 		f.settle(seed)
 	}
 }
 
-// settle lets all ask until they have the leader's view.
+// settle lets all relays and edges poll until they must have the leader's view.
 func (f *mirrorFleet) settle(seed uint64) {
 	f.leader.ApplyReport(f.now, store("last", "z", 1))
 	f.leader.Refresh(f.now, []string{fmt.Sprint(seed)}, nil, nil)
-	f.read()
+	f.readList()
 	for range 4 {
 		for number := range f.relays {
-			f.relayAsks(number)
+			f.pollFromRelay(number)
 		}
 		for i := range f.edges {
 			for range 2 {
-				f.edgeAsks(&f.edges[i])
+				f.pollFromEdge(&f.edges[i])
 			}
 		}
 	}
@@ -201,13 +203,13 @@
 	for i := range f.edges {
 		edge := &f.edges[i]
 		if edge.workers.Digest() != f.leader.Workers().Digest() || !reflect.DeepEqual(edge.fleet.Coordinators, want.Coordinators) || len(edge.fleet.Stores) != len(want.Stores) {
-			f.t.Errorf("seed %d: edge %d (lost %v, told %d, %d/%d of %d/%d) has %d workers and %d stores, the leader %d and %d", seed, i, edge.lost, edge.told, edge.term, edge.view, f.leader.Term, f.leader.Number, edge.workers.Len(), len(edge.fleet.Stores), f.leader.Workers().Len(), len(want.Stores))
+			f.t.Errorf("seed %d: edge %d (lost %v, source %d, view %d/%d, leader's view %d/%d) has %d workers and %d stores, the leader %d and %d", seed, i, edge.lost, edge.source, edge.term, edge.view, f.leader.Term, f.leader.Number, edge.workers.Len(), len(edge.fleet.Stores), f.leader.Workers().Len(), len(want.Stores))
 		}
 	}
 }
 
-// TestEdgesAreCountedAtRelays lets edges watch relays only: the leader, which hears of the
-// relays alone, knows how many there are, at 833 edges and at twice as many.
+// TestEdgesAreCountedAtRelays lets edges poll relays only: the leader, to which only the relays
+// report, must know the number of edges, with 833 edges and with twice as many.
 func TestEdgesAreCountedAtRelays(t *testing.T) {
 	const relays = 14
 	for _, edges := range []int{833, 2 * 833} {
--- a/internal/fleetview/since_test.go
+++ b/internal/fleetview/since_test.go
@@ -11,8 +11,8 @@
 	"github.com/sedgemast/sedgemast/internal/workerset"
 )
 
-// TestWhatDiffersMakesTheWholeView changes workers, stores and edges at random and lets
-// callers ask with views of any age: what they are told makes the whole view of theirs.
+// TestWhatDiffersMakesTheWholeView changes workers, stores and edges at random and lets callers
+// with views of any age poll: the view they had plus the update must equal the current view.
 func TestWhatDiffersMakesTheWholeView(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 5))
 	v, now := New(1), start
@@ -37,11 +37,11 @@
 		if c.number == v.Number {
 			continue
 		}
-		news := v.Since(c.number, c.workers.Digests())
-		if news.News != nil {
-			c.workers = c.workers.Apply(news.News)
+		update := v.Since(c.number, c.workers.Digests())
+		if update.News != nil {
+			c.workers = c.workers.Apply(update.News)
 		}
-		c.known = news.Upon(&c.known)
+		c.known = update.Upon(&c.known)
 		c.number = v.Number
 		want := v.Current
 		if len(want.Stores) == 0 {
@@ -56,26 +56,26 @@
 	}
 }
 
-// TestAnEdgeMoreIsNoNews checks that the view of a large fleet does not change with each
-// edge that comes or goes, but with an eighth of them, and with the last.
-func TestAnEdgeMoreIsNoNews(t *testing.T) {
+// TestEdgeCountChangesInSteps checks that the view of a large fleet does not change with each
+// edge that joins or leaves, but with an eighth of them, and when the last one has left.
+func TestEdgeCountChangesInSteps(t *testing.T) {
 	v := New(1)
-	edges := func(now time.Time, count int) bool {
+	refreshWith := func(now time.Time, count int) bool {
 		for number := range count {
 			v.ApplyReport(now, &wire.ProcessReport{Kind: wire.ProcessEdge, Name: fmt.Sprint(number)})
 		}
 		return v.Refresh(now, nil, nil, nil)
 	}
-	if !edges(start, 100) || v.Current.Edges != 100 {
-		t.Fatalf("%d edges are told of", v.Current.Edges)
+	if !refreshWith(start, 100) || v.Current.Edges != 100 {
+		t.Fatalf("the view has %d edges, want 100", v.Current.Edges)
 	}
-	if edges(start, 112) || v.Current.Edges != 100 {
-		t.Errorf("twelve edges more are news: %d", v.Current.Edges)
+	if refreshWith(start, 112) || v.Current.Edges != 100 {
+		t.Errorf("the view changed for 12 more edges of 100: %d", v.Current.Edges)
 	}
-	if !edges(start, 113) || v.Current.Edges != 113 {
-		t.Errorf("an eighth more is none: %d", v.Current.Edges)
+	if !refreshWith(start, 113) || v.Current.Edges != 113 {
+		t.Errorf("the view did not change for 13 more edges of 100: %d", v.Current.Edges)
 	}
-	if !edges(start.Add(ProcessTTL+1), 0) || v.Current.Edges != 0 {
-		t.Errorf("that all have gone is no news: %d", v.Current.Edges)
+	if !refreshWith(start.Add(ProcessTTL+1), 0) || v.Current.Edges != 0 {
+		t.Errorf("the view did not change when all edges left: %d", v.Current.Edges)
 	}
 }
--- a/internal/fleetview/view.go
+++ b/internal/fleetview/view.go
@@ -1,7 +1,7 @@
-// Package fleetview is what the leader of the fleet group has seen of processes
-// and workers in its term, and what follows from it: who the first voters of the
-// store group are, and which stores hold nothing any more. It is pure and soft: a
-// new leader learns it from the next calls.
+// Package fleetview keeps what the leader of the fleet group has learned of processes and
+// workers in its term, and derives from it the initial voters of the store groups and which
+// stores are drained. It performs no I/O and stores nothing: a new leader learns the state from
+// the next calls.
 package fleetview
 
 import (
@@ -16,69 +16,71 @@
 )
 
 const (
-	// ProcessTTL is how long a process counts as living after its last call.
+	// ProcessTTL is how long a process counts as alive after its last call.
 	ProcessTTL = 3 * time.Second
-	// settleTime is how long no new store must have come before the store
-	// group forms, and patientTime the same where stores are fewer than wanted.
-	settleTime = 500 * time.Millisecond
-	// edgeFresh is how lately an edge must have been heard to be counted: it may have gone to
-	// a relay that counts it, too, and its calls are 0.5 s apart.
-	edgeFresh = 1200 * time.Millisecond
-	// remainFresh is how lately a store must have been heard to count as one that remains
-	// when another is to be emptied: longer than the time between its calls, 0.5 s and an
-	// answer, and not much longer, because one that was lost a moment ago may not come
-	// back with its disk (TestRetiringCountsWhoIsThere).
-	remainFresh = 900 * time.Millisecond
-	patientTime = 4 * time.Second
+	// settleDelay is how long no new store must have appeared before the store groups are
+	// bootstrapped, fewStoresDelay the same if there are fewer stores than wanted.
+	settleDelay = 500 * time.Millisecond
+	// edgeTTL is how long an edge is counted after its last call, which it repeats every 0.5 s.
+	// A longer time would count an edge twice that has moved to a relay, which counts it as
+	// well.
+	edgeTTL = 1200 * time.Millisecond
+	// remainingStoreTTL is how long after its last call a store counts as one that remains when
+	// another is to be drained. It exceeds the time between two calls, 0.5 s and an answer, but
+	// not by much, because a store that was lost a moment ago may not come back with its disk
+	// (TestRemainingStoreCountOmitsLostStores).
+	remainingStoreTTL = 900 * time.Millisecond
+	fewStoresDelay    = 4 * time.Second
 )
 
-// View is what the leader of one term has seen.
+// View is the state of the leader of one term.
 type View struct {
-	// Term is the leader's term, Number grows with every change of Current.
+	// Term is the leader's term. Number increases with every change of Current.
 	Term    uint64
 	Number  uint64
 	Current wire.FleetView
-	// workers is the list, by the numbers of the views. storesAt is the number of the view
-	// in which all else but the count of edges changed last.
-	workers   *workerset.Log
-	storesAt  uint64
-	processes map[string]*process
-	// lastNew is when a store was first heard of.
-	lastNew time.Time
-	// left holds when the leader of each store group last told that a retiring
-	// store, by name, holds nothing of the group, in the view of leftIn.
-	left   map[string]map[int]time.Time
-	leftIn uint64
+	// workers logs the list by view number. processesNumber is the number of the last view in
+	// which anything but workers and the count of edges changed.
+	workers         *workerset.Log
+	processesNumber uint64
+	processes       map[string]*process
+	// lastNewStoreAt is when the latest new store made its first call.
+	lastNewStoreAt time.Time
+	// drained holds, by name of a retiring store and by group, when the group's leader last
+	// reported that the store holds nothing of the group. The reports are for the view
+	// drainedNumber.
+	drained       map[string]map[int]time.Time
+	drainedNumber uint64
 }
 
-// process is a living process and when it was last heard.
+// process is the last report of a process.
 type process struct {
-	report wire.ProcessReport
-	at     time.Time
+	report     wire.ProcessReport
+	lastSeenAt time.Time
 }
 
-// New begins a term.
+// New returns the empty view of a term.
 func New(term uint64) *View {
 	return &View{Term: term, workers: workerset.NewLog(0), processes: map[string]*process{}}
 }
 
-// ApplyReport takes in a process's report on itself.
+// ApplyReport stores a process's report on itself.
 func (v *View) ApplyReport(now time.Time, report *wire.ProcessReport) {
 	known := v.processes[report.Name]
 	if known == nil && report.Kind == wire.ProcessStore {
-		v.lastNew = now
+		v.lastNewStoreAt = now
 	}
-	v.processes[report.Name] = &process{report: *report, at: now}
+	v.processes[report.Name] = &process{report: *report, lastSeenAt: now}
 }
 
-// stores returns the living stores in the order of their names.
+// stores returns the live stores in the order of their names.
 func (v *View) stores(now time.Time) []*wire.ProcessReport { return v.living(now, wire.ProcessStore) }
 
-// living returns the living processes of a kind in the order of their names.
+// living returns the live processes of a kind in the order of their names.
 func (v *View) living(now time.Time, kind wire.ProcessKind) []*wire.ProcessReport {
 	var living []*wire.ProcessReport
 	for _, known := range v.processes {
-		if known.report.Kind == kind && now.Sub(known.at) <= ProcessTTL {
+		if known.report.Kind == kind && now.Sub(known.lastSeenAt) <= ProcessTTL {
 			living = append(living, &known.report)
 		}
 	}
@@ -86,7 +88,7 @@
 	return living
 }
 
-// Refresh makes the view anew and reports whether it differs.
+// Refresh rebuilds Current and reports whether it changed.
 func (v *View) Refresh(now time.Time, coordinators []string, initial [][]wire.Replica, retiring []string) bool {
 	next := wire.FleetView{
 		Listed:       v.Current.Listed,
@@ -101,7 +103,7 @@
 	for _, relay := range v.living(now, wire.ProcessRelay) {
 		next.Relays = append(next.Relays, wire.ProcessAddress{Address: relay.Replica.Address, Zone: relay.Zone})
 	}
-	next.Groups = v.groups(now)
+	next.Groups = v.groupPlaces(now)
 	next.Edges = v.countEdges(now)
 	sameStores := sameProcesses(&next, &v.Current)
 	if sameStores && next.Edges == v.Current.Edges && v.Number > 0 {
@@ -109,8 +111,8 @@
 	}
 	v.Current = next
 	v.Number++
-	if !sameStores || v.storesAt == 0 {
-		v.storesAt = v.Number
+	if !sameStores || v.processesNumber == 0 {
+		v.processesNumber = v.Number
 	}
 	return true
 }
@@ -122,81 +124,82 @@
 		slices.EqualFunc(a.Initial, b.Initial, slices.Equal) && slices.Equal(a.Retiring, b.Retiring)
 }
 
-// edgeParts is the part, one in so many, by which the count of edges must change to be
-// told anew: it only paces reports of loads, and each change is told to all processes.
-const edgeParts = 8
+// edgeChangeDivisor sets the least change of the edge count that makes a new view: more than 1/8
+// of the count. The count only sets the pace of load reports, and each change is sent to all
+// processes.
+const edgeChangeDivisor = 8
 
-// countEdges counts the living edges, those that watch relays included, or returns the
-// count last told where that is still about right.
+// countEdges returns the number of live edges, including those that poll relays, or the count of
+// the current view if that is still close enough.
 func (v *View) countEdges(now time.Time) int {
 	edges := 0
 	for _, known := range v.processes {
-		if known.report.Kind == wire.ProcessEdge && now.Sub(known.at) <= edgeFresh {
+		if known.report.Kind == wire.ProcessEdge && now.Sub(known.lastSeenAt) <= edgeTTL {
 			edges++
 		}
 	}
 	for _, relay := range v.living(now, wire.ProcessRelay) {
 		edges += relay.Edges
 	}
-	told := v.Current.Edges
-	if edges > 0 && told > 0 && max(edges-told, told-edges)*edgeParts <= told {
-		return told
+	current := v.Current.Edges
+	if edges > 0 && current > 0 && max(edges-current, current-edges)*edgeChangeDivisor <= current {
+		return current
 	}
 	return edges
 }
 
-// Since returns what differs from the view of the number, zero for none. Where the caller's
-// list of workers may be another one than the number stands for, digests are those of its
-// buckets.
+// Since returns what differs from the view of the given number, zero for none. If the caller's
+// list of workers may not be the one of that view, digests holds the digests of its buckets.
 func (v *View) Since(number uint64, digests []byte) *wire.FleetView {
-	news := v.Current
-	workersNumber := number
+	update := v.Current
+	workersSince := number
 	if len(digests) > 0 {
-		workersNumber = 0
+		workersSince = 0
 	}
-	if tellsWorkers(&v.Current) {
-		workers := v.workers.Since(workersNumber, digests)
-		news.News = &workers
+	if hasWorkers(&v.Current) {
+		workers := v.workers.Since(workersSince, digests)
+		update.News = &workers
 	}
-	if number > 0 && v.storesAt <= number {
-		leaveOutProcesses(&news)
+	if number > 0 && v.processesNumber <= number {
+		omitProcesses(&update)
 	}
-	return &news
+	return &update
 }
 
-// SinceGenerationFirst is Since for a process of wire.GenerationFirst, which is told the list of
-// workers whole, once all of it has been read, wherever it has changed.
+// SinceGenerationFirst is Since for a process of wire.GenerationFirst. Such a process gets the
+// whole list of workers if any worker changed, and only once the leader has read the whole list.
 func (v *View) SinceGenerationFirst(number uint64) *wire.FleetView {
-	news := v.Since(number, nil)
-	changes := news.News
-	news.News = nil
+	update := v.Since(number, nil)
+	changes := update.News
+	update.News = nil
 	switch {
-	case !news.Listed:
+	case !update.Listed:
 	case number > 0 && changes.Nothing():
-		news.SameWorkers, news.Listed = true, false
+		update.SameWorkers, update.Listed = true, false
 	default:
-		news.Workers = v.Workers().Rows()
-		for i := range news.Workers {
-			// That generation knows of no lives: it tells the worker the name that it is told.
-			news.Workers[i].ID = incarnation.WorkerID(news.Workers[i].ID)
+		update.Workers = v.Workers().Rows()
+		for i := range update.Workers {
+			// That generation does not know incarnations and addresses a worker by the id in the
+			// list, so it gets the id without the incarnation.
+			update.Workers[i].ID = incarnation.WorkerID(update.Workers[i].ID)
 		}
 	}
-	return news
+	return update
 }
 
-// tellsWorkers reports whether there is a list to tell of, whole or in part.
-func tellsWorkers(fleet *wire.FleetView) bool { return fleet.Listed || fleet.Partial }
+// hasWorkers reports whether the view has a list of workers, whole or partial.
+func hasWorkers(fleet *wire.FleetView) bool { return fleet.Listed || fleet.Partial }
 
-// leaveOutProcesses leaves all but workers and edges out of news.
-func leaveOutProcesses(news *wire.FleetView) {
-	news.SameStores = true
-	news.Coordinators, news.Relays, news.Stores, news.Groups, news.Initial, news.Retiring = nil, nil, nil, nil, nil, nil
+// omitProcesses removes everything but workers and edges from an update.
+func omitProcesses(update *wire.FleetView) {
+	update.SameStores = true
+	update.Coordinators, update.Relays, update.Stores, update.Groups, update.Initial, update.Retiring = nil, nil, nil, nil, nil, nil
 }
 
-// Workers returns the list.
+// Workers returns the list of workers.
 func (v *View) Workers() *workerset.Set { return v.workers.Set() }
 
-// SetWorkers takes in the platform's list and reports whether it differs.
+// SetWorkers stores the platform's list and reports whether it changed.
 func (v *View) SetWorkers(workers []wire.PoolWorker) bool {
 	next := v.workers.Set().Replaced(workers)
 	if v.Current.Listed && next.Digest() == v.workers.Set().Digest() {
@@ -208,8 +211,9 @@
 	return true
 }
 
-// AddWorkers takes in a part of the platform's list while the whole has not been read, and
-// reports whether it adds anything. Processes that have no list begin to serve with it.
+// AddWorkers adds a part of the platform's list while the whole list has not been read, and
+// reports whether the view changed. Processes that have no list yet start to serve with the
+// part.
 func (v *View) AddWorkers(workers []wire.PoolWorker) bool {
 	if v.Current.Listed || len(workers) == 0 {
 		return false
@@ -220,13 +224,13 @@
 	return true
 }
 
-// InitialVoters returns the voters that the store groups are to form with, once they
-// may, by group: 2 x tolerate + 1 of the stores each.
+// InitialVoters returns the voters of each store group to bootstrap, 2 x tolerate + 1 of the
+// stores each, or nil while the groups may not be bootstrapped yet.
 func (v *View) InitialVoters(now time.Time, tolerate int) [][]wire.Replica {
 	stores := v.stores(now)
 	wanted := 2*tolerate + 1
-	quiet := now.Sub(v.lastNew)
-	if len(stores) == 0 || quiet < settleTime || len(stores) < wanted && quiet < patientTime {
+	sinceNewStore := now.Sub(v.lastNewStoreAt)
+	if len(stores) == 0 || sinceNewStore < settleDelay || len(stores) < wanted && sinceNewStore < fewStoresDelay {
 		return nil
 	}
 	replicas := make(map[uint64]wire.Replica, len(stores))
@@ -236,9 +240,9 @@
 		candidates = append(candidates, placement.Candidate{ID: store.Replica.ID, Zone: store.Zone})
 	}
 	var groups [][]wire.Replica
-	for _, chosen := range placement.InitialVoters(candidates, placement.GroupCount(len(stores), wanted), wanted) {
+	for _, ids := range placement.InitialVoters(candidates, placement.GroupCount(len(stores), wanted), wanted) {
 		var voters []wire.Replica
-		for _, id := range chosen {
+		for _, id := range ids {
 			voters = append(voters, replicas[id])
 		}
 		groups = append(groups, voters)
@@ -246,13 +250,13 @@
 	return groups
 }
 
-// RemainingStoreCount counts the stores that are there now and are not to be emptied, without the
-// named one.
+// RemainingStoreCount returns the number of stores that are present now and not to be drained,
+// without the named one.
 func (v *View) RemainingStoreCount(now time.Time, name string, retiring []string) int {
 	count := 0
 	for _, known := range v.processes {
 		store := &known.report
-		counts := store.Kind == wire.ProcessStore && now.Sub(known.at) <= remainFresh
+		counts := store.Kind == wire.ProcessStore && now.Sub(known.lastSeenAt) <= remainingStoreTTL
 		if counts && store.Name != name && !slices.Contains(retiring, store.Name) {
 			count++
 		}
@@ -260,50 +264,50 @@
 	return count
 }
 
-// HasStore reports whether a store of that name has been heard.
+// HasStore reports whether a store of that name has called.
 func (v *View) HasStore(name string) bool {
 	known := v.processes[name]
 	return known != nil && known.report.Kind == wire.ProcessStore
 }
 
-// DrainedStores returns the stores among the retiring ones that hold nothing any more,
-// by the reports of the leaders of all groups. A report counts only if its leader
-// knows this view, and so what is to retire, and for ProcessFresh.
+// DrainedStores returns those of the pending stores that hold nothing any more, by the reports
+// of the leaders of all groups. A report counts for ProcessTTL, and only if its leader knows
+// this view, and so which stores are retiring.
 func (v *View) DrainedStores(now time.Time, request *wire.WatchRequest, pending []string, groups int) []string {
 	if request.Term != v.Term || request.View != v.Number {
 		return nil
 	}
-	if v.leftIn != v.Number || v.left == nil {
-		v.left, v.leftIn = map[string]map[int]time.Time{}, v.Number
+	if v.drainedNumber != v.Number || v.drained == nil {
+		v.drained, v.drainedNumber = map[string]map[int]time.Time{}, v.Number
 	}
 	var names []string
 	for _, name := range pending {
-		v.noteLeft(now, name, request.Process.Led)
-		if v.leftAll(now, name, groups) {
+		v.recordDrained(now, name, request.Process.Led)
+		if v.isDrained(now, name, groups) {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// noteLeft takes in which groups the store holds nothing of.
-func (v *View) noteLeft(now time.Time, name string, led []wire.GroupReport) {
-	if v.left[name] == nil {
-		v.left[name] = map[int]time.Time{}
+// recordDrained records of which groups the store holds nothing.
+func (v *View) recordDrained(now time.Time, name string, led []wire.GroupReport) {
+	if v.drained[name] == nil {
+		v.drained[name] = map[int]time.Time{}
 	}
 	for i := range led {
-		delete(v.left[name], led[i].Group)
+		delete(v.drained[name], led[i].Group)
 		if !slices.Contains(led[i].Members, name) {
-			v.left[name][led[i].Group] = now
+			v.drained[name][led[i].Group] = now
 		}
 	}
 }
 
-// leftAll reports whether the store holds nothing of any group.
-func (v *View) leftAll(now time.Time, name string, groups int) bool {
+// isDrained reports whether the store holds nothing of any group.
+func (v *View) isDrained(now time.Time, name string, groups int) bool {
 	for group := range groups {
-		at, left := v.left[name][group]
-		if !left || now.Sub(at) > ProcessTTL {
+		reportedAt, drained := v.drained[name][group]
+		if !drained || now.Sub(reportedAt) > ProcessTTL {
 			return false
 		}
 	}
