--- a/internal/fleetwatch/patience_test.go
+++ b/internal/fleetwatch/patience_test.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// TestPatience: an answer is held for a process that is up to date, and not for one that
-// heard nothing for longer than any answer takes.
-func TestPatience(t *testing.T) {
-	for silent, want := range map[time.Duration]time.Duration{
-		0:                        holdTime,
-		holdTime + replyTime:     holdTime,
-		holdTime + replyTime + 1: 0,
-		time.Hour:                0,
+// TestPollWait checks that a coordinator may hold the poll of a process that is up to date, and
+// must answer at once if the process got no answer for longer than any answer takes.
+func TestPollWait(t *testing.T) {
+	for sinceAnswer, want := range map[time.Duration]time.Duration{
+		0:                              maxPollWait,
+		maxPollWait + replyTimeout:     maxPollWait,
+		maxPollWait + replyTimeout + 1: 0,
+		time.Hour:                      0,
 	} {
-		if got := patience(silent); got != want {
-			t.Errorf("after %s: %s, want %s", silent, got, want)
+		if got := pollWait(sinceAnswer); got != want {
+			t.Errorf("after %s: %s, want %s", sinceAnswer, got, want)
 		}
 	}
 }
--- a/internal/fleetwatch/quarantine.go
+++ b/internal/fleetwatch/quarantine.go
@@ -12,98 +12,99 @@
 )
 
 const (
-	// reportTime bounds one call with what was seen of runs: an election of the
-	// coordinators fits in.
-	reportTime = time.Second
-	// trialTime bounds the question for a trial, which a caller waits for.
-	trialTime = 150 * time.Millisecond
-	// unheardWait is when to come back with a refused request while no coordinator answers.
-	unheardWait = time.Second
+	// reportTimeout bounds one call that reports runs. It is longer than an election of the
+	// coordinators takes.
+	reportTimeout = time.Second
+	// trialTimeout bounds the request for a trial, for which a caller waits.
+	trialTimeout = 150 * time.Millisecond
+	// unreachableRetryAfter is the retry time of a refused request while no coordinator answers.
+	unreachableRetryAfter = time.Second
 )
 
-// Quarantine returns what this process knows of the requests under which workers ended.
-func (w *Watcher) Quarantine() *quarantine.Cache { return w.book }
+// Quarantine returns this process's view of the requests under which workers exited.
+func (w *Watcher) Quarantine() *quarantine.Cache { return w.quarantineCache }
 
-// reportRuns tells the coordinators what this process saw of runs, until ctx ends: at once,
-// and again until one has taken it in.
+// reportRuns reports the runs that this process observed to the coordinators until ctx ends. It
+// reports at once and retries until a coordinator has acknowledged the report.
 func (w *Watcher) reportRuns(ctx context.Context) {
 	failing := false
-	for turn := 0; ctx.Err() == nil; {
-		report := w.book.Report(clock.Now())
+	for attempt := 0; ctx.Err() == nil; {
+		report := w.quarantineCache.Report(clock.Now())
 		if report == nil {
 			select {
 			case <-ctx.Done():
-			case <-w.book.Pending():
+			case <-w.quarantineCache.Pending():
 			}
 			continue
 		}
-		callContext, cancel := context.WithTimeout(ctx, reportTime)
-		answer, err := w.callQuarantine(callContext, turn, report)
+		callContext, cancel := context.WithTimeout(ctx, reportTimeout)
+		answer, err := w.callQuarantine(callContext, attempt, report)
 		cancel()
 		if err == nil {
-			w.book.RecordAnswer(&answer.News)
+			w.quarantineCache.RecordAnswer(&answer.News)
 			if failing {
 				failing = false
-				logging.Info(w.logger, "runs_reported", "runs", len(report.Runs), "lost", w.book.DroppedReportCount(), "turns", turn)
+				logging.Info(w.logger, "runs_reported", "runs", len(report.Runs), "lost", w.quarantineCache.DroppedReportCount(), "turns", attempt)
 			}
-			turn = 0
+			attempt = 0
 			continue
 		}
-		w.book.RecordAnswer(nil)
-		turn++
+		w.quarantineCache.RecordAnswer(nil)
+		attempt++
 		if !failing {
 			failing = true
 			logging.Warn(w.logger, "runs_not_reported", "runs", len(report.Runs), "error", err)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(retryPause):
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
-// callQuarantine asks the coordinator that answered last, or another one at each second
-// turn; each hands on to the leader.
-func (w *Watcher) callQuarantine(ctx context.Context, turn int, report *wire.QuarantineReport) (*wire.QuarantineAnswer, error) {
-	last := ""
+// callQuarantine calls the coordinator that answered last, or on every second attempt another
+// one. Each coordinator forwards the call to the leader.
+func (w *Watcher) callQuarantine(ctx context.Context, attempt int, report *wire.QuarantineReport) (*wire.QuarantineAnswer, error) {
+	lastAnswered := ""
 	if leader := w.leader.Load(); leader != nil {
-		last = *leader
+		lastAnswered = *leader
 	}
-	target := reportTarget(turn, last, w.addresses())
+	target := reportTarget(attempt, lastAnswered, w.addresses())
 	return rpc.Call[wire.QuarantineAnswer](ctx, w.client, target, wire.MethodQuarantine, report)
 }
 
-// reportTarget returns whom to ask at a turn: the one that answered last, if there is one,
-// and between each of the addresses in their order, so that none is left out.
-func reportTarget(turn int, last string, addresses []string) string {
-	if last == "" {
-		return addresses[turn%len(addresses)]
+// reportTarget returns the address to call on an attempt. Even attempts go to the coordinator
+// that answered last, if there is one; odd ones go to each of the addresses in turn, so that
+// none is left out.
+func reportTarget(attempt int, lastAnswered string, addresses []string) string {
+	if lastAnswered == "" {
+		return addresses[attempt%len(addresses)]
 	}
-	if turn%2 == 0 {
-		return last
+	if attempt%2 == 0 {
+		return lastAnswered
 	}
-	return addresses[turn/2%len(addresses)]
+	return addresses[attempt/2%len(addresses)]
 }
 
-// RequestTrial reports whether a refused request may be tried, once, by this process, and else
-// after which time it may come back.
+// RequestTrial reports whether this process may try the refused request once. If not, it returns
+// after which time the caller may retry.
 func (w *Watcher) RequestTrial(ctx context.Context, request quarantine.Fingerprint) (bool, time.Duration) {
 	now := clock.Now()
-	if wait := w.book.TrialDelay(now, request); wait > 0 {
+	if wait := w.quarantineCache.TrialDelay(now, request); wait > 0 {
 		return false, wait
 	}
-	ctx, cancel := context.WithTimeout(ctx, trialTime)
+	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
-	answer, err := w.callQuarantine(ctx, 0, &wire.QuarantineReport{Trial: uint64(request), Known: w.book.Revision()})
+	answer, err := w.callQuarantine(ctx, 0, &wire.QuarantineReport{Trial: uint64(request), Known: w.quarantineCache.Revision()})
 	if err != nil {
 		logging.Info(w.logger, "trial_not_asked", "request", request, "error", err)
-		w.book.DenyTrial(now, request, unheardWait)
-		return false, unheardWait
+		w.quarantineCache.DenyTrial(now, request, unreachableRetryAfter)
+		return false, unreachableRetryAfter
 	}
-	w.book.Apply(&answer.News)
+	w.quarantineCache.Apply(&answer.News)
 	wait := time.Duration(answer.WaitMillis) * time.Millisecond
 	if !answer.Granted {
-		w.book.DenyTrial(now, request, wait)
+		w.quarantineCache.DenyTrial(now, request, wait)
 	}
 	return answer.Granted, wait
 }
--- a/internal/fleetwatch/quarantine_bench_test.go
+++ b/internal/fleetwatch/quarantine_bench_test.go
@@ -10,13 +10,13 @@
 	"github.com/sedgemast/sedgemast/internal/traffic"
 )
 
-// manyEdges is the target's number of processes.
-const manyEdges = 330
+// edgeCount is the number of processes that a fleet of the target size has.
+const edgeCount = 330
 
-// BenchmarkRefusalReachesAll: the time from the third end to the refusal at the last of 330
-// processes, all on this machine, and the bytes that each of them got for it.
+// BenchmarkRefusalReachesAll measures the time from the third exit to the refusal at the last of
+// 330 processes, all on one machine, and the bytes that each of them received for it.
 func BenchmarkRefusalReachesAll(b *testing.B) {
-	all, meters := watchers(b, startCoordinator(b), manyEdges)
+	all, meters := startWatchers(b, startCoordinator(b), edgeCount)
 	request := quarantine.Fingerprint(1)
 	before := received(meters)
 	for b.Loop() {
@@ -25,10 +25,10 @@
 			all[number].Quarantine().RecordExit(clock.Now(), request, fmt.Sprintf("w-%d", number), time.Time{})
 		}
 		for _, w := range all {
-			await(b, stands(w, request, quarantine.Refused))
+			waitFor(b, hasStanding(w, request, quarantine.Refused))
 		}
 	}
-	b.ReportMetric(float64(received(meters)-before)/float64(b.N)/manyEdges, "bytes/edge")
+	b.ReportMetric(float64(received(meters)-before)/float64(b.N)/edgeCount, "bytes/edge")
 }
 
 func received(meters []*traffic.Meter) (bytes uint64) {
--- a/internal/fleetwatch/quarantine_test.go
+++ b/internal/fleetwatch/quarantine_test.go
@@ -18,8 +18,8 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// patience bounds what a test waits for; nothing is judged by it.
-const patience = 60 * time.Second
+// testTimeout bounds what a test waits for. No result depends on it.
+const testTimeout = 60 * time.Second
 
 type noWorkers struct{}
 
@@ -28,7 +28,7 @@
 	return listreader.Page{}, nil
 }
 
-// startCoordinator runs a coordinator alone and returns its address.
+// startCoordinator runs a single coordinator and returns its address.
 func startCoordinator(tb testing.TB) string {
 	tb.Helper()
 	d, err := daemon.New(daemon.Options{Role: "coordinator", Name: "core-1", Listen: "127.0.0.1:0", Embedded: true})
@@ -42,7 +42,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	// It ends with the kill.
+	// Kill in the cleanup ends the goroutine.
 	go func() { _ = d.Run() }()
 	tb.Cleanup(func() {
 		_ = d.Kill()
@@ -51,8 +51,8 @@
 	return d.Address()
 }
 
-// watchers runs so many processes that watch the coordinator.
-func watchers(tb testing.TB, address string, count int) ([]*fleetwatch.Watcher, []*traffic.Meter) {
+// startWatchers runs count processes that watch the coordinator.
+func startWatchers(tb testing.TB, address string, count int) ([]*fleetwatch.Watcher, []*traffic.Meter) {
 	tb.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	tb.Cleanup(cancel)
@@ -66,46 +66,46 @@
 		all, meters = append(all, w), append(meters, meter)
 	}
 	for _, w := range all {
-		await(tb, func() bool { return !w.Current().LeaderSeenAt.IsZero() })
+		waitFor(tb, func() bool { return !w.Current().LeaderSeenAt.IsZero() })
 	}
 	return all, meters
 }
 
-func await(tb testing.TB, holds func() bool) {
+func waitFor(tb testing.TB, condition func() bool) {
 	tb.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			tb.Fatal("it does not come about")
+	for deadline := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			tb.Fatal("the condition does not become true within testTimeout")
 		}
 	}
 }
 
-func stands(w *fleetwatch.Watcher, request quarantine.Fingerprint, want quarantine.Standing) func() bool {
+func hasStanding(w *fleetwatch.Watcher, request quarantine.Fingerprint, want quarantine.Standing) func() bool {
 	return func() bool { return w.Quarantine().Standing(clock.Now(), request) == want }
 }
 
-// TestRefusalReachesAll lets three processes see an end each: all refuse the request, one
-// that comes later, too; one trial is granted, and its good end lets the request in again
-// everywhere.
+// TestRefusalReachesAll lets three processes observe one exit each: all processes must refuse
+// the request, including one that starts later. One trial is granted, and its success readmits
+// the request everywhere.
 func TestRefusalReachesAll(t *testing.T) {
 	const request = quarantine.Fingerprint(77)
 	address := startCoordinator(t)
-	all, _ := watchers(t, address, 5)
+	all, _ := startWatchers(t, address, 5)
 	for number := range 3 {
 		all[number].Quarantine().RecordExit(clock.Now(), request, fmt.Sprintf("w-%d", number), time.Time{})
 	}
-	late, _ := watchers(t, address, 1)
+	late, _ := startWatchers(t, address, 1)
 	all = append(all, late...)
 	for _, w := range all {
-		await(t, stands(w, request, quarantine.Refused))
+		waitFor(t, hasStanding(w, request, quarantine.Refused))
 	}
 	granted := 0
-	await(t, func() bool {
+	waitFor(t, func() bool {
 		for _, w := range all {
 			if w.Quarantine().TrialDelay(clock.Now(), request) > 0 {
 				continue
 			}
-			if may, _ := w.RequestTrial(context.Background(), request); may {
+			if allowed, _ := w.RequestTrial(context.Background(), request); allowed {
 				granted++
 				w.Quarantine().RecordSuccess(clock.Now(), request)
 				return true
@@ -117,22 +117,22 @@
 		t.Errorf("%d trials were granted", granted)
 	}
 	for _, w := range all {
-		await(t, stands(w, request, quarantine.Unknown))
+		waitFor(t, hasStanding(w, request, quarantine.Unknown))
 	}
 }
 
-// TestUnheardProcessRefusesByItself lets a process see three ends while no coordinator
+// TestProcessWithoutCoordinatorRefuses lets a process observe three exits while no coordinator
 // answers.
-func TestUnheardProcessRefusesByItself(t *testing.T) {
+func TestProcessWithoutCoordinatorRefuses(t *testing.T) {
 	const request = quarantine.Fingerprint(77)
 	w := fleetwatch.New(logging.Discard(), nil, []string{"127.0.0.1:1"}, func() wire.ProcessReport { return wire.ProcessReport{} })
 	for number := range quarantine.Threshold {
 		w.Quarantine().RecordExit(clock.Now(), request, fmt.Sprintf("w-%d", number), time.Time{})
 	}
-	if !stands(w, request, quarantine.Refused)() {
+	if !hasStanding(w, request, quarantine.Refused)() {
 		t.Error("the request is not refused")
 	}
-	if may, wait := w.RequestTrial(context.Background(), request); may || wait <= 0 {
-		t.Errorf("a trial is granted (%t), or may be asked for at once (%s)", may, wait)
+	if allowed, wait := w.RequestTrial(context.Background(), request); allowed || wait <= 0 {
+		t.Errorf("a trial is granted (%t), or may be requested at once (retry after %s)", allowed, wait)
 	}
 }
--- a/internal/fleetwatch/release_test.go
+++ b/internal/fleetwatch/release_test.go
@@ -18,16 +18,16 @@
 	"github.com/sedgemast/sedgemast/internal/wire/corpus"
 )
 
-// raw is an answer that is encoded already.
-type raw []byte
+// encodedAnswer is an answer that is encoded already.
+type encodedAnswer []byte
 
 // MarshalMsg implements msgp.Marshaler.
-func (r raw) MarshalMsg(before []byte) ([]byte, error) { return append(before, r...), nil }
+func (r encodedAnswer) MarshalMsg(before []byte) ([]byte, error) { return append(before, r...), nil }
 
-// TestWatchOfReleasedLeader: while machines are replaced one after the other, a process of
-// this build asks a leader of the released one. Before, it could not read the answer and
-// knew no configuration and no workers until a leader of its own build came: edges refused
-// all requests, or answered 404 on new routes, and stores that led ran no items.
+// TestWatchOfReleasedLeader lets a process of this build poll a leader of the released build, as
+// happens while machines are replaced one after the other. A process that can't read the answer
+// has no configuration and no workers until a leader of its own build is elected: edges reject
+// all requests or answer 404 on new routes, and stores that lead run no items.
 func TestWatchOfReleasedLeader(t *testing.T) {
 	document, err := (&routetable.Configuration{Version: 7}).Encode()
 	if err != nil {
@@ -35,23 +35,23 @@
 	}
 	answer := releasedAnswer(t, document)
 	mux := rpctest.NewMux()
-	rpc.Handle(mux, wire.MethodWatch, func(context.Context, *wire.WatchRequest) (msgp.Marshaler, error) { return raw(answer), nil })
+	rpc.Handle(mux, wire.MethodWatch, func(context.Context, *wire.WatchRequest) (msgp.Marshaler, error) { return encodedAnswer(answer), nil })
 	leader := httptest.NewServer(mux)
 	defer leader.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	report := func() wire.ProcessReport { return wire.ProcessReport{Kind: wire.ProcessStore, Name: "store-1"} }
 	w := fleetwatch.New(logging.Discard(), nil, []string{leader.Listener.Addr().String()}, report)
 	go w.Run(ctx)
-	await(t, func() bool { return !w.Current().LeaderSeenAt.IsZero() || ctx.Err() != nil })
+	waitFor(t, func() bool { return !w.Current().LeaderSeenAt.IsZero() || ctx.Err() != nil })
 	known := w.Current()
 	if known.Version() != 7 || known.Workers.Len() != 2 || !known.Fleet.Listed || len(known.Fleet.Stores) != 2 {
 		t.Fatalf("version %d, %d workers, listed %v, %d stores; want 7, 2, true, 2", known.Version(), known.Workers.Len(), known.Fleet.Listed, len(known.Fleet.Stores))
 	}
 }
 
-// releasedAnswer is an answer to a watch as the released build writes it, with the
-// document of a configuration of version 7 in place of the sample's.
+// releasedAnswer is the answer to a watch in the encoding of the released build. It has the
+// document of a configuration of version 7 instead of the sample's.
 func releasedAnswer(t *testing.T, document []byte) []byte {
 	t.Helper()
 	content, err := os.ReadFile("../wire/testdata/releases/8cf60d7/written.json")
--- a/internal/fleetwatch/targets.go
+++ b/internal/fleetwatch/targets.go
@@ -9,29 +9,29 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// avoidTime is how long a coordinator that failed is not asked again while others are
-// there. A process finds one that answers within some tries of 1.1 s at most, and goes back
-// to its own relay soon after an election.
+// avoidTime is how long a coordinator that failed is not polled if there are others. A process
+// finds one that answers within a few attempts of at most 1.1 s, and returns to its own relay
+// soon after an election.
 const avoidTime = 2 * time.Second
 
-// targets chooses which coordinator to ask. It is pure.
+// targets chooses the coordinator to poll. It performs no I/O.
 type targets struct {
 	name string
 	zone string
-	// relays is set where a relay will do. Otherwise the leader is looked for.
+	// relays is set if a relay may answer. Otherwise the process looks for the leader.
 	relays bool
-	// current is the one that answered last, or was named as the leader. next counts the
-	// addresses asked in turn.
+	// current is the coordinator that answered last or was named as the leader. next is the
+	// number of addresses tried in turn.
 	current string
 	next    int
-	// failures counts those that failed in a row.
+	// failures is the number of failures in a row.
 	failures int
-	// avoided holds until when not to ask those that failed.
+	// avoided holds, by address, until when a coordinator that failed is not polled.
 	avoided map[string]time.Time
 }
 
-// pick returns whom to ask: the process's own relay, or who answered last, or the next of
-// the addresses.
+// pick returns the address to poll: the process's own relay, else the coordinator that answered
+// last or was named as the leader, else the next of the addresses.
 func (t *targets) pick(now time.Time, addresses []string, relays []wire.ProcessAddress) string {
 	if t.relays {
 		if relay := t.relay(now, relays); relay != "" {
@@ -45,9 +45,9 @@
 	return addresses[(t.next-1)%len(addresses)]
 }
 
-// relay returns the relay that ranks highest for this process among those of its zone,
-// else among all. The processes of a zone spread evenly over its relays, and one that
-// comes or goes moves only its own.
+// relay returns the relay that ranks highest for this process (rendezvous hashing) among those
+// of its zone, else among all. The processes of a zone spread evenly over its relays, and a
+// relay that joins or leaves moves only its own processes.
 func (t *targets) relay(now time.Time, relays []wire.ProcessAddress) string {
 	var best wire.ProcessAddress
 	var bestRank uint64
@@ -56,43 +56,46 @@
 			continue
 		}
 		rank := xxhash.Sum64String(t.name + " " + relay.Address)
-		nearer := relay.Zone == t.zone && best.Zone != t.zone
-		if best.Address == "" || nearer || rank > bestRank && (relay.Zone == t.zone) == (best.Zone == t.zone) {
+		firstInZone := relay.Zone == t.zone && best.Zone != t.zone
+		if best.Address == "" || firstInZone || rank > bestRank && (relay.Zone == t.zone) == (best.Zone == t.zone) {
 			best, bestRank = relay, rank
 		}
 	}
 	return best.Address
 }
 
-// answered takes in that a coordinator answered.
-func (t *targets) answered(target string) {
+// recordAnswer handles an answer of a coordinator.
+func (t *targets) recordAnswer(target string) {
 	t.current, t.failures = target, 0
 	delete(t.avoided, target)
 }
 
-// failed takes in that a coordinator did not, and whom it named as the leader.
-func (t *targets) failed(now time.Time, target, leader string) {
+// recordFailure handles the failure of a coordinator. leader is the leader that it named, empty
+// for none.
+func (t *targets) recordFailure(now time.Time, target, leader string) {
 	if t.avoided == nil || len(t.avoided) > maxAvoided {
 		t.avoided = map[string]time.Time{}
 	}
 	t.avoided[target] = now.Add(avoidTime)
 	t.current = leader
 	t.failures++
-	if t.relays && t.failures < lookAround {
-		// After a cold start all look for the leader among the same few addresses; each of
-		// these is a relay as soon as it has found the leader itself.
+	if t.relays && t.failures < leaderAfterFailures {
+		// After a cold start all processes look for the leader among the same few addresses.
+		// Each of these becomes a relay as soon as it has found the leader itself, so keep
+		// trying them instead of following to the leader.
 		t.current = ""
 	}
 }
 
-// lookAround is how many addresses a process that knows no relay asks before it follows to
-// the leader: with three seeds, each of them three times, some 0.5 s.
-const lookAround = 9
+// leaderAfterFailures is the number of failures in a row after which a process that may use
+// relays, but knows none, polls the leader that was named: with three seeds each is tried three
+// times, in about 0.5 s.
+const leaderAfterFailures = 9
 
 // maxAvoided bounds the coordinators that are remembered as failed.
 const maxAvoided = 64
 
-// addresses returns whom to ask: the seeds, then the coordinators known.
+// addresses returns the addresses to try: the seeds, then the known coordinators.
 func (w *Watcher) addresses() []string {
 	w.mutex.Lock()
 	addresses := append([]string(nil), w.seeds...)
--- a/internal/fleetwatch/watcher.go
+++ b/internal/fleetwatch/watcher.go
@@ -1,6 +1,6 @@
-// Package fleetwatch keeps a process's copy of the configuration and of the fleet, by
-// asking a coordinator again and again: the leader, or a relay of it where that will do.
-// Where none can be reached the copy stays as it is; it never goes back.
+// Package fleetwatch keeps a process's copy of the configuration and the fleet by polling a
+// coordinator: the leader, or a relay if that suffices. If none can be reached the copy stays as
+// it is; it never goes back to an older version.
 package fleetwatch
 
 import (
@@ -22,30 +22,31 @@
 )
 
 const (
-	// holdTime is how long a call waits for news at the leader, replyTime how
-	// much longer for the answer.
-	holdTime  = 500 * time.Millisecond
-	replyTime = 600 * time.Millisecond
-	// retryPause is the time between two failed calls.
-	retryPause = 40 * time.Millisecond
+	// maxPollWait is how long a coordinator may hold a poll until there is an update,
+	// replyTimeout how much longer the process waits for the answer.
+	maxPollWait  = 500 * time.Millisecond
+	replyTimeout = 600 * time.Millisecond
+	// retryInterval is the time between two failed calls.
+	retryInterval = 40 * time.Millisecond
 )
 
-// Snapshot is a copy of the configuration and the fleet. It does not change.
+// Snapshot is an immutable copy of the configuration and the fleet.
 type Snapshot struct {
-	// Table is nil before the first configuration, Document the form in which it came.
+	// Table is nil before the first configuration. Document is its encoded form, as received.
 	Table    *routetable.Table
 	Document []byte
-	// Fleet is the leader's view without the workers, of the number View in the term Term.
+	// Fleet is the leader's view without the workers. View is its number in the term Term.
 	Fleet wire.FleetView
 	Term  uint64
 	View  uint64
 	// Workers is the list of workers.
 	Workers *workerset.Set
-	// LeaderSeenAt is when the leader was last heard, by this process or by its relay.
+	// LeaderSeenAt is when this process, or the relay that answered it, last got an answer from
+	// the leader.
 	LeaderSeenAt time.Time
 }
 
-// Version is the version of the configuration, zero before the first one.
+// Version returns the version of the configuration, zero before the first one.
 func (s *Snapshot) Version() uint64 {
 	if s.Table == nil {
 		return 0
@@ -53,7 +54,7 @@
 	return s.Table.Configuration.Version
 }
 
-// Watcher keeps the newest snapshot.
+// Watcher keeps the newest snapshot up to date.
 type Watcher struct {
 	logger  logging.Logger
 	client  *rpc.Client
@@ -62,32 +63,32 @@
 	current atomic.Pointer[Snapshot]
 	// leader is the coordinator that answered last, nil before the first answer.
 	leader atomic.Pointer[string]
-	// reached is set while a leader or a relay answers.
+	// reached is set while a coordinator answers.
 	reached bool
 	targets targets
-	// told is the coordinator that told the view. lost counts answers in a row after which
-	// the list of workers was another one than it should be.
-	told string
-	lost int
-	book *quarantine.Cache
+	// viewSource is the coordinator that sent the view. listMismatches counts the updates in a
+	// row after which the digest of the list of workers was wrong.
+	viewSource      string
+	listMismatches  int
+	quarantineCache *quarantine.Cache
 
 	mutex     sync.Mutex
 	seeds     []string
 	listeners []func(*Snapshot)
 }
 
-// New returns a watcher; Run runs it. report tells what this process is. The meter,
-// which may be nil, counts the calls and is told the zones of what the fleet has.
+// New returns a watcher; Run runs it. report returns the process's report on itself. The meter,
+// which may be nil, counts the traffic of calls and gets the zones of the fleet's addresses.
 func New(logger logging.Logger, meter *traffic.Meter, seeds []string, report func() wire.ProcessReport) *Watcher {
 	client := rpc.NewClientWithDialTimeout(rpc.ShortDial)
 	client.SetMeter(meter)
-	w := &Watcher{logger: logger, meter: meter, client: client, report: report, seeds: seeds, book: quarantine.NewCache()}
+	w := &Watcher{logger: logger, meter: meter, client: client, report: report, seeds: seeds, quarantineCache: quarantine.NewCache()}
 	w.current.Store(&Snapshot{})
 	return w
 }
 
-// UseRelays lets relays answer: a process of that name and zone asks those of its zone
-// first. It must be called before Run.
+// UseRelays allows relays to answer: the process polls relays of its zone first, chosen by its
+// name. UseRelays must be called before Run.
 func (w *Watcher) UseRelays(name, zone string) {
 	w.targets = targets{name: name, zone: zone, relays: true}
 }
@@ -95,64 +96,64 @@
 // Current returns the newest snapshot.
 func (w *Watcher) Current() *Snapshot { return w.current.Load() }
 
-// OnChange adds a function that is called, from one goroutine, with every new
-// snapshot. It must be called before Run.
+// OnChange adds a function that is called with every new snapshot, from a single goroutine. It
+// must be called before Run.
 func (w *Watcher) OnChange(listener func(*Snapshot)) { w.listeners = append(w.listeners, listener) }
 
-// SetSeeds replaces the addresses that are asked first.
+// SetSeeds replaces the addresses that are tried first.
 func (w *Watcher) SetSeeds(seeds []string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.seeds = seeds
 }
 
-// Run asks until ctx ends.
+// Run polls until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
 	defer w.client.Close()
 	go w.reportRuns(ctx)
 	for ctx.Err() == nil {
 		target := w.targets.pick(clock.Now(), w.addresses(), w.Current().Fleet.Relays)
-		err := w.ask(ctx, target)
+		err := w.poll(ctx, target)
 		if err == nil {
-			w.targets.answered(target)
-			w.reachedAt(target)
+			w.targets.recordAnswer(target)
+			w.recordAnswer(target)
 			continue
 		}
-		w.targets.failed(clock.Now(), target, consensus.LeaderFromError(err))
-		w.missed(target, err)
+		w.targets.recordFailure(clock.Now(), target, consensus.LeaderFromError(err))
+		w.recordFailure(target, err)
 		select {
 		case <-ctx.Done():
-		case <-time.After(retryPause):
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
-// reachedAt takes in which coordinator answered.
-func (w *Watcher) reachedAt(target string) {
+// recordAnswer records which coordinator answered.
+func (w *Watcher) recordAnswer(target string) {
 	if before := w.leader.Load(); before == nil || *before != target {
 		w.leader.Store(&target)
 	}
 }
 
-func (w *Watcher) missed(target string, err error) {
+func (w *Watcher) recordFailure(target string, err error) {
 	if w.reached {
 		w.reached = false
 		logging.Warn(w.logger, "coordinator_lost", "address", target, "version", w.Current().Version(), "error", err)
 	}
 }
 
-// patience returns for how long an answer may wait for news at a process that heard the
-// last one so long ago. One that was cut off, or stood still, wants to know at once that
-// what it has is right.
-func patience(silent time.Duration) time.Duration {
-	if silent > holdTime+replyTime {
+// pollWait returns how long a coordinator may hold the poll of a process that got its last
+// answer the given time ago. A process that was cut off or suspended needs an answer at once, to
+// know that its copy is current.
+func pollWait(sinceAnswer time.Duration) time.Duration {
+	if sinceAnswer > maxPollWait+replyTimeout {
 		return 0
 	}
-	return holdTime
+	return maxPollWait
 }
 
-func (w *Watcher) ask(ctx context.Context, target string) error {
-	ctx, cancel := context.WithTimeout(ctx, holdTime+replyTime)
+func (w *Watcher) poll(ctx context.Context, target string) error {
+	ctx, cancel := context.WithTimeout(ctx, maxPollWait+replyTimeout)
 	defer cancel()
 	known := w.Current()
 	request := &wire.WatchRequest{
@@ -160,12 +161,13 @@
 		Version:    known.Version(),
 		View:       known.View,
 		Term:       known.Term,
-		WaitMillis: patience(clock.Since(known.LeaderSeenAt)).Milliseconds(),
-		Quarantine: w.book.Revision(),
-		Lost:       w.lost > 0,
+		WaitMillis: pollWait(clock.Since(known.LeaderSeenAt)).Milliseconds(),
+		Quarantine: w.quarantineCache.Revision(),
+		Lost:       w.listMismatches > 0,
 	}
-	if w.lost == 1 || w.lost == 0 && target != w.told {
-		// Where digests have not helped, two of them are alike by chance: all is told then.
+	if w.listMismatches == 1 || w.listMismatches == 0 && target != w.viewSource {
+		// After a second mismatch two bucket digests must be equal by chance, so the request
+		// omits the digests, which makes the coordinator send the whole list.
 		request.Digests = known.Workers.Digests()
 	}
 	response, err := rpc.Call[wire.WatchResponse](ctx, w.client, target, wire.MethodWatch, request)
@@ -176,12 +178,12 @@
 		w.reached = true
 		logging.Info(w.logger, "coordinator_reached", "address", target, "term", response.Term)
 	}
-	return w.adopt(target, response)
+	return w.apply(target, response)
 }
 
-// adopt takes in an answer. An older configuration is never taken in, nor an older view,
-// nor a view whose leader has not read the list of workers yet in place of one that has.
-func (w *Watcher) adopt(target string, response *wire.WatchResponse) error {
+// apply applies an answer. It never applies an older configuration, an older view, or a view
+// whose leader has not read the list of workers yet in place of one whose leader has.
+func (w *Watcher) apply(target string, response *wire.WatchResponse) error {
 	before := w.Current()
 	after := *before
 	after.LeaderSeenAt = clock.Now().Add(-time.Duration(response.AgeMillis) * time.Millisecond)
@@ -199,10 +201,10 @@
 		if older := response.Term < before.Term || response.Term == before.Term && response.View < before.View; older {
 			return failure.New(failure.NotRun, "ask another coordinator", "%s tells of view %d in term %d, view %d in term %d is known", target, response.View, response.Term, before.View, before.Term)
 		}
-		changed = w.adoptFleet(target, response, before, &after) || changed
+		changed = w.applyFleet(target, response, before, &after) || changed
 	}
 	if response.Quarantine != nil {
-		w.book.Apply(response.Quarantine)
+		w.quarantineCache.Apply(response.Quarantine)
 		changed = changed || response.Quarantine.Urgent()
 	}
 	w.current.Store(&after)
@@ -214,48 +216,48 @@
 	return nil
 }
 
-// adoptFleet takes in what differs of the fleet, and reports whether it did. Where the list
-// of workers comes out as another one than was told, nothing is taken in, so that no relay
-// passes it on; the next question says so.
-func (w *Watcher) adoptFleet(target string, response *wire.WatchResponse, before, after *Snapshot) bool {
+// applyFleet applies an update of the fleet and reports whether it did. If the digest of the
+// resulting list of workers is wrong nothing is applied, so that no relay passes the list on,
+// and the next request reports the mismatch.
+func (w *Watcher) applyFleet(target string, response *wire.WatchResponse, before, after *Snapshot) bool {
 	fleet := response.Fleet
-	rows, gone := 0, 0
-	w.told = target
-	switch news := workerNews(fleet); {
-	case news == nil:
+	rows, removed := 0, 0
+	w.viewSource = target
+	switch update := workerUpdate(fleet); {
+	case update == nil:
 	case fleet.Partial && before.Fleet.Listed:
-		// A list of which the leader has read a part only says nothing of the rest. What
-		// is known here is compared, by digests, once it has read all.
-		w.told = ""
+		// A partial list of the leader says nothing of the other workers. The list known here is
+		// compared by digests once the leader has read the whole.
+		w.viewSource = ""
 	default:
-		rows, gone = len(news.Rows), len(news.Gone)
-		after.Workers = before.Workers.Apply(news)
-		if after.Workers.Digest() != news.Digest {
+		rows, removed = len(update.Rows), len(update.Gone)
+		after.Workers = before.Workers.Apply(update)
+		if after.Workers.Digest() != update.Digest {
 			logging.Warn(w.logger, "worker_list_differs", "from", target, "term", response.Term, "view", response.View, "workers", after.Workers.Len())
 			after.Workers = before.Workers
-			w.lost++
+			w.listMismatches++
 			return false
 		}
 	}
-	w.lost = 0
+	w.listMismatches = 0
 	after.Fleet = fleet.Upon(&before.Fleet)
 	after.Term, after.View = response.Term, response.View
 	w.setZones(before, after)
-	logging.Info(w.logger, "fleet_view", "from", target, "term", response.Term, "view", response.View, "workers", after.Workers.Len(), "rows", rows, "gone", gone, "stores", len(after.Fleet.Stores), "edges", after.Fleet.Edges, "age_ms", response.AgeMillis)
+	logging.Info(w.logger, "fleet_view", "from", target, "term", response.Term, "view", response.View, "workers", after.Workers.Len(), "rows", rows, "gone", removed, "stores", len(after.Fleet.Stores), "edges", after.Fleet.Edges, "age_ms", response.AgeMillis)
 	return true
 }
 
-// workerNews returns what is told of the list of workers, nil for nothing. A leader of
-// wire.GenerationFirst tells it whole; read as nothing, it would leave this process without
-// configuration and workers until a leader of its own generation comes.
-func workerNews(fleet *wire.FleetView) *wire.WorkerNews {
+// workerUpdate returns the update of the list of workers, nil for none. A leader of
+// wire.GenerationFirst sends the whole list in another field. If that were ignored, this process
+// would have no configuration and no workers until a leader of its own generation is elected.
+func workerUpdate(fleet *wire.FleetView) *wire.WorkerNews {
 	if fleet.News != nil || !fleet.Listed || fleet.SameWorkers {
 		return fleet.News
 	}
 	return workerset.Of(fleet.Workers).FullUpdate()
 }
 
-// setZones tells the meter the zones of stores and workers by their addresses.
+// setZones gives the meter the zones of stores, relays and workers by address.
 func (w *Watcher) setZones(before, after *Snapshot) {
 	zones := make(map[string]string, len(after.Fleet.Stores))
 	for i := range after.Fleet.Stores {
