--- a/internal/fleetstate/machine.go
+++ b/internal/fleetstate/machine.go
@@ -1,11 +1,10 @@
-// Package fleetstate is the replicated state machine of the fleet group: the
-// configuration of routes, the first voters of the store group, the stores that are
-// to be emptied, and the requests under which workers ended. It is pure.
+// Package fleetstate is the replicated state machine of the fleet group: the configuration of
+// routes, the initial voters of the store groups, the stores to drain, and the requests under
+// which workers exited. It performs no I/O.
 //
 // Invariants:
-//   - the version in force never falls, and the content under a version never
-//     changes;
-//   - the first voters of the store group are named once.
+//   - the version in force never decreases, and the content under a version never changes;
+//   - the initial voters of the store groups are set once.
 package fleetstate
 
 import (
@@ -24,20 +23,20 @@
 
 var (
 	routesKey    = []byte("routes")
-	formKey      = []byte("form")
+	bootstrapKey = []byte("form")
 	retirePrefix = []byte("retire/")
 
-	quarantinePrefix   = []byte("quarantine/")
-	quarantineRevision = []byte("quarantine-revision")
+	quarantinePrefix      = []byte("quarantine/")
+	quarantineRevisionKey = []byte("quarantine-revision")
 )
 
 // Machine is the state of the fleet group.
 type Machine struct {
-	routes      wire.ApplyRoutes
-	initial     [][]wire.Replica
-	retirements map[string]bool
-	quarantine  *quarantine.Table
-	mutations   []storage.Mutation
+	routes        wire.ApplyRoutes
+	initialVoters [][]wire.Replica
+	retirements   map[string]bool
+	quarantine    *quarantine.Table
+	mutations     []storage.Mutation
 }
 
 // New returns the empty state.
@@ -45,15 +44,15 @@
 	return &Machine{retirements: map[string]bool{}, quarantine: quarantine.NewTable()}
 }
 
-// Apply executes one encoded wire.FleetCommand. It returns the encoded
-// wire.FleetResult and the changes of stored state that go with it.
+// Apply executes an encoded wire.FleetCommand. It returns the encoded wire.FleetResult and the
+// changes to write to storage with it.
 func (m *Machine) Apply(encoded []byte) ([]byte, []storage.Mutation) {
 	m.mutations = nil
 	var command wire.FleetCommand
 	result := wire.FleetResult{}
 	if _, err := command.UnmarshalMsg(encoded); err != nil {
 		result.Failure = wire.NewFailure(failure.Wrap(err, failure.Internal, "upgrade every replica first", "the command does not decode"))
-	} else if err := m.overtaken(command.Retire); err != nil {
+	} else if err := m.checkRetirement(command.Retire); err != nil {
 		result.Failure = wire.NewFailure(err)
 	} else {
 		result.Changed = m.execute(&command)
@@ -67,7 +66,7 @@
 	case command.Apply != nil:
 		return m.applyRoutes(command.Apply)
 	case command.Form != nil:
-		return m.form(command.Form)
+		return m.bootstrap(command.Form)
 	case command.Retire != nil:
 		return m.retire(command.Retire.Name, false)
 	case command.Retired != nil:
@@ -87,18 +86,18 @@
 	return true
 }
 
-func (m *Machine) form(form *wire.FormStores) bool {
-	if len(m.initial) > 0 {
+func (m *Machine) bootstrap(form *wire.FormStores) bool {
+	if len(m.initialVoters) > 0 {
 		return false
 	}
-	m.initial = form.Groups
-	m.put(formKey, form)
+	m.initialVoters = form.Groups
+	m.put(bootstrapKey, form)
 	return true
 }
 
-// overtaken returns the refusal of a retirement that was checked before another
-// was asked for: both together may leave too few stores.
-func (m *Machine) overtaken(retire *wire.RetireStore) error {
+// checkRetirement rejects a retirement that was checked before another one was committed: both
+// together may leave too few stores.
+func (m *Machine) checkRetirement(retire *wire.RetireStore) error {
 	if retire == nil || retire.Counted == len(m.retirements) {
 		return nil
 	}
@@ -108,13 +107,13 @@
 	return failure.New(failure.NotRun, "try again", "another store was asked to be emptied at the same time")
 }
 
-func (m *Machine) retire(name string, done bool) bool {
-	before, known := m.retirements[name]
-	if known && (before || before == done) {
+func (m *Machine) retire(name string, drained bool) bool {
+	wasDrained, known := m.retirements[name]
+	if known && (wasDrained || wasDrained == drained) {
 		return false
 	}
-	m.retirements[name] = done
-	m.put(append(append([]byte{}, retirePrefix...), name...), &wire.Retirement{Name: name, Done: done})
+	m.retirements[name] = drained
+	m.put(append(append([]byte{}, retirePrefix...), name...), &wire.Retirement{Name: name, Done: drained})
 	return true
 }
 
@@ -132,7 +131,7 @@
 			m.mutations = append(m.mutations, storage.Mutation{Key: key, Delete: true})
 		}
 	}
-	m.put(quarantineRevision, &wire.QuarantineNews{Revision: m.quarantine.Revision()})
+	m.put(quarantineRevisionKey, &wire.QuarantineNews{Revision: m.quarantine.Revision()})
 	return true
 }
 
@@ -152,17 +151,17 @@
 	return data
 }
 
-// Restore loads the state from storage, replacing what was there.
+// Restore replaces the state with the stored one.
 func (m *Machine) Restore(reader storage.Reader) error {
 	*m = *New()
 	if err := read(reader, routesKey, &m.routes); err != nil {
 		return err
 	}
 	var form wire.FormStores
-	if err := read(reader, formKey, &form); err != nil {
+	if err := read(reader, bootstrapKey, &form); err != nil {
 		return err
 	}
-	m.initial = form.Groups
+	m.initialVoters = form.Groups
 	var decodeErr error
 	err := reader.Scan(retirePrefix, storage.PrefixEnd(retirePrefix), func(_, value []byte) bool {
 		var retirement wire.Retirement
@@ -180,7 +179,7 @@
 
 func (m *Machine) restoreQuarantine(reader storage.Reader) error {
 	var last wire.QuarantineNews
-	if err := read(reader, quarantineRevision, &last); err != nil {
+	if err := read(reader, quarantineRevisionKey, &last); err != nil {
 		return err
 	}
 	var entries []wire.QuarantineEntry
@@ -206,24 +205,23 @@
 	return err
 }
 
-// Routes returns the configuration in force; its Source is nil before the first
-// one. The caller must not change it.
+// Routes returns the configuration in force; its Source is nil before the first one. The caller
+// must not change it.
 func (m *Machine) Routes() wire.ApplyRoutes { return m.routes }
 
-// Quarantine returns the requests under which workers ended. The caller must not change it.
+// Quarantine returns the requests under which workers exited. The caller must not change it.
 func (m *Machine) Quarantine() *quarantine.Table { return m.quarantine }
 
-// InitialVoters returns the first voters of each store group, nothing before there are any.
-func (m *Machine) InitialVoters() [][]wire.Replica { return m.initial }
+// InitialVoters returns the initial voters of each store group, nil before they are set.
+func (m *Machine) InitialVoters() [][]wire.Replica { return m.initialVoters }
 
-// Retirement reports whether the store is to be emptied, and whether it is.
-func (m *Machine) Retirement(name string) (asked, done bool) {
-	done, asked = m.retirements[name]
-	return asked, done
+// Retirement reports whether the store is to be drained, and whether it is drained already.
+func (m *Machine) Retirement(name string) (retiring, drained bool) {
+	drained, retiring = m.retirements[name]
+	return retiring, drained
 }
 
-// Retiring returns the names of all stores that are to be emptied or are, in
-// order.
+// Retiring returns the names of all stores that are to be drained or are drained, in order.
 func (m *Machine) Retiring() []string {
 	names := make([]string, 0, len(m.retirements))
 	for name := range m.retirements {
--- a/internal/fleetstate/machine_test.go
+++ b/internal/fleetstate/machine_test.go
@@ -14,7 +14,7 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// apply runs a command as a replica does.
+// apply executes a command and stores the changes, as a replica does.
 func apply(machine *Machine, store *storage.Memory, command *wire.FleetCommand) (*wire.FleetResult, error) {
 	encoded, err := command.MarshalMsg(nil)
 	if err != nil {
@@ -54,12 +54,12 @@
 			t.Errorf("version %d %q: %+v, %v", step.version, step.source, result, err)
 		}
 		if got := string(machine.Routes().Source); got != step.want {
-			t.Errorf("after %q %q is in force", step.source, got)
+			t.Errorf("after %q: %q is in force", step.source, got)
 		}
 	}
 }
 
-func TestFirstVotersAreNamedOnce(t *testing.T) {
+func TestInitialVotersAreSetOnce(t *testing.T) {
 	machine, store := New(), storage.NewMemory()
 	for id := uint64(1); id <= 2; id++ {
 		command := &wire.FleetCommand{Form: &wire.FormStores{Groups: [][]wire.Replica{{{ID: id}}, {{ID: id + 10}}}}}
@@ -68,13 +68,13 @@
 		}
 	}
 	if initial := machine.InitialVoters(); len(initial) != 2 || len(initial[1]) != 1 || initial[0][0].ID != 1 || initial[1][0].ID != 11 {
-		t.Errorf("first voters %+v", initial)
+		t.Errorf("initial voters %+v", initial)
 	}
 }
 
-// TestRetirementsDoNotRace lets two operators ask for two stores at the same time,
-// each checked as if it were alone: only the first is taken, the second has to be
-// checked again; the first may be asked for once more.
+// TestRetirementsDoNotRace lets two operators retire two stores at the same time, each checked
+// without the other: only the first retirement is accepted. The second must be checked again;
+// the first may be repeated.
 func TestRetirementsDoNotRace(t *testing.T) {
 	machine, store := New(), storage.NewMemory()
 	retire := func(name string, counted int) *wire.FleetResult {
@@ -92,7 +92,7 @@
 		t.Errorf("the second, checked before the first was committed: %+v", second)
 	}
 	if asked, _ := machine.Retirement("b"); asked {
-		t.Error("the second is to be emptied")
+		t.Error("the second is to be drained")
 	}
 	if again := retire("a", 0); again.Failure != nil {
 		t.Errorf("the first again: %+v", again)
@@ -102,9 +102,8 @@
 	}
 }
 
-// TestRandomCommands checks that the version never falls, that content under a
-// version stays, that an emptied store stays so, and that a restored machine is
-// the same.
+// TestRandomCommands checks that the version never decreases, that the content under a version
+// does not change, that a drained store stays drained, and that a restored machine is equal.
 func TestRandomCommands(t *testing.T) {
 	proptest.Run(t, "fleet invariants", func(random *rand.Rand) error {
 		machine, store := New(), storage.NewMemory()
@@ -128,7 +127,7 @@
 				return fmt.Errorf("version %d %q became %d %q", before.Version, before.Source, after.Version, after.Source)
 			}
 			if _, done := machine.Retirement("s-1"); wasDone && !done {
-				return fmt.Errorf("store s-1 is no longer emptied")
+				return fmt.Errorf("store s-1 is no longer drained")
 			}
 			restored := New()
 			if err := restored.Restore(store); err != nil {
@@ -142,20 +141,21 @@
 	})
 }
 
-// TestReplicasAgreeAfterRestating lets a replica pass over commands of the quarantine, as
-// one of the first generation does, and restates what the leader knows: all replicas, and
-// what they have stored, are the same then, also where the one held what is long gone.
+// TestReplicasAgreeAfterRestating lets a replica skip quarantine commands, as one of the first
+// generation does, and then restates the leader's table. All replicas, and what they have
+// stored, must be equal then, also where the skipping replica had entries that the leader has
+// removed.
 func TestReplicasAgreeAfterRestating(t *testing.T) {
 	proptest.Run(t, "replicas agree after restating", func(random *rand.Rand) error {
-		leader, passing := New(), New()
-		stores := map[*Machine]*storage.Memory{leader: storage.NewMemory(), passing: storage.NewMemory()}
+		leader, skipping := New(), New()
+		stores := map[*Machine]*storage.Memory{leader: storage.NewMemory(), skipping: storage.NewMemory()}
 		for range 1 + random.Intn(40) {
 			command := &wire.FleetCommand{Quarantine: &wire.QuarantineCommand{
 				AtMillis: int64(random.Intn(1 << 20)),
 				Runs:     []wire.RunReport{{Request: uint64(1 + random.Intn(3)), Worker: uint32(random.Intn(6))}},
 			}}
 			for machine, store := range stores {
-				if machine == passing && random.Intn(2) == 0 {
+				if machine == skipping && random.Intn(2) == 0 {
 					continue
 				}
 				if _, err := apply(machine, store, command); err != nil {
@@ -170,15 +170,15 @@
 				return errors.Newf("restating changes nothing: %v", err)
 			}
 		}
-		if !reflect.DeepEqual(leader.Quarantine().State(), passing.Quarantine().State()) {
-			return errors.Newf("%+v, the leader has %+v", passing.Quarantine().State(), leader.Quarantine().State())
+		if !reflect.DeepEqual(leader.Quarantine().State(), skipping.Quarantine().State()) {
+			return errors.Newf("%+v, the leader has %+v", skipping.Quarantine().State(), leader.Quarantine().State())
 		}
-		again := New()
-		if err := again.Restore(stores[passing]); err != nil {
+		restored := New()
+		if err := restored.Restore(stores[skipping]); err != nil {
 			return err
 		}
-		if !reflect.DeepEqual(again.Quarantine().State(), leader.Quarantine().State()) {
-			return errors.Newf("%+v is stored, the leader has %+v", again.Quarantine().State(), leader.Quarantine().State())
+		if !reflect.DeepEqual(restored.Quarantine().State(), leader.Quarantine().State()) {
+			return errors.Newf("%+v is stored, the leader has %+v", restored.Quarantine().State(), leader.Quarantine().State())
 		}
 		return nil
 	})
