--- a/internal/workerset/set.go
+++ b/internal/workerset/set.go
@@ -1,8 +1,7 @@
-// Package workerset holds the list of workers and tells what changed of it. A Set never
-// changes: sets that follow one another share all buckets but those with a change, so a
-// change costs the same however long the list is. A Log remembers which changes came
-// when, and tells a reader those that it lacks. The package is pure and does no input or
-// output.
+// Package workerset holds the list of workers and finds what changed in it. A Set is immutable:
+// successive sets share all buckets without a change, so the cost of a change does not depend on
+// the length of the list. A Log remembers the numbers of changes and returns to a reader those
+// that it lacks. The package performs no I/O.
 package workerset
 
 import (
@@ -16,16 +15,16 @@
 )
 
 const (
-	// Buckets is how many parts the list is divided into by the hash of a worker's id. A
-	// change copies this many pointers (8 KB) and the rows of one bucket, ten at 10,000
-	// workers and twenty at twice as many; and a reader with an unknown list sends one
-	// digest for each (4 KB, against 560 KB for 10,000 rows).
+	// Buckets is the number of parts of the list, divided by the hash of the worker's id. A
+	// change copies this many pointers (8 KB) and the rows of one bucket, ten at 10,000 workers
+	// and twenty at 20,000. A reader with an unknown list sends one digest for each bucket (4
+	// KB, against 560 KB for 10,000 rows).
 	Buckets = 1024
-	// digestBytes is the length of a bucket's digest as it is sent. Two lists whose
-	// buckets look alike by chance, once in 4 billion, are told apart by the digest of
-	// the whole set.
+	// digestBytes is the length of a bucket's digest on the wire. If two different buckets have
+	// the same digest, with a probability of 1 in 4 billion, the digest of the whole set still
+	// differs.
 	digestBytes = 4
-	// rowBytes is about how long a row is on the wire.
+	// rowBytes is the approximate length of a row on the wire.
 	rowBytes = 56
 )
 
@@ -36,13 +35,13 @@
 	digest  uint64
 }
 
-// bucket is a part of a set: its rows in the order of their ids, and their digest.
+// bucket is a part of a set: its rows, ordered by id, and their digest.
 type bucket struct {
 	rows   []wire.PoolWorker
 	digest uint64
 }
 
-// Of returns the set of the rows. Of rows with the same id the last one counts.
+// Of returns the set of the rows. If rows have the same id, the last one counts.
 func Of(rows []wire.PoolWorker) *Set { return (*Set)(nil).Replaced(rows) }
 
 // Len returns the number of workers.
@@ -53,7 +52,7 @@
 	return s.count
 }
 
-// Digest returns a number that differs, but for chance, between sets that differ.
+// Digest returns a digest of the set's rows. Different sets have the same digest only by chance.
 func (s *Set) Digest() uint64 {
 	if s == nil {
 		return 0
@@ -61,8 +60,8 @@
 	return s.digest
 }
 
-// Digests returns the digests of all buckets, to be sent to a Log that does not know
-// which list this is. It returns nil where the whole list is shorter.
+// Digests returns the digests of all buckets, for a Log that does not know the reader's list. It
+// returns nil if the whole list is shorter than the digests.
 func (s *Set) Digests() []byte {
 	if s.Len()*rowBytes < Buckets*digestBytes {
 		return nil
@@ -74,19 +73,19 @@
 	return digests
 }
 
-// Each calls visit with each worker, in no special order. visit must not change it.
+// Each calls visit with each worker, in no particular order. visit must not change the row.
 func (s *Set) Each(visit func(row *wire.PoolWorker)) {
 	if s == nil {
 		return
 	}
 	for _, b := range s.buckets {
-		for i := range b.all() {
+		for i := range b.allRows() {
 			visit(&b.rows[i])
 		}
 	}
 }
 
-// Rows returns all workers in the order of their ids.
+// Rows returns all workers ordered by id.
 func (s *Set) Rows() []wire.PoolWorker {
 	rows := make([]wire.PoolWorker, 0, s.Len())
 	s.Each(func(row *wire.PoolWorker) { rows = append(rows, *row) })
@@ -94,22 +93,21 @@
 	return rows
 }
 
-// Diff calls joined with each worker that is not in the set before as it is in this
-// one, and left with each one whose id was there and is here no more. It looks only at
-// buckets that are not shared.
+// Diff calls joined with each worker that was added or changed since the set before, and left
+// with each one that was removed. It compares only buckets that the two sets do not share.
 func (s *Set) Diff(before *Set, joined, left func(row *wire.PoolWorker)) {
 	for number := range Buckets {
-		was, is := before.bucket(number), s.bucket(number)
-		if was == is {
+		previous, current := before.bucket(number), s.bucket(number)
+		if previous == current {
 			continue
 		}
-		eachMissing(is.all(), was.all(), joined)
-		eachGone(was.all(), is.all(), left)
+		eachChanged(current.allRows(), previous.allRows(), joined)
+		eachRemoved(previous.allRows(), current.allRows(), left)
 	}
 }
 
-// eachMissing calls visit with the rows that do not stand the same among the others.
-func eachMissing(rows, others []wire.PoolWorker, visit func(row *wire.PoolWorker)) {
+// eachChanged calls visit with the rows that others lacks or has with other content.
+func eachChanged(rows, others []wire.PoolWorker, visit func(row *wire.PoolWorker)) {
 	for i := range rows {
 		if at, found := find(others, rows[i].ID); !found || others[at] != rows[i] {
 			visit(&rows[i])
@@ -117,8 +115,8 @@
 	}
 }
 
-// eachGone calls visit with the rows whose ids do not stand among the others.
-func eachGone(rows, others []wire.PoolWorker, visit func(row *wire.PoolWorker)) {
+// eachRemoved calls visit with the rows whose ids others lacks.
+func eachRemoved(rows, others []wire.PoolWorker, visit func(row *wire.PoolWorker)) {
 	for i := range rows {
 		if _, found := find(others, rows[i].ID); !found {
 			visit(&rows[i])
@@ -126,83 +124,84 @@
 	}
 }
 
-// Replaced returns the set of the rows, which shares with this one the buckets that are
-// the same. Of rows with the same id the last one counts.
+// Replaced returns the set of the rows. It shares the unchanged buckets with this set. If rows
+// have the same id, the last one counts.
 func (s *Set) Replaced(rows []wire.PoolWorker) *Set {
 	var parts [Buckets][]wire.PoolWorker
 	for i := range rows {
 		number := bucketOf(rows[i].ID)
-		parts[number] = put(parts[number], rows[i])
+		parts[number] = upsert(parts[number], rows[i])
 	}
-	change := s.change()
+	builder := s.builder()
 	for number := range parts {
-		change.set(number, parts[number])
+		builder.setBucket(number, parts[number])
 	}
-	return change.done(s)
+	return builder.finish(s)
 }
 
-// With returns the set with some rows added or replaced and some ids taken away.
+// With returns the set with rows added or replaced, and then the ids in gone removed.
 func (s *Set) With(rows []wire.PoolWorker, gone []string) *Set {
-	touched := map[int][]wire.PoolWorker{}
+	changedRows := map[int][]wire.PoolWorker{}
 	rowsOf := func(number int) []wire.PoolWorker {
-		if _, copied := touched[number]; !copied {
-			touched[number] = slices.Clone(s.bucket(number).all())
+		if _, copied := changedRows[number]; !copied {
+			changedRows[number] = slices.Clone(s.bucket(number).allRows())
 		}
-		return touched[number]
+		return changedRows[number]
 	}
 	for i := range rows {
 		number := bucketOf(rows[i].ID)
-		touched[number] = put(rowsOf(number), rows[i])
+		changedRows[number] = upsert(rowsOf(number), rows[i])
 	}
 	for _, id := range gone {
 		number := bucketOf(id)
 		before := rowsOf(number)
 		if at, found := find(before, id); found {
-			touched[number] = slices.Delete(before, at, at+1)
+			changedRows[number] = slices.Delete(before, at, at+1)
 		}
 	}
-	change := s.change()
-	for number, part := range touched {
-		change.set(number, part)
+	builder := s.builder()
+	for number, part := range changedRows {
+		builder.setBucket(number, part)
 	}
-	return change.done(s)
+	return builder.finish(s)
 }
 
-// change is a set in the making.
-type change struct {
+// builder builds a set from another one.
+type builder struct {
 	next *Set
-	// changed is set once it differs from the one that it began as.
+	// changed is set once next differs from the initial set.
 	changed bool
 }
 
-// change begins with a copy of the set.
-func (s *Set) change() *change {
+// builder returns a builder that starts with a copy of the set.
+func (s *Set) builder() *builder {
 	next := &Set{}
 	if s != nil {
 		*next = *s
 	}
-	return &change{next: next}
+	return &builder{next: next}
 }
 
-// set gives a bucket its rows, in order. A bucket that is the same stays shared.
-func (c *change) set(number int, rows []wire.PoolWorker) {
-	before := c.next.buckets[number]
-	if slices.Equal(before.all(), rows) {
+// setBucket sets the rows of a bucket, which must be ordered by id. An unchanged bucket stays
+// shared.
+func (b *builder) setBucket(number int, rows []wire.PoolWorker) {
+	before := b.next.buckets[number]
+	if slices.Equal(before.allRows(), rows) {
 		return
 	}
 	after := newBucket(rows)
-	c.changed = true
-	c.next.buckets[number] = after
-	c.next.count += len(rows) - len(before.all())
-	c.next.digest += after.sum() - before.sum()
+	b.changed = true
+	b.next.buckets[number] = after
+	b.next.count += len(rows) - len(before.allRows())
+	b.next.digest += after.sum() - before.sum()
 }
 
-// done returns the set, or the one before where nothing has changed.
-func (c *change) done(before *Set) *Set {
-	if !c.changed && before != nil {
+// finish returns the new set, or the one before if nothing changed.
+func (b *builder) finish(before *Set) *Set {
+	if !b.changed && before != nil {
 		return before
 	}
-	return c.next
+	return b.next
 }
 
 func (s *Set) bucket(number int) *bucket {
@@ -223,7 +222,7 @@
 	return b
 }
 
-func (b *bucket) all() []wire.PoolWorker {
+func (b *bucket) allRows() []wire.PoolWorker {
 	if b == nil {
 		return nil
 	}
@@ -237,9 +236,9 @@
 	return b.digest
 }
 
-// digestOf hashes a row with all its fields.
+// digestOf returns the hash of all fields of a row.
 func digestOf(row *wire.PoolWorker) uint64 {
-	// A row encodes into memory, which can't fail.
+	// Encoding into memory can't fail.
 	encoded, _ := row.MarshalMsg(make([]byte, 0, 2*rowBytes))
 	return xxhash.Sum64(encoded)
 }
@@ -252,8 +251,8 @@
 	return slices.BinarySearchFunc(rows, id, func(row wire.PoolWorker, id string) int { return cmp.Compare(row.ID, id) })
 }
 
-// put adds a row in order, or replaces the one with its id.
-func put(rows []wire.PoolWorker, row wire.PoolWorker) []wire.PoolWorker {
+// upsert inserts a row by its id, or replaces the row with the same id.
+func upsert(rows []wire.PoolWorker, row wire.PoolWorker) []wire.PoolWorker {
 	at, found := find(rows, row.ID)
 	if found {
 		rows[at] = row
--- a/internal/workerset/set_test.go
+++ b/internal/workerset/set_test.go
@@ -21,26 +21,26 @@
 	return rows
 }
 
-// TestSetIsItsRows checks that a set holds the rows that it was made of, and that the
-// digest tells sets apart, however they were made.
-func TestSetIsItsRows(t *testing.T) {
+// TestSetHoldsItsRows checks that a set holds the rows that it was made of, and that its digest
+// depends on the rows alone, however the set was made.
+func TestSetHoldsItsRows(t *testing.T) {
 	rows := rowsOf(300)
 	s := Of(rows)
 	if s.Len() != 300 || !slices.Equal(s.Rows(), rows) {
-		t.Fatalf("%d rows of 300", s.Len())
+		t.Fatalf("%d rows, want 300", s.Len())
 	}
 	other := rows[7]
 	other.Leaving = true
 	changed := s.With([]wire.PoolWorker{other}, []string{rows[9].ID, "unknown"})
 	if changed.Len() != 299 || changed.Digest() == s.Digest() {
-		t.Errorf("%d rows after one left", changed.Len())
+		t.Errorf("%d rows after one was removed, or the same digest", changed.Len())
 	}
-	back := changed.With([]wire.PoolWorker{rows[7], rows[9]}, nil)
-	if back.Digest() != s.Digest() || !slices.Equal(back.Rows(), rows) {
-		t.Error("a set that is made again differs")
+	restored := changed.With([]wire.PoolWorker{rows[7], rows[9]}, nil)
+	if restored.Digest() != s.Digest() || !slices.Equal(restored.Rows(), rows) {
+		t.Error("a set with the same rows differs")
 	}
 	if s.Replaced(rows) != s || s.With(nil, nil) != s {
-		t.Error("no change makes another set")
+		t.Error("an update without a change returns another set")
 	}
 	var none *Set
 	if none.Len() != 0 || none.Digest() != 0 || none.Digests() != nil || len(none.Rows()) != 0 {
@@ -54,9 +54,9 @@
 	number uint64
 }
 
-// TestReadersFollow changes a list at random, among it more removals than are remembered,
-// and lets readers ask with a list of any age, with digests, of another origin or with
-// none: what they are told makes the list.
+// TestReadersFollow changes a list at random, with more removals than are remembered, and lets
+// readers poll with a list of any age, with the digests of an unknown list, or with none: after
+// the update a reader must have the list.
 func TestReadersFollow(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
 	log := NewLog(0)
@@ -84,45 +84,45 @@
 		case 0:
 			*r = reader{}
 		case 1:
-			// A list that came from elsewhere.
+			// The log does not know the reader's list.
 			r.number, digests = 0, r.set.Digests()
 		}
-		news := log.Since(r.number, digests)
-		r.set, r.number = r.set.Apply(&news), number
-		if r.set.Digest() != news.Digest || !slices.Equal(r.set.Rows(), log.Set().Rows()) {
-			t.Fatalf("change %d: a reader has another list", number)
+		update := log.Since(r.number, digests)
+		r.set, r.number = r.set.Apply(&update), number
+		if r.set.Digest() != update.Digest || !slices.Equal(r.set.Rows(), log.Set().Rows()) {
+			t.Fatalf("change %d: the reader's list differs", number)
 		}
 	}
-	if len(log.gone) > maxGone {
-		t.Errorf("%d removals are remembered", len(log.gone))
+	if len(log.removals) > maxRemovals {
+		t.Errorf("%d removals are remembered", len(log.removals))
 	}
 }
 
-// TestForgottenRemovalsAreTold checks that a reader who was away for more removals than
-// are remembered does not keep what is gone.
-func TestForgottenRemovalsAreTold(t *testing.T) {
-	rows := rowsOf(2*maxGone + 100)
+// TestForgottenRemovalsAreSent checks that a reader that lacks more removals than are remembered
+// does not keep removed workers.
+func TestForgottenRemovalsAreSent(t *testing.T) {
+	rows := rowsOf(2*maxRemovals + 100)
 	log := NewLog(0)
 	log.Put(1, Of(rows))
 	r := Of(rows)
-	log.Put(2, Of(rows[:maxGone+100]))
+	log.Put(2, Of(rows[:maxRemovals+100]))
 	log.Put(3, Of(rows[:100]))
 	for _, digests := range [][]byte{r.Digests(), nil} {
-		news := log.Since(1, digests)
-		if learnt := r.Apply(&news); learnt.Digest() != log.Set().Digest() {
-			t.Errorf("%d workers, want 100", learnt.Len())
+		update := log.Since(1, digests)
+		if updated := r.Apply(&update); updated.Digest() != log.Set().Digest() {
+			t.Errorf("%d workers, want 100", updated.Len())
 		}
 	}
-	if news := log.Since(2, nil); news.Whole || len(news.Gone) != maxGone {
-		t.Errorf("whole %v, %d gone", news.Whole, len(news.Gone))
+	if update := log.Since(2, nil); update.Whole || len(update.Gone) != maxRemovals {
+		t.Errorf("whole %v, %d removals", update.Whole, len(update.Gone))
 	}
 }
 
-// TestAChangeCostsTheSame counts what one worker that comes, changes and goes makes of
-// bytes told and buckets copied, at two sizes of the list: what is told is the same, where
-// the whole list, told before, takes 56 bytes a row.
+// TestAChangeCostsTheSame counts the bytes sent and the buckets copied when one worker joins,
+// one changes and one leaves, at two lengths of the list. The bytes must not grow with the list,
+// where the whole list takes 56 bytes a row.
 func TestAChangeCostsTheSame(t *testing.T) {
-	told := func(count int) (bytes, buckets int) {
+	cost := func(count int) (bytes, buckets int) {
 		rows := rowsOf(count)
 		log := NewLog(0)
 		log.Put(1, Of(rows))
@@ -135,39 +135,39 @@
 			}
 		}
 		log.Put(2, after)
-		news := log.Since(1, nil)
-		encoded, err := news.MarshalMsg(nil)
+		update := log.Since(1, nil)
+		encoded, err := update.MarshalMsg(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return len(encoded), buckets
 	}
-	small, smallBuckets := told(10_000)
-	large, largeBuckets := told(20_000)
+	small, smallBuckets := cost(10_000)
+	large, largeBuckets := cost(20_000)
 	if 2*large > 3*small || small > 300 {
-		t.Errorf("three changes are told in %d bytes at 10,000 workers, in %d at 20,000", small, large)
+		t.Errorf("three changes take %d bytes at 10,000 workers, %d at 20,000", small, large)
 	}
 	if smallBuckets > 3 || largeBuckets > 3 {
 		t.Errorf("%d and %d buckets are copied", smallBuckets, largeBuckets)
 	}
 }
 
-// BenchmarkLearn takes in news of one worker: 14.4 ms, 2.3 MB and 41,000 allocations at
-// 10,000 workers where each process made maps of the whole list; now 12 us
-// and 10 kB, 10.5 us and 11 kB at 20,000.
-func BenchmarkLearn(b *testing.B) {
+// BenchmarkApply applies an update of one worker: 12 us and 10 kB at 10,000 workers, 10.5 us and
+// 11 kB at 20,000. With maps of the whole list in each process it took 14.4 ms, 2.3 MB and
+// 41,000 allocations at 10,000 workers.
+func BenchmarkApply(b *testing.B) {
 	for _, count := range []int{100, 10_000, 20_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			b.ReportAllocs()
 			s := Of(rowsOf(count))
-			news := [2]wire.WorkerNews{}
-			for turn := range news {
+			updates := [2]wire.WorkerNews{}
+			for turn := range updates {
 				changed := row(count / 2)
 				changed.Leaving = turn == 1
-				news[turn].Rows = []wire.PoolWorker{changed}
+				updates[turn].Rows = []wire.PoolWorker{changed}
 			}
 			for turn := 0; b.Loop(); turn++ {
-				s = s.Apply(&news[turn%2])
+				s = s.Apply(&updates[turn%2])
 			}
 		})
 	}
