--- a/internal/workerlist/client.go
+++ b/internal/workerlist/client.go
@@ -1,5 +1,5 @@
-// Package workerlist is the client of the platform's list of workers. The list
-// lags behind the truth and may contradict what the workers say themselves.
+// Package workerlist is the client of the platform's list of workers. The list lags behind the
+// actual state and may contradict what the workers report themselves.
 package workerlist
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/sedgemast/sedgemast/internal/failure"
 )
 
-// PathWorkers is the path of the list.
+// PathWorkers is the HTTP path of the list.
 const PathWorkers = "/v1/workers"
 
 const (
@@ -20,26 +20,26 @@
 	maxListBytes = 8 << 20
 )
 
-// Worker is one row of the list.
+// Worker is an entry of the list.
 type Worker struct {
 	ID      string `json:"id"`
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
-	// Incarnation grows whenever the machine under this id is replaced.
+	// Incarnation increases whenever the machine under this id is replaced.
 	Incarnation uint64 `json:"incarnation"`
 	Leaving     bool   `json:"leaving"`
-	// Pool and Slots are those of workers for opaque requests: the pool that a
-	// worker belongs to, and how many requests it runs at once.
+	// Pool and Slots are set for workers of opaque requests: the pool that a worker belongs to,
+	// and how many requests it runs at a time.
 	Pool  string `json:"pool,omitempty"`
 	Slots int    `json:"slots,omitempty"`
 }
 
-// List is the answer of the platform.
+// List is the platform's answer.
 type List struct {
 	Workers []Worker `json:"workers"`
 }
 
-// Client reads the list.
+// Client reads the list from the platform.
 type Client struct {
 	address string
 	client  *http.Client
@@ -50,7 +50,7 @@
 	return &Client{address: address, client: &http.Client{Timeout: readTimeout}}
 }
 
-// Workers reads the list.
+// Workers returns the workers of the list.
 func (c *Client) Workers(ctx context.Context) ([]Worker, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.address+PathWorkers, nil)
 	if err != nil {
