--- a/internal/batchstate/disk_test.go
+++ b/internal/batchstate/disk_test.go
@@ -20,16 +20,15 @@
 )
 
 const (
-	diskJobs     = 40
-	diskItems    = 44
-	bodyBytes    = 2900
-	noteCount    = 10
-	eventsOfNote = 16
+	diskJobs        = 40
+	diskItems       = 44
+	bodyBytes       = 2900
+	recordCount     = 10
+	eventsPerRecord = 16
 )
 
-// BenchmarkDisk runs 1,760 items with texts of 12 KB through a group of one
-// replica on disk, and reports the most that its folder held beside what it must
-// hold in the end, in MB.
+// BenchmarkDisk runs 1,760 items with texts of 12 KB through a group of one replica on disk. It
+// reports the peak size of its folder and the size at the end, in MiB.
 func BenchmarkDisk(b *testing.B) {
 	for range b.N {
 		folder := b.TempDir()
@@ -86,23 +85,23 @@
 		ReplaceAfter:      time.Minute,
 		RetainedLogBytes:  2 << 20,
 		Random:            rand.New(rand.NewPCG(1, 1)),
-	}, nobody{})
+	}, noPeers{})
 	if err != nil {
 		b.Fatal(err)
 	}
 	random := rand.New(rand.NewPCG(2, 2))
 	for job := range diskJobs {
 		propose(b, host, &wire.BatchCommand{Submit: diskJob(random, job)})
-		for note := range noteCount {
+		for record := range recordCount {
 			records := &wire.RecordItems{}
 			for item := range diskItems {
 				state := wire.ItemWaiting
-				if note == noteCount-1 {
+				if record == recordCount-1 {
 					state = wire.ItemCompleted
 				}
 				records.Items = append(records.Items, wire.ItemRecord{
 					Job: fmt.Sprint("job-", job), Item: item, State: state,
-					From: note * eventsOfNote, Events: (note + 1) * eventsOfNote, Text: diskText(random),
+					From: record * eventsPerRecord, Events: (record + 1) * eventsPerRecord, Text: diskText(random),
 				})
 			}
 			propose(b, host, &wire.BatchCommand{Record: records})
@@ -126,10 +125,10 @@
 	return job
 }
 
-// diskText returns a part of a text as workers make them: an id in hex and words.
+// diskText returns a part of a text as workers produce it: an id in hex and words, per event.
 func diskText(random *rand.Rand) string {
 	var text strings.Builder
-	for range eventsOfNote {
+	for range eventsPerRecord {
 		fmt.Fprintf(&text, "\nb.f.1.%016x.", random.Uint64())
 		for range 50 {
 			text.WriteByte(byte('a' + random.IntN(26)))
@@ -154,16 +153,16 @@
 	}
 }
 
-// nobody is the transport of a replica without peers.
-type nobody struct{}
+// noPeers is the transport of a replica without peers.
+type noPeers struct{}
 
 // Send implements replication.Transport.
-func (nobody) Send(string, wire.PeerMessage) {}
+func (noPeers) Send(string, wire.PeerMessage) {}
 
 // Hello implements replication.Transport.
-func (nobody) Hello(context.Context, string, *wire.Hello) (*wire.Hello, error) {
+func (noPeers) Hello(context.Context, string, *wire.Hello) (*wire.Hello, error) {
 	return nil, context.Canceled
 }
 
 // Close implements replication.Transport.
-func (nobody) Close() {}
+func (noPeers) Close() {}
--- a/internal/batchstate/keys.go
+++ b/internal/batchstate/keys.go
@@ -2,8 +2,7 @@
 
 import "encoding/binary"
 
-// Sections of the group's keys. A job's id is followed by a zero byte, which no
-// id holds.
+// Sections of the group's keys. A job's id is followed by a zero byte, which no id contains.
 const (
 	sectionJob      = 'j'
 	sectionContent  = 'c'
@@ -15,21 +14,21 @@
 	return append(append([]byte{section}, id...), 0)
 }
 
-func numbered(section byte, id string, number int) []byte {
+func numberedKey(section byte, id string, number int) []byte {
 	return binary.BigEndian.AppendUint32(prefix(section, id), uint32(number))
 }
 
 func jobKey(id string) []byte                       { return prefix(sectionJob, id) }
 func contentPrefix(id string) []byte                { return prefix(sectionContent, id) }
-func contentKey(id string, item int) []byte         { return numbered(sectionContent, id, item) }
+func contentKey(id string, item int) []byte         { return numberedKey(sectionContent, id, item) }
 func progressPrefix(id string) []byte               { return prefix(sectionProgress, id) }
-func itemProgressPrefix(id string, item int) []byte { return numbered(sectionProgress, id, item) }
+func itemProgressPrefix(id string, item int) []byte { return numberedKey(sectionProgress, id, item) }
 
-// progressKey is the key of the part of an item's text after its first events.
+// progressKey returns the key of the part of an item's text that follows its first from events.
 func progressKey(id string, item, from int) []byte {
 	return binary.BigEndian.AppendUint32(itemProgressPrefix(id, item), uint32(from))
 }
 
 func resultPrefix(id string) []byte                    { return prefix(sectionResult, id) }
-func resultKey(id string, position int) []byte         { return numbered(sectionResult, id, position) }
+func resultKey(id string, position int) []byte         { return numberedKey(sectionResult, id, position) }
 func sectionBounds(section byte) (lower, upper []byte) { return []byte{section}, []byte{section + 1} }
--- a/internal/batchstate/machine.go
+++ b/internal/batchstate/machine.go
@@ -1,17 +1,17 @@
-// Package batchstate is the replicated state machine of the batch group: jobs of
-// opaque items, their progress and their results at lasting positions. It is
-// pure. Requests and texts live in storage; in memory an item costs its id and a
-// few numbers.
+// Package batchstate is the replicated state machine of a batch group: jobs of opaque items,
+// their progress, and their results at permanent positions. It is pure: a result depends only on
+// the command and the state. Requests and results are kept in storage; in memory an item costs its
+// id, a few numbers, and its text until it has a result.
 //
 // Invariants:
 //   - a job's items never change once it has been accepted;
-//   - an item has at most one result, the first that was committed, at one
-//     position, and a position holds one result for good;
+//   - an item has at most one result, the first that was committed, at one position, and a
+//     position never changes its result;
 //   - an ended job takes no result;
-//   - a text goes from one chain of runs to another only where the second began
-//     from the last event of the first that is in the text;
-//   - the waiting tokens of an owner on a route are the sum over the items of the
-//     owner's open jobs there that have no result.
+//   - a text continues from one chain of runs to another only if the second began from the last
+//     event of the first that is in the text;
+//   - the waiting tokens of an owner on a route are the sum over the items without a result of
+//     the owner's open jobs on that route.
 package batchstate
 
 import (
@@ -26,11 +26,11 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// Machine is the state of the batch group.
+// Machine is the state of a batch group.
 type Machine struct {
-	jobs  map[string]*Job
-	order uint64
-	// waiting holds the waiting tokens by Job.Account; what is not named has none.
+	jobs         map[string]*Job
+	lastSequence uint64
+	// waiting holds the waiting tokens by Job.Account. Accounts without an entry have none.
 	waiting   map[string]int64
 	mutations []storage.Mutation
 }
@@ -40,13 +40,13 @@
 	ID    string
 	Route string
 	Host  string
-	// Owner is the tenant that the job belongs to, empty for nobody.
+	// Owner is the tenant that the job belongs to, empty if it belongs to none.
 	Owner tenancy.Name
-	// Sequence numbers jobs as they were accepted.
+	// Sequence numbers the jobs in the order in which they were accepted.
 	Sequence uint64
 	Ended    bool
 	Items    []Item
-	// Results counts the items with a result, which is the next position.
+	// Results is the number of items with a result, and so the position of the next result.
 	Results int
 	byID    map[string]int
 }
@@ -55,13 +55,13 @@
 type Item struct {
 	ID     string
 	Tokens int64
-	// Expected is how many tokens the caller expects to be made, zero if unknown.
+	// Expected is the number of tokens that the caller expects as output, zero if unknown.
 	Expected int64
 	State    wire.ItemState
-	// Failures counts attempts that failed.
+	// Failures is the number of attempts that failed.
 	Failures int
-	// Events and LastEvent say how far the text goes that is kept until there is
-	// a result.
+	// Events and LastEvent are the number of events in Text and the id of the last one. Text
+	// is kept until there is a result.
 	Events    int
 	LastEvent int64
 	Text      string
@@ -72,25 +72,25 @@
 // Open reports whether the job still takes results.
 func (j *Job) Open() bool { return !j.Ended && j.Results < len(j.Items) }
 
-// Account names what the job's waiting tokens count against: its route, for its owner.
+// Account returns the account that the job's waiting tokens count against.
 func (j *Job) Account() string { return AccountName(j.Owner, j.Route) }
 
-// AccountName names the account of an owner on a route.
+// AccountName returns the name of an owner's account on a route.
 func AccountName(owner tenancy.Name, route string) string { return tenancy.ScopedName(owner, route) }
 
-// FindItem returns the number of the item with the id.
+// FindItem returns the index of the item with the id.
 func (j *Job) FindItem(id string) (int, bool) {
 	number, found := j.byID[id]
 	return number, found
 }
 
-// New returns the empty state.
+// New returns an empty state.
 func New() *Machine {
 	return &Machine{jobs: map[string]*Job{}, waiting: map[string]int64{}}
 }
 
-// Apply executes one encoded wire.BatchCommand. It returns the encoded
-// wire.BatchResult and the changes of stored state that go with it.
+// Apply executes one encoded wire.BatchCommand. It returns the encoded wire.BatchResult and the
+// mutations of the stored state.
 func (m *Machine) Apply(encoded []byte) ([]byte, []storage.Mutation) {
 	m.mutations = nil
 	var command wire.BatchCommand
@@ -141,12 +141,11 @@
 	m.mutations = append(m.mutations, storage.Mutation{Key: prefix, DeletePrefix: true})
 }
 
-// quotaRetry is when a job that does not fit may come again: items end all the
-// time.
-const quotaRetry = time.Second
+// quotaRetryAfter is when a job that exceeds its quota may be sent again. It is short because
+// items finish all the time.
+const quotaRetryAfter = time.Second
 
-// CheckQuota returns the refusal of a job that does not fit its owner's quota on the route
-// now, or nil.
+// CheckQuota returns an error if the job does not fit its owner's quota on the route now.
 func (m *Machine) CheckQuota(job *wire.SubmitBatch) error {
 	if job.Limit <= 0 {
 		return nil
@@ -156,7 +155,7 @@
 		tokens += job.Items[i].Tokens
 	}
 	if waiting := m.waiting[AccountName(tenancy.Name(job.Owner), job.Route)]; waiting+tokens > job.Limit {
-		return failure.New(failure.OverLimit, "send it again when fewer tokens wait", "%d tokens of tenant %q wait on route %s, and %d more than %d may", waiting, job.Owner, job.Route, tokens, job.Limit).WithRetryAfter(quotaRetry)
+		return failure.New(failure.OverLimit, "send it again when fewer tokens wait", "%d tokens of tenant %q wait on route %s, and %d more than %d may", waiting, job.Owner, job.Route, tokens, job.Limit).WithRetryAfter(quotaRetryAfter)
 	}
 	return nil
 }
@@ -169,15 +168,15 @@
 	if err := m.CheckQuota(submit); err != nil {
 		return err
 	}
-	m.order++
-	meta := wire.BatchMeta{ID: submit.ID, Route: submit.Route, Host: submit.Host, Owner: submit.Owner, Order: m.order}
+	m.lastSequence++
+	meta := wire.BatchMeta{ID: submit.ID, Route: submit.Route, Host: submit.Host, Owner: submit.Owner, Order: m.lastSequence}
 	job := newJob(&meta)
 	for i := range submit.Items {
 		item := &submit.Items[i]
 		row := wire.BatchItemMeta{ID: item.ID, Tokens: item.Tokens, Expected: item.Expected}
-		job.add(&row)
+		job.addItem(&row)
 		meta.Items = append(meta.Items, row)
-		m.count(job, item.Tokens)
+		m.addWaiting(job, item.Tokens)
 		m.put(contentKey(submit.ID, i), &wire.ItemContent{Path: item.Path, Headers: item.Headers, Body: item.Body})
 	}
 	m.jobs[submit.ID] = job
@@ -189,8 +188,8 @@
 	return &Job{ID: meta.ID, Route: meta.Route, Host: meta.Host, Owner: tenancy.Name(meta.Owner), Sequence: meta.Order, byID: map[string]int{}}
 }
 
-// count adds waiting tokens of a job to its account, or takes them off.
-func (m *Machine) count(job *Job, tokens int64) {
+// addWaiting adds tokens, which may be negative, to the account of the job.
+func (m *Machine) addWaiting(job *Job, tokens int64) {
 	account := job.Account()
 	m.waiting[account] += tokens
 	if m.waiting[account] == 0 {
@@ -198,63 +197,62 @@
 	}
 }
 
-func (j *Job) add(row *wire.BatchItemMeta) {
+func (j *Job) addItem(row *wire.BatchItemMeta) {
 	j.byID[row.ID] = len(j.Items)
 	j.Items = append(j.Items, Item{ID: row.ID, Tokens: row.Tokens, Expected: row.Expected})
 }
 
-// record takes in the news of one item and reports whether they were: news that
-// come too late, or that don't follow on what there is, are dropped.
-func (m *Machine) record(news *wire.ItemRecord) bool {
-	job := m.jobs[news.Job]
-	if job == nil || job.Ended || news.Item < 0 || news.Item >= len(job.Items) {
+// record applies the record of one item and reports whether it was accepted. Records that come
+// too late, or that don't follow on the item's state, are dropped.
+func (m *Machine) record(record *wire.ItemRecord) bool {
+	job := m.jobs[record.Job]
+	if job == nil || job.Ended || record.Item < 0 || record.Item >= len(job.Items) {
 		return false
 	}
-	item := &job.Items[news.Item]
+	item := &job.Items[record.Item]
 	if item.State != wire.ItemWaiting {
 		return false
 	}
-	item.Failures = max(item.Failures, news.Failures)
+	item.Failures = max(item.Failures, record.Failures)
 	switch {
-	case news.State == wire.ItemAbandoned:
-		m.finish(job, item, news)
-	case !item.follows(news):
+	case record.State == wire.ItemAbandoned:
+		m.finish(job, item, record)
+	case !item.follows(record):
 		return false
-	case news.State == wire.ItemWaiting:
-		item.add(news)
-		m.put(progressKey(job.ID, news.Item, news.From), news)
+	case record.State == wire.ItemWaiting:
+		item.appendRecord(record)
+		m.put(progressKey(job.ID, record.Item, record.From), record)
 	default:
-		m.finish(job, item, news)
+		m.finish(job, item, record)
 	}
 	return true
 }
 
-// follows reports whether the news go on where the item stands: from its last
-// event, and either in the chain of runs that brought it there or in a new one
-// that began from there. Equal events alone prove nothing, because the news of
-// two chains may cross each other.
-func (i *Item) follows(news *wire.ItemRecord) bool {
-	return news.From == i.Events && (news.Opens || news.Chain == i.Chain)
+// follows reports whether the record continues from the item's state: from its last event, and
+// either in the chain of runs that brought it there or in a new chain that began there. An equal
+// number of events is not enough, because the records of two chains may be interleaved.
+func (i *Item) follows(record *wire.ItemRecord) bool {
+	return record.From == i.Events && (record.Opens || record.Chain == i.Chain)
 }
 
-func (i *Item) add(news *wire.ItemRecord) {
-	i.Events, i.LastEvent, i.Chain = news.Events, news.LastEvent, news.Chain
-	i.Text += news.Text
+func (i *Item) appendRecord(record *wire.ItemRecord) {
+	i.Events, i.LastEvent, i.Chain = record.Events, record.LastEvent, record.Chain
+	i.Text += record.Text
 }
 
-func (m *Machine) finish(job *Job, item *Item, news *wire.ItemRecord) {
-	stored := *news
+func (m *Machine) finish(job *Job, item *Item, record *wire.ItemRecord) {
+	stored := *record
 	stored.From = 0
-	stored.Text = item.Text + news.Text
+	stored.Text = item.Text + record.Text
 	if stored.State == wire.ItemAbandoned {
 		stored.Text = ""
 	}
-	item.State, item.Text = news.State, ""
-	m.count(job, -item.Tokens)
+	item.State, item.Text = record.State, ""
+	m.addWaiting(job, -item.Tokens)
 	m.put(resultKey(job.ID, job.Results), &stored)
 	job.Results++
-	m.removeAll(itemProgressPrefix(job.ID, news.Item))
-	m.remove(contentKey(job.ID, news.Item))
+	m.removeAll(itemProgressPrefix(job.ID, record.Item))
+	m.remove(contentKey(job.ID, record.Item))
 }
 
 func (m *Machine) end(id string) error {
@@ -265,7 +263,7 @@
 	if job.Ended {
 		return nil
 	}
-	m.release(job)
+	m.releaseTokens(job)
 	job.Ended = true
 	for i := range job.Items {
 		job.Items[i].Text = ""
@@ -280,14 +278,14 @@
 	return nil
 }
 
-// release takes the job's waiting tokens off its account.
-func (m *Machine) release(job *Job) {
+// releaseTokens takes the job's waiting tokens off its account.
+func (m *Machine) releaseTokens(job *Job) {
 	if job.Ended {
 		return
 	}
 	for i := range job.Items {
 		if job.Items[i].State == wire.ItemWaiting {
-			m.count(job, -job.Items[i].Tokens)
+			m.addWaiting(job, -job.Items[i].Tokens)
 		}
 	}
 }
@@ -297,7 +295,7 @@
 	if job == nil {
 		return
 	}
-	m.release(job)
+	m.releaseTokens(job)
 	delete(m.jobs, id)
 	m.remove(jobKey(id))
 	m.removeAll(contentPrefix(id))
@@ -309,7 +307,7 @@
 	return failure.New(failure.NotFound, "check the id", "there is no job %q", id)
 }
 
-// Job returns a job.
+// Job returns the job with the id, or a NotFound error.
 func (m *Machine) Job(id string) (*Job, error) {
 	job := m.jobs[id]
 	if job == nil {
@@ -318,7 +316,7 @@
 	return job, nil
 }
 
-// EachJob calls visit with every job, in no order.
+// EachJob calls visit with every job, in no particular order.
 func (m *Machine) EachJob(visit func(job *Job)) {
 	for _, job := range m.jobs {
 		visit(job)
--- a/internal/batchstate/machine_test.go
+++ b/internal/batchstate/machine_test.go
@@ -37,7 +37,7 @@
 	return result
 }
 
-func job(id string, items int, tokens, limit int64) *wire.BatchCommand {
+func submitCommand(id string, items int, tokens, limit int64) *wire.BatchCommand {
 	submit := &wire.SubmitBatch{ID: id, Route: "r", Host: "h.example", Limit: limit}
 	for i := 0; i < items; i++ {
 		submit.Items = append(submit.Items, wire.BatchItem{ID: fmt.Sprintf("%s-%d", id, i), Path: "/p/x", Body: []byte(id), Tokens: tokens})
@@ -45,22 +45,22 @@
 	return &wire.BatchCommand{Submit: submit}
 }
 
-func news(id string, item int, state wire.ItemState, text string) *wire.BatchCommand {
+func recordCommand(id string, item int, state wire.ItemState, text string) *wire.BatchCommand {
 	return &wire.BatchCommand{Record: &wire.RecordItems{Items: []wire.ItemRecord{{Job: id, Item: item, State: state, Text: text}}}}
 }
 
-func TestQuotaCountsWhatWaits(t *testing.T) {
+func TestQuotaCountsWaitingTokens(t *testing.T) {
 	machine, store := New(), storage.NewMemory()
-	mustApply(t, machine, store, job("a", 2, 40, 100))
-	if refused := mustApply(t, machine, store, job("b", 1, 21, 100)); refused.Failure == nil || failure.Kind(refused.Failure.Kind) != failure.OverLimit || refused.Failure.RetryAfterMillis == 0 {
-		t.Fatalf("a job over the quota got %+v", refused)
+	mustApply(t, machine, store, submitCommand("a", 2, 40, 100))
+	if rejected := mustApply(t, machine, store, submitCommand("b", 1, 21, 100)); rejected.Failure == nil || failure.Kind(rejected.Failure.Kind) != failure.OverLimit || rejected.Failure.RetryAfterMillis == 0 {
+		t.Fatalf("a job over the quota got %+v", rejected)
 	}
-	if again := mustApply(t, machine, store, job("a", 2, 40, 100)); again.Failure != nil || !again.Repeated {
-		t.Fatalf("the same job again got %+v", again)
+	if repeated := mustApply(t, machine, store, submitCommand("a", 2, 40, 100)); repeated.Failure != nil || !repeated.Repeated {
+		t.Fatalf("the same job again got %+v", repeated)
 	}
-	mustApply(t, machine, store, news("a", 0, wire.ItemCompleted, "x"))
-	if taken := mustApply(t, machine, store, job("b", 1, 21, 100)); taken.Failure != nil {
-		t.Fatalf("a job that fits got %+v", taken)
+	mustApply(t, machine, store, recordCommand("a", 0, wire.ItemCompleted, "x"))
+	if accepted := mustApply(t, machine, store, submitCommand("b", 1, 21, 100)); accepted.Failure != nil {
+		t.Fatalf("a job that fits got %+v", accepted)
 	}
 	mustApply(t, machine, store, &wire.BatchCommand{End: &wire.BatchName{ID: "a"}})
 	if waiting := machine.WaitingTokens("r"); waiting != 21 {
@@ -68,14 +68,14 @@
 	}
 }
 
-func TestResultsStay(t *testing.T) {
+func TestResultsAreImmutable(t *testing.T) {
 	machine, store := New(), storage.NewMemory()
-	mustApply(t, machine, store, job("a", 3, 1, 0))
-	mustApply(t, machine, store, news("a", 2, wire.ItemCompleted, "two"))
-	mustApply(t, machine, store, news("a", 2, wire.ItemCompleted, "other"))
-	mustApply(t, machine, store, news("a", 0, wire.ItemAbandoned, "half"))
+	mustApply(t, machine, store, submitCommand("a", 3, 1, 0))
+	mustApply(t, machine, store, recordCommand("a", 2, wire.ItemCompleted, "two"))
+	mustApply(t, machine, store, recordCommand("a", 2, wire.ItemCompleted, "other"))
+	mustApply(t, machine, store, recordCommand("a", 0, wire.ItemAbandoned, "half"))
 	mustApply(t, machine, store, &wire.BatchCommand{End: &wire.BatchName{ID: "a"}})
-	mustApply(t, machine, store, news("a", 1, wire.ItemCompleted, "late"))
+	mustApply(t, machine, store, recordCommand("a", 1, wire.ItemCompleted, "late"))
 	read, err := machine.Read(store, "a", 0, 1<<20)
 	if err != nil {
 		t.Fatal(err)
@@ -92,11 +92,11 @@
 	}
 }
 
-// TestTextGrowsInOrder checks that parts are joined in order only, and that a
-// restored machine goes on from the same place.
+// TestTextGrowsInOrder checks that parts of a text are joined in order only, and that a restored
+// machine continues from the same state.
 func TestTextGrowsInOrder(t *testing.T) {
 	machine, store := New(), storage.NewMemory()
-	mustApply(t, machine, store, job("a", 1, 1, 0))
+	mustApply(t, machine, store, submitCommand("a", 1, 1, 0))
 	record := func(from, events int, text string, state wire.ItemState) {
 		mustApply(t, machine, store, &wire.BatchCommand{Record: &wire.RecordItems{Items: []wire.ItemRecord{{Job: "a", From: from, Events: events, LastEvent: int64(events), Failures: 1, Text: text, State: state}}}})
 	}
@@ -120,13 +120,12 @@
 	}
 }
 
-// TestChainsDoNotMix brings about what a leader does that loses its lease for a
-// moment: it starts an item again from the log while news of its run before are
-// still on their way. The parts of the two runs must not be joined, also where
-// their events fit.
+// TestChainsDoNotMix simulates a leader that loses its lease for a moment and starts an item again
+// from the log while records of its earlier run are still being written. Parts of the two runs
+// must not be joined, even if their events fit.
 func TestChainsDoNotMix(t *testing.T) {
 	machine, store := New(), storage.NewMemory()
-	mustApply(t, machine, store, job("a", 1, 1, 0))
+	mustApply(t, machine, store, submitCommand("a", 1, 1, 0))
 	record := func(chain uint64, opens bool, from, events int, state wire.ItemState) bool {
 		result := mustApply(t, machine, store, &wire.BatchCommand{Record: &wire.RecordItems{Items: []wire.ItemRecord{{
 			Job: "a", From: from, Events: events, LastEvent: int64(events), State: state,
@@ -135,23 +134,23 @@
 		return len(result.Dropped) == 0
 	}
 	for _, step := range []struct {
-		name   string
-		chain  uint64
-		opens  bool
-		from   int
-		events int
-		taken  bool
+		name     string
+		chain    uint64
+		opens    bool
+		from     int
+		events   int
+		accepted bool
 	}{
 		{"the first run", 1, true, 0, 10, true},
-		{"its news on their way", 1, false, 10, 20, true},
-		{"the second run from the log as it was before", 2, true, 10, 20, false},
-		{"what follows it, which would fit", 2, false, 20, 30, false},
-		{"a third run from the log as it is", 3, true, 20, 25, true},
-		{"a late part of the first run", 1, false, 25, 30, false},
-		{"the third goes on", 3, false, 25, 30, true},
+		{"its record that was still being written", 1, false, 10, 20, true},
+		{"the second run, from an older state of the log", 2, true, 10, 20, false},
+		{"the next record of the second run, whose events would fit", 2, false, 20, 30, false},
+		{"a third run, from the present state of the log", 3, true, 20, 25, true},
+		{"a late record of the first run", 1, false, 25, 30, false},
+		{"the next record of the third run", 3, false, 25, 30, true},
 	} {
-		if taken := record(step.chain, step.opens, step.from, step.events, wire.ItemWaiting); taken != step.taken {
-			t.Errorf("%s: taken %t", step.name, taken)
+		if accepted := record(step.chain, step.opens, step.from, step.events, wire.ItemWaiting); accepted != step.accepted {
+			t.Errorf("%s: accepted %t", step.name, accepted)
 		}
 		restored := New()
 		if err := restored.Restore(store); err != nil {
@@ -160,7 +159,7 @@
 		machine = restored
 	}
 	if record(2, false, 30, 40, wire.ItemCompleted) || !record(3, false, 30, 40, wire.ItemCompleted) || record(3, false, 30, 40, wire.ItemCompleted) {
-		t.Error("the wrong run ended the item")
+		t.Error("the wrong run finished the item, or a run finished it twice")
 	}
 	read, err := machine.Read(store, "a", 0, 1<<20)
 	if err != nil || len(read.Results) != 1 || read.Results[0].Text != "[1:0-10][1:10-20][3:20-25][3:25-30][3:30-40]" {
@@ -168,19 +167,19 @@
 	}
 }
 
-// model is what a reader has seen of the jobs.
-type model struct {
+// readerModel is what a reader has seen of the jobs.
+type readerModel struct {
 	positions map[string][]wire.BatchResultRow
 	ended     map[string]bool
 }
 
-// TestRandomCommands applies random commands and checks after each that what was
-// read stays, that no item stands twice, that the quota is exact, and that a
-// restored machine is the same.
+// TestRandomCommands applies random commands and checks after each that results that were read do
+// not change, that no item has two results, that the quota is exact, and that a restored machine
+// has the same state.
 func TestRandomCommands(t *testing.T) {
 	proptest.Run(t, "batch invariants", func(random *rand.Rand) error {
 		machine, store := New(), storage.NewMemory()
-		seen := model{positions: map[string][]wire.BatchResultRow{}, ended: map[string]bool{}}
+		seen := readerModel{positions: map[string][]wire.BatchResultRow{}, ended: map[string]bool{}}
 		for step := 0; step < 60; step++ {
 			if _, err := apply(machine, store, randomCommand(random)); err != nil {
 				return err
@@ -204,16 +203,16 @@
 	id := fmt.Sprintf("job-%d", random.Intn(4))
 	switch random.Intn(8) {
 	case 0, 1:
-		return job(id, 1+random.Intn(4), int64(random.Intn(50)), 150)
+		return submitCommand(id, 1+random.Intn(4), int64(random.Intn(50)), 150)
 	case 2:
 		if random.Intn(3) == 0 {
 			return &wire.BatchCommand{End: &wire.BatchName{ID: id}}
 		}
 	}
-	return news(id, random.Intn(5)-1, wire.ItemState(random.Intn(3)), fmt.Sprint(random.Intn(100)))
+	return recordCommand(id, random.Intn(5)-1, wire.ItemState(random.Intn(3)), fmt.Sprint(random.Intn(100)))
 }
 
-func (m *model) check(machine *Machine, store *storage.Memory) error {
+func (m *readerModel) check(machine *Machine, store *storage.Memory) error {
 	var waiting int64
 	var failed error
 	machine.EachJob(func(job *Job) {
@@ -222,22 +221,22 @@
 			failed = err
 			return
 		}
-		before := m.positions[job.ID]
-		if len(read.Results) < len(before) {
-			failed = fmt.Errorf("%s had %d results, now %d", job.ID, len(before), len(read.Results))
+		previous := m.positions[job.ID]
+		if len(read.Results) < len(previous) {
+			failed = fmt.Errorf("%s had %d results, now %d", job.ID, len(previous), len(read.Results))
 			return
 		}
 		items := map[string]bool{}
 		for position, row := range read.Results {
-			if position < len(before) && before[position] != row {
-				failed = fmt.Errorf("%s position %d was %+v, now %+v", job.ID, position, before[position], row)
+			if position < len(previous) && previous[position] != row {
+				failed = fmt.Errorf("%s position %d was %+v, now %+v", job.ID, position, previous[position], row)
 			}
 			if items[row.ID] {
-				failed = fmt.Errorf("%s lists %s twice", job.ID, row.ID)
+				failed = fmt.Errorf("%s has two results of item %s", job.ID, row.ID)
 			}
 			items[row.ID] = true
 		}
-		if m.ended[job.ID] && len(read.Results) > len(before) {
+		if m.ended[job.ID] && len(read.Results) > len(previous) {
 			failed = fmt.Errorf("%s took a result after its end", job.ID)
 		}
 		m.positions[job.ID], m.ended[job.ID] = read.Results, job.Ended
--- a/internal/batchstate/read.go
+++ b/internal/batchstate/read.go
@@ -9,7 +9,7 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// Restore loads the state from storage, replacing what was there.
+// Restore loads the state from storage, replacing the present one.
 func (m *Machine) Restore(reader storage.Reader) error {
 	*m = *New()
 	if err := m.restoreJobs(reader); err != nil {
@@ -27,7 +27,7 @@
 		}
 		for i := range job.Items {
 			if job.Items[i].State == wire.ItemWaiting {
-				m.count(job, job.Items[i].Tokens)
+				m.addWaiting(job, job.Items[i].Tokens)
 			}
 		}
 	}
@@ -45,16 +45,16 @@
 		job := newJob(&meta)
 		job.Ended = meta.Ended
 		for i := range meta.Items {
-			job.add(&meta.Items[i])
+			job.addItem(&meta.Items[i])
 		}
 		m.jobs[job.ID] = job
-		m.order = max(m.order, job.Sequence)
+		m.lastSequence = max(m.lastSequence, job.Sequence)
 		return true
 	})
 	return errors.CombineErrors(err, decodeErr)
 }
 
-func (m *Machine) restoreRecords(reader storage.Reader, section byte, take func(*Job, *wire.ItemRecord)) error {
+func (m *Machine) restoreRecords(reader storage.Reader, section byte, restore func(*Job, *wire.ItemRecord)) error {
 	lower, upper := sectionBounds(section)
 	var decodeErr error
 	err := reader.Scan(lower, upper, func(_, value []byte) bool {
@@ -63,7 +63,7 @@
 			return false
 		}
 		if job := m.jobs[record.Job]; job != nil {
-			take(job, &record)
+			restore(job, &record)
 		}
 		return true
 	})
@@ -73,7 +73,7 @@
 func (j *Job) restoreProgress(record *wire.ItemRecord) {
 	item := &j.Items[record.Item]
 	item.Failures = max(item.Failures, record.Failures)
-	item.add(record)
+	item.appendRecord(record)
 }
 
 func (j *Job) restoreResult(record *wire.ItemRecord) {
@@ -81,8 +81,8 @@
 	j.Results++
 }
 
-// Read returns results from a position on: at least one if there is one, and no
-// more than fit maxBytes.
+// Read returns results from a position on: at least one if there is one, and otherwise as many as
+// fit into maxBytes.
 func (m *Machine) Read(reader storage.Reader, id string, since, maxBytes int) (*wire.BatchReadResponse, error) {
 	job, err := m.Job(id)
 	if err != nil {
@@ -92,7 +92,7 @@
 	size := 0
 	for position := max(since, 0); position < job.Results; position++ {
 		var record wire.ItemRecord
-		if err := load(reader, resultKey(id, position), &record); err != nil {
+		if err := loadValue(reader, resultKey(id, position), &record); err != nil {
 			return nil, err
 		}
 		size += len(record.Text) + resultOverhead
@@ -105,16 +105,16 @@
 	return response, nil
 }
 
-// resultOverhead is what a result takes beside its text, in bytes.
+// resultOverhead is the size of a result besides its text, in bytes.
 const resultOverhead = 128
 
-// Content returns the request of an item without a result.
+// Content returns the request of an item that has no result.
 func (m *Machine) Content(reader storage.Reader, id string, item int) (*wire.ItemContent, error) {
 	content := &wire.ItemContent{}
-	return content, load(reader, contentKey(id, item), content)
+	return content, loadValue(reader, contentKey(id, item), content)
 }
 
-func load(reader storage.Reader, key []byte, message msgp.Unmarshaler) error {
+func loadValue(reader storage.Reader, key []byte, message msgp.Unmarshaler) error {
 	value, err := reader.Get(key)
 	if err != nil {
 		return err
