--- a/internal/batchstore/forget.go
+++ b/internal/batchstore/forget.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// forgetInterval is the time between looks for jobs to forget.
+	// forgetInterval is the time between two scans for jobs to forget.
 	forgetInterval = 5 * time.Second
 )
 
-// forgettable returns the jobs that ended long ago, as far as this leader knows.
+// forgettable returns the jobs that this leader first saw longer than ForgetAfter ago. They may
+// still be open.
 func (r *runner) forgettable(now time.Time) []string {
 	var names []string
-	for id, seen := range r.seen {
-		if now.Sub(seen.first) > r.store.settings.ForgetAfter.Std() {
+	for id, observed := range r.seen {
+		if now.Sub(observed.firstSeen) > r.store.settings.ForgetAfter.Std() {
 			names = append(names, id)
 		}
 	}
--- a/internal/batchstore/group.go
+++ b/internal/batchstore/group.go
@@ -10,8 +10,8 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// group is a store group as this process holds it: a replica of its state, and the
-// runner of its items, which is at work while this process leads.
+// group is a store group as this process holds it: a replica of its state, and the runner of
+// its items, which runs items only while this process leads the group.
 type group struct {
 	store   *Store
 	number  int
@@ -25,10 +25,10 @@
 	return g
 }
 
-// groupCount returns how many groups there are, zero while that is not known.
+// groupCount returns the number of groups, or zero while it is not known.
 func (s *Store) groupCount() int { return min(len(s.watcher.Current().Fleet.Initial), len(s.groups)) }
 
-// groupOf returns the group that keeps the job, or a refusal where it is not known yet.
+// groupOf returns the group that keeps the job, or an error while the groups are not known.
 func (s *Store) groupOf(job string) (*group, error) {
 	number := placement.GroupOf(job, s.groupCount())
 	if number < 0 {
@@ -37,7 +37,7 @@
 	return s.groups[number], nil
 }
 
-// read calls read with the state, if this process leads and may answer reads.
+// read calls read with the state if this process leads the group and may answer reads.
 func (g *group) read(read func(reader storage.Reader) error) error {
 	return g.store.host.Read(g.number, func(_ uint64, reader storage.Reader) error { return read(reader) })
 }
--- a/internal/batchstore/handlers.go
+++ b/internal/batchstore/handlers.go
@@ -18,7 +18,7 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// methodIndex asks the leader how far it has come.
+// methodIndex asks a group's leader up to which log index a replica must have applied entries.
 const methodIndex = "batch_index"
 
 func (s *Store) register() {
@@ -41,9 +41,9 @@
 	if err != nil {
 		return nil, err
 	}
-	job.Limit = s.limit(clock.Now(), g.number, batchstate.AccountName(tenancy.Name(job.Owner), job.Route), job.Limit)
+	job.Limit = s.groupLimit(clock.Now(), g.number, batchstate.AccountName(tenancy.Name(job.Owner), job.Route), job.Limit)
 	repeated := false
-	// What is refused anyway is not written to the log first.
+	// Check first, so that a job that would be rejected is not written to the log.
 	err = g.read(func(storage.Reader) error {
 		if _, missing := g.machine.Job(job.ID); missing == nil {
 			repeated = true
@@ -63,7 +63,7 @@
 	return result, nil
 }
 
-// submitOutcome names how the handing in of a job ended.
+// submitOutcome returns the metric label for the result of a submission.
 func submitOutcome(err error) string {
 	if err == nil {
 		return "accepted"
--- a/internal/batchstore/limits.go
+++ b/internal/batchstore/limits.go
@@ -12,40 +12,41 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// limiter keeps the tenants' limits of requests: as the hub of a zone, and as the top while
-// this process is the top hub. Locks are its owner's.
+// limiter enforces the tenants' request limits: as the hub of a zone, and as the top while this
+// process is the top hub. The owner's lock guards it.
 type limiter struct {
 	tolerance ratelimit.Tolerance
 	limits    map[ratelimit.Tenant]ratelimit.Limit
 	zones     int
 	hub       *ratelimit.Hub
-	// top is nil until this process is the top hub, topAt is when it last was.
-	top   *ratelimit.Top
-	topAt time.Time
+	// top is nil until this process first is the top hub; lastTopAt is when it last was.
+	top       *ratelimit.Top
+	lastTopAt time.Time
 }
 
 func newLimiter(now time.Time, tolerance ratelimit.Tolerance) *limiter {
 	return &limiter{tolerance: tolerance, zones: 1, hub: ratelimit.NewHub(now, newEpoch(), tolerance)}
 }
 
-// newEpoch returns a number that tells the lives of a hub or top apart; zero is none.
+// newEpoch returns a random number that identifies one incarnation of a hub or top. It is never
+// zero, which stands for none.
 func newEpoch() uint32 { return rand.Uint32N(math.MaxUint32) + 1 }
 
-// setLimits takes in the limits of a configuration, the zones that have stores, and how
-// scarce room is divided.
+// setLimits applies the limits of a configuration, the number of zones that have stores, and the
+// tenants' shares of scarce capacity.
 func (l *loads) setLimits(snapshot *fleetwatch.Snapshot) {
 	limits := snapshot.Table.Limits()
 	zones := map[string]bool{}
 	for i := range snapshot.Fleet.Stores {
 		zones[snapshot.Fleet.Stores[i].Zone] = true
 	}
-	l.hubs.Lock()
-	defer l.hubs.Unlock()
-	l.limits.set(limits, len(zones))
-	l.room.configure(clock.Now(), snapshot.Table)
+	l.hubsMutex.Lock()
+	defer l.hubsMutex.Unlock()
+	l.limits.setLimits(limits, len(zones))
+	l.capacity.configure(clock.Now(), snapshot.Table)
 }
 
-func (l *limiter) set(limits map[ratelimit.Tenant]ratelimit.Limit, zones int) {
+func (l *limiter) setLimits(limits map[ratelimit.Tenant]ratelimit.Limit, zones int) {
 	l.limits, l.zones = limits, zones
 	l.hub.SetLimits(limits, zones)
 	if l.top != nil {
@@ -53,8 +54,8 @@
 	}
 }
 
-// answer answers the questions of an edge.
-func (l *limiter) answer(now time.Time, questions []wire.TokenQuestion) []wire.TokenVerdict {
+// answerTokens answers the token requests of an edge.
+func (l *limiter) answerTokens(now time.Time, questions []wire.TokenQuestion) []wire.TokenVerdict {
 	var verdicts []wire.TokenVerdict
 	for _, question := range questions {
 		if question.Back {
@@ -77,66 +78,66 @@
 	return verdicts
 }
 
-// report returns the news for the top, nil where nobody has a limit.
+// report returns the update for the top, or nil if no tenant has a limit.
 func (l *limiter) report(now time.Time) *wire.TenantNews {
 	if len(l.limits) == 0 {
 		return nil
 	}
-	return newsToWire(l.hub.Report(now))
+	return updateToWire(l.hub.Report(now))
 }
 
-// learn takes in the top's answer, which may be nil.
-func (l *limiter) learn(now time.Time, news *wire.TenantNews) {
-	if news != nil {
-		l.hub.Apply(now, newsFromWire(news))
+// applyUpdate applies the top's answer, which may be nil.
+func (l *limiter) applyUpdate(now time.Time, update *wire.TenantNews) {
+	if update != nil {
+		l.hub.Apply(now, updateFromWire(update))
 	}
 }
 
-// answerHub answers a hub, as the top.
+// answerHub applies the report of a hub and returns the answer, as the top.
 func (l *limiter) answerHub(now time.Time, report *wire.LoadReport) *wire.TenantNews {
-	return newsToWire(l.lead(now).ApplyReport(now, report.Source, report.Zone, int(report.Sources), newsFromWire(report.Tenants)))
+	return updateToWire(l.activeTop(now).ApplyReport(now, report.Source, report.Zone, int(report.Sources), updateFromWire(report.Tenants)))
 }
 
-// leave takes in that a hub has nobody left to answer, as the top.
-func (l *limiter) leave(now time.Time, source uint32) {
+// removeHub removes a hub that no edge reports to any more, as the top.
+func (l *limiter) removeHub(now time.Time, source uint32) {
 	if len(l.limits) > 0 {
-		l.lead(now).RemoveHub(now, source)
+		l.activeTop(now).RemoveHub(now, source)
 	}
 }
 
-// tellSelf lets the hub of this process tell the top of this process, and learn from it.
-func (l *limiter) tellSelf(now time.Time, source uint32, zone string, edges int) {
+// syncOwnHub exchanges updates between the hub and the top of this process.
+func (l *limiter) syncOwnHub(now time.Time, source uint32, zone string, edges int) {
 	if len(l.limits) > 0 {
-		l.hub.Apply(now, l.lead(now).ApplyReport(now, source, zone, edges, l.hub.Report(now)))
+		l.hub.Apply(now, l.activeTop(now).ApplyReport(now, source, zone, edges, l.hub.Report(now)))
 	}
 }
 
-// lead returns the top that this process is. One that was the top hub a while ago may know
-// less than another that was it since.
-func (l *limiter) lead(now time.Time) *ratelimit.Top {
-	if l.top == nil || now.Sub(l.topAt) > loadshare.ReportTTL {
+// activeTop returns the top of this process. A top that was last used more than ReportTTL ago is
+// replaced by a new one, because another process that was the top hub since may know more.
+func (l *limiter) activeTop(now time.Time) *ratelimit.Top {
+	if l.top == nil || now.Sub(l.lastTopAt) > loadshare.ReportTTL {
 		l.top = ratelimit.NewTop(now, newEpoch(), l.tolerance)
 		l.top.SetLimits(l.limits, l.zones)
 	}
-	l.topAt = now
+	l.lastTopAt = now
 	return l.top
 }
 
 const (
-	levelParts = 100
-	shareParts = 1000
+	levelScale = 100
+	shareScale = 1000
 )
 
-func newsToWire(news *ratelimit.Update) *wire.TenantNews {
-	message := &wire.TenantNews{Epoch: news.Epoch, Mark: news.Sequence, HeardEpoch: news.AckEpoch, Heard: news.AckSequence, Complete: news.AllZonesJoined}
-	for i := range news.Rows {
-		row := &news.Rows[i]
+func updateToWire(update *ratelimit.Update) *wire.TenantNews {
+	message := &wire.TenantNews{Epoch: update.Epoch, Mark: update.Sequence, HeardEpoch: update.AckEpoch, Heard: update.AckSequence, Complete: update.AllZonesJoined}
+	for i := range update.Rows {
+		row := &update.Rows[i]
 		message.Rows = append(message.Rows, wire.TenantRow{
 			Tenant:  row.Tenant,
 			Count:   row.Taken,
-			Level:   int32(max(min(row.Level*levelParts, math.MaxInt32), math.MinInt32)),
-			Share:   uint16(row.Share * shareParts),
-			Refills: uint16(row.RefillShare * shareParts),
+			Level:   int32(max(min(row.Level*levelScale, math.MaxInt32), math.MinInt32)),
+			Share:   uint16(row.Share * shareScale),
+			Refills: uint16(row.RefillShare * shareScale),
 			Joining: row.Joining,
 			Counted: row.Counted,
 		})
@@ -144,19 +145,19 @@
 	return message
 }
 
-func newsFromWire(message *wire.TenantNews) *ratelimit.Update {
-	news := &ratelimit.Update{Epoch: message.Epoch, Sequence: message.Mark, AckEpoch: message.HeardEpoch, AckSequence: message.Heard, AllZonesJoined: message.Complete}
+func updateFromWire(message *wire.TenantNews) *ratelimit.Update {
+	update := &ratelimit.Update{Epoch: message.Epoch, Sequence: message.Mark, AckEpoch: message.HeardEpoch, AckSequence: message.Heard, AllZonesJoined: message.Complete}
 	for i := range message.Rows {
 		row := &message.Rows[i]
-		news.Rows = append(news.Rows, ratelimit.Row{
+		update.Rows = append(update.Rows, ratelimit.Row{
 			Tenant:      row.Tenant,
 			Taken:       row.Count,
-			Level:       float64(row.Level) / levelParts,
-			Share:       float64(row.Share) / shareParts,
-			RefillShare: float64(row.Refills) / shareParts,
+			Level:       float64(row.Level) / levelScale,
+			Share:       float64(row.Share) / shareScale,
+			RefillShare: float64(row.Refills) / shareScale,
 			Joining:     row.Joining,
 			Counted:     row.Counted,
 		})
 	}
-	return news
+	return update
 }
--- a/internal/batchstore/loads.go
+++ b/internal/batchstore/loads.go
@@ -22,48 +22,48 @@
 	"github.com/sedgemast/sedgemast/internal/workerset"
 )
 
-// hubGroup is the group whose leader is the top hub of all processes' loads.
+// hubGroup is the group whose leader is the top hub, to which all processes' loads are reported.
 const hubGroup = 0
 
 const (
-	// patienceParts is the part, one in so many, of the tightest goal of a pool's
-	// routes that an online request may wait for an item.
-	patienceParts = 2
-	// ownInterval is the shortest time between two plans of the top hub for itself.
-	ownInterval = 20 * time.Millisecond
+	// maxWaitDivisor divides the tightest goal of a pool's routes: the result is how long an
+	// online request may wait for an item to finish.
+	maxWaitDivisor = 2
+	// minOwnPlanInterval is the shortest time between two plans of the top hub for its own items.
+	minOwnPlanInterval = 20 * time.Millisecond
 )
 
-// loads is what this process knows of the others' loads, and of the tokens that wait
-// in the store groups.
+// loads holds what this process knows of other processes' loads, and of the tokens that wait in
+// the store groups.
 type loads struct {
-	// reporting counts the processes that tell their loads.
-	reporting atomic.Int64
+	// reporters counts the processes that report their loads to the top hub.
+	reporters atomic.Int64
 
-	// hubs guards what follows. zone is the hub for the processes that report here,
-	// top the one for all zones and runners while this process leads the hub group.
-	hubs    sync.Mutex
-	zone    *loadshare.Hub
-	top     *loadshare.Hub
-	planner *batchroom.Planner
-	// planLogDue is from when on a plan may be logged.
-	planLogDue time.Time
-	// forecasts holds those of the pools that something is forecast for.
+	// hubsMutex guards the fields below, up to mutex. zoneHub is the hub for the processes that
+	// report here, topHub the one for all zones and runners while this process leads the hub group.
+	hubsMutex sync.Mutex
+	zoneHub   *loadshare.Hub
+	topHub    *loadshare.Hub
+	planner   *batchroom.Planner
+	// nextPlanLog is the earliest time at which a plan may be logged again.
+	nextPlanLog time.Time
+	// forecasts holds the demand forecasts by pool.
 	forecasts map[string]*forecast.Forecast
-	// ownDue is from when on this process's own loads are taken in again.
-	ownDue time.Time
-	// listed is the list of workers taken in last, near and far the short names of those of
-	// this process's zone and of others.
-	listed *workerset.Set
-	near   loadshare.Set
-	far    loadshare.Set
-	// zones holds the zones of all by their short names.
-	zones  map[uint32]string
-	random *rand.Rand
-	limits *limiter
-	// room is the account of the zone's room, which is divided among tenants.
-	room *zoneRoom
-	// leftLogDue is from when on a line may say that loads were left out.
-	leftLogDue time.Time
+	// nextOwnPlan is the earliest time at which this process's own loads are applied again.
+	nextOwnPlan time.Time
+	// workers is the last list of workers. zoneWorkers and otherWorkers hold the short names of
+	// those in this process's zone and of those in other zones.
+	workers      *workerset.Set
+	zoneWorkers  loadshare.Set
+	otherWorkers loadshare.Set
+	// workerZones holds the zones of all workers by their short names.
+	workerZones map[uint32]string
+	random      *rand.Rand
+	limits      *limiter
+	// capacity measures the zone's capacity, which is divided among tenants.
+	capacity *zoneCapacity
+	// nextOmittedLog is the earliest time at which omitted loads may be logged again.
+	nextOmittedLog time.Time
 
 	// mutex guards the quotas.
 	mutex  sync.Mutex
@@ -73,20 +73,20 @@
 func newLoads(tolerance ratelimit.Tolerance) *loads {
 	seed := uint64(time.Now().UnixNano())
 	return &loads{
-		zone:      loadshare.NewHub(),
-		top:       loadshare.NewHub(),
-		planner:   batchroom.New(),
-		forecasts: map[string]*forecast.Forecast{},
-		random:    rand.New(rand.NewPCG(seed, seed)),
-		zones:     map[uint32]string{},
-		limits:    newLimiter(clock.Now(), tolerance),
-		room:      newZoneRoom(),
-		quotas:    quota.New(0),
+		zoneHub:     loadshare.NewHub(),
+		topHub:      loadshare.NewHub(),
+		planner:     batchroom.New(),
+		forecasts:   map[string]*forecast.Forecast{},
+		random:      rand.New(rand.NewPCG(seed, seed)),
+		workerZones: map[uint32]string{},
+		limits:      newLimiter(clock.Now(), tolerance),
+		capacity:    newZoneCapacity(),
+		quotas:      quota.New(0),
 	}
 }
 
-// setGroups takes in how many groups there are.
-func (l *loads) setGroups(count int) {
+// setGroupCount sets the number of store groups.
+func (l *loads) setGroupCount(count int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if count != l.quotas.GroupCount() {
@@ -94,55 +94,55 @@
 	}
 }
 
-// setWorkers takes in the list of workers for a process of the zone.
+// setWorkers applies a new list of workers, seen by a process in the zone.
 func (l *loads) setWorkers(set *workerset.Set, zone string) {
-	l.hubs.Lock()
-	defer l.hubs.Unlock()
-	// A worker that starts again leaves the list as one life and joins it as another one
-	// with the same short name, so who leaves is taken out first.
-	set.Diff(l.listed, func(*wire.PoolWorker) {}, func(row *wire.PoolWorker) {
+	l.hubsMutex.Lock()
+	defer l.hubsMutex.Unlock()
+	// A restarted worker leaves the list as one incarnation and joins it as another with the
+	// same short name, so removals come first.
+	set.Diff(l.workers, func(*wire.PoolWorker) {}, func(row *wire.PoolWorker) {
 		worker := loadshare.WorkerHash(row.ID)
-		delete(l.zones, worker)
-		l.near.Remove(worker)
-		l.far.Remove(worker)
+		delete(l.workerZones, worker)
+		l.zoneWorkers.Remove(worker)
+		l.otherWorkers.Remove(worker)
 	})
-	set.Diff(l.listed, func(row *wire.PoolWorker) {
+	set.Diff(l.workers, func(row *wire.PoolWorker) {
 		worker := loadshare.WorkerHash(row.ID)
-		l.zones[worker] = row.Zone
+		l.workerZones[worker] = row.Zone
 		if row.Zone == zone {
-			l.far.Remove(worker)
-			l.near.Add(worker)
+			l.otherWorkers.Remove(worker)
+			l.zoneWorkers.Add(worker)
 		} else {
-			l.near.Remove(worker)
-			l.far.Add(worker)
+			l.zoneWorkers.Remove(worker)
+			l.otherWorkers.Add(worker)
 		}
 	}, func(*wire.PoolWorker) {})
-	l.listed = set
+	l.workers = set
 }
 
-// zoneOf names the zone of a worker by its short name.
-func (l *loads) zoneOf(worker uint32) string { return l.zones[worker] }
+// zoneOf returns the zone of a worker, given by its short name.
+func (l *loads) zoneOf(worker uint32) string { return l.workerZones[worker] }
 
-// isNear reports whether the worker is one of this process's zone.
-func (l *loads) isNear(worker uint32) bool { return l.near.Has(worker) }
+// inZone reports whether the worker is in this process's zone.
+func (l *loads) inZone(worker uint32) bool { return l.zoneWorkers.Has(worker) }
 
-// takeLoads answers reports of loads. Edges of the zone are told what all others have.
-// While this process leads the hub group, hubs of zones are told what the other zones
-// have, and stores which items they may start and are to stop.
-func (s *Store) takeLoads(ctx context.Context) {
+// serveLoads answers load reports. Edges of the zone get the loads of all other processes.
+// While this process leads the hub group, zone hubs get the loads of the other zones, and
+// stores learn how many items they may start and must stop at each worker.
+func (s *Store) serveLoads(ctx context.Context) {
 	err := loadshare.Serve(ctx, s.daemon.Address(), func(report *wire.LoadReport) *wire.LoadReport {
 		now := clock.Now()
 		err := s.groups[hubGroup].read(func(storage.Reader) error { return nil })
-		s.loads.hubs.Lock()
-		defer s.loads.hubs.Unlock()
+		s.loads.hubsMutex.Lock()
+		defer s.loads.hubsMutex.Unlock()
 		if err == nil {
-			s.takeOwn(now)
+			s.applyOwnLoads(now)
 		}
 		switch toTop := report.Sums || len(report.Groups) > 0; {
 		case !toTop:
-			return s.answerZone(now, report)
+			return s.answerEdge(now, report)
 		case err == nil:
-			return s.answerTop(now, report)
+			return s.answerAsTop(now, report)
 		}
 		return s.referral(err)
 	})
@@ -151,10 +151,10 @@
 	}
 }
 
-// referral names the top hub to who asks this process instead, by what the refusal of
-// the hub group's replica here or else the view of the fleet says.
-func (s *Store) referral(refusal error) *wire.LoadReport {
-	hub := consensus.LeaderFromError(refusal)
+// referral returns an answer that names the top hub to a process that asked this one instead.
+// The address comes from the error of the hub group's replica here, or else from the fleet view.
+func (s *Store) referral(readErr error) *wire.LoadReport {
+	hub := consensus.LeaderFromError(readErr)
 	if hub == "" {
 		hub = s.watcher.Current().Fleet.Group(hubGroup).Leader
 	}
@@ -164,15 +164,15 @@
 	return &wire.LoadReport{Hub: hub}
 }
 
-// topHubs returns where the top hub is looked for, the likeliest first.
+// topHubs returns the addresses at which to look for the top hub, the most likely first.
 func (s *Store) topHubs() []string {
 	fleet := &s.watcher.Current().Fleet
-	place := fleet.Group(hubGroup)
+	hubPlace := fleet.Group(hubGroup)
 	var hubs []string
-	if place.Leader != "" {
-		hubs = append(hubs, place.Leader)
+	if hubPlace.Leader != "" {
+		hubs = append(hubs, hubPlace.Leader)
 	}
-	for _, address := range append(slices.Clone(place.Members), fleet.StoreAddresses()...) {
+	for _, address := range append(slices.Clone(hubPlace.Members), fleet.StoreAddresses()...) {
 		if !slices.Contains(hubs, address) {
 			hubs = append(hubs, address)
 		}
@@ -180,128 +180,127 @@
 	return hubs
 }
 
-// answerZone takes in the report of an edge. The lock of the hubs is held.
-func (s *Store) answerZone(now time.Time, report *wire.LoadReport) *wire.LoadReport {
-	s.loads.zone.ApplyReport(now, report)
-	s.noteJudged(s.loads.zone)
-	verdicts := s.loads.limits.answer(now, report.Tokens)
-	standings := s.loads.room.answer(now, report, verdicts)
-	s.logRoom(now)
+// answerEdge applies and answers the report of an edge. The caller holds hubsMutex.
+func (s *Store) answerEdge(now time.Time, report *wire.LoadReport) *wire.LoadReport {
+	s.loads.zoneHub.ApplyReport(now, report)
+	s.logHealthChanges(s.loads.zoneHub)
+	verdicts := s.loads.limits.answerTokens(now, report.Tokens)
+	capacityStandings := s.loads.capacity.answerClaims(now, report, verdicts)
+	s.logCapacity(now)
 	if report.Left || report.Quiet {
 		return nil
 	}
-	answer := &wire.LoadReport{Verdicts: verdicts, Standings: standings}
+	answer := &wire.LoadReport{Verdicts: verdicts, Standings: capacityStandings}
 	if report.Choosing && report.Repeatable {
-		answer.Probes = s.loads.zone.OnlineProbes(now, s.loads.isNear)
-		s.noteJudged(s.loads.zone)
+		answer.Probes = s.loads.zoneHub.OnlineProbes(now, s.loads.inZone)
+		s.logHealthChanges(s.loads.zoneHub)
 	}
-	// An edge of wire.GenerationFirst would take what is not named for idle.
-	if loadshare.Large(&s.loads.near) && !report.First {
+	// An edge of wire.GenerationFirst would take workers that are not named for idle.
+	if loadshare.Large(&s.loads.zoneWorkers) && !report.First {
 		answer.Drawn = true
 		if report.Choosing {
-			drawn := loadshare.Sample(s.loads.random, report.Asked, &s.loads.near, &s.loads.far)
-			// An edge that is told of no failure of a worker does not probe it.
-			drawn = append(drawn, answer.Probes...)
-			slices.Sort(drawn)
-			answer.Workers = s.loads.zone.LoadsOf(now, report.Source, slices.Compact(drawn))
+			sampled := loadshare.Sample(s.loads.random, report.Asked, &s.loads.zoneWorkers, &s.loads.otherWorkers)
+			// An edge that does not see a worker reported as failing does not probe it.
+			sampled = append(sampled, answer.Probes...)
+			slices.Sort(sampled)
+			answer.Workers = s.loads.zoneHub.LoadsOf(now, report.Source, slices.Compact(sampled))
 		}
 		return answer
 	}
-	answer.Workers, answer.Part = loadshare.Subset(s.loads.zone.PeerLoads(now, report.Source), report.Zone, s.loads.zoneOf, s.loads.random)
-	answer.Part = answer.Part || s.loads.zone.ParentPartial()
+	answer.Workers, answer.Part = loadshare.Subset(s.loads.zoneHub.PeerLoads(now, report.Source), report.Zone, s.loads.zoneOf, s.loads.random)
+	answer.Part = answer.Part || s.loads.zoneHub.ParentPartial()
 	return answer
 }
 
-// answerTop takes in the report of a zone's hub or of a store that runs items. The lock
-// of the hubs is held.
-func (s *Store) answerTop(now time.Time, report *wire.LoadReport) *wire.LoadReport {
-	s.loads.top.ApplyReport(now, report)
-	s.noteJudged(s.loads.top)
+// answerAsTop applies and answers the report of a zone's hub or of a store that runs items. The
+// caller holds hubsMutex.
+func (s *Store) answerAsTop(now time.Time, report *wire.LoadReport) *wire.LoadReport {
+	s.loads.topHub.ApplyReport(now, report)
+	s.logHealthChanges(s.loads.topHub)
 	if report.Left {
-		s.loads.limits.leave(now, report.Source)
+		s.loads.limits.removeHub(now, report.Source)
 	}
 	if report.Left || report.Quiet {
 		return nil
 	}
-	loaded := s.loads.top.UpdateFor
+	updateFor := s.loads.topHub.UpdateFor
 	if report.Sums {
-		loaded = s.loads.top.UpdateForHub
+		updateFor = s.loads.topHub.UpdateForHub
 	}
-	told := loaded(now, report.Source)
-	s.noteLeft(now, "told", told.Omitted)
-	answer := &wire.LoadReport{Workers: told.Rows, Rest: uint32(told.UnlistedRate), Part: told.Omitted > 0, Sources: uint16(s.loads.reporting.Load())}
+	update := updateFor(now, report.Source)
+	s.logOmitted(now, "told", update.Omitted)
+	answer := &wire.LoadReport{Workers: update.Rows, Rest: uint32(update.UnlistedRate), Part: update.Omitted > 0, Sources: uint16(s.loads.reporters.Load())}
 	if report.Tenants != nil {
 		answer.Tenants = s.loads.limits.answerHub(now, report)
 	}
 	if len(report.Groups) > 0 {
-		s.loads.learn(now, report.Groups)
-		s.loads.learn(now, s.ledGroups())
-		answer.Groups = s.loads.known(now)
-		answer.Workers = ordered(answer.Workers, s.order(now, report.Source, int(report.Waiting), itemsOf(report)))
+		s.loads.applyGroupTokens(now, report.Groups)
+		s.loads.applyGroupTokens(now, s.ledGroupTokens())
+		answer.Groups = s.loads.groupTokens(now)
+		answer.Workers = withOrders(answer.Workers, s.planOrders(now, report.Source, int(report.Waiting), itemsOf(report)))
 	}
 	return answer
 }
 
-// leftLogInterval is the shortest time between two lines on loads left out.
-const leftLogInterval = 10 * time.Second
+// omittedLogInterval is the shortest time between two log lines on omitted loads.
+const omittedLogInterval = 10 * time.Second
 
-// noteLeft writes down that loads did not fit into a datagram. The lock of the hubs is held.
-func (s *Store) noteLeft(now time.Time, what string, left int) {
-	if left == 0 || now.Before(s.loads.leftLogDue) {
+// logOmitted logs that loads did not fit into a datagram. The caller holds hubsMutex.
+func (s *Store) logOmitted(now time.Time, stage string, omitted int) {
+	if omitted == 0 || now.Before(s.loads.nextOmittedLog) {
 		return
 	}
-	s.loads.leftLogDue = now.Add(leftLogInterval)
-	logging.Warn(s.logger, "loads_left_out", "what", what, "rows", left, "workers", s.loads.listed.Len())
+	s.loads.nextOmittedLog = now.Add(omittedLogInterval)
+	logging.Warn(s.logger, "loads_left_out", "what", stage, "rows", omitted, "workers", s.loads.workers.Len())
 }
 
-// ownSource is the name under which the top hub takes in its own loads.
+// ownSource is the source under which the top hub applies its own loads.
 const ownSource = 0
 
-// zoneSource is the name under which this process tells the sums over its zone.
+// zoneSource is the source under which this process reports the sums over its zone.
 func (s *Store) zoneSource() uint32 { return loadshare.Hash(s.settings.Name + "/zone") }
 
-// takeOwn takes in what this process and its zone have, and orders its own runners.
-// The lock of the hubs is held.
-func (s *Store) takeOwn(now time.Time) {
-	if now.Before(s.loads.ownDue) {
+// applyOwnLoads applies the loads of this process and its zone to the top hub, and gives orders
+// to the runners of this process. The caller holds hubsMutex.
+func (s *Store) applyOwnLoads(now time.Time) {
+	if now.Before(s.loads.nextOwnPlan) {
 		return
 	}
-	s.loads.ownDue = now.Add(s.ownPause())
-	top, zone := s.loads.top, s.loads.zone
-	proofs := s.workers.ProbeResults()
-	top.ApplyReport(now, &wire.LoadReport{Source: ownSource, Workers: s.workers.Loads(), Proofs: proofs})
+	s.loads.nextOwnPlan = now.Add(s.ownPlanInterval())
+	top, zone := s.loads.topHub, s.loads.zoneHub
+	probes := s.workers.ProbeResults()
+	top.ApplyReport(now, &wire.LoadReport{Source: ownSource, Workers: s.workers.Loads(), Proofs: probes})
 	switch sums := zone.Sums(now, s.zoneSource()); {
 	case sums == nil:
 	case sums.Left:
 		top.ApplyReport(now, sums)
-		s.loads.limits.leave(now, s.zoneSource())
+		s.loads.limits.removeHub(now, s.zoneSource())
 	default:
 		top.ApplyReport(now, sums)
-		s.loads.limits.tellSelf(now, s.zoneSource(), s.settings.Zone, int(sums.Sources))
+		s.loads.limits.syncOwnHub(now, s.zoneSource(), s.settings.Zone, int(sums.Sources))
 	}
-	s.noteJudged(top)
-	above := top.UpdateForHub(now, s.zoneSource())
-	zone.SetParentLoads(now, above.Rows, above.UnlistedRate, above.Omitted > 0)
-	s.loads.reporting.Store(int64(top.SourceCount(now)) - 1)
+	s.logHealthChanges(top)
+	parent := top.UpdateForHub(now, s.zoneSource())
+	zone.SetParentLoads(now, parent.Rows, parent.UnlistedRate, parent.Omitted > 0)
+	s.loads.reporters.Store(int64(top.SourceCount(now)) - 1)
 	own := top.UpdateFor(now, ownSource)
 	s.workers.SetUnlistedRate(own.UnlistedRate)
 	s.workers.SetPeerLoads(now, own.Rows, balance.ScopeAll)
-	s.workers.SetOrders(s.order(now, ownSource, s.waiting(), s.workers.Items()))
+	s.workers.SetOrders(s.planOrders(now, ownSource, s.waitingItemCount(), s.workers.Items()))
 }
 
-// ownPause returns the time to the next plan of the top hub for itself: as long as other
-// runners wait where news age slowly.
-func (s *Store) ownPause() time.Duration {
-	pause := loadshare.HubReportInterval(s.workers.RequestRate(), s.loads.listed.Len())
-	if pause <= loadshare.Interval {
-		return ownInterval
+// ownPlanInterval returns the time to the next plan of the top hub for its own items. It is
+// longer than the minimum where zone hubs and other runners report less often than usual.
+func (s *Store) ownPlanInterval() time.Duration {
+	interval := loadshare.HubReportInterval(s.workers.RequestRate(), s.loads.workers.Len())
+	if interval <= loadshare.Interval {
+		return minOwnPlanInterval
 	}
-	return pause
+	return interval
 }
 
-// tellZone tells the top hub the sums over the zone that reports here, while another
-// process is the top hub.
-func (s *Store) tellZone(ctx context.Context) {
+// reportZone reports the sums over the zone to the top hub while that is another process.
+func (s *Store) reportZone(ctx context.Context) {
 	err := loadshare.Report(ctx, &loadshare.Reporter{
 		Meter: s.daemon.Traffic,
 		Hubs:  s.topHubs,
@@ -309,26 +308,26 @@
 			if s.groups[hubGroup].leads() {
 				return nil
 			}
-			s.loads.hubs.Lock()
-			defer s.loads.hubs.Unlock()
+			s.loads.hubsMutex.Lock()
+			defer s.loads.hubsMutex.Unlock()
 			now := clock.Now()
-			sums := s.loads.zone.Sums(now, s.zoneSource())
+			sums := s.loads.zoneHub.Sums(now, s.zoneSource())
 			if sums != nil && !sums.Left {
-				s.noteLeft(now, "summed", s.loads.zone.OmittedCount())
+				s.logOmitted(now, "summed", s.loads.zoneHub.OmittedCount())
 				sums.Zone, sums.Tenants = s.settings.Zone, s.loads.limits.report(now)
 			}
 			return sums
 		},
 		OnAnswer: func(now time.Time, answer *wire.LoadReport) {
-			s.loads.hubs.Lock()
-			defer s.loads.hubs.Unlock()
-			s.loads.zone.SetParentLoads(now, answer.Workers, int(answer.Rest), answer.Part)
-			s.loads.limits.learn(now, answer.Tenants)
+			s.loads.hubsMutex.Lock()
+			defer s.loads.hubsMutex.Unlock()
+			s.loads.zoneHub.SetParentLoads(now, answer.Workers, int(answer.Rest), answer.Part)
+			s.loads.limits.applyUpdate(now, answer.Tenants)
 		},
 		Interval: func() time.Duration {
-			s.loads.hubs.Lock()
-			defer s.loads.hubs.Unlock()
-			return loadshare.HubReportInterval(s.loads.zone.RequestRate(), s.loads.listed.Len())
+			s.loads.hubsMutex.Lock()
+			defer s.loads.hubsMutex.Unlock()
+			return loadshare.HubReportInterval(s.loads.zoneHub.RequestRate(), s.loads.workers.Len())
 		},
 	})
 	if err != nil {
@@ -336,7 +335,7 @@
 	}
 }
 
-// itemsOf returns the items that run by a report, by worker.
+// itemsOf returns the number of items that run at each worker, from a report.
 func itemsOf(report *wire.LoadReport) map[uint32]int {
 	items := make(map[uint32]int, len(report.Workers))
 	for i := range report.Workers {
@@ -347,8 +346,8 @@
 	return items
 }
 
-// waiting counts the items that could start here.
-func (s *Store) waiting() int {
+// waitingItemCount returns the number of items that could start here.
+func (s *Store) waitingItemCount() int {
 	waiting := 0
 	for _, g := range s.groups {
 		waiting += int(g.runner.waiting.Load())
@@ -356,25 +355,25 @@
 	return waiting
 }
 
-// tellLoads tells the hub what this process runs, while another one is the hub.
-func (s *Store) tellLoads(ctx context.Context) {
+// reportLoads reports to the top hub what this process runs, while the hub is another process.
+func (s *Store) reportLoads(ctx context.Context) {
 	source := loadshare.Hash(s.settings.Name)
 	err := loadshare.Report(ctx, &loadshare.Reporter{
 		Meter: s.daemon.Traffic,
 		Hubs:  s.topHubs,
 		Report: func() *wire.LoadReport {
-			led := s.ledGroups()
+			led := s.ledGroupTokens()
 			if len(led) == 0 || s.groups[hubGroup].leads() {
 				return nil
 			}
-			proofs := s.workers.ProbeResults()
-			return &wire.LoadReport{Source: source, Workers: s.workers.Loads(), Proofs: proofs, Waiting: uint32(s.waiting()), Groups: led}
+			probes := s.workers.ProbeResults()
+			return &wire.LoadReport{Source: source, Workers: s.workers.Loads(), Proofs: probes, Waiting: uint32(s.waitingItemCount()), Groups: led}
 		},
 		OnAnswer: func(now time.Time, answer *wire.LoadReport) {
 			s.workers.SetUnlistedRate(int(answer.Rest))
 			s.workers.SetPeerLoads(now, answer.Workers, balance.ScopeAll)
-			s.loads.reporting.Store(int64(answer.Sources))
-			s.loads.learn(now, answer.Groups)
+			s.loads.reporters.Store(int64(answer.Sources))
+			s.loads.applyGroupTokens(now, answer.Groups)
 		},
 		Interval: func() time.Duration {
 			return loadshare.HubReportInterval(s.workers.RequestRate(), s.watcher.Current().Workers.Len())
@@ -385,8 +384,8 @@
 	}
 }
 
-// batchShare returns the part of a worker's slots, in hundredths, that items of this
-// process may take while no planner is heard.
+// batchShare returns the share of a worker's slots, in percent, that items of this process may
+// use while no planner can be reached.
 func (s *Store) batchShare() int {
 	runners := min(len(s.watcher.Current().Fleet.Stores), s.groupCount())
 	return max(s.settings.BatchShare/max(runners, 1), 1)
--- a/internal/batchstore/loads_test.go
+++ b/internal/batchstore/loads_test.go
@@ -24,8 +24,8 @@
 	"github.com/sedgemast/sedgemast/internal/workerset"
 )
 
-// storeIn returns a store that knows the fleet and is a member of no group.
-func storeIn(t *testing.T, fleet *wire.FleetView) *Store {
+// newStoreWithFleet returns a store that knows the fleet and is a member of no group.
+func newStoreWithFleet(t *testing.T, fleet *wire.FleetView) *Store {
 	t.Helper()
 	mux := rpctest.NewMux()
 	rpc.Handle(mux, wire.MethodWatch, func(ctx context.Context, request *wire.WatchRequest) (msgp.Marshaler, error) {
@@ -62,54 +62,53 @@
 	return s
 }
 
-// TestTheTopHubIsFoundByTheView lets a store that is a member of no group look for the
-// top hub: the leader of the hub group comes first, then its members, then all; who asks
-// this store is referred to that leader. Before, it named nobody, and who asked went
-// from store to store.
+// TestTheTopHubIsFoundByTheView guards against a store that is a member of no group naming no
+// top hub, which sent its callers from store to store. It must look for the hub at the leader of
+// the hub group first, then at its members, then at all stores, and refer callers to the leader.
 func TestTheTopHubIsFoundByTheView(t *testing.T) {
-	place := wire.GroupPlace{Leader: "c:1", Members: []string{"b:1", "c:1"}}
+	hubPlace := wire.GroupPlace{Leader: "c:1", Members: []string{"b:1", "c:1"}}
 	stores := []wire.ProcessAddress{{Address: "a:1"}, {Address: "b:1"}, {Address: "c:1"}, {Address: "d:1"}}
-	s := storeIn(t, &wire.FleetView{Stores: stores, Groups: []wire.GroupPlace{place}})
+	s := newStoreWithFleet(t, &wire.FleetView{Stores: stores, Groups: []wire.GroupPlace{hubPlace}})
 	if hubs := s.topHubs(); !slices.Equal(hubs, []string{"c:1", "b:1", "a:1", "d:1"}) {
-		t.Errorf("the hub is looked for at %v", hubs)
+		t.Errorf("topHubs returned %v", hubs)
 	}
-	ignorant := failure.New(failure.NotRun, "ask the leader", "this replica does not lead")
-	if named := s.referral(ignorant); named == nil || named.Hub != "c:1" {
-		t.Errorf("referred to %+v", named)
+	notLeader := failure.New(failure.NotRun, "ask the leader", "this replica does not lead")
+	if referral := s.referral(notLeader); referral == nil || referral.Hub != "c:1" {
+		t.Errorf("referred to %+v", referral)
 	}
-	if named := s.referral(ignorant.WithField(consensus.LeaderFieldPrefix + "d:1")); named == nil || named.Hub != "d:1" {
-		t.Errorf("referred to %+v, though the replica knows better", named)
+	if referral := s.referral(notLeader.WithField(consensus.LeaderFieldPrefix + "d:1")); referral == nil || referral.Hub != "d:1" {
+		t.Errorf("referred to %+v, want the leader that the replica named", referral)
 	}
-	if named := s.referral(ignorant.WithField(consensus.LeaderFieldPrefix + s.daemon.Address())); named != nil {
-		t.Errorf("referred to itself: %+v", named)
+	if referral := s.referral(notLeader.WithField(consensus.LeaderFieldPrefix + s.daemon.Address())); referral != nil {
+		t.Errorf("referred to itself: %+v", referral)
 	}
 }
 
-// TestEdgesAreAnsweredByAnyStore lets a store that leads nothing take in the reports of
-// two edges: each is told of the other's requests, a quiet report is not answered, and
-// who leaves counts no more.
+// TestEdgesAreAnsweredByAnyStore sends reports of two edges to a store that leads no group. Each
+// edge gets the other's requests, a quiet report gets no answer, and an edge that sent its last
+// report no longer counts.
 func TestEdgesAreAnsweredByAnyStore(t *testing.T) {
-	s := storeIn(t, &wire.FleetView{Stores: []wire.ProcessAddress{{Address: "a:1"}}})
-	tell := func(source uint32, online uint16, quiet, left bool) *wire.LoadReport {
-		return s.answerZone(start, &wire.LoadReport{Source: source, Quiet: quiet, Left: left, Workers: []wire.WorkerLoad{{Worker: 7, Online: online}}})
+	s := newStoreWithFleet(t, &wire.FleetView{Stores: []wire.ProcessAddress{{Address: "a:1"}}})
+	report := func(source uint32, online uint16, quiet, left bool) *wire.LoadReport {
+		return s.answerEdge(start, &wire.LoadReport{Source: source, Quiet: quiet, Left: left, Workers: []wire.WorkerLoad{{Worker: 7, Online: online}}})
 	}
-	if answer := tell(1, 3, true, false); answer != nil {
-		t.Errorf("a quiet report is answered: %+v", answer)
+	if answer := report(1, 3, true, false); answer != nil {
+		t.Errorf("a quiet report got an answer: %+v", answer)
 	}
-	if answer := tell(2, 1, false, false); len(answer.Workers) != 1 || answer.Workers[0].Online != 3 || answer.Part {
-		t.Errorf("told %+v", answer)
+	if answer := report(2, 1, false, false); len(answer.Workers) != 1 || answer.Workers[0].Online != 3 || answer.Part {
+		t.Errorf("the second edge got %+v", answer)
 	}
-	if answer := tell(1, 0, false, true); answer != nil {
-		t.Errorf("a farewell is answered: %+v", answer)
+	if answer := report(1, 0, false, true); answer != nil {
+		t.Errorf("the last report of an edge got an answer: %+v", answer)
 	}
-	if answer := tell(2, 1, false, false); len(answer.Workers) != 0 {
-		t.Errorf("told %+v after the other left", answer)
+	if answer := report(2, 1, false, false); len(answer.Workers) != 0 {
+		t.Errorf("got %+v after the other edge left", answer)
 	}
 }
 
-// TestFirstGenerationIsToldOfTheZone lets edges of both generations report to a hub in a
-// large zone. One of the first generation takes a worker that is not named for idle, so it
-// is never told of some that were drawn.
+// TestFirstGenerationIsToldOfTheZone sends reports of edges of both generations to a hub in a
+// large zone. An edge of the first generation takes a worker that is not named for idle, so it
+// must never get a sample of the workers.
 func TestFirstGenerationIsToldOfTheZone(t *testing.T) {
 	s := &Store{loads: newLoads(ratelimit.Tolerance{})}
 	var rows []wire.PoolWorker
@@ -118,12 +117,12 @@
 	}
 	s.loads.setWorkers(workerset.Of(rows), "z")
 	now := clock.Now()
-	s.loads.zone.ApplyReport(now, &wire.LoadReport{Source: 7, Workers: []wire.WorkerLoad{{Worker: loadshare.Hash("11"), Online: 3}}})
-	first := s.answerZone(now, &wire.LoadReport{Source: 8, Zone: "z", First: true})
+	s.loads.zoneHub.ApplyReport(now, &wire.LoadReport{Source: 7, Workers: []wire.WorkerLoad{{Worker: loadshare.Hash("11"), Online: 3}}})
+	first := s.answerEdge(now, &wire.LoadReport{Source: 8, Zone: "z", First: true})
 	if first.Drawn || len(first.Workers) != 1 || first.Workers[0].Online != 3 {
-		t.Errorf("an edge of the first generation is told %+v", first)
+		t.Errorf("an edge of the first generation got %+v", first)
 	}
-	if second := s.answerZone(now, &wire.LoadReport{Source: 9, Zone: "z"}); !second.Drawn {
-		t.Errorf("another one is told %+v", second)
+	if second := s.answerEdge(now, &wire.LoadReport{Source: 9, Zone: "z"}); !second.Drawn {
+		t.Errorf("an edge of the second generation got %+v", second)
 	}
 }
--- a/internal/batchstore/metrics.go
+++ b/internal/batchstore/metrics.go
@@ -4,16 +4,16 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metrics are what the process counts.
+// metrics are the metrics of the process.
 type metrics struct {
 	jobs     *prometheus.CounterVec
 	attempts *prometheus.CounterVec
 	runTime  prometheus.Histogram
-	// judged counts changes in the judgement of workers, by what they are now.
-	judged *prometheus.CounterVec
-	// forecastOff is by how many slots forecasts of the online need miss, and by how many the
-	// need when they were made does, taken for a forecast.
-	forecastOff *prometheus.GaugeVec
+	// healthChanges counts changes in the health rating of workers, by the new rating.
+	healthChanges *prometheus.CounterVec
+	// forecastError is the mean error of the forecasts of online demand, in slots, and as a
+	// baseline the mean error of taking the demand at that moment as the forecast.
+	forecastError *prometheus.GaugeVec
 }
 
 func newMetrics(registry *prometheus.Registry) *metrics {
@@ -22,14 +22,14 @@
 		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "store_item_attempts_total", Help: "Attempts at items, by how they ended."}, []string{"outcome"}),
 		runTime:  prometheus.NewHistogram(prometheus.HistogramOpts{Name: "store_item_seconds", Help: "How long attempts took.", Buckets: []float64{.1, .3, 1, 2, 3, 5, 7, 10, 15, 20, 30}}),
 	}
-	m.judged = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "store_workers_judged_total", Help: "Changes in the judgement of workers that fail requests: avoided, probed, readmitted."}, []string{"change"})
-	m.forecastOff = prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "store_forecast_off_slots", Help: "By how many slots the online need differs from what was forecast 200 ms before, in the mean, by pool and way; zero without a pattern."}, []string{"pool", "way"})
-	registry.MustRegister(m.judged, m.jobs, m.attempts, m.runTime, m.forecastOff)
+	m.healthChanges = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "store_workers_judged_total", Help: "Changes in the judgement of workers that fail requests: avoided, probed, readmitted."}, []string{"change"})
+	m.forecastError = prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "store_forecast_off_slots", Help: "By how many slots the online need differs from what was forecast 200 ms before, in the mean, by pool and way; zero without a pattern."}, []string{"pool", "way"})
+	registry.MustRegister(m.healthChanges, m.jobs, m.attempts, m.runTime, m.forecastError)
 	return m
 }
 
-// outcomeOf names how an attempt at an item ended.
-func (t *task) outcomeOf(err error) string {
+// outcome returns the metric label for how an attempt at an item ended.
+func (t *task) outcome(err error) string {
 	switch {
 	case t.finished:
 		return "finished"
--- a/internal/batchstore/outlook.go
+++ b/internal/batchstore/outlook.go
@@ -10,63 +10,63 @@
 	"github.com/sedgemast/sedgemast/internal/routetable"
 )
 
-// foresees reports whether the need of online requests is forecast for a pool: where
-// tenants share it, or where its workers tell their pace.
-func (s *Store) foresees(table *routetable.Table, pool string) bool {
+// forecastEnabled reports whether online demand is forecast for a pool: tenants share the pool,
+// or its workers report their pace.
+func (s *Store) forecastEnabled(table *routetable.Table, pool string) bool {
 	return table.RequiresKeys() || s.workers.ReportsPace(pool)
 }
 
-// foresee takes in the present need and returns what is known of the next moments. The
-// lock of the hubs is held.
-func (s *Store) foresee(now time.Time, table *routetable.Table, places *batchroom.Workers) []batchroom.Forecast {
+// updateForecasts records the present demand and returns the forecasts of the pools that have
+// one. The caller holds hubsMutex.
+func (s *Store) updateForecasts(now time.Time, table *routetable.Table, workers *batchroom.Workers) []batchroom.Forecast {
 	var pools []string
 	for _, pool := range s.workers.Pools() {
-		if s.foresees(table, pool) {
+		if s.forecastEnabled(table, pool) {
 			pools = append(pools, pool)
 		} else {
 			delete(s.loads.forecasts, pool)
 		}
 	}
-	var foreseen []batchroom.Forecast
-	for _, outlook := range s.workers.Forecasts(places, pools) {
-		known := s.forecastOf(outlook.Pool)
-		known.Observe(now, float64(outlook.Online))
-		outlook.ReportAge = loadshare.HubReportInterval(s.workers.RequestRate(), s.loads.listed.Len())
-		outlook.Paused = !known.WarmedUp()
-		outlook.Peak = func(ahead time.Duration) forecast.Demand { return known.Peak(now, ahead) }
-		foreseen = append(foreseen, outlook)
-		s.tellForecast(outlook.Pool, known)
+	var forecasts []batchroom.Forecast
+	for _, poolForecast := range s.workers.Forecasts(workers, pools) {
+		predictor := s.forecastFor(poolForecast.Pool)
+		predictor.Observe(now, float64(poolForecast.Online))
+		poolForecast.ReportAge = loadshare.HubReportInterval(s.workers.RequestRate(), s.loads.workers.Len())
+		poolForecast.Paused = !predictor.WarmedUp()
+		poolForecast.Peak = func(ahead time.Duration) forecast.Demand { return predictor.Peak(now, ahead) }
+		forecasts = append(forecasts, poolForecast)
+		s.reportForecast(poolForecast.Pool, predictor)
 	}
-	return foreseen
+	return forecasts
 }
 
-// forecastOf returns the forecast of a pool.
-func (s *Store) forecastOf(pool string) *forecast.Forecast {
-	known := s.loads.forecasts[pool]
-	if known == nil {
-		known = forecast.New()
-		s.loads.forecasts[pool] = known
+// forecastFor returns the forecast of a pool, creating it if needed.
+func (s *Store) forecastFor(pool string) *forecast.Forecast {
+	predictor := s.loads.forecasts[pool]
+	if predictor == nil {
+		predictor = forecast.New()
+		s.loads.forecasts[pool] = predictor
 	}
-	return known
+	return predictor
 }
 
-// tellForecast writes down what a forecast has learnt or given up, and how good it is.
-func (s *Store) tellForecast(pool string, known *forecast.Forecast) {
-	score := known.Score()
-	s.metrics.forecastOff.WithLabelValues(pool, "forecast").Set(score.MeanError)
-	s.metrics.forecastOff.WithLabelValues(pool, "present").Set(score.BaselineError)
-	switch news := known.Changes(); {
-	case news.Learned:
-		logging.Info(s.logger, "pattern_learnt", "pool", pool, "cycle_ms", news.Period.Milliseconds(), "waves", news.Waves, "length_ms", news.Duration.Milliseconds(), "height", int(news.Amplitude))
-	case news.Abandoned:
-		logging.Info(s.logger, "pattern_given_up", "pool", pool, "cycle_ms", news.Period.Milliseconds(), "waves", news.Waves)
+// reportForecast logs patterns that were learned or abandoned, and updates the error metrics.
+func (s *Store) reportForecast(pool string, predictor *forecast.Forecast) {
+	score := predictor.Score()
+	s.metrics.forecastError.WithLabelValues(pool, "forecast").Set(score.MeanError)
+	s.metrics.forecastError.WithLabelValues(pool, "present").Set(score.BaselineError)
+	switch changes := predictor.Changes(); {
+	case changes.Learned:
+		logging.Info(s.logger, "pattern_learnt", "pool", pool, "cycle_ms", changes.Period.Milliseconds(), "waves", changes.Waves, "length_ms", changes.Duration.Milliseconds(), "height", int(changes.Amplitude))
+	case changes.Abandoned:
+		logging.Info(s.logger, "pattern_given_up", "pool", pool, "cycle_ms", changes.Period.Milliseconds(), "waves", changes.Waves)
 	}
 }
 
-// untilMillis returns how long it is until the level changes, zero where that is unknown.
-func untilMillis(now time.Time, need forecast.Demand) int64 {
-	if need.Until.IsZero() {
+// untilMillis returns the milliseconds until the forecast demand changes, or zero if unknown.
+func untilMillis(now time.Time, demand forecast.Demand) int64 {
+	if demand.Until.IsZero() {
 		return 0
 	}
-	return max(need.Until.Sub(now), 0).Milliseconds()
+	return max(demand.Until.Sub(now), 0).Milliseconds()
 }
--- a/internal/batchstore/outlook_test.go
+++ b/internal/batchstore/outlook_test.go
@@ -17,115 +17,116 @@
 	"github.com/sedgemast/sedgemast/internal/workerset"
 )
 
-// tenants is a configuration in which the job's route is used by a tenant.
-func tenants() *routetable.Table {
+// tenantTable returns a configuration in which a tenant uses the job's route.
+func tenantTable() *routetable.Table {
 	return routetable.NewTable(&routetable.Configuration{
 		Routes:  []routetable.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: routetable.KindBatch, RunGoalMillis: 20000}},
 		Tenants: []routetable.Tenant{{Name: tenancy.Name("t")}},
 	})
 }
 
-// online tells that so many online requests are at the only worker.
-func (r *runner) online(now time.Time, count int) {
+// setOnlineLoad reports count online requests at the only worker.
+func (r *runner) setOnlineLoad(now time.Time, count int) {
 	rows := []wire.WorkerLoad{{Worker: loadshare.WorkerHash("w"), Online: uint16(count)}}
 	r.store.workers.SetPeerLoads(now, rows, balance.ScopeAll)
 }
 
-// TestNothingIsForecastWithoutTenants checks the switch: where nobody is named and no
-// worker tells its pace, nothing is forecast, and nothing is held back.
+// TestNothingIsForecastWithoutTenants checks that nothing is forecast, and no item is held back,
+// if there are no tenants and no worker reports its pace.
 func TestNothingIsForecastWithoutTenants(t *testing.T) {
 	r := testRunner(t, 1)
 	r.store.metrics = newMetrics(prometheus.NewRegistry())
-	r.online(start, 1)
-	places := r.store.workers.Workers(start, func(string) time.Duration { return 0 })
-	if outlooks := r.store.foresee(start, table(), &places); outlooks != nil || len(r.store.loads.forecasts) > 0 {
-		t.Errorf("without tenants: %+v", outlooks)
+	r.setOnlineLoad(start, 1)
+	workers := r.store.workers.Workers(start, func(string) time.Duration { return 0 })
+	if forecasts := r.store.updateForecasts(start, table(), &workers); forecasts != nil || len(r.store.loads.forecasts) > 0 {
+		t.Errorf("without tenants: %+v", forecasts)
 	}
-	outlooks := r.store.foresee(start, tenants(), &places)
-	if len(outlooks) != 1 || outlooks[0].Pool != "p" || !outlooks[0].Paused || outlooks[0].Online != 1 {
-		t.Errorf("with tenants: %+v", outlooks)
+	forecasts := r.store.updateForecasts(start, tenantTable(), &workers)
+	if len(forecasts) != 1 || forecasts[0].Pool != "p" || !forecasts[0].Paused || forecasts[0].Online != 1 {
+		t.Errorf("with tenants: %+v", forecasts)
 	}
-	if r.store.foresee(start, table(), &places); len(r.store.loads.forecasts) > 0 {
-		t.Error("the forecast is kept once it is switched off")
+	if r.store.updateForecasts(start, table(), &workers); len(r.store.loads.forecasts) > 0 {
+		t.Error("the forecast was kept after forecasts were disabled")
 	}
 }
 
-// TestPlansWithoutTenantsAreAsBefore compares orders of a store to those of a planner that
-// is told of no outlook.
+// TestPlansWithoutTenantsAreAsBefore compares the orders of a store to those of a planner that
+// has no forecasts.
 func TestPlansWithoutTenantsAreAsBefore(t *testing.T) {
 	r := testRunner(t, 1)
 	now := start
 	for online := range 2 * slots {
-		now = now.Add(runInterval)
-		r.online(now, online)
-		got := r.store.order(now, ownSource, 3, map[uint32]int{loadshare.WorkerHash("w"): 4})
-		places := r.store.workers.Workers(now, func(string) time.Duration { return 0 })
-		want := r.store.loads.planner.Plan(ownSource, places)
+		now = now.Add(leaderPollInterval)
+		r.setOnlineLoad(now, online)
+		got := r.store.planOrders(now, ownSource, 3, map[uint32]int{loadshare.WorkerHash("w"): 4})
+		workers := r.store.workers.Workers(now, func(string) time.Duration { return 0 })
+		want := r.store.loads.planner.Plan(ownSource, workers)
 		if !maps.Equal(got, want) {
 			t.Errorf("%d online: %+v, want %+v", online, got, want)
 		}
 	}
 }
 
-// TestWhoLeavesAheadIsChosen lets a planner stop items where nobody waits: the one that is
-// nearest to its end stays. Where requests wait the one with the least slack stays, as it
-// does without a forecast.
-func TestWhoLeavesAheadIsChosen(t *testing.T) {
-	for _, crowded := range []bool{false, true} {
+// TestAdvancePreemptionKeepsNearlyFinishedItems stops one of two items. If no requests wait yet,
+// the item that is nearest to its end stays. If requests wait, the one with the least slack
+// stays, as it does without a forecast.
+func TestAdvancePreemptionKeepsNearlyFinishedItems(t *testing.T) {
+	for _, overloaded := range []bool{false, true} {
 		r := testRunner(t, 2)
-		r.store.runTimes.add(5*time.Second, 100)
-		long, ending := r.runItem(t, 0, start), r.runItem(t, 1, start)
-		long.pool, ending.pool = "p", "p"
-		r.order(start, tenants())
-		r.carried[ending.key] = carry{events: 90}
-		now := start.Add(leastRun)
-		r.online(now, 1)
-		if crowded {
-			r.online(now, slots)
+		r.store.runTimes.addRun(5*time.Second, 100)
+		fresh, nearlyDone := r.runItem(t, 0, start), r.runItem(t, 1, start)
+		fresh.pool, nearlyDone.pool = "p", "p"
+		r.waitingItems(start, tenantTable())
+		r.savedProgress[nearlyDone.key] = progress{events: 90}
+		now := start.Add(minRunTime)
+		r.setOnlineLoad(now, 1)
+		if overloaded {
+			r.setOnlineLoad(now, slots)
 		}
 		r.store.workers.SetOrders(map[uint32]batchroom.Order{loadshare.WorkerHash("w"): {Stop: 1}})
-		r.yield(now, tenants())
-		if long.context.Err() != nil == crowded || ending.context.Err() != nil != crowded {
-			t.Errorf("crowded %t: long %v, ending %v", crowded, long.context.Err(), ending.context.Err())
+		r.preempt(now, tenantTable())
+		if fresh.context.Err() != nil == overloaded || nearlyDone.context.Err() != nil != overloaded {
+			t.Errorf("overloaded %t: fresh item %v, nearly done item %v", overloaded, fresh.context.Err(), nearlyDone.context.Err())
 		}
 	}
 }
 
-// TestForecastIsTold checks that a pattern that is learnt and one that is given up are
-// known to whoever reads the score.
-func TestForecastIsTold(t *testing.T) {
+// TestForecastChangesAreReportedOnce checks that reportForecast consumes the changes of a
+// forecast that has learned a pattern.
+func TestForecastChangesAreReportedOnce(t *testing.T) {
 	r := testRunner(t, 1)
 	r.store.metrics = newMetrics(prometheus.NewRegistry())
-	known := r.store.forecastOf("p")
+	predictor := r.store.forecastFor("p")
 	const cycle, wave = 4 * time.Second, 2 * time.Second
-	sure := false
-	for at := time.Duration(0); at < 10*cycle; at += runInterval {
-		need := 20.0
+	confident := false
+	for at := time.Duration(0); at < 10*cycle; at += leaderPollInterval {
+		demand := 20.0
 		if at%cycle >= wave {
-			need = 200
+			demand = 200
 		}
-		known.Observe(start.Add(at), need)
-		r.store.tellForecast("p", known)
-		sure = known.Peak(start.Add(at), 0).Confident
+		predictor.Observe(start.Add(at), demand)
+		r.store.reportForecast("p", predictor)
+		confident = predictor.Peak(start.Add(at), 0).Confident
 	}
-	if !sure {
-		t.Fatal("the pattern is not learnt")
+	if !confident {
+		t.Fatal("the pattern was not learned")
 	}
-	if news := known.Changes(); news.Learned || news.Abandoned {
-		t.Errorf("what was told is told again: %+v", news)
+	if changes := predictor.Changes(); changes.Learned || changes.Abandoned {
+		t.Errorf("a change was reported twice: %+v", changes)
 	}
 }
 
-// TestItemsLeaveBeforeAWave feeds a store, as the top hub, with waves at 40 workers that are
-// full of items otherwise: once the pattern is known it orders stops before the wave begins,
-// about as many as it needs, spread over the workers; and none in the valley.
-func TestItemsLeaveBeforeAWave(t *testing.T) {
+// TestItemsArePreemptedBeforeWave feeds a store, as the top hub, with waves of online requests at
+// 40 workers that are otherwise full of items. Once the pattern is learned, the store must order
+// stops before a wave begins, about as many as it needs, spread over the workers, and none in
+// the valleys.
+func TestItemsArePreemptedBeforeWave(t *testing.T) {
 	const (
 		workers     = 40
 		cycle, wave = 4 * time.Second, 2 * time.Second
 		low, high   = 1, 6
 		items       = 6
-		before      = 60 * time.Millisecond
+		stopWindow  = 60 * time.Millisecond
 	)
 	r := testRunner(t, 1)
 	r.store.metrics = newMetrics(prometheus.NewRegistry())
@@ -137,7 +138,7 @@
 		running[loadshare.WorkerHash(id)] = items
 	}
 	r.store.workers.Update(workerset.Of(rows), nil)
-	table := tenants()
+	table := tenantTable()
 	planAt := func(at time.Duration) (stops, most int) {
 		count := low
 		if at%cycle >= cycle-wave {
@@ -149,21 +150,21 @@
 			loads = append(loads, wire.WorkerLoad{Worker: worker, Online: uint16(count)})
 		}
 		r.store.workers.SetPeerLoads(now, loads, balance.ScopeAll)
-		for _, order := range r.store.orderBy(now, table, ownSource, 0, running) {
+		for _, order := range r.store.planOrdersWith(now, table, ownSource, 0, running) {
 			stops += order.Stop
 			most = max(most, order.Stop)
 		}
 		return stops, most
 	}
-	begin := 5*cycle - wave
-	for at := time.Duration(0); at < begin; at += runInterval {
+	onset := 5*cycle - wave
+	for at := time.Duration(0); at < onset; at += leaderPollInterval {
 		stops, most := planAt(at)
 		switch {
-		case at >= 4*cycle+time.Second && at < begin-time.Second/2 && stops > 0:
+		case at >= 4*cycle+time.Second && at < onset-time.Second/2 && stops > 0:
 			t.Fatalf("%s: %d stops in the valley", at, stops)
-		case at < begin-before:
+		case at < onset-stopWindow:
 		case stops < workers*(high+items-slots) || most > high+items-slots+1:
-			t.Errorf("%s before the wave: %d stops, %d at one worker", begin-at, stops, most)
+			t.Errorf("%s before the wave: %d stops, %d at one worker", onset-at, stops, most)
 		}
 	}
 }
--- a/internal/batchstore/plan.go
+++ b/internal/batchstore/plan.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// maxStarts bounds the items that are started at one look.
+	// maxStarts bounds the items that are started in one poll.
 	maxStarts = 64
-	// routeGrace is how long a route must be gone before its items are given up.
+	// routeGrace is how long a route must be missing before its items are abandoned.
 	routeGrace = 2 * time.Second
-	// loadsTime is how long a new leader listens before it starts items,
-	// loadsPatience the longest that it waits for edges to be heard.
-	loadsTime     = 400 * time.Millisecond
-	loadsPatience = 1200 * time.Millisecond
+	// minLoadsWait is how long a new leader collects load reports before it starts items.
+	// maxLoadsWait bounds how long it waits for edges to report.
+	minLoadsWait = 400 * time.Millisecond
+	maxLoadsWait = 1200 * time.Millisecond
 )
 
-// plan stops the tasks of jobs that take no results, and prepares tasks for
-// waiting items in the order of package batchplan.
+// plan cancels the tasks of jobs that take no more results, and prepares tasks for waiting items
+// in the order of package batchplan.
 func (r *runner) plan(ctx context.Context, now time.Time, reader storage.Reader) []*task {
 	machine := r.group.machine
 	for key, task := range r.running {
@@ -37,10 +37,10 @@
 		}
 	}
 	table := r.store.watcher.Current().Table
-	items := r.order(now, table)
+	items := r.waitingItems(now, table)
 	r.waiting.Store(int64(len(items)))
-	r.yield(now, table)
-	if table == nil || r.drained != nil || !r.knowsLoads(now) {
+	r.preempt(now, table)
+	if table == nil || r.drained != nil || !r.loadsKnown(now) {
 		return nil
 	}
 	var starts []*task
@@ -53,50 +53,50 @@
 		if err != nil {
 			continue
 		}
-		if task := r.consider(ctx, now, reader, table, job, planned, full); task != nil {
+		if task := r.tryPrepare(ctx, now, reader, table, job, planned, full); task != nil {
 			starts = append(starts, task)
 		}
 	}
 	return starts
 }
 
-// knowsLoads reports whether this leader knows what runs at the workers. A new one
-// that started all items at once would put them beside those that the last leader
-// left behind; so it waits until most edges tell it what they have, and until the
-// workers' own counts have shown what nobody has. It does not wait for ever.
-func (r *runner) knowsLoads(now time.Time) bool {
+// loadsKnown reports whether this leader knows what runs at the workers. A new leader that
+// started all items at once would add them to those that the last leader left running. So it
+// waits until at least half of the edges report their loads, and long enough for the workers' own
+// counts to reveal requests that no process reports. It never waits longer than maxLoadsWait.
+func (r *runner) loadsKnown(now time.Time) bool {
 	led := now.Sub(r.leadSince)
 	edges := int64(r.store.watcher.Current().Fleet.Edges)
-	return led > loadsPatience || led > loadsTime && 2*r.store.loads.reporting.Load() >= edges
+	return led > maxLoadsWait || led > minLoadsWait && 2*r.store.loads.reporters.Load() >= edges
 }
 
-// order returns the items that wait to run, in the order in which they do.
-func (r *runner) order(now time.Time, table *routetable.Table) []batchplan.Item {
+// waitingItems returns the items that wait to run, in the order in which they start.
+func (r *runner) waitingItems(now time.Time, table *routetable.Table) []batchplan.Item {
 	var items []batchplan.Item
 	r.group.machine.EachJob(func(job *batchstate.Job) {
 		if r.seen[job.ID] == nil {
-			r.seen[job.ID] = &sighting{first: now}
+			r.seen[job.ID] = &observedJob{firstSeen: now}
 		}
 		if !job.Open() {
 			return
 		}
 		for number := range job.Items {
 			key := itemKey{job.ID, number}
-			if job.Items[number].State == wire.ItemWaiting && r.running[key] == nil && !r.pending[key] && !r.rests(now, key) {
-				items = append(items, r.planOf(now, table, job, number))
+			if job.Items[number].State == wire.ItemWaiting && r.running[key] == nil && !r.pending[key] && !r.inBackoff(now, key) {
+				items = append(items, r.planItem(now, table, job, number))
 			}
 		}
 	})
 	batchplan.Sort(items)
-	// While all come in time the order by slack does best for everybody.
+	// While all items finish in time, the order by slack is best for every tenant.
 	if table.Shares() != nil && !batchplan.InTime(items, len(r.running)) {
-		batchplan.ApplyShares(items, r.runningOf())
+		batchplan.ApplyShares(items, r.runningByOwner())
 	}
 	return items
 }
 
-// runningOf counts the items that run by their owners.
-func (r *runner) runningOf() map[string]int {
+// runningByOwner returns the number of running items of each owner.
+func (r *runner) runningByOwner() map[string]int {
 	running := map[string]int{}
 	for _, task := range r.running {
 		running[string(task.owner)]++
@@ -104,38 +104,38 @@
 	return running
 }
 
-// planOf returns an item as the order sees it.
-func (r *runner) planOf(now time.Time, table *routetable.Table, job *batchstate.Job, number int) batchplan.Item {
+// planItem returns an item with the attributes by which batchplan sorts it.
+func (r *runner) planItem(now time.Time, table *routetable.Table, job *batchstate.Job, number int) batchplan.Item {
 	planned := batchplan.Item{Job: job.ID, Number: number, Sequence: job.Sequence, Owner: batchplan.Owner{Tenant: string(job.Owner), Weight: table.WeightOf(job.Owner)}}
-	if seen := r.seen[job.ID]; seen != nil {
-		age, due := now.Sub(seen.first), dueOf(table, job)
-		remaining := r.store.runTimes.remaining(r.eventsOf(job, number), job.Items[number].Expected)
-		planned.Overdue = batchplan.Overdue(age, due, remaining)
-		planned.Slack = batchplan.Slack(age, due, remaining)
+	if observed := r.seen[job.ID]; observed != nil {
+		age, goal := now.Sub(observed.firstSeen), runGoal(table, job)
+		remaining := r.store.runTimes.remaining(r.eventCount(job, number), job.Items[number].Expected)
+		planned.Overdue = batchplan.Overdue(age, goal, remaining)
+		planned.Slack = batchplan.Slack(age, goal, remaining)
 		planned.Remaining = remaining
 	}
 	return planned
 }
 
-// eventsOf returns how far an item has come: by the log, or by what was carried here.
-func (r *runner) eventsOf(job *batchstate.Job, number int) int {
-	return max(job.Items[number].Events, r.carried[itemKey{job.ID, number}].events)
+// eventCount returns how many events of an item are known, from the log or from a run here.
+func (r *runner) eventCount(job *batchstate.Job, number int) int {
+	return max(job.Items[number].Events, r.savedProgress[itemKey{job.ID, number}].events)
 }
 
-// dueOf returns the age at which a job's results are due, or zero.
-func dueOf(table *routetable.Table, job *batchstate.Job) time.Duration {
+// runGoal returns the age at which a job's results are due, or zero if it has no goal.
+func runGoal(table *routetable.Table, job *batchstate.Job) time.Duration {
 	if table == nil {
 		return 0
 	}
 	return time.Duration(table.RouteByName(job.Route).RunGoalMillis) * time.Millisecond
 }
 
-// consider returns a task for the item if it can run now. full names the
-// routes that have no room left at this look.
-func (r *runner) consider(ctx context.Context, now time.Time, reader storage.Reader, table *routetable.Table, job *batchstate.Job, planned batchplan.Item, full map[string]bool) *task {
+// tryPrepare returns a task for the item if it can run now, or nil. full holds the routes for
+// which this poll found no worker with capacity left.
+func (r *runner) tryPrepare(ctx context.Context, now time.Time, reader storage.Reader, table *routetable.Table, job *batchstate.Job, planned batchplan.Item, full map[string]bool) *task {
 	number := planned.Number
 	key := itemKey{job.ID, number}
-	seen := r.seen[job.ID]
+	observed := r.seen[job.ID]
 	if full[job.Route] {
 		return nil
 	}
@@ -146,93 +146,93 @@
 	}
 	route := table.Match(job.Host, pathOf(content.Path))
 	if route == nil {
-		r.routeGone(now, key, seen)
+		r.handleMissingRoute(now, key, observed)
 		return nil
 	}
-	seen.routeGone = time.Time{}
-	if route.RetainMillis > 0 && now.Sub(seen.first) > time.Duration(route.RetainMillis)*time.Millisecond {
+	observed.routeGoneSince = time.Time{}
+	if route.RetainMillis > 0 && now.Sub(observed.firstSeen) > time.Duration(route.RetainMillis)*time.Millisecond {
 		r.abandon(key, "retained_long_enough")
 		return nil
 	}
 	if r.quarantined(ctx, now, key, job, content) {
 		return nil
 	}
-	demand := &balance.Request{
+	request := &balance.Request{
 		Pool:       r.splitter.Next(route, r.store.workers.Usable),
-		Parts:      httpheader.ParseParts(httpheader.Value(content.Headers, r.store.dialect.PromptParts)),
+		Parts:      httpheader.ParseParts(httpheader.Value(content.Headers, r.store.headerNames.PromptParts)),
 		Batch:      true,
 		BatchShare: r.store.batchShare(),
-		NoProbe:    r.unproven[key],
+		NoProbe:    r.failedProbes[key],
 	}
-	demand.PromptTokens, _ = httpheader.ParseTokenCounts(httpheader.Value(content.Headers, r.store.dialect.Tokens))
-	if r.store.foresees(table, demand.Pool) {
-		demand.LastWorker = r.carried[key].worker
+	request.PromptTokens, _ = httpheader.ParseTokenCounts(httpheader.Value(content.Headers, r.store.headerNames.Tokens))
+	if r.store.forecastEnabled(table, request.Pool) {
+		request.LastWorker = r.savedProgress[key].lastWorker
 	}
-	lease := r.store.workers.Acquire(now, demand)
+	lease := r.store.workers.Acquire(now, request)
 	if lease == nil {
-		// Where this one must not be a probe, another one may.
-		full[job.Route] = !demand.NoProbe
+		// Where this item must not be a probe, another one may be.
+		full[job.Route] = !request.NoProbe
 		return nil
 	}
-	started := r.prepare(ctx, key, job, route, content, lease)
-	started.goal = table.TightestGoal(demand.Pool)
-	started.pool, started.carry.worker = demand.Pool, lease.Endpoint.ID
-	return started
+	prepared := r.prepare(ctx, key, job, route, content, lease)
+	prepared.goal = table.TightestGoal(request.Pool)
+	prepared.pool, prepared.progress.lastWorker = request.Pool, lease.Endpoint.ID
+	return prepared
 }
 
-// rests reports whether an item is to wait a moment.
-func (r *runner) rests(now time.Time, key itemKey) bool {
-	until, rests := r.resting[key]
-	if rests && !now.Before(until) {
-		delete(r.resting, key)
+// inBackoff reports whether an item has to wait before its next attempt.
+func (r *runner) inBackoff(now time.Time, key itemKey) bool {
+	until, found := r.backoffUntil[key]
+	if found && !now.Before(until) {
+		delete(r.backoffUntil, key)
 		return false
 	}
-	return rests
+	return found
 }
 
 func (r *runner) prepare(ctx context.Context, key itemKey, job *batchstate.Job, route *routetable.Route, content *wire.ItemContent, lease *balance.Lease) *task {
 	itemContext, cancel := context.WithCancel(ctx)
-	from := r.carryOf(key, &job.Items[key.item])
-	started := &task{
-		runner:   r,
-		key:      key,
-		id:       job.Items[key.item].ID,
-		host:     job.Host,
-		owner:    job.Owner,
-		route:    route,
-		content:  content,
-		print:    fingerprintOf(job, content),
-		onTrial:  r.granted[key],
-		chain:    from.chain,
-		carry:    from,
-		failures: job.Items[key.item].Failures,
-		expected: job.Items[key.item].Expected,
-		lease:    lease,
-		started:  clock.Now(),
-		context:  itemContext,
-		cancel:   cancel,
+	resumed := r.startProgress(key, &job.Items[key.item])
+	prepared := &task{
+		runner:      r,
+		key:         key,
+		id:          job.Items[key.item].ID,
+		host:        job.Host,
+		owner:       job.Owner,
+		route:       route,
+		content:     content,
+		fingerprint: fingerprintOf(job, content),
+		onTrial:     r.grantedTrials[key],
+		chain:       resumed.chain,
+		progress:    resumed,
+		failures:    job.Items[key.item].Failures,
+		expected:    job.Items[key.item].Expected,
+		lease:       lease,
+		started:     clock.Now(),
+		context:     itemContext,
+		cancel:      cancel,
 	}
-	r.running[key] = started
-	delete(r.granted, key)
-	return started
+	r.running[key] = prepared
+	delete(r.grantedTrials, key)
+	return prepared
 }
 
-// carryOf returns from where an item goes on: from what was carried here, if that
-// goes beyond the log, or else from the log.
-func (r *runner) carryOf(key itemKey, item *batchstate.Item) carry {
-	carried, found := r.carried[key]
-	if found && carried.noted >= item.Events {
-		return carried
+// startProgress returns the progress from which an item continues: that saved from a run here if
+// it builds on all that the log has, or else that of the log.
+func (r *runner) startProgress(key itemKey, item *batchstate.Item) progress {
+	saved, found := r.savedProgress[key]
+	if found && saved.recordedEvents >= item.Events {
+		return saved
 	}
-	return carry{events: item.Events, lastEvent: item.LastEvent, noted: item.Events, chain: rand.Uint64()}
+	return progress{events: item.Events, lastEvent: item.LastEvent, recordedEvents: item.Events, chain: rand.Uint64()}
 }
 
-// routeGone gives an item up once its route has been gone for a while.
-func (r *runner) routeGone(now time.Time, key itemKey, seen *sighting) {
+// handleMissingRoute abandons an item once its route has been missing for routeGrace.
+func (r *runner) handleMissingRoute(now time.Time, key itemKey, observed *observedJob) {
 	switch {
-	case seen.routeGone.IsZero():
-		seen.routeGone = now
-	case now.Sub(seen.routeGone) > routeGrace:
+	case observed.routeGoneSince.IsZero():
+		observed.routeGoneSince = now
+	case now.Sub(observed.routeGoneSince) > routeGrace:
 		r.abandon(key, "route_gone")
 	}
 }
@@ -240,13 +240,13 @@
 func (r *runner) abandon(key itemKey, reason string) {
 	logging.Info(r.store.logger, "item_abandoned", "job", key.job, "item", key.item, "reason", reason)
 	r.pending[key] = true
-	delete(r.unproven, key)
+	delete(r.failedProbes, key)
 	if !r.enqueue(wire.ItemRecord{Job: key.job, Item: key.item, State: wire.ItemAbandoned}) {
 		delete(r.pending, key)
 	}
 }
 
-// enqueue hands news to the recorder and reports whether there was room.
+// enqueue hands a record to the record loop and reports whether the channel had space.
 func (r *runner) enqueue(record wire.ItemRecord) bool {
 	select {
 	case r.records <- record:
--- a/internal/batchstore/planner.go
+++ b/internal/batchstore/planner.go
@@ -10,74 +10,75 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// order plans for a runner.
-func (s *Store) order(now time.Time, source uint32, waiting int, items map[uint32]int) map[uint32]batchroom.Order {
-	return s.orderBy(now, s.watcher.Current().Table, source, waiting, items)
+// planOrders plans the orders for a runner with the present configuration.
+func (s *Store) planOrders(now time.Time, source uint32, waiting int, items map[uint32]int) map[uint32]batchroom.Order {
+	return s.planOrdersWith(now, s.watcher.Current().Table, source, waiting, items)
 }
 
-// orderBy plans for a runner by a configuration.
-func (s *Store) orderBy(now time.Time, table *routetable.Table, source uint32, waiting int, items map[uint32]int) map[uint32]batchroom.Order {
-	places := s.workers.Workers(now, func(pool string) time.Duration { return table.TightestGoal(pool) / patienceParts })
-	for i := range places.Busy {
-		place := &places.Busy[i]
-		place.Probe = place.Probe && s.loads.top.ProbeDue(now, place.ShortName)
+// planOrdersWith plans the orders for a runner with the given configuration.
+func (s *Store) planOrdersWith(now time.Time, table *routetable.Table, source uint32, waiting int, items map[uint32]int) map[uint32]batchroom.Order {
+	workers := s.workers.Workers(now, func(pool string) time.Duration { return table.TightestGoal(pool) / maxWaitDivisor })
+	for i := range workers.Busy {
+		worker := &workers.Busy[i]
+		worker.Probe = worker.Probe && s.loads.topHub.ProbeDue(now, worker.ShortName)
 	}
-	places.Forecasts = s.foresee(now, table, &places)
-	places.ClearMaxWait()
+	workers.Forecasts = s.updateForecasts(now, table, &workers)
+	workers.ClearMaxWait()
 	s.loads.planner.ApplyReport(now, source, waiting, items)
-	orders := s.loads.planner.Plan(source, places)
-	s.noteProbes(now, places, orders)
-	s.logPlan(now, source, places)
+	orders := s.loads.planner.Plan(source, workers)
+	s.recordProbes(now, workers, orders)
+	s.logPlan(now, source, workers)
 	return orders
 }
 
-// noteProbes takes in which avoided workers the orders let an item start at.
-func (s *Store) noteProbes(now time.Time, places batchroom.Workers, orders map[uint32]batchroom.Order) {
-	for i := range places.Busy {
-		place := &places.Busy[i]
-		if place.Closed && orders[place.ShortName].Start > 0 {
-			s.loads.top.RecordProbe(now, place.ShortName)
+// recordProbes records the avoided workers at which the orders allow an item to start.
+func (s *Store) recordProbes(now time.Time, workers batchroom.Workers, orders map[uint32]batchroom.Order) {
+	for i := range workers.Busy {
+		worker := &workers.Busy[i]
+		if worker.Closed && orders[worker.ShortName].Start > 0 {
+			s.loads.topHub.RecordProbe(now, worker.ShortName)
 		}
 	}
-	s.noteJudged(s.loads.top)
+	s.logHealthChanges(s.loads.topHub)
 }
 
-// noteJudged writes down how the judgement of workers has changed. The lock of the hubs is
-// held.
-func (s *Store) noteJudged(hub *loadshare.Hub) {
-	for _, judged := range hub.HealthChanges() {
-		s.metrics.judged.WithLabelValues(judged.Change.String()).Inc()
-		logging.Info(s.logger, "worker_judged", "worker", s.workers.WorkerID(judged.Worker), "change", judged.Change, "failed", judged.Failed, "answered", judged.Answered, "good", judged.GoodStreak, "relapses", judged.Relapses, "ill_ms", judged.UnhealthyFor.Milliseconds())
+// logHealthChanges logs and counts changes in the health rating of workers. The caller holds
+// hubsMutex.
+func (s *Store) logHealthChanges(hub *loadshare.Hub) {
+	for _, change := range hub.HealthChanges() {
+		s.metrics.healthChanges.WithLabelValues(change.Change.String()).Inc()
+		logging.Info(s.logger, "worker_judged", "worker", s.workers.WorkerID(change.Worker), "change", change.Change, "failed", change.Failed, "answered", change.Answered, "good", change.GoodStreak, "relapses", change.Relapses, "ill_ms", change.UnhealthyFor.Milliseconds())
 	}
 }
 
-// noteDoubts writes down which workers tell other slots than the list says. The smaller count
-// is believed.
-func (s *Store) noteDoubts() {
-	for _, doubt := range s.workers.SlotMismatches() {
-		logging.Warn(s.logger, "worker_tells_other_slots", "worker", doubt.Worker, "listed", doubt.Listed, "told", doubt.Reported)
+// logSlotMismatches logs workers that report another number of slots than the list. The smaller
+// number is used.
+func (s *Store) logSlotMismatches() {
+	for _, mismatch := range s.workers.SlotMismatches() {
+		logging.Warn(s.logger, "worker_tells_other_slots", "worker", mismatch.Worker, "listed", mismatch.Listed, "told", mismatch.Reported)
 	}
 }
 
-// planLogInterval is the shortest time between two lines on the plans, which are made with each
+// planLogInterval is the shortest time between two log lines on plans, which are made for each
 // report of a runner.
 const planLogInterval = 200 * time.Millisecond
 
-// logPlan writes down now and then what a plan rested on. The lock of the hubs is held.
-func (s *Store) logPlan(now time.Time, source uint32, places batchroom.Workers) {
-	if now.Before(s.loads.planLogDue) {
+// logPlan logs the inputs and results of a plan, at most once per planLogInterval. The caller
+// holds hubsMutex.
+func (s *Store) logPlan(now time.Time, source uint32, workers batchroom.Workers) {
+	if now.Before(s.loads.nextPlanLog) {
 		return
 	}
-	s.loads.planLogDue = now.Add(planLogInterval)
+	s.loads.nextPlanLog = now.Add(planLogInterval)
 	plan, orphans := s.loads.planner.Summary(), 0
-	for i := range places.Busy {
-		orphans += places.Busy[i].Orphans
+	for i := range workers.Busy {
+		orphans += workers.Busy[i].Orphans
 	}
 	logging.Info(s.logger, "items_planned", "runner", source, "slots", plan.Slots, "online", plan.Online, "orphans", orphans, "items", plan.Items, "queued", plan.Queued, "idle", plan.IdleSlots, "waiting", plan.Waiting, "free", plan.FreeSlots, "granted", plan.Granted, "stops", plan.Stops, "ahead", plan.AdvanceStops, "level", int(plan.Demand.Slots), "sure", plan.Demand.Confident, "until_ms", untilMillis(now, plan.Demand), "rising", plan.Rising, "held", plan.Paused)
 }
 
-// ordered returns the rows with the orders.
-func ordered(rows []wire.WorkerLoad, orders map[uint32]batchroom.Order) []wire.WorkerLoad {
+// withOrders returns the rows with the orders added.
+func withOrders(rows []wire.WorkerLoad, orders map[uint32]batchroom.Order) []wire.WorkerLoad {
 	for i := range rows {
 		if order, found := orders[rows[i].Worker]; found {
 			rows[i].Start, rows[i].Stop = uint16(order.Start), uint16(order.Stop)
--- a/internal/batchstore/probe_test.go
+++ b/internal/batchstore/probe_test.go
@@ -16,9 +16,9 @@
 	"github.com/sedgemast/sedgemast/internal/workerset"
 )
 
-// TestItemsBringWorkersBack lets a worker fail for a second while items wait: its own runner
-// sends it one item at a time, and it is open again soon after these run well.
-func TestItemsBringWorkersBack(t *testing.T) {
+// TestItemProbesReadmitWorker lets a worker fail for a second while items wait. Its runner sends
+// it one item at a time, and it is readmitted soon after these run well.
+func TestItemProbesReadmitWorker(t *testing.T) {
 	s := testRunner(t, 4).store
 	s.settings = &settings.Store{}
 	s.settings.Name, s.settings.Zone = "s", "z"
@@ -30,44 +30,44 @@
 	set := workerset.Of(rows)
 	s.loads.setWorkers(set, "z")
 	s.workers.Update(set, nil)
-	ill := loadshare.Hash("w0")
-	s.loads.top.ApplyReport(start, &wire.LoadReport{Source: 9, Workers: []wire.WorkerLoad{{Worker: ill, Failed: 5}}})
-	const wellAfter, step = time.Second, 20 * time.Millisecond
+	failing := loadshare.Hash("w0")
+	s.loads.topHub.ApplyReport(start, &wire.LoadReport{Source: 9, Workers: []wire.WorkerLoad{{Worker: failing, Failed: 5}}})
+	const recoversAfter, step = time.Second, 20 * time.Millisecond
 	s.loads.planner.ApplyReport(start, 1, 0, nil)
-	probes, back := 0, time.Duration(0)
-	for after := step; after < 4*time.Second && back == 0; after += step {
+	probes, readmittedAfter := 0, time.Duration(0)
+	for after := step; after < 4*time.Second && readmittedAfter == 0; after += step {
 		now := start.Add(after)
-		s.loads.ownDue = time.Time{}
-		s.takeOwn(now)
-		orders := s.order(now, ownSource, 4, s.workers.Items())
+		s.loads.nextOwnPlan = time.Time{}
+		s.applyOwnLoads(now)
+		orders := s.planOrders(now, ownSource, 4, s.workers.Items())
 		s.workers.SetOrders(orders)
-		if open(s, now, ill) {
-			back = after
+		if openToItems(s, now, failing) {
+			readmittedAfter = after
 			break
 		}
-		if orders[ill].Start > 1 {
-			t.Fatalf("after %v %d items may start at an avoided worker", after, orders[ill].Start)
+		if orders[failing].Start > 1 {
+			t.Fatalf("after %v %d items may start at an avoided worker", after, orders[failing].Start)
 		}
-		for range orders[ill].Start {
+		for range orders[failing].Start {
 			others := map[string]bool{"w1": true, "w2": true, "w3": true, "w4": true}
 			lease := s.workers.Acquire(now, &balance.Request{Pool: "p", Batch: true, Exclude: others})
 			if lease == nil || !lease.IsProbe() {
 				t.Fatalf("after %v: no item started as the probe", after)
 			}
-			lease.RecordItemStart(now, after >= wellAfter)
+			lease.RecordItemStart(now, after >= recoversAfter)
 			lease.Release()
 			probes++
 		}
 	}
-	t.Logf("%d probes, open after %v", probes, back)
-	if back < wellAfter || back > wellAfter+time.Second {
-		t.Errorf("well after %v, open after %v", wellAfter, back)
+	t.Logf("%d probes, readmitted after %v", probes, readmittedAfter)
+	if readmittedAfter < recoversAfter || readmittedAfter > recoversAfter+time.Second {
+		t.Errorf("recovered after %v, readmitted after %v", recoversAfter, readmittedAfter)
 	}
 }
 
-// TestProbesAreTold lets an edge of a zone too large to be told of whole ask for news: the
-// worker that it may probe is among those that it is told of.
-func TestProbesAreTold(t *testing.T) {
+// TestAnswerIncludesProbeWorkers checks, in a zone that is too large to be reported whole, that
+// an edge that may probe a worker also gets the load of that worker.
+func TestAnswerIncludesProbeWorkers(t *testing.T) {
 	s := testRunner(t, 0).store
 	s.metrics = newMetrics(prometheus.NewRegistry())
 	var rows []wire.PoolWorker
@@ -75,34 +75,34 @@
 		rows = append(rows, wire.PoolWorker{ID: fmt.Sprintf("w%d", number), Pool: "p", Zone: "z", Slots: slots})
 	}
 	s.loads.setWorkers(workerset.Of(rows), "z")
-	ill, named := loadshare.Hash("w7"), 0
+	failing, named := loadshare.Hash("w7"), 0
 	for after := time.Duration(0); after < 10*time.Second; after += loadshare.Interval {
 		now := start.Add(after)
-		s.loads.zone.SetParentLoads(now, []wire.WorkerLoad{{Worker: ill, Failing: true}}, 0, false)
-		answer := s.answerZone(now, &wire.LoadReport{Source: 1, Choosing: true, Repeatable: true})
+		s.loads.zoneHub.SetParentLoads(now, []wire.WorkerLoad{{Worker: failing, Failing: true}}, 0, false)
+		answer := s.answerEdge(now, &wire.LoadReport{Source: 1, Choosing: true, Repeatable: true})
 		if !answer.Drawn {
-			t.Fatal("the zone is told of whole")
+			t.Fatal("the answer covers the whole zone, want a sample")
 		}
 		for _, worker := range answer.Probes {
 			named++
 			at := slices.IndexFunc(answer.Workers, func(load wire.WorkerLoad) bool { return load.Worker == worker })
 			if at < 0 || !answer.Workers[at].Failing {
-				t.Errorf("after %v worker %d may be probed, and is not told of", after, worker)
+				t.Errorf("after %v worker %d may be probed, but its load is missing or not failing", after, worker)
 			}
 		}
 		if !slices.IsSortedFunc(answer.Workers, func(a, b wire.WorkerLoad) int { return cmp.Compare(a.Worker, b.Worker) }) {
-			t.Errorf("after %v the workers are in no order", after)
+			t.Errorf("after %v the workers are not sorted", after)
 		}
 	}
 	if named == 0 {
-		t.Error("no worker may be probed")
+		t.Error("no answer named a worker to probe")
 	}
 }
 
-// open reports whether items may start at the worker.
-func open(s *Store, now time.Time, worker uint32) bool {
+// openToItems reports whether items may start at the worker.
+func openToItems(s *Store, now time.Time, shortName uint32) bool {
 	for _, place := range s.workers.Workers(now, func(string) time.Duration { return 0 }).Busy {
-		if place.ShortName == worker {
+		if place.ShortName == shortName {
 			return !place.Closed
 		}
 	}
--- a/internal/batchstore/quarantine.go
+++ b/internal/batchstore/quarantine.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// quarantinePause is the time between two looks at an item that is refused.
-	quarantinePause = 250 * time.Millisecond
-	// goodRun is how long an item must have run, with events, to speak for itself, whatever
-	// ended the run: one that ends its workers does so as it begins, and one that comes so
-	// far each time is done after a few runs.
-	goodRun = time.Second
+	// quarantineBackoff is the time between two checks of an item that is refused.
+	quarantineBackoff = 250 * time.Millisecond
+	// goodRunTime is how long an item must have run, with events, for the run to count as a
+	// success however it ended. An item that makes its workers exit does so at its start, and
+	// one that runs that long each time completes after a few runs.
+	goodRunTime = time.Second
 )
 
 // fingerprintOf returns the identity of an item, the same as that of an online request
@@ -28,39 +28,39 @@
 	return quarantine.FingerprintOf(job.Owner, job.Host, http.MethodPost, content.Path, content.Body)
 }
 
-// quarantined reports whether an item must not start, because workers ended under it. It
-// stays in its job, and is tried again when that is due: an item is given up for its
-// failures only, not for what befell its workers.
+// quarantined reports whether an item must not start because workers exited while they ran it.
+// The item stays in its job and is tried again when a trial is due: it is abandoned only for its
+// failures, not for exits of its workers.
 func (r *runner) quarantined(ctx context.Context, now time.Time, key itemKey, job *batchstate.Job, content *wire.ItemContent) bool {
-	book := r.store.watcher.Quarantine()
-	if !book.InUse() {
-		clear(r.prints)
-		clear(r.granted)
+	cache := r.store.watcher.Quarantine()
+	if !cache.InUse() {
+		clear(r.fingerprints)
+		clear(r.grantedTrials)
 		return false
 	}
-	request, known := r.prints[key]
+	fingerprint, known := r.fingerprints[key]
 	if !known {
-		request = fingerprintOf(job, content)
-		r.prints[key] = request
+		fingerprint = fingerprintOf(job, content)
+		r.fingerprints[key] = fingerprint
 	}
-	if book.Standing(now, request) != quarantine.Refused {
+	if cache.Standing(now, fingerprint) != quarantine.Refused {
 		return false
 	}
-	if r.granted[key] {
+	if r.grantedTrials[key] {
 		// The grant lasts until the item has a worker.
 		return false
 	}
-	r.resting[key] = now.Add(quarantinePause)
-	if book.TrialDelay(now, request) == 0 {
-		go r.askTrial(ctx, key, request)
+	r.backoffUntil[key] = now.Add(quarantineBackoff)
+	if cache.TrialDelay(now, fingerprint) == 0 {
+		go r.requestTrial(ctx, key, fingerprint)
 	}
 	return true
 }
 
-// askTrial asks the coordinators whether an item may be tried.
-func (r *runner) askTrial(ctx context.Context, key itemKey, request quarantine.Fingerprint) {
-	granted, wait := r.store.watcher.RequestTrial(ctx, request)
-	logging.Info(r.store.logger, "item_quarantined", "job", key.job, "item", key.item, "request", request, "trial", granted, "wait_ms", wait.Milliseconds())
+// requestTrial asks the coordinators whether the item may run on trial.
+func (r *runner) requestTrial(ctx context.Context, key itemKey, fingerprint quarantine.Fingerprint) {
+	granted, wait := r.store.watcher.RequestTrial(ctx, fingerprint)
+	logging.Info(r.store.logger, "item_quarantined", "job", key.job, "item", key.item, "request", fingerprint, "trial", granted, "wait_ms", wait.Milliseconds())
 	if !granted {
 		return
 	}
@@ -70,23 +70,24 @@
 	}
 }
 
-// tellRun tells what a run did to its worker, and whether it speaks for the item.
-func (t *task) tellRun(err error, moved bool) {
+// reportOutcome records a run as a success of the item, or as an exit of its worker if the
+// worker has exited. Runs that show neither are not recorded.
+func (t *task) reportOutcome(err error, advanced bool) {
 	store := t.runner.store
-	book := store.watcher.Quarantine()
-	if err == nil || moved && t.ran >= goodRun {
-		if book.InUse() {
-			book.RecordSuccess(clock.Now(), t.print)
+	cache := store.watcher.Quarantine()
+	if err == nil || advanced && t.runTime >= goodRunTime {
+		if cache.InUse() {
+			cache.RecordSuccess(clock.Now(), t.fingerprint)
 		}
 		return
 	}
 	if t.context.Err() != nil || !upstream.Disconnected(err) {
 		return
 	}
-	ended := store.upstream.WorkerExited(t.context, t.lease.Endpoint, t.started)
-	logging.Info(store.logger, "worker_broke_off", "job", t.key.job, "item", t.id, "request", t.print, "worker", t.lease.Endpoint.ID, "ended", ended, "events", t.carry.events, "ms", t.ran.Milliseconds())
-	if ended {
+	exited := store.upstream.WorkerExited(t.context, t.lease.Endpoint, t.started)
+	logging.Info(store.logger, "worker_broke_off", "job", t.key.job, "item", t.id, "request", t.fingerprint, "worker", t.lease.Endpoint.ID, "ended", exited, "events", t.progress.events, "ms", t.runTime.Milliseconds())
+	if exited {
 		t.onTrial = false
-		book.RecordExit(clock.Now(), t.print, t.lease.Endpoint.ID, t.started)
+		cache.RecordExit(clock.Now(), t.fingerprint, t.lease.Endpoint.ID, t.started)
 	}
 }
--- a/internal/batchstore/quarantine_test.go
+++ b/internal/batchstore/quarantine_test.go
@@ -16,13 +16,13 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// brokeOff is how a run ends whose worker closed the connection.
-func brokeOff() error {
+// disconnectError is the error of a run whose worker closed the connection.
+func disconnectError() error {
 	return failure.Wrap(io.ErrUnexpectedEOF, failure.OutcomeUnknown, "", "broke off")
 }
 
-// endedWorker returns an address at which nobody listens any more.
-func endedWorker(t *testing.T) string {
+// closedAddress returns an address on which no process listens any more.
+func closedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,64 +32,64 @@
 	return listener.Addr().String()
 }
 
-// TestWhatSpeaksForAnItem ends runs in several ways: one without progress whose worker has
-// ended counts against the item, one that had come far speaks for it.
-func TestWhatSpeaksForAnItem(t *testing.T) {
+// TestRunOutcomesInQuarantine checks how the ends of runs count for an item: a run without
+// progress whose worker exited counts against it, and one that ran for long counts as a success.
+func TestRunOutcomesInQuarantine(t *testing.T) {
 	const item = quarantine.Fingerprint(7)
 	for _, test := range []struct {
-		name  string
-		err   error
-		moved bool
-		ran   time.Duration
-		want  quarantine.Standing
+		name     string
+		err      error
+		advanced bool
+		ran      time.Duration
+		want     quarantine.Standing
 	}{
-		{"its worker ended as it began", brokeOff(), false, 20 * time.Millisecond, quarantine.Refused},
-		{"its worker ended after some events", brokeOff(), true, 100 * time.Millisecond, quarantine.Refused},
-		{"its worker ended after it had come far", brokeOff(), true, goodRun, quarantine.Unknown},
-		{"it was silent for long", brokeOff(), false, goodRun, quarantine.Refused},
+		{"worker exited at the start", disconnectError(), false, 20 * time.Millisecond, quarantine.Refused},
+		{"worker exited after some events", disconnectError(), true, 100 * time.Millisecond, quarantine.Refused},
+		{"worker exited after a good run", disconnectError(), true, goodRunTime, quarantine.Unknown},
+		{"worker exited after a long run without events", disconnectError(), false, goodRunTime, quarantine.Refused},
 		{"another failure", failure.New(failure.Internal, "", "the worker failed at it"), false, 0, quarantine.Suspect},
-		{"a good end", nil, true, time.Millisecond, quarantine.Unknown},
+		{"run completed", nil, true, time.Millisecond, quarantine.Unknown},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			r := testRunner(t, 1)
 			r.store.upstream = upstream.NewClient(httpheader.Default())
-			book := r.store.watcher.Quarantine()
+			cache := r.store.watcher.Quarantine()
 			for _, worker := range []string{"a", "b"} {
-				book.RecordExit(clock.Now(), item, worker, time.Time{})
+				cache.RecordExit(clock.Now(), item, worker, time.Time{})
 			}
 			running := r.runItem(t, 0, clock.Now())
-			running.print, running.ran = item, test.ran
-			running.lease.Endpoint = upstream.Endpoint{ID: "c", Address: endedWorker(t)}
-			running.tellRun(test.err, test.moved)
-			if got := book.Standing(clock.Now(), item); got != test.want {
-				t.Errorf("it stands as %d, want %d", got, test.want)
+			running.fingerprint, running.runTime = item, test.ran
+			running.lease.Endpoint = upstream.Endpoint{ID: "c", Address: closedAddress(t)}
+			running.reportOutcome(test.err, test.advanced)
+			if got := cache.Standing(clock.Now(), item); got != test.want {
+				t.Errorf("the item has standing %d, want %d", got, test.want)
 			}
 		})
 	}
 }
 
-// TestTrialIsKeptUntilItIsMade lets an item on trial give way: it keeps its grant, which
-// another minute would have to be waited for otherwise; one that ended its worker does not.
-func TestTrialIsKeptUntilItIsMade(t *testing.T) {
-	for _, ends := range []bool{false, true} {
+// TestPreemptedTrialKeepsGrant preempts an item on trial. It must keep its grant, because it
+// would have to wait another minute for a new one. An item whose worker exited must lose it.
+func TestPreemptedTrialKeepsGrant(t *testing.T) {
+	for _, exits := range []bool{false, true} {
 		r := testRunner(t, 1)
 		r.store.upstream = upstream.NewClient(httpheader.Default())
 		running := r.runItem(t, 0, clock.Now())
-		running.onTrial, running.yielded = true, !ends
-		running.lease = &balance.Lease{Endpoint: upstream.Endpoint{ID: "w", Address: endedWorker(t)}}
-		if ends {
-			running.tellRun(brokeOff(), false)
+		running.onTrial, running.preempted = true, !exits
+		running.lease = &balance.Lease{Endpoint: upstream.Endpoint{ID: "w", Address: closedAddress(t)}}
+		if exits {
+			running.reportOutcome(disconnectError(), false)
 		}
-		r.end(running)
-		if kept := r.granted[running.key]; kept == ends {
-			t.Errorf("its worker ended: %t, the grant is kept: %t", ends, kept)
+		r.finishTask(running)
+		if kept := r.grantedTrials[running.key]; kept == exits {
+			t.Errorf("worker exited: %t, grant kept: %t", exits, kept)
 		}
 	}
 }
 
-// TestRefusedItemsRest refuses an item: it rests, does not start, and starts once its trial
-// is granted.
-func TestRefusedItemsRest(t *testing.T) {
+// TestRefusedItemsBackOff checks that a refused item does not start and backs off, and that it
+// starts once its trial is granted.
+func TestRefusedItemsBackOff(t *testing.T) {
 	r, now := testRunner(t, 1), clock.Now()
 	key := itemKey{"j", 0}
 	job, err := r.group.machine.Job("j")
@@ -97,17 +97,17 @@
 		t.Fatal(err)
 	}
 	content := &wire.ItemContent{Path: "/"}
-	book := r.store.watcher.Quarantine()
+	cache := r.store.watcher.Quarantine()
 	for _, worker := range []string{"a", "b", "c"} {
-		book.RecordExit(now, fingerprintOf(job, content), worker, time.Time{})
+		cache.RecordExit(now, fingerprintOf(job, content), worker, time.Time{})
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	if !r.quarantined(ctx, now, key, job, content) || !r.rests(now, key) {
-		t.Error("a refused item starts")
+	if !r.quarantined(ctx, now, key, job, content) || !r.inBackoff(now, key) {
+		t.Error("a refused item started, or did not back off")
 	}
-	r.granted[key] = true
+	r.grantedTrials[key] = true
 	if r.quarantined(ctx, now, key, job, content) {
-		t.Error("an item on trial does not start")
+		t.Error("an item with a granted trial did not start")
 	}
 }
--- a/internal/batchstore/reads.go
+++ b/internal/batchstore/reads.go
@@ -14,15 +14,15 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// Reads are answered by every replica. What a replica has is committed, and a
-// result stays at its position, so what it has is right however old its state is.
-// That it has nothing says nothing by itself: before it says so, it asks the
-// leader how far it must have come, and catches up to there.
+// Every replica answers reads. What a replica has is committed, and a result stays at its
+// position, so a result that is present is right however old the replica's state is. If the
+// replica finds no result, that proves nothing: before it answers so, it asks the leader for the
+// index to reach, and catches up to it.
 
-// catchUpTime bounds that question and the catching up.
-const catchUpTime = 400 * time.Millisecond
+// catchUpTimeout bounds the call to the leader and the wait for the index.
+const catchUpTimeout = 400 * time.Millisecond
 
-// results answers with results from a position on. Where there are none it waits.
+// results answers with results from a position on. If there are none, it waits for some.
 func (s *Store) results(ctx context.Context, request *wire.BatchReadRequest) (msgp.Marshaler, error) {
 	g, err := s.groupOf(request.ID)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return response, err
 }
 
-// body answers with the body of an item without a result.
+// body answers with the body of an item that has no result.
 func (s *Store) body(ctx context.Context, request *wire.ItemBodyRequest) (msgp.Marshaler, error) {
 	g, err := s.groupOf(request.Job)
 	if err != nil {
@@ -104,9 +104,8 @@
 	return nil
 }
 
-// catchUp returns once the state here holds all that was acknowledged before the
-// call. It fails with NotRun where no leader can be asked, or where this replica
-// does not come so far.
+// catchUp returns once the state here holds all that was acknowledged before the call. It fails
+// with NotRun if no leader can be asked, or if this replica does not reach the leader's index.
 func (g *group) catchUp(ctx context.Context) error {
 	_, err := g.store.host.ReadIndex(g.number)
 	if err == nil {
@@ -116,17 +115,17 @@
 	if leader == "" || leader == g.store.daemon.Address() {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, catchUpTime)
+	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
 	reached, err := rpc.Call[wire.ReplicaIndex](ctx, g.store.client, leader, methodIndex, &wire.ReplicaIndexRequest{Group: g.number})
 	if err != nil {
-		// A question leaves nothing behind: any failure means try elsewhere.
+		// The call only reads, so after any failure the caller may try another store.
 		return failure.Wrap(err, failure.NotRun, "ask another store", "the leader %s does not say how far it has come", leader)
 	}
 	return g.store.host.WaitApplied(ctx, g.number, reached.Index)
 }
 
-// index answers how far another replica of a group must have come to know all.
+// index answers with the index that another replica of a group must reach to be up to date.
 func (s *Store) index(_ context.Context, request *wire.ReplicaIndexRequest) (msgp.Marshaler, error) {
 	index, err := s.host.ReadIndex(request.Group)
 	if err != nil {
--- a/internal/batchstore/record.go
+++ b/internal/batchstore/record.go
@@ -10,35 +10,34 @@
 )
 
 const (
-	// gatherTime is how long news wait for others to share a log entry. Callers
-	// look for results twice a second; each entry costs a sync and calls to all
-	// replicas.
-	gatherTime = 25 * time.Millisecond
-	// maxRecords and maxRecordBytes bound one entry.
-	maxRecords     = 1024
-	maxRecordBytes = 1 << 20
-	recordPause    = 50 * time.Millisecond
-	// recordTries bounds how often news are written again; after that the
-	// items are looked at anew.
-	recordTries = 20
+	// batchDelay is how long a record waits for others to share a log entry. Callers poll for
+	// results twice a second, and each entry costs a sync and calls to all replicas.
+	batchDelay = 25 * time.Millisecond
+	// maxRecords and maxRecordBytes bound one log entry.
+	maxRecords       = 1024
+	maxRecordBytes   = 1 << 20
+	recordRetryDelay = 50 * time.Millisecond
+	// maxRecordAttempts bounds how often records are proposed. After that the runner plans
+	// their items anew.
+	maxRecordAttempts = 20
 )
 
-// recordLoop writes progress and results to the log, several at a time.
+// recordLoop writes progress and results to the log in batches.
 func (r *runner) recordLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case first := <-r.records:
-			r.write(ctx, r.gather(first))
+			r.commitRecords(ctx, r.collectRecords(first))
 		}
 	}
 }
 
-func (r *runner) gather(first wire.ItemRecord) []wire.ItemRecord {
+func (r *runner) collectRecords(first wire.ItemRecord) []wire.ItemRecord {
 	records := []wire.ItemRecord{first}
 	size := len(first.Text)
-	timeout := time.NewTimer(gatherTime)
+	timeout := time.NewTimer(batchDelay)
 	defer timeout.Stop()
 	for len(records) < maxRecords && size < maxRecordBytes {
 		select {
@@ -52,13 +51,13 @@
 	return records
 }
 
-func (r *runner) write(ctx context.Context, records []wire.ItemRecord) {
+func (r *runner) commitRecords(ctx context.Context, records []wire.ItemRecord) {
 	failed := make([]bool, len(records))
 	for i := range failed {
 		failed[i] = true
 	}
-	defer func() { r.tellRecorded(ctx, records, failed) }()
-	for try := 0; try < recordTries && ctx.Err() == nil; try++ {
+	defer func() { r.notifyRecorded(ctx, records, failed) }()
+	for attempt := 0; attempt < maxRecordAttempts && ctx.Err() == nil; attempt++ {
 		result, err := r.group.propose(ctx, &wire.BatchCommand{Record: &wire.RecordItems{Items: records}})
 		if err == nil {
 			clear(failed)
@@ -72,23 +71,23 @@
 			// Another store leads now and runs the items itself.
 			return
 		}
-		time.Sleep(recordPause)
+		time.Sleep(recordRetryDelay)
 	}
 }
 
-func (r *runner) tellRecorded(ctx context.Context, records []wire.ItemRecord, failed []bool) {
+func (r *runner) notifyRecorded(ctx context.Context, records []wire.ItemRecord, failed []bool) {
 	for i := range records {
-		end := recordEnd{
+		outcome := recordOutcome{
 			key:    itemKey{records[i].Job, records[i].Item},
 			chain:  records[i].Chain,
 			final:  records[i].State != wire.ItemWaiting,
 			failed: failed[i],
 		}
-		if !end.final && !end.failed {
+		if !outcome.final && !outcome.failed {
 			continue
 		}
 		select {
-		case r.recorded <- end:
+		case r.recorded <- outcome:
 		case <-ctx.Done():
 			return
 		}
--- a/internal/batchstore/room.go
+++ b/internal/batchstore/room.go
@@ -15,31 +15,31 @@
 )
 
 const (
-	// roomLogInterval is the shortest time between two lines on the division of a zone's
-	// room.
-	roomLogInterval = time.Second
-	// namedParties is how many tenants are named in metrics, loggedParties in a line; the
-	// others are told together.
-	namedParties  = 16
-	loggedParties = 4
+	// capacityLogInterval is the shortest time between two log lines on the division of a zone's
+	// capacity.
+	capacityLogInterval = time.Second
+	// namedClasses is how many classes, each a tenant and a rank, the metrics name.
+	// loggedClasses is how many a log line names. The others are summed up.
+	namedClasses  = 16
+	loggedClasses = 4
 )
 
-// zoneRoom is the account of the zone's room at its hub: how many online requests a second the
-// zone's workers can begin (package fairshare; batchroom's room is free slots). The lock of the
-// hubs guards it.
-type zoneRoom struct {
+// zoneCapacity measures a zone's capacity at its hub: how many online requests per second the
+// zone's workers can start (package fairshare). It is not the batch capacity of package
+// batchroom, which counts free slots. hubsMutex guards it.
+type zoneCapacity struct {
 	meter *fairshare.Meter
-	// names holds the tenants' names by their short ones.
+	// names holds the tenants' names by their short names, nil if capacity is not divided.
 	names map[fairshare.Tenant]string
-	// logDue is from when on a division may be logged.
-	logDue time.Time
+	// nextLog is the earliest time at which a division may be logged again.
+	nextLog time.Time
 }
 
-func newZoneRoom() *zoneRoom { return &zoneRoom{meter: fairshare.NewMeter()} }
+func newZoneCapacity() *zoneCapacity { return &zoneCapacity{meter: fairshare.NewMeter()} }
 
-// configure takes in the configuration in force, which may be nil. Without tenants nobody's room
-// is divided.
-func (z *zoneRoom) configure(now time.Time, table *routetable.Table) {
+// configure applies the configuration in force, which may be nil. Without tenants, capacity is
+// not divided.
+func (z *zoneCapacity) configure(now time.Time, table *routetable.Table) {
 	z.meter.Configure(now, table.Shares())
 	z.names = nil
 	if table.Shares() == nil {
@@ -52,16 +52,17 @@
 	}
 }
 
-// answer takes in what an edge has counted and claims, and returns the standings of those
-// over their shares. What was not granted a token of its tenant's limit claims nothing.
-func (z *zoneRoom) answer(now time.Time, report *wire.LoadReport, verdicts []wire.TokenVerdict) []wire.RoomStanding {
+// answerClaims applies the counts and claims of an edge, and returns the standings of classes
+// over their shares. A request that was not granted a token of its tenant's limit does not count
+// as demand.
+func (z *zoneCapacity) answerClaims(now time.Time, report *wire.LoadReport, verdicts []wire.TokenVerdict) []wire.RoomStanding {
 	if !report.Left {
 		z.meter.ApplyCounts(now, report.Source, report.Begun, report.Short)
 	}
 	var standings []wire.RoomStanding
 	for i := range report.Claims {
 		claim := &report.Claims[i]
-		if refused(report.Tokens, verdicts, claim.Ticket) {
+		if tokenDenied(report.Tokens, verdicts, claim.Ticket) {
 			continue
 		}
 		standing := z.meter.RecordDemand(now, claim.Ticket, fairshare.Class{Tenant: claim.Tenant, Rank: int(claim.Rank)})
@@ -70,17 +71,17 @@
 		}
 		standings = append(standings, wire.RoomStanding{
 			Ticket:    claim.Ticket,
-			Asked:     roomToWire(standing.Demand),
-			Share:     roomToWire(standing.Share),
-			Room:      roomToWire(standing.Capacity),
+			Asked:     rateToWire(standing.Demand),
+			Share:     rateToWire(standing.Share),
+			Room:      rateToWire(standing.Capacity),
 			AgeMillis: uint32(max(standing.Age.Milliseconds(), 0)),
 		})
 	}
 	return standings
 }
 
-// refused reports whether a request asked for a token and was not granted one.
-func refused(questions []wire.TokenQuestion, verdicts []wire.TokenVerdict, ticket uint64) bool {
+// tokenDenied reports whether a request asked for a token and was not granted one.
+func tokenDenied(questions []wire.TokenQuestion, verdicts []wire.TokenVerdict, ticket uint64) bool {
 	for i := range verdicts {
 		if verdicts[i].Ticket == ticket {
 			return !verdicts[i].Granted
@@ -94,12 +95,12 @@
 	return false
 }
 
-func roomToWire(rate float64) uint32 {
+func rateToWire(rate float64) uint32 {
 	return uint32(min(max(rate*wire.RoomRateParts, 0), math.MaxUint32))
 }
 
-// nameOf names a tenant for people.
-func (z *zoneRoom) nameOf(tenant fairshare.Tenant) string {
+// nameOf returns a tenant's name for logs and metrics.
+func (z *zoneCapacity) nameOf(tenant fairshare.Tenant) string {
 	if tenant == fairshare.Public {
 		return "(public)"
 	}
@@ -109,85 +110,85 @@
 	return "(unknown)"
 }
 
-// logRoom writes down now and then how scarce room is divided, and by what. The lock of the
-// hubs is held.
-func (s *Store) logRoom(now time.Time) {
-	z := s.loads.room
-	if z.names == nil || now.Before(z.logDue) {
+// logCapacity logs how scarce capacity is divided, at most once per capacityLogInterval. The
+// caller holds hubsMutex.
+func (s *Store) logCapacity(now time.Time) {
+	z := s.loads.capacity
+	if z.names == nil || now.Before(z.nextLog) {
 		return
 	}
-	z.logDue = now.Add(roomLogInterval)
-	summary := z.meter.Summary(now, loggedParties)
+	z.nextLog = now.Add(capacityLogInterval)
+	summary := z.meter.Summary(now, loggedClasses)
 	if !summary.Scarce {
 		return
 	}
 	fields := []any{"room", summary.Capacity, "given", summary.Granted, "age_ms", summary.Age.Milliseconds()}
 	for i := range summary.Usages {
-		use, number := &summary.Usages[i], strconv.Itoa(i+1)
-		fields = append(fields, "tenant_"+number, z.nameOf(use.Class.Tenant), "rank_"+number, use.Class.Rank, "asked_"+number, use.Demand, "over_"+number, use.Excess, "share_"+number, use.Share)
+		usage, number := &summary.Usages[i], strconv.Itoa(i+1)
+		fields = append(fields, "tenant_"+number, z.nameOf(usage.Class.Tenant), "rank_"+number, usage.Class.Rank, "asked_"+number, usage.Demand, "over_"+number, usage.Excess, "share_"+number, usage.Share)
 	}
 	fields = append(fields, "others", summary.OtherCount, "others_asked", summary.Rest.Demand, "others_over", summary.Rest.Excess)
 	logging.Info(s.logger, "room_divided", fields...)
 }
 
-// roomCollector tells of the zone's room at each look.
-type roomCollector struct {
-	loads  *loads
-	room   *prometheus.Desc
-	scarce *prometheus.Desc
-	use    *prometheus.Desc
+// capacityCollector exports the zone's capacity and its use.
+type capacityCollector struct {
+	loads    *loads
+	capacity *prometheus.Desc
+	scarce   *prometheus.Desc
+	usage    *prometheus.Desc
 }
 
-func newRoomCollector(l *loads) *roomCollector {
-	return &roomCollector{
-		loads:  l,
-		room:   prometheus.NewDesc("store_room_per_second", "Requests a second that the zone's get while there is no room for more, at its hub.", nil, nil),
-		scarce: prometheus.NewDesc("store_room_scarce", "1 while there is too little room in the zone, at its hub.", nil, nil),
-		use:    prometheus.NewDesc("store_room_use_per_second", "Requests a second of the largest tenants, the others together: asked, over (the share) and share (while room is scarce).", []string{"tenant", "rank", "kind"}, nil),
+func newCapacityCollector(l *loads) *capacityCollector {
+	return &capacityCollector{
+		loads:    l,
+		capacity: prometheus.NewDesc("store_room_per_second", "Requests a second that the zone's get while there is no room for more, at its hub.", nil, nil),
+		scarce:   prometheus.NewDesc("store_room_scarce", "1 while there is too little room in the zone, at its hub.", nil, nil),
+		usage:    prometheus.NewDesc("store_room_use_per_second", "Requests a second of the largest tenants, the others together: asked, over (the share) and share (while room is scarce).", []string{"tenant", "rank", "kind"}, nil),
 	}
 }
 
 // Describe implements prometheus.Collector.
-func (c *roomCollector) Describe(descs chan<- *prometheus.Desc) {
-	descs <- c.room
+func (c *capacityCollector) Describe(descs chan<- *prometheus.Desc) {
+	descs <- c.capacity
 	descs <- c.scarce
-	descs <- c.use
+	descs <- c.usage
 }
 
 // Collect implements prometheus.Collector.
-func (c *roomCollector) Collect(metrics chan<- prometheus.Metric) {
-	c.loads.hubs.Lock()
-	defer c.loads.hubs.Unlock()
-	z := c.loads.room
+func (c *capacityCollector) Collect(metrics chan<- prometheus.Metric) {
+	c.loads.hubsMutex.Lock()
+	defer c.loads.hubsMutex.Unlock()
+	z := c.loads.capacity
 	if z.names == nil {
 		return
 	}
 	gauge := func(desc *prometheus.Desc, value float64, labels ...string) {
 		metrics <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, value, labels...)
 	}
-	summary := z.meter.Summary(clock.Now(), namedParties)
+	summary := z.meter.Summary(clock.Now(), namedClasses)
 	scarce := 0.0
 	if summary.Scarce {
 		scarce = 1
 	}
-	gauge(c.room, summary.Capacity)
+	gauge(c.capacity, summary.Capacity)
 	gauge(c.scarce, scarce)
 	seen := map[[2]string]bool{}
-	for _, use := range summary.Usages {
-		tenant, rank := z.nameOf(use.Class.Tenant), strconv.Itoa(use.Class.Rank)
+	for _, usage := range summary.Usages {
+		tenant, rank := z.nameOf(usage.Class.Tenant), strconv.Itoa(usage.Class.Rank)
 		if seen[[2]string{tenant, rank}] {
-			// Two that are unknown have one name.
+			// All unknown tenants share one name, and a label set may occur only once.
 			continue
 		}
 		seen[[2]string{tenant, rank}] = true
-		gauge(c.use, use.Demand, tenant, rank, "asked")
-		gauge(c.use, use.Excess, tenant, rank, "over")
-		if summary.Scarce && use.Share >= 0 {
-			gauge(c.use, use.Share, tenant, rank, "share")
+		gauge(c.usage, usage.Demand, tenant, rank, "asked")
+		gauge(c.usage, usage.Excess, tenant, rank, "over")
+		if summary.Scarce && usage.Share >= 0 {
+			gauge(c.usage, usage.Share, tenant, rank, "share")
 		}
 	}
 	if summary.OtherCount > 0 {
-		gauge(c.use, summary.Rest.Demand, "(others)", "", "asked")
-		gauge(c.use, summary.Rest.Excess, "(others)", "", "over")
+		gauge(c.usage, summary.Rest.Demand, "(others)", "", "asked")
+		gauge(c.usage, summary.Rest.Excess, "(others)", "", "over")
 	}
 }
--- a/internal/batchstore/room_test.go
+++ b/internal/batchstore/room_test.go
@@ -19,130 +19,131 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// hubOf returns a store as the hub of a zone, with the tenants.
-func hubOf(now time.Time, tenants ...routetable.Tenant) *Store {
+// newZoneHub returns a store that is the hub of a zone with the given tenants.
+func newZoneHub(now time.Time, tenants ...routetable.Tenant) *Store {
 	s := &Store{logger: logging.Discard(), loads: newLoads(ratelimit.Tolerance{})}
-	s.loads.room.configure(now, routetable.NewTable(&routetable.Configuration{Tenants: tenants}))
+	s.loads.capacity.configure(now, routetable.NewTable(&routetable.Configuration{Tenants: tenants}))
 	return s
 }
 
-// crowdZone lets an edge claim room, 100 requests a second of one tenant and 10 of another
-// while the zone gives 50, for 3 seconds. It returns the answers of the last second by tenant.
-func crowdZone(s *Store, now time.Time, large, small uint32) (told map[uint32]int, at time.Time, answers [][]byte) {
-	told = map[uint32]int{}
+// overloadZone lets an edge claim capacity for 3 seconds: 100 requests per second of the large
+// tenant and 10 of the small one, while the zone serves 50. It returns, by tenant, how many
+// requests of the last second were over share, the time at the end, and all encoded answers.
+func overloadZone(s *Store, now time.Time, large, small uint32) (overShare map[uint32]int, at time.Time, answers [][]byte) {
+	overShare = map[uint32]int{}
 	for i := range uint64(300) {
 		now = now.Add(10 * time.Millisecond)
 		report := &wire.LoadReport{Source: 5, Choosing: true, Begun: uint32(i / 2), Short: uint32(i), Claims: []wire.RoomClaim{{Ticket: i << 8, Tenant: large}}}
 		if i%10 == 0 {
 			report.Claims = append(report.Claims, wire.RoomClaim{Ticket: i<<8 + 1, Tenant: small})
 		}
-		answer := s.answerZone(now, report)
+		answer := s.answerEdge(now, report)
 		encoded, _ := answer.MarshalMsg(nil)
 		answers = append(answers, encoded)
 		for _, standing := range answer.Standings {
 			if i >= 200 && standing.Ticket&1 == 0 {
-				told[large]++
+				overShare[large]++
 			} else if i >= 200 {
-				told[small]++
+				overShare[small]++
 			}
 		}
 	}
-	return told, now, answers
+	return overShare, now, answers
 }
 
-// TestHubTellsWhoIsOver floods a zone: the hub names about what is beyond the share of the
-// tenant that floods, and nothing of the other.
-func TestHubTellsWhoIsOver(t *testing.T) {
+// TestHubReportsTenantsOverShare overloads a zone. The hub must report about as many requests as
+// exceed the share of the large tenant, and none of the small one.
+func TestHubReportsTenantsOverShare(t *testing.T) {
 	now := clock.Now()
-	s := hubOf(now, routetable.Tenant{Name: "large"}, routetable.Tenant{Name: "small"})
+	s := newZoneHub(now, routetable.Tenant{Name: "large"}, routetable.Tenant{Name: "small"})
 	large, small := routetable.ShortName("large"), routetable.ShortName("small")
-	told, now, _ := crowdZone(s, now, large, small)
-	if told[large] < 55 || told[large] > 75 || told[small] > 0 {
-		t.Errorf("over their shares: %d of 100 and %d of 10", told[large], told[small])
+	overShare, now, _ := overloadZone(s, now, large, small)
+	if overShare[large] < 55 || overShare[large] > 75 || overShare[small] > 0 {
+		t.Errorf("over their shares: %d of 100 requests of the large tenant, %d of 10 of the small one", overShare[large], overShare[small])
 	}
 	registry := prometheus.NewRegistry()
-	registry.MustRegister(newRoomCollector(s.loads))
+	registry.MustRegister(newCapacityCollector(s.loads))
 	families, err := registry.Gather()
 	if err != nil || len(families) != 3 {
 		t.Errorf("%v: %v", err, families)
 	}
-	s.loads.room.configure(now, routetable.NewTable(&routetable.Configuration{}))
-	if told, _, _ = crowdZone(s, now, large, small); len(told) > 0 {
-		t.Errorf("told %v after the tenants were taken away", told)
+	s.loads.capacity.configure(now, routetable.NewTable(&routetable.Configuration{}))
+	if overShare, _, _ = overloadZone(s, now, large, small); len(overShare) > 0 {
+		t.Errorf("standings %v after the tenants were removed", overShare)
 	}
 }
 
-// TestZoneWithoutTenantsIsAnsweredAsBefore puts the same reports to a hub that has no
-// configuration and to one whose configuration names no tenants: their answers are those of
-// a hub to reports without claims and counts, byte for byte.
+// TestZoneWithoutTenantsIsAnsweredAsBefore sends the same reports to a hub without a configuration
+// and to one whose configuration has no tenants. Their answers must equal, byte for byte, those
+// of a hub to reports without claims and counts.
 func TestZoneWithoutTenantsIsAnsweredAsBefore(t *testing.T) {
 	now := clock.Now()
 	plain := &Store{logger: logging.Discard(), loads: newLoads(ratelimit.Tolerance{})}
 	var want [][]byte
 	for range 300 {
 		now = now.Add(10 * time.Millisecond)
-		encoded, _ := plain.answerZone(now, &wire.LoadReport{Source: 5, Choosing: true}).MarshalMsg(nil)
+		encoded, _ := plain.answerEdge(now, &wire.LoadReport{Source: 5, Choosing: true}).MarshalMsg(nil)
 		want = append(want, encoded)
 	}
-	for name, s := range map[string]*Store{"no configuration": {logger: logging.Discard(), loads: newLoads(ratelimit.Tolerance{})}, "no tenants": hubOf(now)} {
-		_, _, got := crowdZone(s, now, 1, 2)
+	for name, s := range map[string]*Store{"no configuration": {logger: logging.Discard(), loads: newLoads(ratelimit.Tolerance{})}, "no tenants": newZoneHub(now)} {
+		_, _, got := overloadZone(s, now, 1, 2)
 		if !slices.EqualFunc(got, want, bytes.Equal) {
-			t.Errorf("%s: other answers", name)
+			t.Errorf("%s: the answers differ", name)
 		}
 		registry := prometheus.NewRegistry()
-		registry.MustRegister(newRoomCollector(s.loads))
+		registry.MustRegister(newCapacityCollector(s.loads))
 		if families, err := registry.Gather(); err != nil || len(families) > 0 {
 			t.Errorf("%s: %v, metrics %v", name, err, families)
 		}
 	}
 }
 
-// TestRefusedTokensClaimNothing lets a tenant ask far beyond its limit: what its limit
-// refuses is no demand for room.
-func TestRefusedTokensClaimNothing(t *testing.T) {
+// TestDeniedTokensAddNoDemand lets a tenant send far more than its limit allows. Requests that
+// the limit rejects must not count as demand for capacity.
+func TestDeniedTokensAddNoDemand(t *testing.T) {
 	now := clock.Now()
-	s := hubOf(now)
+	s := newZoneHub(now)
 	tenant := routetable.Tenant{Name: "a", RatePerSecond: 1, Burst: 1}
 	table := routetable.NewTable(&routetable.Configuration{Tenants: []routetable.Tenant{tenant}})
-	s.loads.room.configure(now, table)
-	s.loads.limits.set(table.Limits(), 1)
+	s.loads.capacity.configure(now, table)
+	s.loads.limits.setLimits(table.Limits(), 1)
 	short := routetable.ShortName("a")
 	granted := 0
 	for ticket := range uint64(200) {
 		now = now.Add(10 * time.Millisecond)
-		answer := s.answerZone(now, &wire.LoadReport{Source: 5, Choosing: true, Tokens: []wire.TokenQuestion{{Ticket: ticket, Tenant: short}}, Claims: []wire.RoomClaim{{Ticket: ticket, Tenant: short}}})
+		answer := s.answerEdge(now, &wire.LoadReport{Source: 5, Choosing: true, Tokens: []wire.TokenQuestion{{Ticket: ticket, Tenant: short}}, Claims: []wire.RoomClaim{{Ticket: ticket, Tenant: short}}})
 		for _, verdict := range answer.Verdicts {
 			if verdict.Granted {
 				granted++
 			}
 		}
 	}
-	uses := s.loads.room.meter.Summary(now, 1).Usages
-	if granted == 0 || granted > 20 || len(uses) == 1 && uses[0].Demand > 10 {
-		t.Errorf("%d granted, uses %+v", granted, uses)
+	usages := s.loads.capacity.meter.Summary(now, 1).Usages
+	if granted == 0 || granted > 20 || len(usages) == 1 && usages[0].Demand > 10 {
+		t.Errorf("%d granted, usages %+v", granted, usages)
 	}
 }
 
-// TestNamesOfTheRoom names tenants, callers that are none, and those that a hub does not
-// know yet.
-func TestNamesOfTheRoom(t *testing.T) {
-	z := hubOf(clock.Now(), routetable.Tenant{Name: "a"}).loads.room
+// TestTenantDisplayNames checks the names of a known tenant, of callers without a tenant, and of
+// a tenant that the hub does not know yet.
+func TestTenantDisplayNames(t *testing.T) {
+	z := newZoneHub(clock.Now(), routetable.Tenant{Name: "a"}).loads.capacity
 	names := []string{z.nameOf(routetable.ShortName("a")), z.nameOf(fairshare.Public), z.nameOf(77)}
 	if got := strings.Join(names, " "); got != "a (public) (unknown)" {
-		t.Errorf("named %s", got)
+		t.Errorf("the names are %s", got)
 	}
 }
 
-// TestItemsOfTenantsTakeTurns hands in a job of forty items and later one of four, of
-// another tenant, in more than comes in time: the four come among the first eight. Without
-// tenants, or with time for all, the order is that of batchplan.Sort.
-func TestItemsOfTenantsTakeTurns(t *testing.T) {
+// TestTenantsShareItemOrder submits a job of forty items and later one of four items of another
+// tenant, more than can finish in time: the four must be among the first eight. Without tenants,
+// or if all can finish in time, the order must be that of batchplan.Sort.
+func TestTenantsShareItemOrder(t *testing.T) {
 	shared := table().Configuration
 	shared.Tenants = []routetable.Tenant{{Name: "a"}, {Name: "b"}}
 	for name, test := range map[string]struct {
-		table *routetable.Table
-		items int
-		turns bool
+		table       *routetable.Table
+		items       int
+		interleaved bool
 	}{
 		"without tenants": {table(), 40, false},
 		"with tenants":    {routetable.NewTable(shared), 40, true},
@@ -162,22 +163,22 @@
 				r.group.machine.Apply(encoded)
 			}
 			submit("a", test.items)
-			r.order(start, test.table)
+			r.waitingItems(start, test.table)
 			submit("b", 4)
-			items := r.order(start.Add(time.Second), test.table)
+			items := r.waitingItems(start.Add(time.Second), test.table)
 			sorted := slices.Clone(items)
 			batchplan.Sort(sorted)
-			if same := slices.Equal(items, sorted); same == test.turns {
-				t.Errorf("in the order of Sort: %t", same)
+			if same := slices.Equal(items, sorted); same == test.interleaved {
+				t.Errorf("items in the order of Sort: %t", same)
 			}
-			first := 0
+			smaller := 0
 			for _, item := range items[:8] {
 				if item.Owner.Tenant == "b" {
-					first++
+					smaller++
 				}
 			}
-			if test.turns && first != 4 {
-				t.Errorf("%d of the smaller job among the first eight", first)
+			if test.interleaved && smaller != 4 {
+				t.Errorf("%d items of the smaller job among the first eight, want 4", smaller)
 			}
 		})
 	}
--- a/internal/batchstore/runner.go
+++ b/internal/batchstore/runner.go
@@ -15,98 +15,97 @@
 )
 
 const (
-	// runInterval is the longest time between two looks for items to run.
-	runInterval = 20 * time.Millisecond
-	// idleInterval is the same while another store leads.
-	idleInterval = 100 * time.Millisecond
-	// lapseTime is how long items run on after the lease is over. A leader that is
-	// only slow hears its majority again soon; what runs meanwhile is recorded
-	// through the log, or not at all.
-	lapseTime = 300 * time.Millisecond
-	// notRunPause is how long an item rests after a worker would not take it.
-	notRunPause = 100 * time.Millisecond
+	// leaderPollInterval is the longest time between two polls for items to run.
+	leaderPollInterval = 20 * time.Millisecond
+	// followerPollInterval is the same while another store leads.
+	followerPollInterval = 100 * time.Millisecond
+	// leaseGrace is how long items run on after the lease has expired. A leader that is only
+	// slow hears from its majority again soon; until then results are recorded through the log
+	// or not at all.
+	leaseGrace = 300 * time.Millisecond
+	// notRunBackoff is how long an item waits after a worker did not accept it.
+	notRunBackoff = 100 * time.Millisecond
 )
 
-// itemKey names an item.
+// itemKey identifies an item.
 type itemKey struct {
 	job  string
 	item int
 }
 
-// runner starts the items of the jobs while this store leads. Its loop owns all
-// fields but the channels.
+// runner runs the items of the jobs while this store leads. Its loop owns all fields but the
+// channels and waiting.
 type runner struct {
 	store   *Store
 	group   *group
 	running map[itemKey]*task
-	// carried holds what items had that were stopped here, where it goes beyond
+	// savedProgress holds the progress of items that were stopped here, where it is ahead of
 	// the log.
-	carried map[itemKey]carry
-	resting map[itemKey]time.Time
-	// prints holds the identities of items that were looked up, granted those that may be
-	// tried though they are refused; trials brings such grants.
-	prints  map[itemKey]quarantine.Fingerprint
-	granted map[itemKey]bool
-	trials  chan itemKey
-	// waiting counts the items that could start, as of the last look.
+	savedProgress map[itemKey]progress
+	backoffUntil  map[itemKey]time.Time
+	// fingerprints caches the fingerprints of items. grantedTrials holds the refused items that
+	// may run on trial; trials delivers such grants.
+	fingerprints  map[itemKey]quarantine.Fingerprint
+	grantedTrials map[itemKey]bool
+	trials        chan itemKey
+	// waiting is the number of items that could start, as of the last poll.
 	waiting atomic.Int64
-	// unproven holds the items that were a probe which failed.
-	unproven map[itemKey]bool
-	seen     map[string]*sighting
-	ended    chan *task
-	records  chan wire.ItemRecord
-	// pending holds items whose result is on its way to the log.
+	// failedProbes holds the items that ran as a probe that failed.
+	failedProbes map[itemKey]bool
+	seen         map[string]*observedJob
+	ended        chan *task
+	records      chan wire.ItemRecord
+	// pending holds the items whose result is being written to the log.
 	pending  map[itemKey]bool
-	recorded chan recordEnd
+	recorded chan recordOutcome
 	splitter *routetable.Splitter
 	leading  bool
-	// term is the term that this store led in last, ledAt when it held its
-	// lease last.
-	term      uint64
-	leadSince time.Time
-	ledAt     time.Time
-	forgetDue time.Time
-	// draining holds whom to tell, once items are to stop, that none runs any more;
-	// resuming ends that.
-	draining chan chan struct{}
-	drained  chan struct{}
-	resuming chan struct{}
+	// term is the last term that this store led in, lastLedAt when it last held its lease.
+	term       uint64
+	leadSince  time.Time
+	lastLedAt  time.Time
+	nextForget time.Time
+	// drainRequests starts a drain and delivers the channel to close once no item runs any
+	// more; resumeRequests ends the drain. drained is not nil while the runner drains.
+	drainRequests  chan chan struct{}
+	drained        chan struct{}
+	resumeRequests chan struct{}
 }
 
-// sighting is what this leader has seen of a job since it leads: ages go by its
-// own steady clock, because wall clocks may jump.
-type sighting struct {
-	first     time.Time
-	routeGone time.Time
+// observedJob is what this leader has seen of a job since it leads. Ages are measured by its
+// monotonic clock, because wall clocks may jump.
+type observedJob struct {
+	firstSeen      time.Time
+	routeGoneSince time.Time
 }
 
-const queueLength = 4096
+const channelCapacity = 4096
 
 func newRunner(g *group) *runner {
 	return &runner{
-		store:    g.store,
-		group:    g,
-		splitter: routetable.NewSplitter(),
-		running:  map[itemKey]*task{},
-		carried:  map[itemKey]carry{},
-		resting:  map[itemKey]time.Time{},
-		prints:   map[itemKey]quarantine.Fingerprint{},
-		granted:  map[itemKey]bool{},
-		trials:   make(chan itemKey),
-		unproven: map[itemKey]bool{},
-		seen:     map[string]*sighting{},
-		pending:  map[itemKey]bool{},
-		ended:    make(chan *task, queueLength),
-		draining: make(chan chan struct{}),
-		resuming: make(chan struct{}),
-		records:  make(chan wire.ItemRecord, queueLength),
-		recorded: make(chan recordEnd, queueLength),
+		store:          g.store,
+		group:          g,
+		splitter:       routetable.NewSplitter(),
+		running:        map[itemKey]*task{},
+		savedProgress:  map[itemKey]progress{},
+		backoffUntil:   map[itemKey]time.Time{},
+		fingerprints:   map[itemKey]quarantine.Fingerprint{},
+		grantedTrials:  map[itemKey]bool{},
+		trials:         make(chan itemKey),
+		failedProbes:   map[itemKey]bool{},
+		seen:           map[string]*observedJob{},
+		pending:        map[itemKey]bool{},
+		ended:          make(chan *task, channelCapacity),
+		drainRequests:  make(chan chan struct{}),
+		resumeRequests: make(chan struct{}),
+		records:        make(chan wire.ItemRecord, channelCapacity),
+		recorded:       make(chan recordOutcome, channelCapacity),
 	}
 }
 
-// run looks for items to run until ctx ends.
+// run polls for items to run until ctx ends.
 func (r *runner) run(ctx context.Context) {
-	timer := time.NewTimer(runInterval)
+	timer := time.NewTimer(leaderPollInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -115,20 +114,20 @@
 			return
 		case <-timer.C:
 			r.drainEvents()
-			r.look(ctx, clock.Now())
-			timer.Reset(r.interval())
+			r.poll(ctx, clock.Now())
+			timer.Reset(r.pollInterval())
 		case ended := <-r.ended:
-			r.end(ended)
-		case end := <-r.recorded:
-			r.takeRecorded(end)
+			r.finishTask(ended)
+		case outcome := <-r.recorded:
+			r.handleRecorded(outcome)
 		case key := <-r.trials:
-			r.granted[key] = true
-		case r.drained = <-r.draining:
+			r.grantedTrials[key] = true
+		case r.drained = <-r.drainRequests:
 			r.stopAll()
-		case <-r.resuming:
+		case <-r.resumeRequests:
 			r.drained = nil
 		}
-		r.tellDrained()
+		r.notifyDrained()
 	}
 }
 
@@ -136,21 +135,21 @@
 	for {
 		select {
 		case ended := <-r.ended:
-			r.end(ended)
-		case end := <-r.recorded:
-			r.takeRecorded(end)
+			r.finishTask(ended)
+		case outcome := <-r.recorded:
+			r.handleRecorded(outcome)
 		default:
 			return
 		}
 	}
 }
 
-// drain stops all items and waits until what they have is on its way to the log,
-// so that the next leader goes on from there.
+// drain stops all items and waits until the record loop has taken all their records, so that the
+// next leader continues from there.
 func (r *runner) drain(ctx context.Context) {
 	done := make(chan struct{})
 	select {
-	case r.draining <- done:
+	case r.drainRequests <- done:
 	case <-ctx.Done():
 		return
 	}
@@ -163,86 +162,86 @@
 // resume lets items start again after a drain.
 func (r *runner) resume(ctx context.Context) {
 	select {
-	case r.resuming <- struct{}{}:
+	case r.resumeRequests <- struct{}{}:
 	case <-ctx.Done():
 	}
 }
 
-// interval returns the time to the next look.
-func (r *runner) interval() time.Duration {
+// pollInterval returns the time to the next poll.
+func (r *runner) pollInterval() time.Duration {
 	if r.leading {
-		return runInterval
+		return leaderPollInterval
 	}
-	return idleInterval
+	return followerPollInterval
 }
 
-func (r *runner) tellDrained() {
+func (r *runner) notifyDrained() {
 	if r.drained != nil && len(r.running) == 0 && len(r.records) == 0 {
 		close(r.drained)
 		r.drained = make(chan struct{})
 	}
 }
 
-// recordEnd says how the writing of an item's news ended.
-type recordEnd struct {
+// recordOutcome is the outcome of writing an item's record.
+type recordOutcome struct {
 	key   itemKey
 	chain uint64
-	// final is set for a result, failed where the log did not take the news.
+	// final is set for a result, failed if the log did not take the record.
 	final  bool
 	failed bool
 }
 
-// takeRecorded takes in that news are written, or are not: then nothing more of
-// their chain follows on the log.
-func (r *runner) takeRecorded(end recordEnd) {
-	if end.final {
-		delete(r.pending, end.key)
+// handleRecorded handles the outcome of a record. After a failure, no later record of the same
+// chain follows on the log, so the run and its saved progress are dropped.
+func (r *runner) handleRecorded(outcome recordOutcome) {
+	if outcome.final {
+		delete(r.pending, outcome.key)
 	}
-	if !end.failed {
+	if !outcome.failed {
 		return
 	}
-	if r.carried[end.key].chain == end.chain {
-		delete(r.carried, end.key)
+	if r.savedProgress[outcome.key].chain == outcome.chain {
+		delete(r.savedProgress, outcome.key)
 	}
-	if running := r.running[end.key]; running != nil && running.chain == end.chain {
-		running.cancel()
-		running.unusable = true
+	if current := r.running[outcome.key]; current != nil && current.chain == outcome.chain {
+		current.cancel()
+		current.unusable = true
 	}
 }
 
-// end takes in that a task is over.
-func (r *runner) end(ended *task) {
+// finishTask removes an attempt that is over, and keeps what the next attempt at the item needs.
+func (r *runner) finishTask(ended *task) {
 	ended.cancel()
 	if r.running[ended.key] == ended {
 		delete(r.running, ended.key)
 	}
-	delete(r.carried, ended.key)
-	if !ended.finished && !ended.unusable && ended.carry.events > 0 {
-		r.carried[ended.key] = ended.carry
+	delete(r.savedProgress, ended.key)
+	if !ended.finished && !ended.unusable && ended.progress.events > 0 {
+		r.savedProgress[ended.key] = ended.progress
 	}
 	if ended.onTrial && !ended.finished {
-		// It gave way, or its worker would not take it: the trial is still to be made.
-		r.granted[ended.key] = true
+		// It was preempted, or its worker did not accept it: the trial is still due.
+		r.grantedTrials[ended.key] = true
 	}
 	if ended.probeFailed {
-		r.unproven[ended.key] = true
+		r.failedProbes[ended.key] = true
 	}
 	switch {
 	case ended.finished:
 		r.pending[ended.key] = true
-		delete(r.prints, ended.key)
-		delete(r.unproven, ended.key)
-		if ended.ranWhole {
-			r.store.runTimes.add(ended.ran, ended.carry.events)
+		delete(r.fingerprints, ended.key)
+		delete(r.failedProbes, ended.key)
+		if ended.ranUninterrupted {
+			r.store.runTimes.addRun(ended.runTime, ended.progress.events)
 		}
 		if ended.state == wire.ItemCompleted {
-			r.store.runTimes.addLength(ended.expected, ended.carry.events)
+			r.store.runTimes.addEventCount(ended.expected, ended.progress.events)
 		}
-	case ended.yielded:
-		r.logYield(ended)
-		r.resting[ended.key] = clock.Now().Add(yieldPause)
-	case ended.rest > 0:
-		r.resting[ended.key] = clock.Now().Add(ended.rest)
+	case ended.preempted:
+		r.logAdvancePreemption(ended)
+		r.backoffUntil[ended.key] = clock.Now().Add(preemptBackoff)
+	case ended.backoff > 0:
+		r.backoffUntil[ended.key] = clock.Now().Add(ended.backoff)
 	}
 }
 
@@ -252,43 +251,43 @@
 	}
 }
 
-// look starts what may be started and stops what must not go on.
-func (r *runner) look(ctx context.Context, now time.Time) {
+// poll starts the items that may start and stops those that must not go on.
+func (r *runner) poll(ctx context.Context, now time.Time) {
 	var starts []*task
 	err := r.store.host.Read(r.group.number, func(term uint64, reader storage.Reader) error {
-		r.lead(now, term)
+		r.setLeading(now, term)
 		starts = r.plan(ctx, now, reader)
 		return nil
 	})
 	if err != nil {
-		if !replication.IsLeaseExpired(err) || now.Sub(r.ledAt) > lapseTime {
-			r.unlead()
+		if !replication.IsLeaseExpired(err) || now.Sub(r.lastLedAt) > leaseGrace {
+			r.stopLeading()
 		}
 		return
 	}
 	for _, task := range starts {
 		go task.run()
 	}
-	if !now.Before(r.forgetDue) {
-		r.forgetDue = now.Add(forgetInterval)
+	if !now.Before(r.nextForget) {
+		r.nextForget = now.Add(forgetInterval)
 		go r.forget(ctx, r.forgettable(now))
 	}
 }
 
-// lead takes in that this store leads in the term.
-func (r *runner) lead(now time.Time, term uint64) {
+// setLeading records that this store leads in the term.
+func (r *runner) setLeading(now time.Time, term uint64) {
 	if term != r.term {
-		r.unlead()
+		r.stopLeading()
 	}
-	r.term, r.ledAt = term, now
+	r.term, r.lastLedAt = term, now
 	if !r.leading {
 		r.leading, r.leadSince = true, now
 		logging.Info(r.store.logger, "running_items", "group", r.group.number, "leading", true, "term", term)
 	}
 }
 
-// unlead drops what a store that does not lead must not go on with.
-func (r *runner) unlead() {
+// stopLeading cancels the items and drops the state that only a leader may use.
+func (r *runner) stopLeading() {
 	if !r.leading {
 		return
 	}
@@ -299,11 +298,11 @@
 		task.unusable = true
 	}
 	r.stopAll()
-	r.seen = map[string]*sighting{}
+	r.seen = map[string]*observedJob{}
 	r.pending = map[itemKey]bool{}
-	r.carried = map[itemKey]carry{}
-	r.resting = map[itemKey]time.Time{}
-	r.unproven = map[itemKey]bool{}
-	r.prints = map[itemKey]quarantine.Fingerprint{}
-	r.granted = map[itemKey]bool{}
+	r.savedProgress = map[itemKey]progress{}
+	r.backoffUntil = map[itemKey]time.Time{}
+	r.failedProbes = map[itemKey]bool{}
+	r.fingerprints = map[itemKey]quarantine.Fingerprint{}
+	r.grantedTrials = map[itemKey]bool{}
 }
--- a/internal/batchstore/runner_test.go
+++ b/internal/batchstore/runner_test.go
@@ -22,7 +22,7 @@
 // slots is how many requests the only worker of these tests runs at once.
 const slots = 8
 
-// testRunner returns a runner before one worker, with one job of so many items.
+// testRunner returns a runner with one worker and one job with the given number of items.
 func testRunner(t *testing.T, items int) *runner {
 	t.Helper()
 	s := &Store{
@@ -45,12 +45,12 @@
 	return g.runner
 }
 
-// table has the job's route, whose results are due after 20 s.
+// table returns a configuration with the job's route, whose results are due after 20 s.
 func table() *routetable.Table {
 	return routetable.NewTable(&routetable.Configuration{Routes: []routetable.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: routetable.KindBatch, RunGoalMillis: 20000}}})
 }
 
-// runItem puts an item on the worker, as if it had begun then.
+// runItem starts an item on the worker at the given time, without running it.
 func (r *runner) runItem(t *testing.T, number int, began time.Time) *task {
 	t.Helper()
 	lease := r.store.workers.Acquire(began, &balance.Request{Pool: "p", Batch: true, BatchShare: 100})
@@ -64,15 +64,15 @@
 	return running
 }
 
-// crowd tells that others have so many requests at the worker, as the hub would that
-// this process is.
-func (r *runner) crowd(now time.Time, online int) {
+// applyOnlineLoad reports online requests of other processes at the worker, and applies the
+// resulting orders, as if this process were the top hub.
+func (r *runner) applyOnlineLoad(now time.Time, online int) {
 	rows := []wire.WorkerLoad{{Worker: loadshare.Hash("w"), Online: uint16(online)}}
 	r.store.workers.SetPeerLoads(now, rows, balance.ScopeAll)
-	r.store.workers.SetOrders(r.store.order(now, ownSource, 0, r.store.workers.Items()))
+	r.store.workers.SetOrders(r.store.planOrders(now, ownSource, 0, r.store.workers.Items()))
 }
 
-func stopped(r *runner) (count int) {
+func stoppedCount(r *runner) (count int) {
 	for _, running := range r.running {
 		if running.context.Err() != nil {
 			count++
@@ -81,111 +81,111 @@
 	return count
 }
 
-// TestItemsGiveWayAtOnce crowds a worker with online requests: all items that stand
-// in the way stop in one go, no more than these, and none that has hardly begun.
+// TestItemsGiveWayAtOnce overloads a worker with online requests. All items that occupy the needed
+// slots must stop at once, and no others. Items that have just begun must not stop.
 func TestItemsGiveWayAtOnce(t *testing.T) {
 	r := testRunner(t, 4)
 	for number := range 4 {
 		r.runItem(t, number, start)
 	}
-	r.order(start, table())
-	now := start.Add(leastRun / 2)
-	r.crowd(now, slots-1)
-	r.yield(now, table())
-	if got := stopped(r); got != 0 {
-		t.Fatalf("%d items gave way that had hardly begun", got)
+	r.waitingItems(start, table())
+	now := start.Add(minRunTime / 2)
+	r.applyOnlineLoad(now, slots-1)
+	r.preempt(now, table())
+	if got := stoppedCount(r); got != 0 {
+		t.Fatalf("%d items were preempted that had just begun", got)
 	}
-	now = start.Add(leastRun)
+	now = start.Add(minRunTime)
 	for range 3 {
-		r.crowd(now, slots-1)
-		r.yield(now, table())
-		if got := stopped(r); got != 3 {
-			t.Fatalf("%d items gave way, want 3", got)
+		r.applyOnlineLoad(now, slots-1)
+		r.preempt(now, table())
+		if got := stoppedCount(r); got != 3 {
+			t.Fatalf("%d items were preempted, want 3", got)
 		}
-		now = now.Add(runInterval)
+		now = now.Add(leaderPollInterval)
 	}
-	r.crowd(now, 2)
-	r.yield(now, table())
-	if got := stopped(r); got != 3 {
-		t.Errorf("%d items gave way, the last though there was room", got)
+	r.applyOnlineLoad(now, 2)
+	r.preempt(now, table())
+	if got := stoppedCount(r); got != 3 {
+		t.Errorf("%d items were preempted, want 3: the last one though slots were free", got)
 	}
 }
 
-// TestUrgencyDoesNotHoldOnlineUp checks that an item that is in time only if it goes
-// on stops for online requests like any other.
+// TestUrgencyDoesNotHoldOnlineUp checks that an item that can finish in time only if it goes on
+// stops for online requests like any other.
 func TestUrgencyDoesNotHoldOnlineUp(t *testing.T) {
 	r := testRunner(t, 2)
 	urgent := r.runItem(t, 0, start)
 	r.runItem(t, 1, start)
-	r.order(start, table())
+	r.waitingItems(start, table())
 	now := start.Add(17 * time.Second)
-	r.crowd(now, slots-1)
-	r.yield(now, table())
-	if stopped(r) != 1 {
-		t.Fatalf("%d items gave way, want 1", stopped(r))
+	r.applyOnlineLoad(now, slots-1)
+	r.preempt(now, table())
+	if stoppedCount(r) != 1 {
+		t.Fatalf("%d items were preempted, want 1", stoppedCount(r))
 	}
-	r.crowd(now, slots)
-	r.yield(now, table())
+	r.applyOnlineLoad(now, slots)
+	r.preempt(now, table())
 	if urgent.context.Err() == nil {
-		t.Error("an urgent item stands in the way of online requests")
+		t.Error("an urgent item was not preempted for online requests")
 	}
 }
 
-// TestDroppedNewsEndTheirChain checks that news that the log did not take end the
-// run that they came from, and no other.
-func TestDroppedNewsEndTheirChain(t *testing.T) {
+// TestDroppedRecordsCancelTheirRun checks that a record that the log did not take cancels the run
+// that it came from, and no other.
+func TestDroppedRecordsCancelTheirRun(t *testing.T) {
 	r := testRunner(t, 2)
 	first, second := r.runItem(t, 0, start), r.runItem(t, 1, start)
-	r.takeRecorded(recordEnd{key: first.key, chain: first.chain + 7, failed: true})
+	r.handleRecorded(recordOutcome{key: first.key, chain: first.chain + 7, failed: true})
 	if first.context.Err() != nil {
-		t.Fatal("news of an earlier chain ended the run")
+		t.Fatal("the record of an earlier chain canceled the run")
 	}
-	r.takeRecorded(recordEnd{key: first.key, chain: first.chain, failed: true})
+	r.handleRecorded(recordOutcome{key: first.key, chain: first.chain, failed: true})
 	if first.context.Err() == nil || !first.unusable || second.context.Err() != nil {
-		t.Error("the wrong run was ended")
+		t.Error("the wrong run was canceled")
 	}
-	carried := itemKey{"j", 1}
-	r.carried[carried] = carry{chain: 3, events: 5}
-	r.takeRecorded(recordEnd{key: carried, chain: 4, failed: true})
-	if r.carried[carried].events != 5 {
-		t.Error("what another chain had was forgotten")
+	saved := itemKey{"j", 1}
+	r.savedProgress[saved] = progress{chain: 3, events: 5}
+	r.handleRecorded(recordOutcome{key: saved, chain: 4, failed: true})
+	if r.savedProgress[saved].events != 5 {
+		t.Error("the saved progress of another chain was dropped")
 	}
-	r.takeRecorded(recordEnd{key: carried, chain: 3, failed: true})
-	if _, kept := r.carried[carried]; kept {
-		t.Error("what does not follow on the log is kept")
+	r.handleRecorded(recordOutcome{key: saved, chain: 3, failed: true})
+	if _, kept := r.savedProgress[saved]; kept {
+		t.Error("saved progress that does not follow on the log was kept")
 	}
 }
 
-// TestResultsOnTheirWayAreNotRunAgain checks that an item whose result is being
-// written rests, and is looked at anew if the log did not take it.
-func TestResultsOnTheirWayAreNotRunAgain(t *testing.T) {
+// TestPendingResultsAreNotRunAgain checks that an item whose result is being written does not
+// run again, and is planned anew if the log did not take the result.
+func TestPendingResultsAreNotRunAgain(t *testing.T) {
 	r := testRunner(t, 1)
 	key := itemKey{"j", 0}
 	r.pending[key] = true
-	if items := r.order(start, table()); len(items) != 0 {
-		t.Errorf("%+v would run again", items)
+	if items := r.waitingItems(start, table()); len(items) != 0 {
+		t.Errorf("%+v would run again while the result is pending", items)
 	}
-	r.takeRecorded(recordEnd{key: key, final: true, failed: true})
-	if items := r.order(start, table()); len(items) != 1 {
-		t.Errorf("%d items wait", len(items))
+	r.handleRecorded(recordOutcome{key: key, final: true, failed: true})
+	if items := r.waitingItems(start, table()); len(items) != 1 {
+		t.Errorf("%d items wait, want 1", len(items))
 	}
 }
 
-// TestNewLeaderListensFirst checks that a leader starts no items before it can
-// have heard of the loads, and does not wait for ever.
-func TestNewLeaderListensFirst(t *testing.T) {
+// TestNewLeaderWaitsForLoads checks that a leader starts no items before load reports can have
+// arrived, and does not wait for ever.
+func TestNewLeaderWaitsForLoads(t *testing.T) {
 	r := testRunner(t, 1)
-	r.lead(start, 1)
-	for age, want := range map[time.Duration]bool{0: false, loadsTime: false, loadsTime + 1: true} {
-		if got := r.knowsLoads(start.Add(age)); got != want {
-			t.Errorf("after %s: %t", age, got)
+	r.setLeading(start, 1)
+	for age, want := range map[time.Duration]bool{0: false, minLoadsWait: false, minLoadsWait + 1: true} {
+		if got := r.loadsKnown(start.Add(age)); got != want {
+			t.Errorf("after %s: loads known %t", age, got)
 		}
 	}
-	r.store.loads.reporting.Store(-1)
-	if r.knowsLoads(start.Add(loadsTime + 1)) {
-		t.Error("it starts before any edge is heard")
+	r.store.loads.reporters.Store(-1)
+	if r.loadsKnown(start.Add(minLoadsWait + 1)) {
+		t.Error("the leader starts items before any edge has reported")
 	}
-	if !r.knowsLoads(start.Add(loadsPatience + 1)) {
-		t.Error("it waits for edges for ever")
+	if !r.loadsKnown(start.Add(maxLoadsWait + 1)) {
+		t.Error("the leader still waits for edges after maxLoadsWait")
 	}
 }
--- a/internal/batchstore/runtimes.go
+++ b/internal/batchstore/runtimes.go
@@ -7,32 +7,32 @@
 	"github.com/sedgemast/sedgemast/internal/batchplan"
 )
 
-// runTimes is how long items take and how many events they have, learnt by the runners of
-// all groups.
+// runTimes holds the run times and event counts of finished items, learned by the runners of all
+// groups.
 type runTimes struct {
-	mutex   sync.Mutex
-	mean    batchplan.RunTime
-	lengths batchplan.Lengths
+	mutex       sync.Mutex
+	mean        batchplan.RunTime
+	eventCounts batchplan.Lengths
 }
 
-// add takes in how long an item ran that was never stopped, and its events.
-func (r *runTimes) add(run time.Duration, events int) {
+// addRun adds the run time and events of an item that ran without interruption.
+func (r *runTimes) addRun(run time.Duration, events int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.mean.Add(run, events)
 }
 
-// addLength takes in an item that is done: the tokens that its caller expected, and its
-// events.
-func (r *runTimes) addLength(expected int64, events int) {
+// addEventCount adds a completed item: the tokens that its caller expected, and its events.
+func (r *runTimes) addEventCount(expected int64, events int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.lengths.Add(float64(expected), float64(events))
+	r.eventCounts.Add(float64(expected), float64(events))
 }
 
-// remaining returns how long an item takes that has so many events.
+// remaining returns the estimated time until an item with the given number of events finishes.
+// expected is the number of tokens that its caller expects.
 func (r *runTimes) remaining(events int, expected int64) time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.mean.Remaining(events, r.lengths.Expect(float64(expected)))
+	return r.mean.Remaining(events, r.eventCounts.Expect(float64(expected)))
 }
--- a/internal/batchstore/spread.go
+++ b/internal/batchstore/spread.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// spreadInterval is the time between two looks at who leads what, spreadAfter
-	// how long an uneven spread must last before a group is handed over: its items
-	// stop for that, and a store that has just come back may go again.
-	spreadInterval = 500 * time.Millisecond
-	spreadAfter    = 15 * time.Second
-	// readySilence and readyBehind are how lately a replica must have answered, and
-	// how few entries it may lack, to take a group over.
-	readySilence = 300 * time.Millisecond
-	readyBehind  = 64
+	// rebalanceInterval is the time between two checks of which store leads which group.
+	// rebalanceDelay is how long an uneven spread must last before a group is transferred: a
+	// transfer stops the group's items, and a store that has just come back may stop again.
+	rebalanceInterval = 500 * time.Millisecond
+	rebalanceDelay    = 15 * time.Second
+	// maxResponseAge is how recently a replica must have answered, and maxLag how many entries
+	// it may lack at most, to become the leader of a group.
+	maxResponseAge = 300 * time.Millisecond
+	maxLag         = 64
 )
 
-// spreadLoop hands groups over to stores that lead fewer.
-func (s *Store) spreadLoop(ctx context.Context) {
+// rebalanceLoop transfers groups to stores that lead fewer.
+func (s *Store) rebalanceLoop(ctx context.Context) {
 	var since time.Time
-	ticker := time.NewTicker(spreadInterval)
+	ticker := time.NewTicker(rebalanceInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -35,21 +35,21 @@
 			return
 		case <-ticker.C:
 		}
-		move, found := s.nextMove(ctx)
+		transfer, found := s.nextTransfer(ctx)
 		now := clock.Now()
 		switch {
 		case !found || s.daemon.Stopping():
 			since = time.Time{}
 		case since.IsZero():
 			since = now
-		case now.Sub(since) >= spreadAfter:
-			s.move(ctx, move)
+		case now.Sub(since) >= rebalanceDelay:
+			s.transferGroup(ctx, transfer)
 		}
 	}
 }
 
-// nextMove returns the hand-over that would spread the leaders, if there is one.
-func (s *Store) nextMove(ctx context.Context) (placement.Transfer, bool) {
+// nextTransfer returns the transfer that would spread the leaders more evenly, if there is one.
+func (s *Store) nextTransfer(ctx context.Context) (placement.Transfer, bool) {
 	statuses, err := s.host.Statuses(ctx)
 	if err != nil {
 		return placement.Transfer{}, false
@@ -64,7 +64,7 @@
 	return placement.RebalanceLeaders(s.identity.Replica.ID, leaders, func(number int) []uint64 { return readyToLead(&statuses[number], retiring) })
 }
 
-// readyToLead returns the voters that could take a group over.
+// readyToLead returns the voters that could become the leader of a group.
 func readyToLead(status *consensus.Status, retiring []string) []uint64 {
 	if !status.MembershipStable {
 		return nil
@@ -72,7 +72,7 @@
 	var ready []uint64
 	for i := range status.Peers {
 		peer := &status.Peers[i]
-		if peer.Replicating && peer.SinceResponse <= readySilence && peer.Lag <= readyBehind &&
+		if peer.Replicating && peer.SinceResponse <= maxResponseAge && peer.Lag <= maxLag &&
 			consensus.Contains(status.Membership.Voters, peer.Replica.ID) && !slices.Contains(retiring, peer.Replica.Name) {
 			ready = append(ready, peer.Replica.ID)
 		}
@@ -80,15 +80,15 @@
 	return ready
 }
 
-// move hands a group over: its items stop where they are, and go on under the next
-// leader.
-func (s *Store) move(ctx context.Context, move placement.Transfer) {
-	g := s.groups[move.Group]
+// transferGroup transfers the leadership of a group. Its items stop where they are and continue
+// under the next leader.
+func (s *Store) transferGroup(ctx context.Context, transfer placement.Transfer) {
+	g := s.groups[transfer.Group]
 	drainContext, cancel := context.WithTimeout(ctx, drainTimeout)
 	g.runner.drain(drainContext)
 	cancel()
-	begun, err := s.host.TransferLeadership(ctx, move.Group, move.To)
-	logging.Info(s.logger, "group_handed_over", "group", move.Group, "to", move.To, "begun", begun, "error", err)
+	started, err := s.host.TransferLeadership(ctx, transfer.Group, transfer.To)
+	logging.Info(s.logger, "group_handed_over", "group", transfer.Group, "to", transfer.To, "begun", started, "error", err)
 	select {
 	case <-ctx.Done():
 	case <-time.After(s.settings.ElectionTimeout.Std()):
--- a/internal/batchstore/status.go
+++ b/internal/batchstore/status.go
@@ -11,12 +11,12 @@
 
 const statusInterval = 100 * time.Millisecond
 
-// statusLoop keeps what the process tells the coordinator of itself.
+// statusLoop updates the status that this process reports to the coordinator.
 func (s *Store) statusLoop(ctx context.Context) {
 	roles := make([]consensus.Role, len(s.groups))
 	for ctx.Err() == nil {
 		if statuses, err := s.host.Statuses(ctx); err == nil {
-			s.noteRoles(roles, statuses)
+			s.logRoleChanges(roles, statuses)
 			s.setStatus(statuses)
 		}
 		select {
@@ -26,8 +26,8 @@
 	}
 }
 
-// noteRoles logs the roles that differ from those given, and updates these.
-func (s *Store) noteRoles(roles []consensus.Role, statuses []consensus.Status) {
+// logRoleChanges logs the roles that differ from roles, and updates roles.
+func (s *Store) logRoleChanges(roles []consensus.Role, statuses []consensus.Status) {
 	for number := range statuses {
 		status := &statuses[number]
 		if status.Role == roles[number] {
--- a/internal/batchstore/store.go
+++ b/internal/batchstore/store.go
@@ -1,7 +1,7 @@
-// Package batchstore is the daemon that keeps batch jobs. Jobs are spread over store
-// groups. A store holds the groups' logs and answers reads; the leader of a group also
-// runs the items of its jobs, because it has their whole state at hand. What is
-// accepted and recorded goes through the group's log.
+// Package batchstore is the daemon that keeps batch jobs. Jobs are spread over store groups. A
+// store holds the groups' logs and answers reads. The leader of a group also runs the items of
+// its jobs, because it holds their whole state. Jobs, progress and results are committed through
+// the group's log.
 package batchstore
 
 import (
@@ -29,40 +29,40 @@
 )
 
 const (
-	handOverTimeout = 2 * time.Second
-	// heartbeatsPerTimeout is how many heartbeats a leader sends within the
-	// shortest election timeout.
+	transferTimeout = 2 * time.Second
+	// heartbeatsPerTimeout is how many heartbeats a leader sends within the shortest election
+	// timeout.
 	heartbeatsPerTimeout = 5
-	// carriedGroups is of how many groups a store holds replicas, about: all three in a
-	// small fleet, one or two in a large one.
-	carriedGroups = 3
+	// typicalGroupReplicas is the number of groups of which a store usually holds replicas: all
+	// three in a small fleet, one or two in a large one.
+	typicalGroupReplicas = 3
 )
 
-// Store is a store process.
+// Store is the store process: it keeps batch jobs and runs their items.
 type Store struct {
-	daemon   *daemon.Daemon
-	settings *settings.Store
-	logger   logging.Logger
-	store    storage.Store
-	host     *replication.Host
-	groups   []*group
-	watcher  *fleetwatch.Watcher
-	workers  *balance.Table
-	upstream *upstream.Client
-	dialect  *httpheader.Names
-	identity wire.Hello
-	metrics  *metrics
-	loads    *loads
-	runTimes runTimes
-	client   *rpc.Client
-
-	// mutex guards what follows.
+	daemon      *daemon.Daemon
+	settings    *settings.Store
+	logger      logging.Logger
+	store       storage.Store
+	host        *replication.Host
+	groups      []*group
+	watcher     *fleetwatch.Watcher
+	workers     *balance.Table
+	upstream    *upstream.Client
+	headerNames *httpheader.Names
+	identity    wire.Hello
+	metrics     *metrics
+	loads       *loads
+	runTimes    runTimes
+	client      *rpc.Client
+
+	// mutex guards the fields below.
 	mutex   sync.Mutex
 	changed chan struct{}
 	status  wire.ProcessReport
 }
 
-// New opens the data folder and prepares the process; d.Run serves it.
+// New opens the data folder and prepares the process, which d.Run then serves.
 func New(d *daemon.Daemon, config *settings.Store, names *httpheader.Names) (*Store, error) {
 	store, err := storage.OpenPebble(config.DataFolder, vfs.Default)
 	if err != nil {
@@ -71,17 +71,17 @@
 	now := uint64(time.Now().UnixNano())
 	random := mathrand.New(mathrand.NewPCG(now, now))
 	s := &Store{
-		daemon:   d,
-		settings: config,
-		logger:   d.Logger,
-		store:    store,
-		workers:  balance.NewTable(config.Zone, mathrand.New(mathrand.NewPCG(now, 1))),
-		upstream: upstream.NewClient(names),
-		dialect:  names,
-		loads:    newLoads(config.RateTolerance.Limits()),
-		client:   rpc.NewClient(),
-		metrics:  newMetrics(d.Registry),
-		changed:  make(chan struct{}),
+		daemon:      d,
+		settings:    config,
+		logger:      d.Logger,
+		store:       store,
+		workers:     balance.NewTable(config.Zone, mathrand.New(mathrand.NewPCG(now, 1))),
+		upstream:    upstream.NewClient(names),
+		headerNames: names,
+		loads:       newLoads(config.RateTolerance.Limits()),
+		client:      rpc.NewClient(),
+		metrics:     newMetrics(d.Registry),
+		changed:     make(chan struct{}),
 	}
 	for number := range placement.MaxGroups {
 		s.groups = append(s.groups, newGroup(s, number))
@@ -96,18 +96,18 @@
 	}
 	s.status = wire.ProcessReport{Kind: wire.ProcessStore, Name: config.Name, Zone: config.Zone, Replica: s.identity.Replica}
 	s.watcher = fleetwatch.New(d.Logger, d.Traffic, config.Seeds, s.report)
-	s.watcher.OnChange(s.adopt)
+	s.watcher.OnChange(s.applySnapshot)
 	s.upstream.SetMeter(d.Traffic)
-	d.Registry.MustRegister(newRoomCollector(s.loads))
+	d.Registry.MustRegister(newCapacityCollector(s.loads))
 	s.client.SetMeter(d.Traffic)
 	s.register()
-	d.BeforeStop(s.handOver)
+	d.BeforeStop(s.transferLeadership)
 	d.Go(s.watcher.Run)
 	d.Go(s.statusLoop)
-	d.Go(s.takeLoads)
-	d.Go(s.tellLoads)
-	d.Go(s.tellZone)
-	d.Go(s.spreadLoop)
+	d.Go(s.serveLoads)
+	d.Go(s.reportLoads)
+	d.Go(s.reportZone)
+	d.Go(s.rebalanceLoop)
 	for _, g := range s.groups {
 		d.Go(g.runner.run)
 		d.Go(g.runner.recordLoop)
@@ -134,7 +134,7 @@
 		ElectionTimeout:   s.settings.ElectionTimeout.Std(),
 		HeartbeatInterval: s.settings.ElectionTimeout.Std() / heartbeatsPerTimeout,
 		ReplaceAfter:      s.settings.ReplaceAfter.Std(),
-		RetainedLogBytes:  s.settings.RetainedLogBytes() / carriedGroups,
+		RetainedLogBytes:  s.settings.RetainedLogBytes() / typicalGroupReplicas,
 		Random:            random,
 	}
 }
@@ -163,12 +163,12 @@
 // SetSeeds replaces the coordinators that are asked first.
 func (s *Store) SetSeeds(seeds []string) { s.watcher.SetSeeds(seeds) }
 
-// adopt takes in a new snapshot of the fleet.
-func (s *Store) adopt(snapshot *fleetwatch.Snapshot) {
+// applySnapshot applies a new snapshot of the fleet.
+func (s *Store) applySnapshot(snapshot *fleetwatch.Snapshot) {
 	s.workers.Update(snapshot.Workers, snapshot.Table.MemoryTokens())
 	s.loads.setWorkers(snapshot.Workers, s.settings.Zone)
 	s.loads.setLimits(snapshot)
-	s.loads.setGroups(s.groupCount())
+	s.loads.setGroupCount(s.groupCount())
 	s.upstream.CloseIdle(s.workers.Contains)
 	s.daemon.SetFleetKnown(snapshot.Table != nil, snapshot.Fleet.Listed || snapshot.Fleet.Partial)
 	ctx := s.daemon.Context()
@@ -183,9 +183,9 @@
 // drainTimeout bounds the stop of the items that run here.
 const drainTimeout = 500 * time.Millisecond
 
-// handOver is a step of the planned stop: items stop where they are, and other
-// processes lead before this one goes.
-func (s *Store) handOver(ctx context.Context) {
+// transferLeadership is a step of the planned stop: items stop where they are, and other
+// processes take over the leadership before this one stops.
+func (s *Store) transferLeadership(ctx context.Context) {
 	drainContext, cancelDrain := context.WithTimeout(ctx, drainTimeout)
 	var drains sync.WaitGroup
 	for _, g := range s.groups {
@@ -193,13 +193,12 @@
 	}
 	drains.Wait()
 	cancelDrain()
-	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
+	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
 	s.host.TransferAllLeadership(ctx)
 }
 
-// Close stops the log and closes the store. It is called after the server has
-// stopped.
+// Close stops the log and closes the store. It is called after the server has stopped.
 func (s *Store) Close() error {
 	s.host.Close()
 	s.client.Close()
--- a/internal/batchstore/task.go
+++ b/internal/batchstore/task.go
@@ -23,43 +23,43 @@
 )
 
 const (
-	// firstSilence and gapSilence are how long a worker may keep silent before
-	// and within the answer to an item.
-	firstSilence = 6 * time.Second
-	gapSilence   = 2 * time.Second
-	// progressInterval is the time between two notes of an item's progress.
+	// firstEventTimeout and eventGapTimeout bound how long a worker may send nothing: before
+	// the first event of an item, and between two reads of its answer.
+	firstEventTimeout = 6 * time.Second
+	eventGapTimeout   = 2 * time.Second
+	// progressInterval is the time between two progress records of an item.
 	progressInterval = 600 * time.Millisecond
 	readBufferBytes  = 8 << 10
-	// readPause is the time between two readings of an answer.
-	readPause = 80 * time.Millisecond
-	// failedPause is how long an item rests after an attempt that failed.
-	failedPause = 50 * time.Millisecond
-	// probeGoals is how many times the tightest goal of its pool a worker that is probed may
-	// keep silent at first, leastProbeSilence bounds that from below.
-	probeGoals        = 3
-	leastProbeSilence = 400 * time.Millisecond
+	// readInterval is the time between two reads of an answer.
+	readInterval = 80 * time.Millisecond
+	// failedBackoff is how long an item waits after a failed attempt.
+	failedBackoff = 50 * time.Millisecond
+	// The first event of a probe may take probeGoalMultiple times the tightest goal of the pool,
+	// and at least minProbeTimeout.
+	probeGoalMultiple = 3
+	minProbeTimeout   = 400 * time.Millisecond
 )
 
-// carry is how far an item has come at this store. It is handed from one task of
-// the item to the next.
-type carry struct {
-	// events counts the events received, lastEvent is the id of the last one.
+// progress is how far an item has come at this store. Each task of the item passes it on to the
+// next.
+type progress struct {
+	// events is the number of events received, lastEvent the id of the last one.
 	events    int
 	lastEvent int64
-	// text is that of the events after the first noted ones, which the log has.
-	text  string
-	noted int
-	// chain names this run and those before it here, opened is set once the
-	// log was handed its first record.
+	// text is the text of the events after the first recordedEvents ones, which the log has.
+	text           string
+	recordedEvents int
+	// chain identifies this run and the runs here that it continues. opened is set once the
+	// first record of the chain has been enqueued.
 	chain  uint64
 	opened bool
-	// worker is the one that read its prompt last, empty if that was not here.
-	worker string
+	// lastWorker is the worker that last processed the prompt, empty if this store did not run it.
+	lastWorker string
 }
 
-// task is one attempt at an item, from where it had come before.
+// task is one attempt at an item, which continues from its earlier progress.
 //
-// Its goroutine owns carry; the runner's loop may read chain, which stays.
+// Its goroutine owns progress; the runner's loop may read chain, which does not change.
 type task struct {
 	runner   *runner
 	key      itemKey
@@ -70,93 +70,93 @@
 	pool     string
 	content  *wire.ItemContent
 	chain    uint64
-	carry    carry
+	progress progress
 	failures int
-	// print is the request's identity. onTrial is set while it runs though it is refused,
-	// and no worker has ended under it.
-	print   quarantine.Fingerprint
-	onTrial bool
-	// expected is how many tokens the caller expects.
+	// fingerprint is the identity of the request. onTrial is set while the item runs although it
+	// is refused, and until a worker exits under it.
+	fingerprint quarantine.Fingerprint
+	onTrial     bool
+	// expected is the number of tokens that the caller expects.
 	expected int64
 	lease    *balance.Lease
 	// goal is the tightest goal of the pool's online requests.
-	goal    time.Duration
-	context context.Context
-	cancel  context.CancelFunc
-	started time.Time
-	notedAt time.Time
-	// pacedAt is when the last events came.
-	pacedAt time.Time
-	// yielded is set by the runner where the item gives way to online requests,
-	// unusable where its carry does not follow on the log.
-	yielded  bool
-	unusable bool
-	// begun is set once this run has brought an event.
-	begun bool
-	// probeFailed is set where the worker was avoided, and this run shows that it still fails.
+	goal       time.Duration
+	context    context.Context
+	cancel     context.CancelFunc
+	started    time.Time
+	recordedAt time.Time
+	// lastEventsAt is when the last events arrived.
+	lastEventsAt time.Time
+	// preempted is set by the runner if the item stops for online requests, unusable if its
+	// progress does not follow on the log.
+	preempted bool
+	unusable  bool
+	// receivedEvent is set once this run has received an event.
+	receivedEvent bool
+	// probeFailed is set if the worker was avoided and this run shows that it still fails.
 	probeFailed bool
-	// ahead is set by the runner where it gives way to requests that are still to come,
-	// and plan is what it went by then.
-	ahead bool
-	plan  batchplan.Item
-	// The following say how the task ended.
+	// inAdvance is set by the runner if the item is preempted for requests that are forecast,
+	// and plan is the item as it was planned then.
+	inAdvance bool
+	plan      batchplan.Item
+	// The following fields say how the task ended.
 	finished bool
 	state    wire.ItemState
-	rest     time.Duration
-	// ran is how long it took, ranWhole is set where it ran from the first
+	backoff  time.Duration
+	// runTime is how long the attempt took. ranUninterrupted is set if it ran from the first
 	// event to the last.
-	ran      time.Duration
-	ranWhole bool
+	runTime          time.Duration
+	ranUninterrupted bool
 }
 
-// mayYield reports whether the item has run long enough to be stopped.
-func (t *task) mayYield(now time.Time) bool {
-	return t.context.Err() == nil && now.Sub(t.started) >= leastRun
+// preemptible reports whether the item has run long enough to be stopped.
+func (t *task) preemptible(now time.Time) bool {
+	return t.context.Err() == nil && now.Sub(t.started) >= minRunTime
 }
 
 func (t *task) run() {
-	t.notedAt = t.started
-	before := t.carry.events
+	t.recordedAt = t.started
+	before := t.progress.events
 	failuresBefore := t.failures
 	err := t.attempt()
 	t.probeFailed = t.failedAsProbe(err)
 	t.lease.Release()
-	t.ran = clock.Since(t.started)
-	t.tellRun(err, t.carry.events > before)
-	t.ranWhole = err == nil && before == 0
+	t.runTime = clock.Since(t.started)
+	t.reportOutcome(err, t.progress.events > before)
+	t.ranUninterrupted = err == nil && before == 0
 	switch {
 	case err == nil:
 		t.finish(wire.ItemCompleted)
 	case t.context.Err() != nil:
-		// What it has must outlive this store, too, while it waits.
-		if t.carry.text != "" {
-			t.note(wire.ItemWaiting)
+		// The progress of a stopped item must survive this store while the item waits.
+		if t.progress.text != "" {
+			t.enqueueRecord(wire.ItemWaiting)
 		}
-	case t.hopeless(err):
+	case t.isPermanentFailure(err):
 		t.finish(wire.ItemAbandoned)
 	case t.failures > failuresBefore:
-		t.note(wire.ItemWaiting)
+		t.enqueueRecord(wire.ItemWaiting)
 	}
-	if t.rest == 0 && !t.finished {
-		t.rest = failedPause
+	if t.backoff == 0 && !t.finished {
+		t.backoff = failedBackoff
 	}
-	t.runner.store.metrics.attempts.WithLabelValues(t.outcomeOf(err)).Inc()
-	t.runner.store.metrics.runTime.Observe(t.ran.Seconds())
-	logging.Info(t.runner.store.logger, "item_attempt", "job", t.key.job, "item", t.id, "worker", t.lease.Endpoint.ID, "from_event", before, "events", t.carry.events, "failures", t.failures, "state", t.state, "yielded", t.context.Err() != nil, "ms", clock.Since(t.started).Milliseconds(), "error", err)
+	t.runner.store.metrics.attempts.WithLabelValues(t.outcome(err)).Inc()
+	t.runner.store.metrics.runTime.Observe(t.runTime.Seconds())
+	logging.Info(t.runner.store.logger, "item_attempt", "job", t.key.job, "item", t.id, "worker", t.lease.Endpoint.ID, "from_event", before, "events", t.progress.events, "failures", t.failures, "state", t.state, "yielded", t.context.Err() != nil, "ms", clock.Since(t.started).Milliseconds(), "error", err)
 	t.runner.ended <- t
 }
 
-// failedAsProbe reports whether a run that ended so shows that an avoided worker still fails.
+// failedAsProbe reports whether the end of the run shows that an avoided worker still fails.
 func (t *task) failedAsProbe(err error) bool {
-	if err == nil || !t.lease.IsProbe() || t.begun || t.context.Err() != nil {
+	if err == nil || !t.lease.IsProbe() || t.receivedEvent || t.context.Err() != nil {
 		return false
 	}
 	return !failure.Is(err, failure.NotRun) && !failure.Is(err, failure.BadRequest)
 }
 
-// hopeless reports whether the item will never be done: the worker said so, or
-// it has failed as often as its route allows.
-func (t *task) hopeless(err error) bool {
+// isPermanentFailure reports whether the item can never complete: the worker said so, or it has failed
+// as often as its route allows.
+func (t *task) isPermanentFailure(err error) bool {
 	if failure.Is(err, failure.BadRequest) {
 		return true
 	}
@@ -165,34 +165,34 @@
 
 func (t *task) finish(state wire.ItemState) {
 	t.state = state
-	t.finished = t.note(state)
+	t.finished = t.enqueueRecord(state)
 }
 
-// note hands the item's news to the recorder and reports whether they were
-// taken.
-func (t *task) note(state wire.ItemState) bool {
-	t.notedAt = time.Now()
-	taken := t.runner.enqueue(wire.ItemRecord{
+// enqueueRecord hands the item's new state to the record loop and reports whether there was
+// space for it.
+func (t *task) enqueueRecord(state wire.ItemState) bool {
+	t.recordedAt = time.Now()
+	enqueued := t.runner.enqueue(wire.ItemRecord{
 		Job:       t.key.job,
 		Item:      t.key.item,
 		State:     state,
-		From:      t.carry.noted,
-		Text:      t.carry.text,
-		Events:    t.carry.events,
-		LastEvent: t.carry.lastEvent,
+		From:      t.progress.recordedEvents,
+		Text:      t.progress.text,
+		Events:    t.progress.events,
+		LastEvent: t.progress.lastEvent,
 		Failures:  t.failures,
-		Chain:     t.carry.chain,
-		Opens:     !t.carry.opened,
+		Chain:     t.progress.chain,
+		Opens:     !t.progress.opened,
 	})
-	if taken {
-		t.carry.noted, t.carry.text, t.carry.opened = t.carry.events, "", true
+	if enqueued {
+		t.progress.recordedEvents, t.progress.text, t.progress.opened = t.progress.events, "", true
 	}
-	return taken
+	return enqueued
 }
 
-// attempt runs the item at the worker of the lease. A failure of kind BadRequest
-// means that it can never be done, Internal that the worker failed at it, and
-// any other that it may be tried again.
+// attempt runs the item at the worker of the lease. A failure of kind BadRequest means that the
+// item can never be run, Internal that the worker failed at it, and any other kind that it may be
+// tried again.
 func (t *task) attempt() error {
 	request := &upstream.Request{
 		Method:  http.MethodPost,
@@ -203,7 +203,7 @@
 		ID:      t.id,
 	}
 	store := t.runner.store
-	response, err := store.upstream.Send(t.context, t.lease.Endpoint, request, time.Now().Add(t.silence()))
+	response, err := store.upstream.Send(t.context, t.lease.Endpoint, request, time.Now().Add(t.responseTimeout()))
 	if err != nil {
 		if t.context.Err() == nil {
 			t.lease.RecordNoAnswer(clock.Now())
@@ -211,47 +211,48 @@
 		return err
 	}
 	defer response.Close()
-	if told, found := httpheader.ParseLoad(response.Header.Get(store.dialect.Load)); found {
-		t.lease.ApplyReport(told)
-		store.noteDoubts()
+	if report, found := httpheader.ParseLoad(response.Header.Get(store.headerNames.Load)); found {
+		t.lease.ApplyReport(report)
+		store.logSlotMismatches()
 	}
 	switch {
 	case response.Status == http.StatusMisdirectedRequest:
 		t.lease.RecordWrongWorker(clock.Now())
-		return t.pass(response, failure.New(failure.NotRun, "", "another worker has the address"))
-	case response.Header.Get(store.dialect.NotRun) != "":
-		t.rest = notRunPause
-		return t.pass(response, failure.New(failure.NotRun, "", "the worker answered %d and did not run it", response.Status))
+		return t.discardBody(response, failure.New(failure.NotRun, "", "another worker has the address"))
+	case response.Header.Get(store.headerNames.NotRun) != "":
+		t.backoff = notRunBackoff
+		return t.discardBody(response, failure.New(failure.NotRun, "", "the worker answered %d and did not run it", response.Status))
 	case response.Status == http.StatusUnprocessableEntity:
-		return t.pass(response, failure.New(failure.BadRequest, "", "the worker can't ever do it"))
+		return t.discardBody(response, failure.New(failure.BadRequest, "", "the worker can't ever do it"))
 	case response.Status == http.StatusInternalServerError:
 		t.lease.RecordItemStart(clock.Now(), false)
 		if !t.lease.IsProbe() {
-			// A worker that is known to fail says nothing of the item.
+			// A worker that is known to fail says nothing about the item.
 			t.failures++
 		}
-		return t.pass(response, failure.New(failure.Internal, "", "the worker failed at it"))
+		return t.discardBody(response, failure.New(failure.Internal, "", "the worker failed at it"))
 	case response.Status > http.StatusInternalServerError:
 		t.lease.RecordDisconnect()
-		return t.pass(response, failure.New(failure.OutcomeUnknown, "", "the worker answered %d", response.Status))
+		return t.discardBody(response, failure.New(failure.OutcomeUnknown, "", "the worker answered %d", response.Status))
 	case response.Status != http.StatusOK:
-		return t.pass(response, failure.New(failure.OutcomeUnknown, "", "the worker answered %d", response.Status))
+		return t.discardBody(response, failure.New(failure.OutcomeUnknown, "", "the worker answered %d", response.Status))
 	}
 	return t.readEvents(response)
 }
 
-// silence returns how long the worker may keep silent before the first event. Nobody waits
-// long for one that is probed: it is known to have failed.
-func (t *task) silence() time.Duration {
+// responseTimeout returns how long to wait for the first event. It is short for a probe, because
+// that worker is known to have failed.
+func (t *task) responseTimeout() time.Duration {
 	if !t.lease.IsProbe() {
-		return firstSilence
+		return firstEventTimeout
 	}
-	least := max(probeGoals*t.goal, leastProbeSilence)
-	return t.lease.ProbeTimeout(least, firstSilence)
+	least := max(probeGoalMultiple*t.goal, minProbeTimeout)
+	return t.lease.ProbeTimeout(least, firstEventTimeout)
 }
 
-// pass reads the rest of an answer, so that the connection can be kept.
-func (t *task) pass(response *upstream.Response, result error) error {
+// discardBody reads the rest of an answer, so that the connection can be reused, and returns
+// result.
+func (t *task) discardBody(response *upstream.Response, result error) error {
 	buffer := make([]byte, readBufferBytes)
 	for {
 		if _, err := response.Read(buffer); err != nil {
@@ -261,7 +262,7 @@
 }
 
 func (t *task) headers() []wire.HeaderField {
-	names := t.runner.store.dialect
+	names := t.runner.store.headerNames
 	fields := make([]wire.HeaderField, 0, len(t.content.Headers)+3)
 	for _, field := range names.ForTenant(t.content.Headers, t.owner) {
 		switch http.CanonicalHeaderKey(field.Name) {
@@ -274,8 +275,8 @@
 		wire.HeaderField{Name: names.RequestID, Value: t.id},
 		wire.HeaderField{Name: names.ExpectWorker, Value: incarnation.WorkerID(t.lease.Endpoint.ID)},
 	)
-	if t.carry.events > 0 {
-		fields = append(fields, wire.HeaderField{Name: names.LastEvent, Value: strconv.FormatInt(t.carry.lastEvent, 10)})
+	if t.progress.events > 0 {
+		fields = append(fields, wire.HeaderField{Name: names.LastEvent, Value: strconv.FormatInt(t.progress.lastEvent, 10)})
 	}
 	return fields
 }
@@ -284,98 +285,98 @@
 func (t *task) readEvents(response *upstream.Response) error {
 	var parser upstream.EventParser
 	buffer := make([]byte, readBufferBytes)
-	silence := t.silence()
+	timeout := t.responseTimeout()
 	for {
-		if err := response.SetReadDeadline(time.Now().Add(silence)); err != nil {
+		if err := response.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 			return err
 		}
-		t.pace()
+		t.waitForMoreEvents()
 		count, err := response.Read(buffer)
-		if orderErr := t.take(parser.Feed(buffer[:count])); orderErr != nil {
+		if orderErr := t.applyEvents(parser.Feed(buffer[:count])); orderErr != nil {
 			return orderErr
 		}
-		if t.carry.events > 0 {
-			silence = gapSilence
+		if t.progress.events > 0 {
+			timeout = eventGapTimeout
 		}
 		switch {
-		case err == io.EOF && parser.Buffered() == 0 && t.carry.events > 0:
+		case err == io.EOF && parser.Buffered() == 0 && t.progress.events > 0:
 			return nil
 		case err == io.EOF:
-			t.brokeOff()
+			t.recordDisconnect()
 			return failure.Wrap(io.ErrUnexpectedEOF, failure.OutcomeUnknown, "", "the answer ended within an event")
 		case err != nil:
 			if upstream.TimedOut(err) {
 				t.lease.RecordNoAnswer(clock.Now())
 			} else {
-				t.brokeOff()
+				t.recordDisconnect()
 			}
 			return failure.Wrap(err, failure.OutcomeUnknown, "", "the worker broke off")
 		}
-		if time.Since(t.notedAt) > progressInterval && t.carry.events > 0 {
-			t.note(wire.ItemWaiting)
+		if time.Since(t.recordedAt) > progressInterval && t.progress.events > 0 {
+			t.enqueueRecord(wire.ItemWaiting)
 		}
 	}
 }
 
-// brokeOff takes in that the worker ended its answer too early. After an event that says
-// nothing of it: the probe has proved what it can.
-func (t *task) brokeOff() {
-	if !t.begun && t.context.Err() == nil {
+// recordDisconnect records that the worker ended its answer too early. After the first event
+// that says nothing about the worker: the probe has shown what it can.
+func (t *task) recordDisconnect() {
+	if !t.receivedEvent && t.context.Err() == nil {
 		t.lease.RecordDisconnect()
 	}
 }
 
-// pace waits until more events have gathered: nobody waits for one of them, and
-// each reading costs processor time, whatever it brings. The first event is not
-// waited for, because it says that the prompt has been read.
-func (t *task) pace() {
-	if t.carry.events == 0 {
+// waitForMoreEvents waits until more events have arrived: no caller waits for a single one, and
+// each read costs processor time however little it returns. It does not wait before the first
+// event, because that one shows that the prompt has been processed.
+func (t *task) waitForMoreEvents() {
+	if t.progress.events == 0 {
 		return
 	}
 	select {
 	case <-t.context.Done():
-	case <-time.After(readPause):
+	case <-time.After(readInterval):
 	}
 }
 
-func (t *task) take(events []upstream.Event) error {
+func (t *task) applyEvents(events []upstream.Event) error {
 	if len(events) == 0 {
 		return nil
 	}
 	t.lease.RecordPrefill()
-	if !t.begun {
-		t.begun = true
+	if !t.receivedEvent {
+		t.receivedEvent = true
 		t.lease.RecordItemStart(clock.Now(), true)
 	}
-	t.pacing(len(events))
+	t.recordPace(len(events))
 	var text strings.Builder
-	text.WriteString(t.carry.text)
-	defer func() { t.carry.text = text.String() }()
+	text.WriteString(t.progress.text)
+	defer func() { t.progress.text = text.String() }()
 	for i := range events {
 		event := &events[i]
-		if !event.HasID || t.carry.events > 0 && event.ID <= t.carry.lastEvent {
+		if !event.HasID || t.progress.events > 0 && event.ID <= t.progress.lastEvent {
 			continue
 		}
-		if t.carry.events > 0 && event.ID != t.carry.lastEvent+1 {
-			return failure.New(failure.OutcomeUnknown, "", "event %d came after event %d", event.ID, t.carry.lastEvent)
+		if t.progress.events > 0 && event.ID != t.progress.lastEvent+1 {
+			return failure.New(failure.OutcomeUnknown, "", "event %d came after event %d", event.ID, t.progress.lastEvent)
 		}
-		if t.carry.events > 0 {
+		if t.progress.events > 0 {
 			text.WriteByte('\n')
 		}
 		text.WriteString(event.Data)
-		t.carry.events++
-		t.carry.lastEvent = event.ID
+		t.progress.events++
+		t.progress.lastEvent = event.ID
 	}
 	return nil
 }
 
-// pacing takes in that so many events came since the last ones.
-func (t *task) pacing(events int) {
+// recordPace records how many events arrived since the last ones.
+func (t *task) recordPace(events int) {
 	now := time.Now()
-	if !t.pacedAt.IsZero() {
-		t.lease.RecordPace(events, now.Sub(t.pacedAt))
+	if !t.lastEventsAt.IsZero() {
+		t.lease.RecordPace(events, now.Sub(t.lastEventsAt))
 	}
-	t.pacedAt = now
+	t.lastEventsAt = now
 }
 
 // pathOf returns the path of a request's target without its query.
--- a/internal/batchstore/task_test.go
+++ b/internal/batchstore/task_test.go
@@ -21,7 +21,7 @@
 	"github.com/sedgemast/sedgemast/internal/workerset"
 )
 
-// contents holds the same content for each item.
+// contents is a storage reader that holds the same content for each item.
 type contents struct{}
 
 func (contents) Get([]byte) ([]byte, error) {
@@ -30,16 +30,16 @@
 
 func (contents) Scan(_, _ []byte, _ func(key, value []byte) bool) error { return nil }
 
-// probeRunner returns a runner of so many items before an avoided worker at the address and two
-// that are full.
+// probeRunner returns a runner with the given number of items, an avoided worker at the address,
+// and two workers whose slots are all taken.
 func probeRunner(t *testing.T, items int, address string) *runner {
 	t.Helper()
 	r := testRunner(t, items)
 	s := r.store
 	s.settings = &settings.Store{}
 	s.metrics = newMetrics(prometheus.NewRegistry())
-	s.dialect = &httpheader.Names{NotRun: "Not-Run", Load: "Load", RequestID: "Request-Id", ExpectWorker: "Expect-Worker", LastEvent: "Last-Event"}
-	s.upstream = upstream.NewClient(s.dialect)
+	s.headerNames = &httpheader.Names{NotRun: "Not-Run", Load: "Load", RequestID: "Request-Id", ExpectWorker: "Expect-Worker", LastEvent: "Last-Event"}
+	s.upstream = upstream.NewClient(s.headerNames)
 	s.workers.Update(workerset.Of([]wire.PoolWorker{
 		{ID: "w", Pool: "p", Zone: "z", Slots: slots, Address: address},
 		{ID: "x", Pool: "p", Zone: "z", Slots: slots},
@@ -58,58 +58,58 @@
 	}, balance.ScopeAll)
 }
 
-// considered returns a task for the item if it can run now.
-func (r *runner) considered(t *testing.T, number int, full map[string]bool) *task {
+// prepareItem returns a task for the item if it can run now.
+func (r *runner) prepareItem(t *testing.T, number int, full map[string]bool) *task {
 	t.Helper()
 	table := routetable.NewTable(&routetable.Configuration{Routes: []routetable.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: routetable.KindStream, MaxAttempts: 3, Parts: []routetable.PoolWeight{{Pool: "p", Weight: 1}}}}})
 	job, err := r.group.machine.Job("j")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.order(clock.Now(), table)
-	return r.consider(context.Background(), clock.Now(), contents{}, table, job, batchplan.Item{Job: "j", Number: number}, full)
+	r.waitingItems(clock.Now(), table)
+	return r.tryPrepare(context.Background(), clock.Now(), contents{}, table, job, batchplan.Item{Job: "j", Number: number}, full)
 }
 
-// TestFailedProbesLetOthersProbe lets an item fail as a probe: it does not probe again until it
-// has run elsewhere or this store leads anew, and holds no other item up.
+// TestFailedProbesLetOthersProbe lets an item fail as a probe. It must not probe again until it
+// has finished elsewhere or this store becomes the leader anew, and must not hold up other items.
 func TestFailedProbesLetOthersProbe(t *testing.T) {
 	r := probeRunner(t, 3, "")
-	r.lead(clock.Now(), 1)
-	first := r.considered(t, 0, map[string]bool{})
+	r.setLeading(clock.Now(), 1)
+	first := r.prepareItem(t, 0, map[string]bool{})
 	if first == nil || !first.lease.IsProbe() {
-		t.Fatal("no item is the probe")
+		t.Fatal("the first item is not a probe")
 	}
 	first.probeFailed = true
 	first.lease.Release()
-	r.end(first)
+	r.finishTask(first)
 	r.grantProbe()
 	full := map[string]bool{}
-	if again := r.considered(t, 0, full); again != nil || full["r"] {
-		t.Fatalf("it probes again %t, the route counts as full %t", again != nil, full["r"])
+	if again := r.prepareItem(t, 0, full); again != nil || full["r"] {
+		t.Fatalf("the item probes again: %t, the route counts as full: %t", again != nil, full["r"])
 	}
-	second := r.considered(t, 1, full)
+	second := r.prepareItem(t, 1, full)
 	if second == nil || !second.lease.IsProbe() {
-		t.Fatal("the next item is not the probe")
+		t.Fatal("the next item is not a probe")
 	}
-	if r.considered(t, 2, full) != nil || !full["r"] {
-		t.Error("the route does not count as full")
+	if r.prepareItem(t, 2, full) != nil || !full["r"] {
+		t.Error("a third item started, or the route does not count as full")
 	}
 	first.finished, first.probeFailed = true, false
-	r.end(first)
-	if len(r.unproven) != 0 {
-		t.Error("a finished item is kept")
+	r.finishTask(first)
+	if len(r.failedProbes) != 0 {
+		t.Error("a finished item was kept in failedProbes")
 	}
-	r.unproven[first.key] = true
-	r.unlead()
-	if len(r.unproven) != 0 {
-		t.Error("an item is kept by who leads no more")
+	r.failedProbes[first.key] = true
+	r.stopLeading()
+	if len(r.failedProbes) != 0 {
+		t.Error("failedProbes was kept after the store stopped leading")
 	}
 }
 
-// TestItemProbesCount checks what an item that is a probe says of its worker by how it ends.
-func TestItemProbesCount(t *testing.T) {
+// TestItemProbeOutcomes checks what each end of a probing item records about its worker.
+func TestItemProbeOutcomes(t *testing.T) {
 	const event = "id: 1\ndata: x\n\n"
-	var leave context.CancelFunc
+	var cancelProbe context.CancelFunc
 	status := func(code int) http.HandlerFunc {
 		return func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(code) }
 	}
@@ -119,10 +119,10 @@
 		_ = http.NewResponseController(writer).Flush()
 	}
 	for _, test := range []struct {
-		name           string
-		serve          http.HandlerFunc
-		proofs, failed int
-		unproven       bool
+		name              string
+		serve             http.HandlerFunc
+		succeeded, failed int
+		probeFailed       bool
 	}{
 		{"events", func(writer http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(writer, event) }, 1, 0, false},
 		{"500", status(http.StatusInternalServerError), 0, 1, true},
@@ -142,33 +142,33 @@
 			head(writer, event)
 			panic(http.ErrAbortHandler)
 		}, 1, 0, false},
-		{"a head, then silence", func(writer http.ResponseWriter, request *http.Request) {
+		{"a head, then no data", func(writer http.ResponseWriter, request *http.Request) {
 			head(writer, "")
 			<-request.Context().Done()
 		}, 0, 1, true},
-		{"a head, then it is stopped", func(writer http.ResponseWriter, request *http.Request) {
+		{"a head, then the item is canceled", func(writer http.ResponseWriter, request *http.Request) {
 			head(writer, "")
-			leave()
+			cancelProbe()
 			<-request.Context().Done()
 		}, 0, 0, false},
 	} {
 		server := httptest.NewServer(test.serve)
 		r := probeRunner(t, 1, server.Listener.Addr().String())
-		probe := r.considered(t, 0, map[string]bool{})
+		probe := r.prepareItem(t, 0, map[string]bool{})
 		if probe == nil || !probe.lease.IsProbe() {
-			t.Fatalf("%s: no probe", test.name)
+			t.Fatalf("%s: the item is not a probe", test.name)
 		}
-		leave = probe.cancel
+		cancelProbe = probe.cancel
 		probe.run()
-		proofs, failed := 0, 0
+		succeeded, failed := 0, 0
 		for _, proof := range r.store.workers.ProbeResults() {
-			proofs += int(proof.Well)
+			succeeded += int(proof.Well)
 		}
 		for _, load := range r.store.workers.Loads() {
 			failed += int(load.Failed)
 		}
-		if proofs != test.proofs || failed != test.failed || probe.probeFailed != test.unproven {
-			t.Errorf("%s: %d proofs, %d failed, failed as a probe %t", test.name, proofs, failed, probe.probeFailed)
+		if succeeded != test.succeeded || failed != test.failed || probe.probeFailed != test.probeFailed {
+			t.Errorf("%s: %d probes succeeded, %d failed, failed as a probe: %t", test.name, succeeded, failed, probe.probeFailed)
 		}
 		server.Close()
 	}
--- a/internal/batchstore/tokens.go
+++ b/internal/batchstore/tokens.go
@@ -8,8 +8,8 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// ledGroups returns the tokens that wait in the groups that this process leads.
-func (s *Store) ledGroups() []wire.GroupTokens {
+// ledGroupTokens returns the tokens that wait in the groups that this process leads.
+func (s *Store) ledGroupTokens() []wire.GroupTokens {
 	var led []wire.GroupTokens
 	for _, g := range s.groups {
 		row := wire.GroupTokens{Group: uint8(g.number)}
@@ -26,8 +26,8 @@
 	return led
 }
 
-// learn takes in the tokens that wait in groups.
-func (l *loads) learn(now time.Time, groups []wire.GroupTokens) {
+// applyGroupTokens applies reports of the tokens that wait in groups.
+func (l *loads) applyGroupTokens(now time.Time, groups []wire.GroupTokens) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for i := range groups {
@@ -40,8 +40,8 @@
 	}
 }
 
-// known returns what is known of all groups, with its age.
-func (l *loads) known(now time.Time) []wire.GroupTokens {
+// groupTokens returns the known waiting tokens of all groups, with their age.
+func (l *loads) groupTokens(now time.Time) []wire.GroupTokens {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var rows []wire.GroupTokens
@@ -55,11 +55,11 @@
 	return rows
 }
 
-// limit returns how many tokens may wait on an account in one group, of the limit for
+// groupLimit returns how many tokens may wait on an account in one group. limit is the limit for
 // all groups together.
-func (s *Store) limit(now time.Time, number int, account string, limit int64) int64 {
-	s.loads.setGroups(s.groupCount())
-	s.loads.learn(now, s.ledGroups())
+func (s *Store) groupLimit(now time.Time, number int, account string, limit int64) int64 {
+	s.loads.setGroupCount(s.groupCount())
+	s.loads.applyGroupTokens(now, s.ledGroupTokens())
 	s.loads.mutex.Lock()
 	defer s.loads.mutex.Unlock()
 	return s.loads.quotas.Limit(now, number, loadshare.Hash(account), limit)
--- a/internal/batchstore/yield.go
+++ b/internal/batchstore/yield.go
@@ -10,71 +10,73 @@
 )
 
 const (
-	// yieldPause is how long an item rests that gave way to online requests.
-	yieldPause = 200 * time.Millisecond
-	// leastRun is how long an item runs at least before it gives way, so that the
-	// reading of its prompt was not for nothing.
-	leastRun = 300 * time.Millisecond
+	// preemptBackoff is how long an item waits after it was preempted.
+	preemptBackoff = 200 * time.Millisecond
+	// minRunTime is how long an item runs before it may be preempted, so that the prefill of its
+	// prompt is not wasted.
+	minRunTime = 300 * time.Millisecond
 )
 
-// yielding is a task that may give way, and its place in the order.
-type yielding struct {
+// preemptCandidate is a task that may be preempted, with its item as planned.
+type preemptCandidate struct {
 	task *task
 	plan batchplan.Item
 }
 
-// yield stops items that stand in the way of online requests. They go on elsewhere,
-// or later, from where they are.
-func (r *runner) yield(now time.Time, table *routetable.Table) {
+// preempt stops items that occupy slots that online requests need. They continue from where they
+// are, later or at another worker.
+func (r *runner) preempt(now time.Time, table *routetable.Table) {
 	stops := r.store.workers.PendingStops(now)
 	if len(stops) == 0 {
 		return
 	}
-	candidates := make([]yielding, 0, len(r.running))
-	var leaving []yielding
+	candidates := make([]preemptCandidate, 0, len(r.running))
+	var inAdvance []preemptCandidate
 	for key, running := range r.running {
-		if stops[running.lease.Endpoint.ID] == 0 || !running.mayYield(now) {
+		if stops[running.lease.Endpoint.ID] == 0 || !running.preemptible(now) {
 			continue
 		}
 		job, err := r.group.machine.Job(key.job)
 		if err != nil {
 			continue
 		}
-		candidate := yielding{running, r.planOf(now, table, job, key.item)}
-		if r.leavesAhead(now, table, running) {
-			leaving = append(leaving, candidate)
+		candidate := preemptCandidate{running, r.planItem(now, table, job, key.item)}
+		if r.preemptsInAdvance(now, table, running) {
+			inAdvance = append(inAdvance, candidate)
 		} else {
 			candidates = append(candidates, candidate)
 		}
 	}
-	wait := r.store.runTimes.remaining(0, 0)
-	sort.Slice(leaving, func(a, b int) bool { return batchplan.PreemptedInAdvanceBefore(leaving[a].plan, leaving[b].plan, wait) })
-	r.stop(leaving, true)
+	freshRunTime := r.store.runTimes.remaining(0, 0)
+	sort.Slice(inAdvance, func(a, b int) bool {
+		return batchplan.PreemptedInAdvanceBefore(inAdvance[a].plan, inAdvance[b].plan, freshRunTime)
+	})
+	r.stopCandidates(inAdvance, true)
 	sort.Slice(candidates, func(a, b int) bool { return batchplan.PreemptedBefore(candidates[a].plan, candidates[b].plan) })
-	r.stop(candidates, false)
+	r.stopCandidates(candidates, false)
 }
 
-// leavesAhead reports whether items stop at the task's worker for requests that are still
-// to come: nobody waits there yet, so it may be chosen who leaves.
-func (r *runner) leavesAhead(now time.Time, table *routetable.Table, running *task) bool {
-	return r.store.foresees(table, running.pool) && !r.store.workers.Overloaded(now, running.lease.Endpoint.ID)
+// preemptsInAdvance reports whether items stop at the task's worker for requests that are only
+// forecast. No request waits there yet, so any of the items may be chosen.
+func (r *runner) preemptsInAdvance(now time.Time, table *routetable.Table, running *task) bool {
+	return r.store.forecastEnabled(table, running.pool) && !r.store.workers.Overloaded(now, running.lease.Endpoint.ID)
 }
 
-// stop stops as many of the candidates as the planner wants stopped at their workers, the
-// first ones first.
-func (r *runner) stop(candidates []yielding, ahead bool) {
+// stopCandidates stops as many candidates as the planner wants stopped at their workers, in the
+// given order.
+func (r *runner) stopCandidates(candidates []preemptCandidate, inAdvance bool) {
 	for _, candidate := range candidates {
 		if candidate.task.lease.ShouldStop() {
-			candidate.task.yielded, candidate.task.ahead, candidate.task.plan = true, ahead, candidate.plan
+			candidate.task.preempted, candidate.task.inAdvance, candidate.task.plan = true, inAdvance, candidate.plan
 			candidate.task.cancel()
 		}
 	}
 }
 
-// logYield writes down what it costs that an item gave way ahead of requests: what its next
-// worker reads again beside the prompt, and the time that it has left to wait.
-func (r *runner) logYield(ended *task) {
-	if ended.ahead {
-		logging.Info(r.store.logger, "item_gave_way", "job", ended.key.job, "item", ended.id, "worker", ended.lease.Endpoint.ID, "events", ended.carry.events, "remaining_ms", ended.plan.Remaining.Milliseconds(), "slack_ms", ended.plan.Slack.Milliseconds(), "overdue", ended.plan.Overdue)
+// logAdvancePreemption logs the cost of a preemption for forecast requests: the events that the
+// next worker must process again besides the prompt, and the time left until the results are due.
+func (r *runner) logAdvancePreemption(ended *task) {
+	if ended.inAdvance {
+		logging.Info(r.store.logger, "item_gave_way", "job", ended.key.job, "item", ended.id, "worker", ended.lease.Endpoint.ID, "events", ended.progress.events, "remaining_ms", ended.plan.Remaining.Milliseconds(), "slack_ms", ended.plan.Slack.Milliseconds(), "overdue", ended.plan.Overdue)
 	}
 }
