--- a/internal/routing/filters.go
+++ b/internal/routing/filters.go
@@ -1,6 +1,6 @@
 package routing
 
-// AvailableFilter drops endpoints that are leaving, draining or silent.
+// AvailableFilter drops endpoints that are leaving, draining or unresponsive.
 type AvailableFilter struct{}
 
 // Name implements Filter.
@@ -10,7 +10,7 @@
 func (AvailableFilter) Keep(_ *Request, candidate *Candidate) bool { return !candidate.Unavailable }
 
 // ModelFilter drops endpoints without the request's model or adapter. An
-// endpoint that lists no adapters at all is taken to load them on demand.
+// endpoint that lists no adapters is assumed to load them on demand.
 type ModelFilter struct{}
 
 // Name implements Filter.
@@ -24,7 +24,7 @@
 	return request.Adapter == "" || candidate.Adapters == nil || candidate.Adapters[request.Adapter]
 }
 
-// ExcludeFilter drops endpoints that were tried already.
+// ExcludeFilter drops endpoints that earlier attempts of the request used.
 type ExcludeFilter struct{}
 
 // Name implements Filter.
--- a/internal/routing/pipeline.go
+++ b/internal/routing/pipeline.go
@@ -1,8 +1,8 @@
-// Package routing chooses an endpoint for a request in small steps: filters
-// drop candidates that can't serve it, scorers rate the rest, a picker takes
-// one. It is pure: randomness comes from the caller's source.
+// Package routing chooses an endpoint for a request in steps: filters drop the
+// candidates that can't serve it, scorers rate the rest, and a picker selects
+// one. It does no I/O, and the caller supplies the source of randomness.
 //
-// Each step counts what it did; the daemons export the counts as metrics.
+// The pipeline counts the results of its steps; daemons export the counts as metrics.
 package routing
 
 import "sync/atomic"
@@ -13,40 +13,41 @@
 	IntN(n int) int
 }
 
-// Request is what the steps know of a request.
+// Request holds the properties of a request that the steps use.
 type Request struct {
 	// Batch is set for batch work.
 	Batch   bool
 	Model   string
 	Adapter string
-	// Zone is where the request came in.
+	// Zone is the zone in which the request arrived.
 	Zone string
 	// Blocks are the chained hashes of the prompt's blocks.
 	Blocks []uint64
-	// Key is the request's place on the ring.
+	// Key is the request's position on the hash ring.
 	Key uint64
-	// Exclude names endpoints that were tried already.
+	// Exclude holds the names of endpoints that earlier attempts used.
 	Exclude map[string]bool
 }
 
-// Candidate is an endpoint: a worker for a dispatcher, a dispatcher for a
-// gateway.
+// Candidate is an endpoint that may be chosen: a worker in a dispatcher's
+// pipeline, a dispatcher in a gateway's.
 type Candidate struct {
 	Name     string
 	Zone     string
 	Models   map[string]bool
 	Adapters map[string]bool
-	// Unavailable is set while the endpoint is leaving, draining or silent.
+	// Unavailable is set while the endpoint is leaving, draining or
+	// unresponsive.
 	Unavailable bool
 	// Load is the share of the endpoint's capacity in use, from 0 to 1.
 	Load float64
 	// Online is set while the endpoint serves online requests.
 	Online bool
-	// Prefixes knows which blocks the endpoint probably caches; may be nil.
+	// Prefixes tracks the prompt blocks that the endpoint probably caches; may be nil.
 	Prefixes *PrefixIndex
 }
 
-// Filter drops candidates.
+// Filter decides whether a candidate can serve a request.
 type Filter interface {
 	Name() string
 	Keep(request *Request, candidate *Candidate) bool
@@ -58,40 +59,40 @@
 	Score(request *Request, candidate *Candidate) float64
 }
 
-// WeightedScorer is a scorer with its weight.
+// WeightedScorer is a scorer with the factor by which its score counts in the sum.
 type WeightedScorer struct {
 	Scorer Scorer
 	Weight float64
 }
 
-// Picker takes one of the scored candidates, which are not empty.
+// Picker selects one of the scored candidates, of which there is at least one.
 type Picker interface {
 	Name() string
 	Pick(scored []ScoredCandidate, random Random) *Candidate
 }
 
-// ScoredCandidate is a candidate with its weighted score.
+// ScoredCandidate is a candidate with the weighted sum of its scores.
 type ScoredCandidate struct {
 	Candidate *Candidate
 	Score     float64
 }
 
-// Pipeline runs the steps in order.
+// Pipeline chooses an endpoint with its filters, scorers and picker.
 type Pipeline struct {
-	filters []Filter
-	scorers []WeightedScorer
-	picker  Picker
-	dropped []atomic.Uint64
-	picked  atomic.Uint64
-	empty   atomic.Uint64
+	filters  []Filter
+	scorers  []WeightedScorer
+	picker   Picker
+	dropped  []atomic.Uint64
+	picked   atomic.Uint64
+	noneLeft atomic.Uint64
 }
 
-// NewPipeline returns a pipeline of the steps given.
+// NewPipeline returns a pipeline of the given steps; filters run in order.
 func NewPipeline(filters []Filter, scorers []WeightedScorer, picker Picker) *Pipeline {
 	return &Pipeline{filters: filters, scorers: scorers, picker: picker, dropped: make([]atomic.Uint64, len(filters))}
 }
 
-// Choose returns the endpoint for the request, or nil if no candidate is left.
+// Choose returns the endpoint for the request, or nil if the filters drop every candidate.
 func (p *Pipeline) Choose(request *Request, candidates []*Candidate, random Random) *Candidate {
 	scored := make([]ScoredCandidate, 0, len(candidates))
 	for _, candidate := range candidates {
@@ -100,7 +101,7 @@
 		}
 	}
 	if len(scored) == 0 {
-		p.empty.Add(1)
+		p.noneLeft.Add(1)
 		return nil
 	}
 	p.picked.Add(1)
@@ -125,19 +126,19 @@
 	return total
 }
 
-// StepCount is how often a step did something.
+// StepCount is the counter of one step.
 type StepCount struct {
 	Step  string
 	Count uint64
 }
 
-// Counts returns what each step has done so far: candidates dropped by each
-// filter, requests picked, and requests for which none was left.
+// Counts returns the totals so far: candidates dropped by each filter, requests
+// for which an endpoint was picked, and requests for which no candidate was left.
 func (p *Pipeline) Counts() []StepCount {
 	var counts []StepCount
 	for index, filter := range p.filters {
 		counts = append(counts, StepCount{Step: "filter_" + filter.Name(), Count: p.dropped[index].Load()})
 	}
 	counts = append(counts, StepCount{Step: "pick_" + p.picker.Name(), Count: p.picked.Load()})
-	return append(counts, StepCount{Step: "none_left", Count: p.empty.Load()})
+	return append(counts, StepCount{Step: "none_left", Count: p.noneLeft.Load()})
 }
--- a/internal/routing/prefix.go
+++ b/internal/routing/prefix.go
@@ -1,8 +1,9 @@
 package routing
 
-// PrefixIndex remembers which prompt blocks an endpoint probably caches. It is
-// fed by the endpoint's late and gapped cache events and corrected by what the
-// answers tell. The oldest entries go first once it is full.
+// PrefixIndex tracks the prompt blocks that an endpoint probably caches. It is
+// filled from the endpoint's cache events, which may be late or incomplete, and
+// corrected by the cache hits that answers report. When it is full, the oldest
+// entries are evicted first.
 type PrefixIndex struct {
 	capacity int
 	blocks   map[uint64]struct{}
@@ -14,7 +15,7 @@
 	return &PrefixIndex{capacity: capacity, blocks: map[uint64]struct{}{}}
 }
 
-// Add remembers blocks.
+// Add inserts blocks; blocks that are in the index already keep their age.
 func (p *PrefixIndex) Add(blocks ...uint64) {
 	for _, block := range blocks {
 		if _, known := p.blocks[block]; known {
@@ -29,7 +30,7 @@
 	}
 }
 
-// Remove forgets blocks.
+// Remove deletes blocks.
 func (p *PrefixIndex) Remove(blocks ...uint64) {
 	for _, block := range blocks {
 		delete(p.blocks, block)
@@ -49,14 +50,15 @@
 	p.order = kept
 }
 
-// Correct takes in that of the blocks only the first cached ones were there.
+// Correct removes all but the first cached blocks of a prompt: an answer reported
+// that the endpoint had only those.
 func (p *PrefixIndex) Correct(blocks []uint64, cached int) {
 	if cached < len(blocks) && p.Match(blocks) > cached {
 		p.Remove(blocks[cached:]...)
 	}
 }
 
-// Match returns how many leading blocks are probably cached.
+// Match returns the number of leading blocks that are probably cached.
 func (p *PrefixIndex) Match(blocks []uint64) int {
 	for index, block := range blocks {
 		if _, known := p.blocks[block]; !known {
--- a/internal/routing/ring.go
+++ b/internal/routing/ring.go
@@ -8,23 +8,25 @@
 )
 
 const (
-	// pointsPerEndpoint spreads each endpoint over the ring.
+	// pointsPerEndpoint is the number of points that each endpoint has on the ring.
 	pointsPerEndpoint = 16
-	// ringChoices is how many endpoints the ring proposes for one key.
+	// ringChoices is the number of endpoints proposed by position on the ring.
 	ringChoices = 2
-	// randomChoices is how many endpoints are proposed at random besides.
+	// randomChoices is the number of further endpoints proposed at random.
 	randomChoices = 2
-	// maxRingWalk bounds the search for proposals that may serve the request.
+	// maxRingWalk bounds the points of the ring that are visited, and likewise the
+	// random draws, in search of endpoints that can serve the request.
 	maxRingWalk = 64
 )
 
-// Ring proposes a few endpoints for a request, so that the cost of a choice
-// grows with the logarithm of their number. Requests that share the first
-// block of their prompt get the same proposals from the ring, in any process;
-// the random ones keep load from piling up.
+// Ring is a consistent-hash ring that proposes a few endpoints for a request, so
+// that the cost of a choice grows with the logarithm of the number of endpoints.
+// Requests that share the first block of their prompt get the same proposals
+// from the ring in every process; the random proposals keep load from piling up
+// at those.
 type Ring struct {
-	points []ringPoint
-	all    []*Candidate
+	points     []ringPoint
+	candidates []*Candidate
 }
 
 type ringPoint struct {
@@ -32,9 +34,9 @@
 	candidate *Candidate
 }
 
-// NewRing returns the ring of the candidates.
+// NewRing returns a ring of the candidates. It keeps the slice.
 func NewRing(candidates []*Candidate) *Ring {
-	ring := &Ring{all: candidates, points: make([]ringPoint, 0, len(candidates)*pointsPerEndpoint)}
+	ring := &Ring{candidates: candidates, points: make([]ringPoint, 0, len(candidates)*pointsPerEndpoint)}
 	for _, candidate := range candidates {
 		for point := 0; point < pointsPerEndpoint; point++ {
 			hash := xxhash.Sum64String(candidate.Name + "#" + strconv.Itoa(point))
@@ -45,7 +47,8 @@
 	return ring
 }
 
-// Propose returns a few different candidates that the keep function accepts.
+// Propose returns a few distinct candidates that keep accepts. If the search finds none, it
+// returns all candidates that keep accepts.
 func (r *Ring) Propose(key uint64, random Random, keep func(*Candidate) bool) []*Candidate {
 	proposed := make([]*Candidate, 0, ringChoices+randomChoices)
 	start := sort.Search(len(r.points), func(i int) bool { return r.points[i].hash >= key })
@@ -53,24 +56,25 @@
 		candidate := r.points[(start+step)%len(r.points)].candidate
 		proposed = appendNew(proposed, candidate, keep)
 	}
-	for try := 0; try < maxRingWalk && len(r.all) > 0 && len(proposed) < ringChoices+randomChoices; try++ {
-		if len(proposed) == len(r.all) {
+	for attempt := 0; attempt < maxRingWalk && len(r.candidates) > 0 && len(proposed) < ringChoices+randomChoices; attempt++ {
+		if len(proposed) == len(r.candidates) {
 			break
 		}
-		proposed = appendNew(proposed, r.all[random.IntN(len(r.all))], keep)
+		proposed = appendNew(proposed, r.candidates[random.IntN(len(r.candidates))], keep)
 	}
 	if len(proposed) == 0 {
-		// Few endpoints can serve the request: look at all of them.
-		for _, candidate := range r.all {
+		// Few endpoints can serve the request: check all of them.
+		for _, candidate := range r.candidates {
 			proposed = appendNew(proposed, candidate, keep)
 		}
 	}
 	return proposed
 }
 
+// appendNew appends the candidate if it is not proposed yet and keep accepts it.
 func appendNew(proposed []*Candidate, candidate *Candidate, keep func(*Candidate) bool) []*Candidate {
-	for _, known := range proposed {
-		if known == candidate {
+	for _, existing := range proposed {
+		if existing == candidate {
 			return proposed
 		}
 	}
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func fleetOf(count int) []*Candidate {
+func newCandidates(count int) []*Candidate {
 	candidates := make([]*Candidate, count)
 	for i := range candidates {
 		candidates[i] = &Candidate{Name: fmt.Sprintf("worker-%d", i), Zone: fmt.Sprintf("zone-%d", i%3), Models: map[string]bool{"m": true}}
@@ -22,8 +22,8 @@
 	)
 }
 
-func TestChooseDropsWhatCannotServe(t *testing.T) {
-	candidates := fleetOf(4)
+func TestChooseDropsUnsuitableCandidates(t *testing.T) {
+	candidates := newCandidates(4)
 	candidates[0].Unavailable = true
 	candidates[1].Models = nil
 	request := &Request{Model: "m", Exclude: map[string]bool{"worker-2": true}}
@@ -33,41 +33,41 @@
 		t.Fatalf("chose %v, want worker-3", chosen)
 	}
 	if chosen := pipeline.Choose(request, candidates[:3], random); chosen != nil {
-		t.Fatalf("chose %s where none can serve", chosen.Name)
+		t.Fatalf("chose %s, want nil: no candidate can serve the request", chosen.Name)
 	}
 }
 
-// TestRingAgrees checks that two processes propose the same first endpoints for
+// TestRingAgrees checks that two processes propose the same ring endpoints for
 // a key, and that the loss of one endpoint moves few keys.
 func TestRingAgrees(t *testing.T) {
-	all := fleetOf(30)
-	first, second := NewRing(all), NewRing(all[1:])
+	all := newCandidates(30)
+	ring, smallerRing := NewRing(all), NewRing(all[1:])
 	accept := func(*Candidate) bool { return true }
 	moved := 0
 	const keys = 1000
 	for i := uint64(0); i < keys; i++ {
 		key := i * 0x9e3779b97f4a7c15
-		before := first.Propose(key, rand.New(rand.NewPCG(1, i)), accept)
-		again := first.Propose(key, rand.New(rand.NewPCG(2, i)), accept)
-		if before[0] != again[0] || before[1] != again[1] {
+		proposed := ring.Propose(key, rand.New(rand.NewPCG(1, i)), accept)
+		otherProcess := ring.Propose(key, rand.New(rand.NewPCG(2, i)), accept)
+		if proposed[0] != otherProcess[0] || proposed[1] != otherProcess[1] {
 			t.Fatalf("key %d: proposals differ between processes", i)
 		}
-		if after := second.Propose(key, rand.New(rand.NewPCG(1, i)), accept); after[0] != before[0] {
+		if after := smallerRing.Propose(key, rand.New(rand.NewPCG(1, i)), accept); after[0] != proposed[0] {
 			moved++
 		}
 	}
 	if moved > keys/10 {
-		t.Fatalf("%d of %d keys moved when 1 of 30 endpoints left", moved, keys)
+		t.Fatalf("%d of %d keys moved after the loss of 1 of 30 endpoints, want at most a tenth", moved, keys)
 	}
 }
 
 func TestRingFindsTheOnlyEndpoint(t *testing.T) {
-	all := fleetOf(600)
+	all := newCandidates(600)
 	ring := NewRing(all)
 	only := all[417]
 	proposed := ring.Propose(1, rand.New(rand.NewPCG(1, 1)), func(c *Candidate) bool { return c == only })
 	if len(proposed) != 1 || proposed[0] != only {
-		t.Fatalf("proposed %v", proposed)
+		t.Fatalf("proposed %v, want only the one usable endpoint", proposed)
 	}
 }
 
@@ -83,14 +83,14 @@
 	}
 	index.Add(10, 11, 12, 13, 14)
 	if matched := index.Match([]uint64{1}); matched != 0 {
-		t.Fatal("the oldest block is still there beyond the capacity")
+		t.Fatal("the oldest block is still in the index beyond its capacity")
 	}
 }
 
 func BenchmarkChoose(b *testing.B) {
 	for _, size := range []int{12, 18, 600} {
 		b.Run(fmt.Sprintf("workers=%d", size), func(b *testing.B) {
-			ring := NewRing(fleetOf(size))
+			ring := NewRing(newCandidates(size))
 			pipeline := testPipeline()
 			random := rand.New(rand.NewPCG(1, 1))
 			accept := func(c *Candidate) bool { return !c.Unavailable }
@@ -98,7 +98,7 @@
 			for i := 0; b.Loop(); i++ {
 				request := &Request{Model: "m", Key: uint64(i) * 0x9e3779b97f4a7c15}
 				if pipeline.Choose(request, ring.Propose(request.Key, random, accept), random) == nil {
-					b.Fatal("none chosen")
+					b.Fatal("no endpoint chosen")
 				}
 			}
 		})
--- a/internal/routing/scorers.go
+++ b/internal/routing/scorers.go
@@ -2,7 +2,7 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// LoadScorer prefers endpoints with capacity to spare.
+// LoadScorer prefers endpoints with a larger fraction of free capacity.
 type LoadScorer struct{}
 
 // Name implements Scorer.
@@ -25,7 +25,7 @@
 	return 0
 }
 
-// PrefixScorer prefers endpoints that probably cache the prompt's beginning.
+// PrefixScorer prefers endpoints that probably cache the beginning of the prompt.
 type PrefixScorer struct{}
 
 // Name implements Scorer.
@@ -39,8 +39,9 @@
 	return float64(candidate.Prefixes.Match(request.Blocks)) / float64(len(request.Blocks))
 }
 
-// RendezvousScorer rates the endpoints for a key in an order that every process
-// agrees on, so that requests with one prefix meet at one endpoint.
+// RendezvousScorer ranks the endpoints for a key by rendezvous hashing: every
+// process computes the same order, so requests with the same prefix go to the
+// same endpoint.
 type RendezvousScorer struct{}
 
 // Name implements Scorer.
@@ -53,10 +54,10 @@
 	return float64(mixed>>(64-mantissaBits)) / (1 << mantissaBits)
 }
 
-// ClassScorer keeps the two kinds of work apart: online requests prefer endpoints
-// that serve online requests already, batch work the others. A step of an engine
-// takes longer the more sequences it has, so that fewer endpoints pay for a reserve
-// if online requests gather.
+// ClassScorer separates the two classes of work: online requests prefer endpoints
+// that already serve online requests, batch work prefers the others. An engine step
+// takes longer the more sequences it has, so online endpoints keep a reserve; if
+// online requests gather, fewer endpoints need one.
 type ClassScorer struct{}
 
 // Name implements Scorer.
@@ -70,8 +71,8 @@
 	return 0
 }
 
-// BestPicker takes the highest score, and one of the equals at random, so that
-// several choosers do not all run to the same endpoint.
+// BestPicker selects the candidate with the highest score and breaks ties at
+// random, so that concurrent choosers don't all select the same endpoint.
 type BestPicker struct{}
 
 // tieMargin is the difference below which two scores count as equal.
