--- a/internal/routetable/split.go
+++ b/internal/routetable/split.go
@@ -1,25 +1,25 @@
 package routetable
 
-// Splitter shares the requests of routes out to their parts by weight: over any
-// run of requests a part's share is off its weight's by less than one request
-// per part (smooth weighted round robin). Its state outlives configurations, so
-// that a change does not begin the round anew.
+// Splitter distributes the requests of routes over their pools by weight, with
+// smooth weighted round robin: over any series of requests the count of each part
+// deviates from its share by less than one request per part. Its state is kept
+// when the configuration changes, so that a change doesn't restart the rounds.
 type Splitter struct {
 	credits map[splitKey]int
 }
 
-// splitKey names a part of a route by its place in the list, because a pool may
-// stand there twice.
+// splitKey identifies a part of a route by its index in the list, because a pool
+// may be listed twice.
 type splitKey struct {
 	route string
 	part  int
 }
 
-// NewSplitter returns a splitter at the start of all rounds.
+// NewSplitter returns a splitter without any requests counted.
 func NewSplitter() *Splitter { return &Splitter{credits: map[splitKey]int{}} }
 
-// Next returns the pool of the route's next request. Parts that the usable
-// function turns down get none; where it turns down all, the result is empty.
+// Next returns the pool for the route's next request. It skips the pools that
+// are not usable, and returns an empty string if none is.
 func (s *Splitter) Next(route *Route, usable func(pool string) bool) string {
 	best, total := -1, 0
 	for i, part := range route.Parts {
--- a/internal/routetable/table.go
+++ b/internal/routetable/table.go
@@ -12,34 +12,34 @@
 	"github.com/sedgemast/sedgemast/internal/tenancy"
 )
 
-// Table finds the route of a request.
+// Table looks up routes, pools and tenants of a configuration. It is immutable.
 type Table struct {
-	// Configuration is what the table was made from; it must not change.
+	// Configuration is the source of the table; it must not be modified.
 	Configuration *Configuration
-	hosts         map[string][]*Route
-	names         map[string]*Route
+	routesByHost  map[string][]*Route
+	routesByName  map[string]*Route
 	pools         map[string]*Pool
-	// tightest holds the shortest goal of each pool's online routes.
-	tightest map[string]time.Duration
-	tenants  map[tenancy.Name]*Tenant
-	// owners holds the tenants by the hashes of their keys.
-	owners map[tenancy.KeyHash]*Tenant
-	// limits holds the limits of the tenants that have one, by their short names.
+	// shortestGoals holds the shortest goal of the online routes to each pool.
+	shortestGoals map[string]time.Duration
+	tenants       map[tenancy.Name]*Tenant
+	// tenantsByKey holds the tenants by the hashes of their keys.
+	tenantsByKey map[tenancy.KeyHash]*Tenant
+	// limits holds the rate limits of the tenants that have one, by short name.
 	limits map[ratelimit.Tenant]ratelimit.Limit
 	shares *fairshare.Settings
 }
 
-// NewTable prepares a checked configuration for look-ups.
+// NewTable returns the table of a configuration that has passed Check.
 func NewTable(configuration *Configuration) *Table {
-	table := &Table{Configuration: configuration, hosts: map[string][]*Route{}, names: map[string]*Route{}, pools: map[string]*Pool{}, tightest: map[string]time.Duration{}}
+	table := &Table{Configuration: configuration, routesByHost: map[string][]*Route{}, routesByName: map[string]*Route{}, pools: map[string]*Pool{}, shortestGoals: map[string]time.Duration{}}
 	for i := range configuration.Routes {
 		route := &configuration.Routes[i]
 		host := strings.ToLower(route.Host)
-		table.hosts[host] = append(table.hosts[host], route)
-		table.names[route.Name] = route
-		table.noteGoal(route)
+		table.routesByHost[host] = append(table.routesByHost[host], route)
+		table.routesByName[route.Name] = route
+		table.recordGoal(route)
 	}
-	for _, routes := range table.hosts {
+	for _, routes := range table.routesByHost {
 		sort.SliceStable(routes, func(a, b int) bool { return len(routes[a].PathPrefix) > len(routes[b].PathPrefix) })
 	}
 	for i := range configuration.Pools {
@@ -47,7 +47,7 @@
 	}
 	table.tenants = make(map[tenancy.Name]*Tenant, len(configuration.Tenants))
 	table.limits = make(map[ratelimit.Tenant]ratelimit.Limit, len(configuration.Tenants))
-	table.owners = make(map[tenancy.KeyHash]*Tenant, len(configuration.Tenants))
+	table.tenantsByKey = make(map[tenancy.KeyHash]*Tenant, len(configuration.Tenants))
 	for i := range configuration.Tenants {
 		tenant := &configuration.Tenants[i]
 		table.tenants[tenant.Name] = tenant
@@ -55,14 +55,15 @@
 			table.limits[ShortName(tenant.Name)] = tenant.Limit()
 		}
 		for _, hash := range tenant.KeyHashes {
-			table.owners[hash] = tenant
+			table.tenantsByKey[hash] = tenant
 		}
 	}
-	table.shares = sharesOf(configuration)
+	table.shares = sharesFrom(configuration)
 	return table
 }
 
-// RequiresKeys reports whether requests need a key, but for those on public routes.
+// RequiresKeys reports whether requests need a key, except on public routes. A nil table
+// requires none.
 func (t *Table) RequiresKeys() bool { return t != nil && len(t.tenants) > 0 }
 
 // TenantByKey returns the tenant that holds the key, or nil.
@@ -70,10 +71,10 @@
 	if key == "" {
 		return nil
 	}
-	return t.owners[tenancy.HashKey(key)]
+	return t.tenantsByKey[tenancy.HashKey(key)]
 }
 
-// Tenant returns the tenant with the name, or nil. A nil table has none.
+// Tenant returns the tenant with the name, or nil. A nil table has no tenants.
 func (t *Table) Tenant(name tenancy.Name) *Tenant {
 	if t == nil {
 		return nil
@@ -81,9 +82,9 @@
 	return t.tenants[name]
 }
 
-// AcceptsPublicJobs reports whether a batch route of the host is public.
+// AcceptsPublicJobs reports whether the host has a public batch route.
 func (t *Table) AcceptsPublicJobs(host string) bool {
-	for _, route := range t.hosts[hostName(host)] {
+	for _, route := range t.routesByHost[hostName(host)] {
 		if route.Kind == KindBatch && route.Public {
 			return true
 		}
@@ -91,32 +92,31 @@
 	return false
 }
 
-// noteGoal takes in the goal of an online route.
-func (t *Table) noteGoal(route *Route) {
+// recordGoal updates shortestGoals with the goal of the route, if it is an online route.
+func (t *Table) recordGoal(route *Route) {
 	if route.Kind == KindBatch || route.GoalMillis <= 0 {
 		return
 	}
 	for _, part := range route.Parts {
-		known := t.tightest[part.Pool]
-		if part.Weight > 0 && (known == 0 || route.Goal() < known) {
-			t.tightest[part.Pool] = route.Goal()
+		shortest := t.shortestGoals[part.Pool]
+		if part.Weight > 0 && (shortest == 0 || route.Goal() < shortest) {
+			t.shortestGoals[part.Pool] = route.Goal()
 		}
 	}
 }
 
-// TightestGoal returns the shortest goal of the online routes that lead to the
-// pool, zero if there is none. A nil table has none.
+// TightestGoal returns the shortest goal of the online routes to the pool, zero if
+// there is none. A nil table has none.
 func (t *Table) TightestGoal(pool string) time.Duration {
 	if t == nil {
 		return 0
 	}
-	return t.tightest[pool]
+	return t.shortestGoals[pool]
 }
 
-// Match returns the route of the host whose prefix begins the path and is
-// longest, or nil.
+// Match returns the route of the host with the longest prefix of the path, or nil.
 func (t *Table) Match(host, path string) *Route {
-	for _, route := range t.hosts[hostName(host)] {
+	for _, route := range t.routesByHost[hostName(host)] {
 		if strings.HasPrefix(path, route.PathPrefix) {
 			return route
 		}
@@ -124,8 +124,8 @@
 	return nil
 }
 
-// MatchBatch returns the batch route that a job sent to the host and path belongs
-// to, or nil. A nil table has none.
+// MatchBatch returns the batch route for a job that is submitted to the host and
+// path, or nil. A nil table has none.
 func (t *Table) MatchBatch(method, host, path string) *Route {
 	if t == nil || method != http.MethodPost {
 		return nil
@@ -136,9 +136,9 @@
 	return nil
 }
 
-// RouteByName returns the route with the name, or one without goals.
+// RouteByName returns the route with the name, or an empty route if there is none.
 func (t *Table) RouteByName(name string) *Route {
-	if route := t.names[name]; route != nil {
+	if route := t.routesByName[name]; route != nil {
 		return route
 	}
 	return &Route{}
@@ -147,8 +147,8 @@
 // Pool returns the pool with the name, or nil.
 func (t *Table) Pool(name string) *Pool { return t.pools[name] }
 
-// MemoryTokens returns how many tokens a worker of each pool holds, where that is told.
-// Without a configuration nothing is.
+// MemoryTokens returns the number of tokens that a worker of each pool holds in memory,
+// for the pools that configure it. A nil table returns an empty map.
 func (t *Table) MemoryTokens() map[string]int64 {
 	memory := map[string]int64{}
 	if t == nil {
@@ -162,7 +162,7 @@
 	return memory
 }
 
-// hostName returns a Host header without port, in lower case.
+// hostName returns the host of a Host header, without the port and in lower case.
 func hostName(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
