--- a/internal/listreader/lives.go
+++ b/internal/listreader/lives.go
@@ -8,56 +8,58 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// lifeReadings is after how many readings in a row, 5 s at two a second, a list is believed
-// that names an earlier life than was known, or calls a leaving worker ready: an old message
-// is gone by then, and a worker's clock may have been set back.
-const lifeReadings = 10
+// maxContradictions is the number of consecutive readings after which a list is accepted that
+// names an earlier incarnation than the known one, or lists a leaving worker as ready. At
+// two readings a second this takes 5 s, after which stale entries have disappeared from the
+// list: the worker's clock must have been set back, or the worker has restarted.
+const maxContradictions = 10
 
-// settleLives compares the rows read of a zone with those known: an earlier life is an old
-// message, and a worker that was leaving and is ready again has started anew.
-func (r *Reader) settleLives(p *part) {
-	for id, row := range p.rows {
-		known, found := p.known[id]
+// reconcileZone compares the rows read in a zone with the known ones: an earlier incarnation is
+// a stale entry, and a worker that was leaving and is ready again has restarted.
+func (r *Reader) reconcileZone(z *zoneReading) {
+	for id, row := range z.rows {
+		known, found := z.known[id]
 		if !found {
 			continue
 		}
-		settled, odd := r.settle(id, &known, &row)
-		if odd != nil {
-			p.odd++
-			p.oddity = odd
+		resolved, err := r.reconcile(id, &known, &row)
+		if err != nil {
+			z.invalid++
+			z.invalidErr = err
 		}
-		p.rows[id] = settled
+		z.rows[id] = resolved
 	}
-	for id := range r.doubted {
-		if _, found := p.rows[id]; !found && p.known[id].ID != "" {
-			delete(r.doubted, id)
+	for id := range r.contradictions {
+		if _, found := z.rows[id]; !found && z.known[id].ID != "" {
+			delete(r.contradictions, id)
 		}
 	}
 }
 
-// settle returns the row to use of a worker, and what is odd of the one that was read.
-func (r *Reader) settle(id string, known, row *wire.PoolWorker) (wire.PoolWorker, error) {
-	was, is := incarnation.StartTime(known.ID), incarnation.StartTime(row.ID)
-	settled := *row
-	if is == 0 {
-		// The list tells no starts: it is the life that was known, but for what follows.
-		settled.ID, is = known.ID, was
+// reconcile returns the row to use for a worker, and an error if the row read is a stale entry.
+func (r *Reader) reconcile(id string, known, row *wire.PoolWorker) (wire.PoolWorker, error) {
+	knownStart, listedStart := incarnation.StartTime(known.ID), incarnation.StartTime(row.ID)
+	resolved := *row
+	if listedStart == 0 {
+		// The list has no start times: assume the known incarnation, unless the worker was
+		// leaving and is ready again.
+		resolved.ID, listedStart = known.ID, knownStart
 	}
-	older := is < was
-	again := is == was && known.Leaving && !row.Leaving
-	if !older && !again {
-		delete(r.doubted, id)
-		return settled, nil
+	earlier := listedStart < knownStart
+	restarted := listedStart == knownStart && known.Leaving && !row.Leaving
+	if !earlier && !restarted {
+		delete(r.contradictions, id)
+		return resolved, nil
 	}
-	if r.doubted[id]++; r.doubted[id] < lifeReadings {
-		if older {
+	if r.contradictions[id]++; r.contradictions[id] < maxContradictions {
+		if earlier {
 			return *known, errors.Newf("%s is listed as of an earlier life", id)
 		}
 		return *known, nil
 	}
-	delete(r.doubted, id)
-	if again {
-		settled.ID = incarnation.Name(id, max(clock.Now().UnixMilli(), was+1))
+	delete(r.contradictions, id)
+	if restarted {
+		resolved.ID = incarnation.Name(id, max(clock.Now().UnixMilli(), knownStart+1))
 	}
-	return settled, nil
+	return resolved, nil
 }
--- a/internal/listreader/lives_test.go
+++ b/internal/listreader/lives_test.go
@@ -7,7 +7,8 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// readOne reads a list of the rows and returns what is used of worker "w", nil for nothing.
+// readOne reads a list with the rows and returns the reading and its row of worker "w", nil if
+// there is none.
 func readOne(t *testing.T, r *Reader, p *platform, rows ...wire.PoolWorker) (*wire.PoolWorker, *Reading) {
 	t.Helper()
 	p.rows = rows
@@ -21,34 +22,34 @@
 			continue
 		}
 		if used != nil {
-			t.Fatalf("two lives are used: %+v", reading.Rows)
+			t.Fatalf("two incarnations of a worker are in the reading: %+v", reading.Rows)
 		}
 		used = &reading.Rows[i]
 	}
 	return used, reading
 }
 
-// TestTwoEntriesOfOneID lists a worker at two places: what was known holds, and else
-// neither is used; of two lives the later one counts, whichever comes first.
+// TestTwoEntriesOfOneID lists a worker with two endpoints: the known row is kept, and without
+// one neither is used. Of two incarnations the later one is used, in either order.
 func TestTwoEntriesOfOneID(t *testing.T) {
-	at := func(address string, born int64) wire.PoolWorker {
-		return wire.PoolWorker{ID: incarnation.Name("w", born), Pool: "p", Zone: "z", Address: address}
+	worker := func(address string, started int64) wire.PoolWorker {
+		return wire.PoolWorker{ID: incarnation.Name("w", started), Pool: "p", Zone: "z", Address: address}
 	}
 	other := wire.PoolWorker{ID: "v", Pool: "p", Zone: "z", Address: "9"}
 	for _, test := range []struct {
-		name   string
-		before []wire.PoolWorker
-		rows   []wire.PoolWorker
-		want   string
-		odd    int
+		name    string
+		before  []wire.PoolWorker
+		rows    []wire.PoolWorker
+		want    string
+		invalid int
 	}{
-		{"the same twice", nil, []wire.PoolWorker{at("1", 0), at("1", 0)}, "1", 0},
-		{"two places", nil, []wire.PoolWorker{at("1", 0), at("2", 0)}, "", 1},
-		{"two places and one again", nil, []wire.PoolWorker{at("1", 0), at("2", 0), at("1", 0)}, "", 1},
-		{"two places, one known", []wire.PoolWorker{at("2", 0)}, []wire.PoolWorker{at("1", 0), at("2", 0)}, "2", 1},
-		{"two places, another known", []wire.PoolWorker{at("3", 0)}, []wire.PoolWorker{at("1", 0), at("2", 0)}, "", 1},
-		{"two lives", nil, []wire.PoolWorker{at("1", 5), at("2", 6)}, "2", 0},
-		{"two lives, the later first", nil, []wire.PoolWorker{at("2", 6), at("1", 5)}, "2", 0},
+		{"the same twice", nil, []wire.PoolWorker{worker("1", 0), worker("1", 0)}, "1", 0},
+		{"two endpoints", nil, []wire.PoolWorker{worker("1", 0), worker("2", 0)}, "", 1},
+		{"two endpoints, the first one again", nil, []wire.PoolWorker{worker("1", 0), worker("2", 0), worker("1", 0)}, "", 1},
+		{"two endpoints, one known", []wire.PoolWorker{worker("2", 0)}, []wire.PoolWorker{worker("1", 0), worker("2", 0)}, "2", 1},
+		{"two endpoints, another one known", []wire.PoolWorker{worker("3", 0)}, []wire.PoolWorker{worker("1", 0), worker("2", 0)}, "", 1},
+		{"two incarnations", nil, []wire.PoolWorker{worker("1", 5), worker("2", 6)}, "2", 0},
+		{"two incarnations, the later first", nil, []wire.PoolWorker{worker("2", 6), worker("1", 5)}, "2", 0},
 	} {
 		p := &platform{size: 10}
 		r := New(p, nil)
@@ -60,46 +61,46 @@
 		if used != nil {
 			got = used.Address
 		}
-		if got != test.want || reading.Invalid != test.odd || (reading.InvalidErr != nil) != (test.odd > 0) {
-			t.Errorf("%s: %q is used, %d odd (%v); want %q, %d", test.name, got, reading.Invalid, reading.InvalidErr, test.want, test.odd)
+		if got != test.want || reading.Invalid != test.invalid || (reading.InvalidErr != nil) != (test.invalid > 0) {
+			t.Errorf("%s: got address %q and %d invalid entries (%v), want %q and %d", test.name, got, reading.Invalid, reading.InvalidErr, test.want, test.invalid)
 		}
 	}
 }
 
-// TestLivesFollowOneAnother reads lists that contradict what is known of a worker's life.
+// TestLivesFollowOneAnother reads lists that contradict the known incarnation of a worker.
 func TestLivesFollowOneAnother(t *testing.T) {
-	row := func(born int64, leaving bool) wire.PoolWorker {
-		return wire.PoolWorker{ID: incarnation.Name("w", born), Pool: "p", Zone: "z", Address: "1", Leaving: leaving}
+	row := func(started int64, leaving bool) wire.PoolWorker {
+		return wire.PoolWorker{ID: incarnation.Name("w", started), Pool: "p", Zone: "z", Address: "1", Leaving: leaving}
 	}
 	p := &platform{size: 10}
 	r := New(p, nil)
 	if used, _ := readOne(t, r, p, row(5, true)); used.ID != incarnation.Name("w", 5) || !used.Leaving {
-		t.Fatalf("first %+v", used)
+		t.Fatalf("got %+v in the first reading, want the incarnation that is listed", used)
 	}
 	if used, _ := readOne(t, r, p, row(6, false)); used.ID != incarnation.Name("w", 6) || used.Leaving {
-		t.Errorf("a later life: %+v", used)
+		t.Errorf("a later incarnation is not used: %+v", used)
 	}
-	for range lifeReadings - 1 {
+	for range maxContradictions - 1 {
 		if used, reading := readOne(t, r, p, row(5, true)); used.ID != incarnation.Name("w", 6) || used.Leaving || reading.Invalid != 1 {
-			t.Fatalf("an earlier life is believed: %+v, %d odd", used, reading.Invalid)
+			t.Fatalf("an earlier incarnation is accepted too soon: %+v, %d invalid entries", used, reading.Invalid)
 		}
 	}
 	if used, _ := readOne(t, r, p, row(5, true)); used.ID != incarnation.Name("w", 5) || !used.Leaving {
-		t.Errorf("a list that stays with an earlier life is not believed: %+v", used)
+		t.Errorf("an earlier incarnation is not accepted after maxContradictions readings: %+v", used)
 	}
 	if used, _ := readOne(t, r, p, row(0, true)); used.ID != incarnation.Name("w", 5) {
-		t.Errorf("without a start it is another life: %+v", used)
+		t.Errorf("a row without a start time changes the incarnation: %+v", used)
 	}
-	for range lifeReadings - 1 {
+	for range maxContradictions - 1 {
 		if used, _ := readOne(t, r, p, row(0, false)); used.ID != incarnation.Name("w", 5) || !used.Leaving {
-			t.Fatalf("a worker that left is ready at once: %+v", used)
+			t.Fatalf("a leaving worker is accepted as ready too soon: %+v", used)
 		}
 	}
-	again, _ := readOne(t, r, p, row(0, false))
-	if incarnation.StartTime(again.ID) <= 5 || again.Leaving {
-		t.Fatalf("a worker that is ready again is no new life: %+v", again)
+	restarted, _ := readOne(t, r, p, row(0, false))
+	if incarnation.StartTime(restarted.ID) <= 5 || restarted.Leaving {
+		t.Fatalf("a worker that is ready again gets no new incarnation: %+v", restarted)
 	}
-	if used, _ := readOne(t, r, p, row(0, false)); used.ID != again.ID {
-		t.Errorf("it is another life each time: %+v, %+v", again, used)
+	if used, _ := readOne(t, r, p, row(0, false)); used.ID != restarted.ID {
+		t.Errorf("a further reading changes the incarnation: %+v, then %+v", restarted, used)
 	}
 }
--- a/internal/listreader/reader.go
+++ b/internal/listreader/reader.go
@@ -1,7 +1,7 @@
-// Package listreader reads a platform's list of workers that comes in pages. Rows may move
-// from page to page while it is read, calls may be refused, and the list may be long: a
-// reading of it loses no row that is there, names none twice, and keeps what was known of
-// a zone that can't be read now.
+// Package listreader reads a platform's paginated list of workers. The list may be long, rows
+// may shift between pages while it is read, and calls may be rejected. A reading loses no
+// row that stays on the list, contains none twice, and keeps the known rows of a zone that
+// can't be read.
 package listreader
 
 import (
@@ -17,240 +17,244 @@
 )
 
 const (
-	// retryPause is the time before a page that failed is asked for again, pageTries how
-	// often it is: a refusal over the platform's rate is over within a part of a second.
-	retryPause = 60 * time.Millisecond
-	pageTries  = 4
-	// pagesPerZone is from how many pages a zone on a list is read by zones, all at the
-	// same time. A short list takes fewer calls whole.
+	// retryInterval is the time between two attempts at a page, and maxPageAttempts their
+	// number. The platform stops rejecting calls over its rate limit within a fraction of a
+	// second.
+	retryInterval   = 60 * time.Millisecond
+	maxPageAttempts = 4
+	// pagesPerZone is the average number of pages per zone from which on the zones are read
+	// separately and concurrently. A shorter list takes fewer calls if it is read as one.
 	pagesPerZone = 2
-	// wholeZone stands for all zones.
-	wholeZone = ""
-	// mostMisses is in how many readings a row may be missing that was not seen to be gone
-	// in a calm one: with 25 rows of 10,000 leaving each second one that is there slips
-	// from a reading of 0.1 s in 1 of 4,000, and so from all of these in 1 of 10^21.
-	mostMisses = 3
+	// allZones is the zone name that stands for the list of all zones.
+	allZones = ""
+	// maxMisses is the number of consecutive unstable readings without a row after which the
+	// row is dropped. If 25 of 10,000 rows are removed per second, a reading of 0.1 s misses
+	// a row that is still there with a probability of 1 in 4,000; that all of these readings
+	// miss it has a probability of 1 in 10^21.
+	maxMisses = 3
 )
 
-// Page is a part of the list.
+// Page is one page of the list.
 type Page struct {
 	Rows []wire.PoolWorker
-	// Next names the page that follows, empty for none.
+	// Next is the name of the next page, empty on the last page.
 	Next string
-	// Invalid counts entries that name no worker to use, and Oddity says why the last one
-	// does not: they come from another writer, or can't be read.
+	// Invalid is the number of entries that can't be used, because another writer made them
+	// or they can't be decoded. InvalidErr describes the last one.
 	Invalid    int
 	InvalidErr error
 }
 
-// AddInvalid counts an entry that names no worker to use.
+// AddInvalid counts an entry that can't be used, for the given reason.
 func (p *Page) AddInvalid(why error) {
 	p.Invalid++
 	p.InvalidErr = why
 }
 
-// Pager reads one page of the list of a zone, of all zones where that is empty. The first
-// page has the empty name.
+// Pager reads one page of the list of a zone, or of all zones if the zone is empty. The name
+// of the first page is empty.
 type Pager interface {
 	Page(ctx context.Context, zone, name string) (Page, error)
 }
 
-// Reading is what came of reading the list.
+// Reading is the result of reading the list once.
 type Reading struct {
-	// Rows are the workers, by no special order, each once.
+	// Rows are the workers, each once, in no particular order.
 	Rows []wire.PoolWorker
-	// Calls is how many pages were asked for. Kept names zones that could not be read,
-	// whose rows are those of the last reading.
+	// Calls is the number of calls for pages. StaleZones are the zones that could not be
+	// read; their rows are those of the last reading.
 	Calls      int
 	StaleZones []string
-	// Invalid counts entries that name no worker to use, Oddity says why the last one does not.
+	// Invalid is the number of entries that can't be used, InvalidErr describes the last one.
 	Invalid    int
 	InvalidErr error
 }
 
-// Reader reads the list again and again. It is used by one goroutine.
+// Reader reads the list repeatedly. It must be used by one goroutine.
 type Reader struct {
 	pages Pager
 	zones []string
-	// OnPage, if set, is called with the rows of each page of a first reading as it comes. It
-	// is called by several goroutines.
+	// OnPage, if set, is called with the rows of each page of a first reading when the page
+	// arrives. Several goroutines may call it at the same time.
 	OnPage func(rows []wire.PoolWorker)
-	// byZones is set once the list has been found to be long.
+	// byZones is set once the list was long enough to read its zones separately.
 	byZones bool
-	// known holds the rows of the last reading by zone, or all under wholeZone, and missed
-	// in how many readings in a row some of them were missing.
+	// known holds the rows of the last reading by zone, or all of them under allZones. missed
+	// holds, by worker id, the number of consecutive readings without a known row.
 	known  map[string]rowsByID
-	missed map[string]int
-	// doubted holds in how many readings in a row the list has contradicted what is known of
-	// a worker's life.
-	doubted map[string]int
+	misses map[string]int
+	// contradictions holds, by worker id, the number of consecutive readings in which the list
+	// contradicted the known incarnation of the worker.
+	contradictions map[string]int
 }
 
-// rowsByID holds rows by the ids of the workers, whatever life of theirs is listed.
+// rowsByID holds rows by worker id, which is the same for all incarnations of a worker.
 type rowsByID map[string]wire.PoolWorker
 
-// New returns a reader of the pages. zones are the zones that workers may be in; where
-// there are none, or a row has another one, the list is read whole.
+// New returns a reader of the pages. zones are the zones that workers may be in. If it is
+// empty, or a row has another zone, the list is read as one.
 func New(pages Pager, zones []string) *Reader {
-	return &Reader{pages: pages, zones: zones, known: map[string]rowsByID{}, missed: map[string]int{}, doubted: map[string]int{}}
+	return &Reader{pages: pages, zones: zones, known: map[string]rowsByID{}, misses: map[string]int{}, contradictions: map[string]int{}}
 }
 
-// Reset drops what was known, so that the next reading stands for itself: for a process
-// that has not read the list for a while.
+// Reset drops the known rows, so that the next reading doesn't depend on earlier ones. It is for
+// a process that has not read the list for a while.
 func (r *Reader) Reset() {
-	r.known, r.missed, r.doubted = map[string]rowsByID{}, map[string]int{}, map[string]int{}
+	r.known, r.misses, r.contradictions = map[string]rowsByID{}, map[string]int{}, map[string]int{}
 }
 
-// Read reads the list. It fails with what the platform's call failed with while any zone
-// has never been read.
+// Read reads the list. If a zone can't be read and never was before, it returns the error of
+// the platform's call.
 func (r *Reader) Read(ctx context.Context) (*Reading, error) {
-	zones := []string{wholeZone}
+	zones := []string{allZones}
 	if r.byZones {
 		zones = r.zones
 	}
-	parts := make([]part, len(zones))
-	var readings sync.WaitGroup
+	zoneReadings := make([]zoneReading, len(zones))
+	var group sync.WaitGroup
 	for i, zone := range zones {
-		parts[i] = part{zone: zone, known: r.known[zone], came: r.OnPage}
-		readings.Go(func() { parts[i].read(ctx, r.pages) })
+		zoneReadings[i] = zoneReading{zone: zone, known: r.known[zone], onPage: r.OnPage}
+		group.Go(func() { zoneReadings[i].read(ctx, r.pages) })
 	}
-	readings.Wait()
+	group.Wait()
 	reading := &Reading{}
-	for i := range parts {
-		if err := r.take(reading, &parts[i]); err != nil {
+	for i := range zoneReadings {
+		if err := r.merge(reading, &zoneReadings[i]); err != nil {
 			return nil, err
 		}
 	}
 	if !r.byZones {
-		r.look(reading)
+		r.chooseMode(reading)
 	}
 	return reading, nil
 }
 
-// take takes in what came of a zone.
-func (r *Reader) take(reading *Reading, p *part) error {
-	reading.Calls += p.calls
-	if p.err != nil {
-		if p.known == nil {
-			return p.err
+// merge adds the rows read in a zone to the reading, or the known rows if the zone can't be read.
+func (r *Reader) merge(reading *Reading, z *zoneReading) error {
+	reading.Calls += z.calls
+	if z.err != nil {
+		if z.known == nil {
+			return z.err
 		}
-		reading.StaleZones = append(reading.StaleZones, p.zone)
-		p.rows = p.known
+		reading.StaleZones = append(reading.StaleZones, z.zone)
+		z.rows = z.known
 	}
-	r.settleLives(p)
-	reading.Invalid += p.odd
-	if p.oddity != nil {
-		reading.InvalidErr = p.oddity
+	r.reconcileZone(z)
+	reading.Invalid += z.invalid
+	if z.invalidErr != nil {
+		reading.InvalidErr = z.invalidErr
 	}
-	r.keepMissing(p)
-	r.known[p.zone] = p.rows
-	reading.Rows = slices.AppendSeq(reading.Rows, maps.Values(p.rows))
+	r.keepMissing(z)
+	r.known[z.zone] = z.rows
+	reading.Rows = slices.AppendSeq(reading.Rows, maps.Values(z.rows))
 	return nil
 }
 
-// keepMissing keeps rows of a zone that are missing but may only have slipped.
-func (r *Reader) keepMissing(p *part) {
-	for id, row := range p.known {
-		if _, found := p.rows[id]; found || p.calm {
-			delete(r.missed, id)
+// keepMissing keeps the known rows of a zone that may be missing only because the list shifted
+// between pages.
+func (r *Reader) keepMissing(z *zoneReading) {
+	for id, row := range z.known {
+		if _, found := z.rows[id]; found || z.stable {
+			delete(r.misses, id)
 			continue
 		}
-		if r.missed[id]++; r.missed[id] >= mostMisses {
-			delete(r.missed, id)
+		if r.misses[id]++; r.misses[id] >= maxMisses {
+			delete(r.misses, id)
 			continue
 		}
-		p.rows[id] = row
+		z.rows[id] = row
 	}
 }
 
-// look decides how to read from now on.
-func (r *Reader) look(reading *Reading) {
+// chooseMode decides whether later readings read the zones separately.
+func (r *Reader) chooseMode(reading *Reading) {
 	if len(r.zones) < 2 || reading.Calls < pagesPerZone*len(r.zones) {
 		return
 	}
-	parts := map[string]rowsByID{}
+	rowsByZone := map[string]rowsByID{}
 	for _, zone := range r.zones {
-		parts[zone] = rowsByID{}
+		rowsByZone[zone] = rowsByID{}
 	}
 	for _, row := range reading.Rows {
-		if parts[row.Zone] == nil {
+		if rowsByZone[row.Zone] == nil {
 			return
 		}
-		parts[row.Zone][incarnation.WorkerID(row.ID)] = row
+		rowsByZone[row.Zone][incarnation.WorkerID(row.ID)] = row
 	}
-	r.byZones, r.known = true, parts
+	r.byZones, r.known = true, rowsByZone
 }
 
-// part is the reading of one zone.
-type part struct {
-	zone  string
-	known rowsByID
-	rows  rowsByID
-	came  func(rows []wire.PoolWorker)
-	// disputed holds the ids that two entries of a reading give to different places.
-	disputed map[string]bool
-	// calm is set where the list did not move while it was read: what is missing is gone.
-	calm  bool
-	calls int
-	err   error
-	// odd and oddity are those of the pages read.
-	odd    int
-	oddity error
+// zoneReading is the reading of one zone, or of all zones as one.
+type zoneReading struct {
+	zone   string
+	known  rowsByID
+	rows   rowsByID
+	onPage func(rows []wire.PoolWorker)
+	// conflicting holds the worker ids for which the reading has different endpoints.
+	conflicting map[string]bool
+	// stable is set if the list did not shift while it was read: rows that are missing have
+	// been removed.
+	stable bool
+	calls  int
+	err    error
+	// invalid is the number of entries that can't be used, invalidErr describes the last one.
+	invalid    int
+	invalidErr error
 }
 
-// read reads the zone. Where the list has pages, a row that leaves moves those behind it
-// forward, and one of them may slip from a page that comes into one that was read. So
-// where a row is missing the zone is read a second time: if both readings are alike,
-// nothing moved. Else a row of either is there.
-func (p *part) read(ctx context.Context, pages Pager) {
+// read reads the zone. The removal of a row shifts the rows behind it forward, so that one of
+// them may move from a page that has not been read to one that has. Therefore the zone is
+// read a second time if a known row is missing: if both readings have the same workers, the
+// list did not shift, or else the rows of both are used.
+func (z *zoneReading) read(ctx context.Context, pages Pager) {
 	pageCount := 0
-	p.rows, pageCount, p.err = p.readOnce(ctx, pages)
-	if p.err != nil {
+	z.rows, pageCount, z.err = z.readOnce(ctx, pages)
+	if z.err != nil {
 		return
 	}
-	p.calm = pageCount == 1
-	if p.calm || !p.misses() {
+	z.stable = pageCount == 1
+	if z.stable || !z.missesKnown() {
 		return
 	}
-	again, _, err := p.readOnce(ctx, pages)
+	second, _, err := z.readOnce(ctx, pages)
 	if err != nil {
 		return
 	}
-	p.calm = sameIDs(p.rows, again)
-	maps.Copy(p.rows, again)
+	z.stable = sameIDs(z.rows, second)
+	maps.Copy(z.rows, second)
 }
 
 func sameIDs(a, b rowsByID) bool {
 	return len(a) == len(b) && !slices.ContainsFunc(slices.Collect(maps.Keys(a)), func(id string) bool { _, found := b[id]; return !found })
 }
 
-// misses reports whether a row that was known has not been read.
-func (p *part) misses() bool {
-	for id := range p.known {
-		if _, found := p.rows[id]; !found {
+// missesKnown reports whether the rows read lack a known row.
+func (z *zoneReading) missesKnown() bool {
+	for id := range z.known {
+		if _, found := z.rows[id]; !found {
 			return true
 		}
 	}
 	return false
 }
 
-// readOnce reads all pages one after the other.
-func (p *part) readOnce(ctx context.Context, pages Pager) (rowsByID, int, error) {
+// readOnce reads all pages in sequence and returns their rows and number.
+func (z *zoneReading) readOnce(ctx context.Context, pages Pager) (rowsByID, int, error) {
 	rows := rowsByID{}
-	p.odd, p.oddity, p.disputed = 0, nil, map[string]bool{}
+	z.invalid, z.invalidErr, z.conflicting = 0, nil, map[string]bool{}
 	name, count := "", 0
 	for {
-		page, err := p.page(ctx, pages, name)
+		page, err := z.page(ctx, pages, name)
 		if err != nil {
 			return nil, count, err
 		}
 		count++
-		p.noteOdd(&page)
+		z.recordInvalid(&page)
 		for i := range page.Rows {
-			p.add(rows, &page.Rows[i])
+			z.add(rows, &page.Rows[i])
 		}
-		if p.known == nil && p.came != nil {
-			p.came(page.Rows)
+		if z.known == nil && z.onPage != nil {
+			z.onPage(page.Rows)
 		}
 		if page.Next == "" {
 			return rows, count, nil
@@ -259,38 +263,40 @@
 	}
 }
 
-// page reads a page, again where that fails.
-func (p *part) page(ctx context.Context, pages Pager, name string) (Page, error) {
-	for try := 1; ; try++ {
-		p.calls++
-		page, err := pages.Page(ctx, p.zone, name)
-		if err == nil || try == pageTries {
+// page reads a page, with up to maxPageAttempts attempts.
+func (z *zoneReading) page(ctx context.Context, pages Pager, name string) (Page, error) {
+	for attempt := 1; ; attempt++ {
+		z.calls++
+		page, err := pages.Page(ctx, z.zone, name)
+		if err == nil || attempt == maxPageAttempts {
 			return page, err
 		}
 		select {
 		case <-ctx.Done():
 			return Page{}, failure.Wrap(err, failure.NotRun, "wait for the platform", "the list can't be read in time")
-		case <-time.After(retryPause):
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
 const (
-	// ratePart is the part of the calls a second that the platform takes, one in so many,
-	// that readings may use: others read the list, too.
-	ratePart = 10
-	// longestPause bounds the time between readings: a worker that is to end may get
-	// requests for some seconds after it is listed as leaving, and the news go on from here.
-	longestPause = 1500 * time.Millisecond
+	// rateDivisor limits readings to 1/rateDivisor of the platform's call rate, because other
+	// clients read the list, too.
+	rateDivisor = 10
+	// maxPollInterval bounds the time between readings. A worker may be sent requests only
+	// for some seconds after it is listed as leaving, and the update to the other processes
+	// takes part of that time.
+	maxPollInterval = 1500 * time.Millisecond
 )
 
-// PollInterval returns the time to the next reading after one of so many calls: interval, or
-// longer where the platform takes so few calls a second (0 for unknown). At 430 calls a
-// second it is 1.2 s for the 51 pages of 10,000 workers.
+// PollInterval returns the time between a reading that took the given number of calls and the
+// next one. It is interval, or longer, up to maxPollInterval, if the platform's rate limit
+// of perSecond calls per second requires that; 0 means that the limit is unknown. At 430
+// calls per second it is 1.2 s for the 51 pages of 10,000 workers.
 func PollInterval(interval time.Duration, calls int, perSecond float64) time.Duration {
 	if perSecond <= 0 {
 		return interval
 	}
-	paced := time.Duration(float64(calls*ratePart) / perSecond * float64(time.Second))
-	return max(interval, min(paced, longestPause))
+	paced := time.Duration(float64(calls*rateDivisor) / perSecond * float64(time.Second))
+	return max(interval, min(paced, maxPollInterval))
 }
