--- a/internal/coordinator/api.go
+++ b/internal/coordinator/api.go
@@ -12,30 +12,32 @@
 	"github.com/sedgemast/sedgemast/internal/routetable"
 )
 
-// Paths of the operator's calls in the product's own interface:
+// Paths of the operator API:
 //
-//	PUT  PathRoutes      a routetable.Configuration as JSON; 200 once it, or a higher version, is committed
-//	GET  PathRoutes      the newest configuration as it was sent; 503 where that is not certain
-//	POST PathStores NAME /retirement   empty a store; 404 unknown, 409 where too few would be left
-//	GET  PathStores NAME /retirement   RetirementState
-//	GET    PathQuarantine              the requests under which workers ended, a list of Quarantined
-//	DELETE PathQuarantine/REQUEST      let a refused request in again; 404 unknown
+//	PUT PathRoutes: apply a routetable.Configuration, as JSON; 200 once it, or a higher version,
+//	    is committed
+//	GET PathRoutes: the newest configuration as it was sent; 503 if it is not certain to be newest
+//	POST PathStores NAME /retirement: start to drain a store; 404 if it is unknown, 409 if too few
+//	    stores would remain
+//	GET PathStores NAME /retirement: the state as RetirementState
+//	GET PathQuarantine: the requests under which workers exited, as a list of Quarantined
+//	DELETE PathQuarantine/REQUEST: accept a rejected request again; 404 if it is unknown
 const (
-	PathRoutes     = "/sedgemast/v1/routes"
-	PathStores     = "/sedgemast/v1/stores/"
-	partRetirement = "/retirement"
-	PathQuarantine = "/sedgemast/v1/quarantine"
-	// maxDocumentBytes bounds the operator's document.
+	PathRoutes       = "/sedgemast/v1/routes"
+	PathStores       = "/sedgemast/v1/stores/"
+	retirementSuffix = "/retirement"
+	PathQuarantine   = "/sedgemast/v1/quarantine"
+	// maxDocumentBytes bounds a configuration sent by an operator.
 	maxDocumentBytes = 16 << 20
 )
 
-// RetirementState tells how far the emptying of a store is.
+// RetirementState says whether a store that is being retired has been drained.
 type RetirementState struct {
 	Store string `json:"store"`
 	Done  bool   `json:"done"`
 }
 
-// API serves operators in the product's own interface.
+// API serves the operator API over HTTP.
 type API struct {
 	Coordinator *Coordinator
 	Logger      logging.Logger
@@ -53,9 +55,9 @@
 }
 
 func (a *API) serve(writer http.ResponseWriter, request *http.Request) error {
-	name, isRetirement := strings.CutSuffix(request.URL.Path, partRetirement)
+	name, isRetirement := strings.CutSuffix(request.URL.Path, retirementSuffix)
 	name, isStore := strings.CutPrefix(name, PathStores)
-	quarantined, isQuarantined := strings.CutPrefix(request.URL.Path, PathQuarantine+"/")
+	fingerprint, isQuarantineEntry := strings.CutPrefix(request.URL.Path, PathQuarantine+"/")
 	call := request.Method + " " + request.URL.Path
 	switch {
 	case call == http.MethodPut+" "+PathRoutes:
@@ -68,9 +70,9 @@
 		httpapi.WriteBody(writer, "application/json", source.Source)
 		return nil
 	case call == http.MethodGet+" "+PathQuarantine:
-		return a.getQuarantine(writer, request)
-	case request.Method == http.MethodDelete && isQuarantined:
-		return a.release(request, quarantined)
+		return a.listQuarantine(writer, request)
+	case request.Method == http.MethodDelete && isQuarantineEntry:
+		return a.releaseQuarantined(request, fingerprint)
 	case isRetirement && isStore && request.Method == http.MethodPost:
 		return a.Coordinator.Retire(request.Context(), name)
 	case isRetirement && isStore && request.Method == http.MethodGet:
@@ -79,7 +81,7 @@
 	return failure.New(failure.NotFound, "check method and path", "there is no %s", call)
 }
 
-func (a *API) getQuarantine(writer http.ResponseWriter, request *http.Request) error {
+func (a *API) listQuarantine(writer http.ResponseWriter, request *http.Request) error {
 	list, err := a.Coordinator.Quarantine(request.Context())
 	if err != nil {
 		return err
@@ -92,12 +94,12 @@
 	return nil
 }
 
-func (a *API) release(request *http.Request, name string) error {
-	quarantined, err := quarantine.ParseFingerprint(name)
+func (a *API) releaseQuarantined(request *http.Request, name string) error {
+	fingerprint, err := quarantine.ParseFingerprint(name)
 	if err != nil {
 		return err
 	}
-	return a.Coordinator.Release(request.Context(), quarantined)
+	return a.Coordinator.Release(request.Context(), fingerprint)
 }
 
 func (a *API) putRoutes(request *http.Request) error {
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -1,6 +1,6 @@
-// Package coordinator is the daemon that keeps the fleet group: the
-// configuration of routes, and who belongs to the fleet. Its leader reads the
-// platform's list of workers and tells every process what has changed.
+// Package coordinator is the daemon that runs the fleet group, a consensus group that stores
+// the configuration of routes and the membership of the fleet. Its leader reads the
+// platform's list of workers and sends changes to all processes.
 package coordinator
 
 import (
@@ -31,15 +31,15 @@
 )
 
 const (
-	// fleetGroup is the number of the only group.
+	// fleetGroup is the number of the only consensus group of coordinators.
 	fleetGroup = 0
-	// maxVoters bounds the group; further coordinators are spares.
+	// maxVoters bounds the voters of the group; further coordinators are spares.
 	maxVoters       = 9
 	refreshInterval = 100 * time.Millisecond
-	// leadInterval is the time between looks whether this process leads now.
-	leadInterval    = 25 * time.Millisecond
-	handOverTimeout = 2 * time.Second
-	// heartbeatsPerTimeout is how many heartbeats a leader sends within the
+	// leaderCheckInterval is the time between checks whether this process leads the group.
+	leaderCheckInterval = 25 * time.Millisecond
+	transferTimeout     = 2 * time.Second
+	// heartbeatsPerTimeout is the number of heartbeats that a leader sends within the
 	// shortest election timeout.
 	heartbeatsPerTimeout = 5
 )
@@ -56,29 +56,29 @@
 	list     *listreader.Reader
 	changes  prometheus.Counter
 	watches  prometheus.Counter
-	// oddEntries counts entries of the platform's list that name no worker to use.
-	oddEntries prometheus.Counter
+	// invalidEntries counts entries of the platform's list that can't be used.
+	invalidEntries prometheus.Counter
 
-	news  newsCache
-	relay *relay
-	// quarantineAt is the quarantine's state after the last command. It belongs to the
-	// goroutine that applies commands.
-	quarantineAt quarantineMark
+	updates updateCache
+	relay   *relay
+	// appliedQuarantine holds the quarantine's revisions after the last command. Only the
+	// goroutine that applies commands may use it.
+	appliedQuarantine quarantineRevisions
 
-	// mutex guards what follows.
+	// mutex guards the fields below.
 	mutex   sync.Mutex
 	view    *fleetview.View
-	warden  *quarantine.Timers
+	timers  *quarantine.Timers
 	gate    quarantine.Gate
 	changed chan struct{}
-	// pages are those of a first reading that are still to be told, pagesAt is when some
-	// were told last.
-	pages   []wire.PoolWorker
-	pagesAt time.Time
+	// pendingRows are the rows of a first reading that are not in the view yet; partialAt is
+	// when rows of a first reading were last added to the view.
+	pendingRows []wire.PoolWorker
+	partialAt   time.Time
 }
 
-// New opens the data folder and prepares the process; d.Run serves it.
-// The pages are those of the platform's list of workers.
+// New opens the store in the data folder and registers the coordinator's handlers and loops with
+// d; d.Run starts to serve. pages reads the platform's list of workers.
 func New(d *daemon.Daemon, config *settings.Coordinator, pages listreader.Pager) (*Coordinator, error) {
 	store, err := storage.OpenPebble(config.DataFolder, vfs.Default)
 	if err != nil {
@@ -96,19 +96,19 @@
 		watches:  prometheus.NewCounter(prometheus.CounterOpts{Name: "coordinator_watches_total", Help: "Watches answered as leader."}),
 		changed:  make(chan struct{}),
 
-		oddEntries: prometheus.NewCounter(prometheus.CounterOpts{Name: "coordinator_odd_entries_total", Help: "Entries of the list of workers that name none to use, counted at each reading."}),
+		invalidEntries: prometheus.NewCounter(prometheus.CounterOpts{Name: "coordinator_odd_entries_total", Help: "Entries of the list of workers that name none to use, counted at each reading."}),
 	}
 	c.host, err = replication.NewHost(c.replicationOptions(), replication.NewPeerTransport(d.Traffic))
 	if err != nil {
 		return nil, errors.CombineErrors(err, store.Close())
 	}
 	d.CompleteStep(daemon.StepStorage)
-	d.Registry.MustRegister(c.changes, c.watches, c.oddEntries)
+	d.Registry.MustRegister(c.changes, c.watches, c.invalidEntries)
 	c.relay = newRelay(c)
 	c.list.OnPage = c.addWorkers
 	c.register()
 	d.BeforeStop(func(ctx context.Context) {
-		ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
+		ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 		defer cancel()
 		c.host.TransferAllLeadership(ctx)
 	})
@@ -122,7 +122,7 @@
 	now := uint64(time.Now().UnixNano())
 	return replication.Options{
 		Store:             c.store,
-		Machines:          []replication.StateMachine{&replication.NotifyingStateMachine{StateMachine: c.machine, Notify: c.applied}},
+		Machines:          []replication.StateMachine{&replication.NotifyingStateMachine{StateMachine: c.machine, Notify: c.onApplied}},
 		Name:              c.settings.Name,
 		Address:           c.daemon.Address(),
 		Peers:             c.settings.Seeds,
@@ -139,7 +139,7 @@
 	}
 }
 
-// notify wakes the calls that wait for news.
+// notify wakes the watches that wait for a change.
 func (c *Coordinator) notify() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -147,16 +147,16 @@
 	c.changed = make(chan struct{})
 }
 
-// readLeader calls read with the leader's view, if this process leads; it may
-// be called from any goroutine. read must not call notify.
+// readLeader calls read with the view if this process leads, and returns an error otherwise. It
+// may be called from any goroutine. It holds the mutex, so read must not call notify.
 func (c *Coordinator) readLeader(read func(now time.Time, v *fleetview.View)) error {
 	return c.host.Read(fleetGroup, func(term uint64, _ storage.Reader) error {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
 		if c.view == nil || c.view.Term != term {
-			c.view, c.warden = fleetview.New(term), quarantine.NewTimers()
+			c.view, c.timers = fleetview.New(term), quarantine.NewTimers()
 			c.gate.StartTerm(c.machine.Quarantine())
-			c.pages = nil
+			c.pendingRows = nil
 			logging.Info(c.logger, "leading", "term", term)
 		}
 		read(clock.Now(), c.view)
@@ -164,18 +164,18 @@
 	})
 }
 
-// refreshLoop keeps the leader's view up to date and carries out what follows
-// from it.
+// refreshLoop keeps the leader's view up to date, forms the store groups when the view allows it,
+// and maintains the quarantine.
 func (c *Coordinator) refreshLoop(ctx context.Context) {
 	daemon.Every(ctx, refreshInterval, func() {
 		processes, err := c.host.Processes(ctx)
 		if err != nil {
 			return
 		}
-		c.noteGenerations(processes)
+		c.applyGenerations(processes)
 		var coordinators []string
 		if len(processes) > 1 {
-			// This process comes first, then those that were heard.
+			// This process is listed first, followed by those that it has heard from.
 			c.daemon.CompleteStep(daemon.StepPeer)
 		}
 		for i := range processes {
@@ -184,11 +184,11 @@
 			}
 		}
 		changed := false
-		var form [][]wire.Replica
+		var initialVoters [][]wire.Replica
 		err = c.readLeader(func(now time.Time, v *fleetview.View) {
 			changed = v.Refresh(now, coordinators, c.machine.InitialVoters(), c.machine.Retiring())
 			if len(c.machine.InitialVoters()) == 0 {
-				form = v.InitialVoters(now, c.settings.Tolerate)
+				initialVoters = v.InitialVoters(now, c.settings.Tolerate)
 			}
 		})
 		if err != nil {
@@ -197,98 +197,98 @@
 		if changed {
 			c.notify()
 		}
-		c.keepQuarantine(ctx)
-		if len(form) > 0 {
-			_, err := c.propose(ctx, &wire.FleetCommand{Form: &wire.FormStores{Groups: form}})
-			logging.Info(c.logger, "store_groups_forming", "groups", len(form), "voters", len(form[0]), "error", err)
+		c.maintainQuarantine(ctx)
+		if len(initialVoters) > 0 {
+			_, err := c.propose(ctx, &wire.FleetCommand{Form: &wire.FormStores{Groups: initialVoters}})
+			logging.Info(c.logger, "store_groups_forming", "groups", len(initialVoters), "voters", len(initialVoters[0]), "error", err)
 		}
 	})
 }
 
-// listTimeout bounds a reading of the platform's list: a hundred pages of 20 ms.
+// listTimeout bounds a reading of the platform's list: 100 pages at 20 ms each.
 const listTimeout = 2 * time.Second
 
-// pollLoop reads the platform's list while this process leads: at once when it
-// begins to, because nobody is served before, and then at intervals.
+// pollLoop reads the platform's list while this process leads: immediately when it becomes leader,
+// because no request is served before the list is known, and periodically after that.
 func (c *Coordinator) pollLoop(ctx context.Context) {
-	var term uint64
-	var due time.Time
-	var seen listLog
-	daemon.Every(ctx, leadInterval, func() {
-		began := uint64(0)
-		if c.readLeader(func(_ time.Time, v *fleetview.View) { began = v.Term }) != nil {
+	var polledTerm uint64
+	var nextPoll time.Time
+	var logged listLog
+	daemon.Every(ctx, leaderCheckInterval, func() {
+		term := uint64(0)
+		if c.readLeader(func(_ time.Time, v *fleetview.View) { term = v.Term }) != nil {
 			return
 		}
 		now := clock.Now()
-		if began == term && now.Before(due) {
+		if term == polledTerm && now.Before(nextPoll) {
 			return
 		}
-		if began != term {
+		if term != polledTerm {
 			c.list.Reset()
 		}
-		term = began
-		calls := c.readList(ctx, &seen)
-		due = now.Add(listreader.PollInterval(c.settings.PollInterval.Std(), calls, c.settings.PlatformRate))
+		polledTerm = term
+		calls := c.readList(ctx, &logged)
+		nextPoll = now.Add(listreader.PollInterval(c.settings.PollInterval.Std(), calls, c.settings.PlatformRate))
 	})
 }
 
-// listLog remembers what was written last of readings.
+// listLog is the state of the list that was logged last; only changes are logged.
 type listLog struct {
 	failing bool
-	// odd is how many entries named no worker to use.
-	odd int
+	// invalid is the number of entries that could not be used.
+	invalid int
 }
 
-// readList reads the list and takes it in. It returns how many calls that took.
-func (c *Coordinator) readList(ctx context.Context, seen *listLog) int {
-	began := clock.Now()
+// readList reads the list and updates the view. It returns the number of calls.
+func (c *Coordinator) readList(ctx context.Context, logged *listLog) int {
+	start := clock.Now()
 	callContext, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	reading, err := c.list.Read(callContext)
 	failing := err != nil || len(reading.StaleZones) > 0
-	if failing != seen.failing {
-		seen.failing = failing
+	if failing != logged.failing {
+		logged.failing = failing
 		logging.Info(c.logger, "worker_list", "readable", !failing, "error", err)
 	}
 	if err != nil {
 		return 0
 	}
-	c.oddEntries.Add(float64(reading.Invalid))
-	if reading.Invalid != seen.odd {
-		seen.odd = reading.Invalid
+	c.invalidEntries.Add(float64(reading.Invalid))
+	if reading.Invalid != logged.invalid {
+		logged.invalid = reading.Invalid
 		logging.Warn(c.logger, "worker_list_entries", "odd", reading.Invalid, "workers", len(reading.Rows), "last", reading.InvalidErr)
 	}
-	changed, number := false, uint64(0)
-	// An error means that another process leads now; it reads the list itself.
+	changed, viewNumber := false, uint64(0)
+	// An error means that another process leads now; that one reads the list itself.
 	_ = c.readLeader(func(_ time.Time, v *fleetview.View) {
-		c.pages = nil
+		c.pendingRows = nil
 		changed = v.SetWorkers(reading.Rows)
-		number = v.Number
+		viewNumber = v.Number
 	})
 	if changed {
-		logging.Info(c.logger, "workers_changed", "workers", len(reading.Rows), "view", number, "calls", reading.Calls, "kept", len(reading.StaleZones), "ms", clock.Now().Sub(began).Milliseconds())
+		logging.Info(c.logger, "workers_changed", "workers", len(reading.Rows), "view", viewNumber, "calls", reading.Calls, "kept", len(reading.StaleZones), "ms", clock.Now().Sub(start).Milliseconds())
 		c.notify()
 	}
 	return reading.Calls
 }
 
-// partialPause is the shortest time between two parts of a first reading that are told: each
-// wakes all watches, and a reading has 51 pages at 10,000 workers.
-const partialPause = 200 * time.Millisecond
+// minPartialInterval is the minimum time between two updates with pages of a first reading: each
+// update wakes all watches, and a reading of 10,000 workers has 51 pages.
+const minPartialInterval = 200 * time.Millisecond
 
-// addWorkers takes in a page of the list's first reading: after all processes were killed at
-// once, nobody is served until some workers are known, and 51 pages take a second beside
-// the questions of a thousand processes.
+// addWorkers adds a page of the list's first reading to the view. After all processes were killed
+// at once, no request is served until some workers are known, and 51 pages take a second
+// while a thousand processes send their watches.
 func (c *Coordinator) addWorkers(rows []wire.PoolWorker) {
 	added := false
-	// An error means that another process leads now; it reads the list itself.
+	// An error means that another process leads now; that one reads the list itself.
 	_ = c.readLeader(func(now time.Time, v *fleetview.View) {
-		c.pages = append(c.pages, rows...)
-		if now.Sub(c.pagesAt) < partialPause {
+		c.pendingRows = append(c.pendingRows, rows...)
+		if now.Sub(c.partialAt) < minPartialInterval {
 			return
 		}
-		if added = v.AddWorkers(c.pages); added {
-			c.pages, c.pagesAt = nil, now
+		if added = v.AddWorkers(c.pendingRows); added {
+			c.pendingRows, c.partialAt = nil, now
 		}
 	})
 	if added {
@@ -296,7 +296,8 @@
 	}
 }
 
-// propose commits a command on this process, if it leads.
+// propose commits a command to the group's log and returns its result. It fails if this process
+// does not lead.
 func (c *Coordinator) propose(ctx context.Context, command *wire.FleetCommand) (*wire.FleetResult, error) {
 	encoded, err := command.MarshalMsg(nil)
 	if err != nil {
@@ -314,24 +315,25 @@
 }
 
 const (
-	// leadPause is the time between two tries to reach the leader.
-	leadPause = 40 * time.Millisecond
-	// leadPatience bounds them.
-	leadPatience = 800 * time.Millisecond
+	// leaderRetryInterval is the time between two attempts to reach the leader.
+	leaderRetryInterval = 40 * time.Millisecond
+	// leaderRetryTimeout is the time within which attempts may start; the last call to the leader
+	// must end within twice that.
+	leaderRetryTimeout = 800 * time.Millisecond
 )
 
-// atLeader runs a call here, if this process leads, or else at the leader. While
-// there is none it tries again for a moment. Only refusals are repeated: a call
-// whose outcome is unknown is not.
-func atLeader[Response any, Pointer rpc.Decodable[Response]](ctx context.Context, c *Coordinator, method string, request msgp.Marshaler, local func(context.Context) (*Response, error)) (*Response, error) {
-	deadline := time.Now().Add(leadPatience)
+// runAtLeader runs a call locally if this process leads, or else sends it to the leader. It retries
+// for leaderRetryTimeout while there is no leader. Only calls that certainly did not run are
+// retried, never one whose outcome is unknown.
+func runAtLeader[Response any, Pointer rpc.Decodable[Response]](ctx context.Context, c *Coordinator, method string, request msgp.Marshaler, local func(context.Context) (*Response, error)) (*Response, error) {
+	deadline := time.Now().Add(leaderRetryTimeout)
 	for {
 		response, err := local(ctx)
 		if err == nil {
 			return response, nil
 		}
 		if leader := consensus.LeaderFromError(err); leader != "" && leader != c.daemon.Address() {
-			callContext, cancel := context.WithDeadline(ctx, deadline.Add(leadPatience))
+			callContext, cancel := context.WithDeadline(ctx, deadline.Add(leaderRetryTimeout))
 			response, err = rpc.Call[Response, Pointer](callContext, c.client, leader, method, request)
 			cancel()
 		}
@@ -341,12 +343,12 @@
 		select {
 		case <-ctx.Done():
 			return nil, err
-		case <-time.After(leadPause):
+		case <-time.After(leaderRetryInterval):
 		}
 	}
 }
 
-// Close stops the log and closes the store. It is called after the server has
+// Close stops the consensus group and closes the store. It must be called after the server has
 // stopped.
 func (c *Coordinator) Close() error {
 	c.host.Close()
@@ -354,7 +356,8 @@
 	return c.store.Close()
 }
 
-// AddSeeds takes in addresses of further coordinators.
+// AddSeeds adds the addresses of further coordinators to the peers, and makes them and this process
+// the seeds of the relay's watcher.
 func (c *Coordinator) AddSeeds(ctx context.Context, seeds []string) error {
 	c.relay.watcher.SetSeeds(append([]string{c.daemon.Address()}, seeds...))
 	return c.host.AddPeers(ctx, seeds)
--- a/internal/coordinator/news.go
+++ b/internal/coordinator/news.go
@@ -10,39 +10,39 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// maxNews bounds the answers that are kept encoded: callers differ in what they know,
-// most of them by the last change only.
-const maxNews = 16
+// maxCachedUpdates bounds the cached encoded updates. Callers know different states, but most
+// lack only the last change.
+const maxCachedUpdates = 16
 
-// newsKey tells answers to watches apart: where the caller stands, and where it gets to.
-type newsKey struct {
+// updateKey identifies an update by the state that the caller knows and the state that it gets.
+type updateKey struct {
 	fromVersion, version uint64
 	fromTerm, term       uint64
 	fromView, view       uint64
-	// fromQuarantine and quarantine are revisions of what is known of refused requests.
+	// fromQuarantine and quarantine are revisions of the quarantine.
 	fromQuarantine, quarantine uint64
-	// digests is the hash of those that the caller sent, zero for none.
+	// digests is the hash of the digests that the caller sent, zero for none.
 	digests uint64
-	// ageMillis is how old the news are.
+	// ageMillis is the time since the leader was last heard from.
 	ageMillis int64
-	// generation is that of the caller's build.
+	// generation is the generation of the caller's build.
 	generation wire.Generation
 }
 
-// newsCache keeps answers encoded. A change goes to all processes of the fleet at the
-// same moment, nearly always from the same state. It is safe for concurrent use.
-type newsCache struct {
+// updateCache caches encoded updates. A change is sent to all processes of the fleet at the same
+// moment, and nearly all of them know the same earlier state. It is safe for concurrent use.
+type updateCache struct {
 	mutex   sync.Mutex
-	encoded map[newsKey]*rpc.Encoded
+	encoded map[updateKey]*rpc.Encoded
 }
 
-// encode returns the answer to the request, encoded once for all callers who know and
-// get the same.
-func (c *newsCache) encode(request *wire.WatchRequest, response *wire.WatchResponse) (msgp.Marshaler, error) {
+// encode returns the response to the request. Responses with an update are encoded once for all
+// callers that know the same state and get the same one.
+func (c *updateCache) encode(request *wire.WatchRequest, response *wire.WatchResponse) (msgp.Marshaler, error) {
 	if response.Document == nil && response.Fleet == nil && response.Quarantine == nil {
 		return response, nil
 	}
-	key := newsKey{
+	key := updateKey{
 		fromVersion: request.Version, version: response.Version,
 		fromTerm: request.Term, term: response.Term,
 		fromView: request.View, view: response.View,
@@ -64,8 +64,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if c.encoded == nil || len(c.encoded) >= maxNews {
-		c.encoded = map[newsKey]*rpc.Encoded{}
+	if c.encoded == nil || len(c.encoded) >= maxCachedUpdates {
+		c.encoded = map[updateKey]*rpc.Encoded{}
 	}
 	c.encoded[key] = encoded
 	return encoded, nil
--- a/internal/coordinator/news_test.go
+++ b/internal/coordinator/news_test.go
@@ -6,10 +6,10 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// TestNewsAreEncodedOnce lets callers who stand at the same place get the same answer,
-// encoded once, and others one of their own; nothing grows without bound.
-func TestNewsAreEncodedOnce(t *testing.T) {
-	var cache newsCache
+// TestUpdatesAreEncodedOnce checks that callers that know the same state share one encoded update,
+// that other callers get another one, and that the cache is bounded.
+func TestUpdatesAreEncodedOnce(t *testing.T) {
+	var cache updateCache
 	answer := func(fromView, view uint64) any {
 		response := &wire.WatchResponse{Term: 1, View: view, Fleet: &wire.FleetView{Edges: int(fromView)}}
 		encoded, err := cache.encode(&wire.WatchRequest{Term: 1, View: fromView}, response)
@@ -20,19 +20,19 @@
 	}
 	first := answer(1, 2)
 	if answer(1, 2) != first {
-		t.Error("the same answer was encoded again")
+		t.Error("the same update was encoded twice")
 	}
 	if answer(0, 2) == first || answer(1, 3) == first {
-		t.Error("callers who know or get something else got the same answer")
+		t.Error("callers that know or get different states share an update")
 	}
-	for view := range uint64(10 * maxNews) {
+	for view := range uint64(10 * maxCachedUpdates) {
 		answer(view, view+1)
 	}
-	if len(cache.encoded) > maxNews {
-		t.Errorf("%d answers are kept", len(cache.encoded))
+	if len(cache.encoded) > maxCachedUpdates {
+		t.Errorf("%d updates are cached, want at most maxCachedUpdates", len(cache.encoded))
 	}
 	empty := &wire.WatchResponse{Term: 1, View: 2}
 	if got, err := cache.encode(&wire.WatchRequest{Term: 1, View: 2}, empty); err != nil || got != empty {
-		t.Errorf("an answer without news: %v, %v", got, err)
+		t.Errorf("got %v, %v for a response without an update, want the response itself", got, err)
 	}
 }
--- a/internal/coordinator/operate.go
+++ b/internal/coordinator/operate.go
@@ -16,7 +16,7 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// Methods of the coordinator.
+// RPC methods of the coordinator.
 const (
 	methodApply             = "fleet_apply"
 	methodSource            = "fleet_source"
@@ -39,34 +39,35 @@
 		if err != nil {
 			return nil, err
 		}
-		return c.news.encode(request, response)
+		return c.updates.encode(request, response)
 	})
 	rpc.Handle(server, wire.MethodQuarantine, func(ctx context.Context, request *wire.QuarantineReport) (msgp.Marshaler, error) {
-		return c.takeReport(ctx, request)
+		return c.handleReport(ctx, request)
 	})
 	rpc.Handle(server, methodQuarantineList, func(ctx context.Context, _ *wire.Empty) (msgp.Marshaler, error) {
-		return c.quarantineHere(ctx)
+		return c.quarantineLocal(ctx)
 	})
 	rpc.Handle(server, methodQuarantineRelease, func(ctx context.Context, request *wire.QuarantineRelease) (msgp.Marshaler, error) {
-		return c.releaseHere(ctx, request)
+		return c.releaseLocal(ctx, request)
 	})
 	rpc.Handle(server, methodApply, func(ctx context.Context, request *wire.ApplyRoutes) (msgp.Marshaler, error) {
-		return c.applyHere(ctx, request)
+		return c.applyLocal(ctx, request)
 	})
 	rpc.Handle(server, methodSource, func(ctx context.Context, _ *wire.Empty) (msgp.Marshaler, error) {
-		return c.sourceHere(ctx)
+		return c.sourceLocal(ctx)
 	})
 	rpc.Handle(server, methodRetire, func(ctx context.Context, request *wire.RetireStore) (msgp.Marshaler, error) {
-		return c.retireHere(ctx, request)
+		return c.retireLocal(ctx, request)
 	})
 	rpc.Handle(server, methodRetirement, func(ctx context.Context, request *wire.RetireStore) (msgp.Marshaler, error) {
-		return c.retirementHere(ctx, request)
+		return c.retirementLocal(ctx, request)
 	})
 }
 
-// watch answers with what the caller does not know, once there is any: as the leader, or
-// as a relay of it where the caller is an edge. Edges of wire.GenerationFirst would take
-// in an older view than they have, so they are sent to the leader.
+// watch answers with an update once there is a change that the caller does not know: as the
+// leader, or as a relay of the leader if the caller is an edge. Edges of
+// wire.GenerationFirst would accept an older view than they have, so they are redirected to
+// the leader.
 func (c *Coordinator) watch(ctx context.Context, request *wire.WatchRequest) (*wire.WatchResponse, error) {
 	response, err := c.watchLeader(ctx, request)
 	if err == nil {
@@ -88,15 +89,15 @@
 	for {
 		response := &wire.WatchResponse{}
 		var changed chan struct{}
-		var emptied []string
+		var drained []string
 		err := c.readLeader(func(now time.Time, v *fleetview.View) {
 			if first {
 				v.ApplyReport(now, &request.Process)
-				emptied = v.DrainedStores(now, request, c.pendingRetirements(), len(c.machine.InitialVoters()))
+				drained = v.DrainedStores(now, request, c.pendingRetirements(), len(c.machine.InitialVoters()))
 			}
-			c.tell(v, request, response)
-			if response.Document != nil || response.Fleet != nil || c.mustKnow(request.Quarantine) {
-				c.tellQuarantine(request, response)
+			c.fillUpdate(v, request, response)
+			if response.Document != nil || response.Fleet != nil || c.needsUrgentUpdate(request.Quarantine) {
+				c.fillQuarantine(request, response)
 			}
 			changed = c.changed
 		})
@@ -107,15 +108,15 @@
 			c.watches.Inc()
 		}
 		first = false
-		c.noteEmptied(ctx, emptied)
+		c.commitDrained(ctx, drained)
 		if response.Document != nil || response.Fleet != nil || response.Quarantine != nil {
 			return response, nil
 		}
 		select {
 		case <-changed:
 		case <-timeout.C:
-			// An error means that another process leads now; it tells.
-			_ = c.readLeader(func(time.Time, *fleetview.View) { c.tellQuarantine(request, response) })
+			// An error means that another process leads now; that one sends the update.
+			_ = c.readLeader(func(time.Time, *fleetview.View) { c.fillQuarantine(request, response) })
 			return response, nil
 		case <-ctx.Done():
 			return response, nil
@@ -123,38 +124,38 @@
 	}
 }
 
-// leaderPatience is how long a watch is held while no leader is known, and
-// leaderPoll the time between looks for one. Without this, all processes of a fleet
-// ask again and again in the very moment when the coordinators elect a leader. It
-// is short because a coordinator that is cut off holds callers up who would find the
-// leader at the next one.
+// leaderWaitTimeout bounds the time that a watch waits for a leader to be known, and
+// leaderPollInterval is the time between checks. Without the wait, all processes of a fleet
+// would repeat their calls while the coordinators elect a leader. The timeout is short because
+// a partitioned coordinator delays callers that would find the leader through the next one.
 const (
-	leaderPatience = 100 * time.Millisecond
-	leaderPoll     = 25 * time.Millisecond
+	leaderWaitTimeout  = 100 * time.Millisecond
+	leaderPollInterval = 25 * time.Millisecond
 )
 
-// awaitLeader holds the refusal of a watch until this process knows a leader, itself or
-// another, or until the patience is over. It returns the refusal.
-func (c *Coordinator) awaitLeader(ctx context.Context, refusal error) error {
-	deadline := time.Now().Add(leaderPatience)
-	for consensus.LeaderFromError(refusal) == "" && time.Now().Before(deadline) {
+// awaitLeader delays the rejection of a watch until this process knows a leader, which may be
+// itself, or for leaderWaitTimeout at most. It returns the rejection, with the leader's
+// address if it is known.
+func (c *Coordinator) awaitLeader(ctx context.Context, rejection error) error {
+	deadline := time.Now().Add(leaderWaitTimeout)
+	for consensus.LeaderFromError(rejection) == "" && time.Now().Before(deadline) {
 		select {
 		case <-ctx.Done():
-			return refusal
-		case <-time.After(leaderPoll):
+			return rejection
+		case <-time.After(leaderPollInterval):
 		}
 		if err := c.readLeader(func(time.Time, *fleetview.View) {}); err != nil {
-			refusal = err
+			rejection = err
 		} else {
-			// The caller asks this process again at once.
+			// The address makes the caller retry at this process immediately.
 			return failure.New(failure.NotRun, "ask again", "this process leads now").WithField(consensus.LeaderFieldPrefix + c.daemon.Address())
 		}
 	}
-	return refusal
+	return rejection
 }
 
-// tell fills in what the caller of a watch does not know.
-func (c *Coordinator) tell(v *fleetview.View, request *wire.WatchRequest, response *wire.WatchResponse) {
+// fillUpdate adds the configuration and the view to the response if the caller does not know them.
+func (c *Coordinator) fillUpdate(v *fleetview.View, request *wire.WatchRequest, response *wire.WatchResponse) {
 	routes := c.machine.Routes()
 	response.Version = routes.Version
 	if routes.Document != nil && routes.Version != request.Version {
@@ -166,7 +167,7 @@
 		if request.Term != v.Term || request.Lost {
 			known = 0
 		}
-		// The answer is encoded after the lock is gone.
+		// The response is encoded after the lock is released.
 		if request.Generation() == wire.GenerationFirst {
 			response.Fleet = v.SinceGenerationFirst(known)
 		} else {
@@ -185,15 +186,15 @@
 	return pending
 }
 
-func (c *Coordinator) noteEmptied(ctx context.Context, names []string) {
+func (c *Coordinator) commitDrained(ctx context.Context, names []string) {
 	for _, name := range names {
 		_, err := c.propose(ctx, &wire.FleetCommand{Retired: &wire.RetireStore{Name: name}})
 		logging.Info(c.logger, "store_emptied", "store", name, "error", err)
 	}
 }
 
-// Apply brings in a configuration. It returns once the version, or a higher one,
-// is committed; a version that is not above the one in force changes nothing.
+// Apply commits a configuration. It returns once the version, or a higher one, is committed; a
+// version that is not above the one in force changes nothing.
 func (c *Coordinator) Apply(ctx context.Context, configuration *routetable.Configuration, source []byte) error {
 	if err := configuration.Check(); err != nil {
 		return err
@@ -203,13 +204,13 @@
 		return err
 	}
 	request := &wire.ApplyRoutes{Version: configuration.Version, Document: document, Source: source}
-	_, err = atLeader[wire.FleetResult](ctx, c, methodApply, request, func(ctx context.Context) (*wire.FleetResult, error) {
-		return c.applyHere(ctx, request)
+	_, err = runAtLeader[wire.FleetResult](ctx, c, methodApply, request, func(ctx context.Context) (*wire.FleetResult, error) {
+		return c.applyLocal(ctx, request)
 	})
 	return err
 }
 
-func (c *Coordinator) applyHere(ctx context.Context, request *wire.ApplyRoutes) (*wire.FleetResult, error) {
+func (c *Coordinator) applyLocal(ctx context.Context, request *wire.ApplyRoutes) (*wire.FleetResult, error) {
 	result, err := c.propose(ctx, &wire.FleetCommand{Apply: request})
 	if err != nil {
 		return nil, err
@@ -219,12 +220,12 @@
 	return result, nil
 }
 
-// Source returns the newest configuration as its operator sent it.
+// Source returns the newest configuration as the operator sent it.
 func (c *Coordinator) Source(ctx context.Context) (*wire.RouteSource, error) {
-	return atLeader[wire.RouteSource](ctx, c, methodSource, &wire.Empty{}, c.sourceHere)
+	return runAtLeader[wire.RouteSource](ctx, c, methodSource, &wire.Empty{}, c.sourceLocal)
 }
 
-func (c *Coordinator) sourceHere(context.Context) (*wire.RouteSource, error) {
+func (c *Coordinator) sourceLocal(context.Context) (*wire.RouteSource, error) {
 	source := &wire.RouteSource{}
 	err := c.readLeader(func(time.Time, *fleetview.View) {
 		routes := c.machine.Routes()
@@ -239,34 +240,34 @@
 	return source, nil
 }
 
-// Retire asks for a store to be emptied. It fails with NotFound for an unknown
-// store, and with Conflict where too few would be left.
+// Retire starts to drain a store. It fails with NotFound for an unknown store, and with Conflict
+// if too few stores would remain.
 func (c *Coordinator) Retire(ctx context.Context, name string) error {
 	request := &wire.RetireStore{Name: name}
-	_, err := atLeader[wire.FleetResult](ctx, c, methodRetire, request, func(ctx context.Context) (*wire.FleetResult, error) {
-		return c.retireHere(ctx, request)
+	_, err := runAtLeader[wire.FleetResult](ctx, c, methodRetire, request, func(ctx context.Context) (*wire.FleetResult, error) {
+		return c.retireLocal(ctx, request)
 	})
 	return err
 }
 
-func (c *Coordinator) retireHere(ctx context.Context, request *wire.RetireStore) (*wire.FleetResult, error) {
-	var refusal error
+func (c *Coordinator) retireLocal(ctx context.Context, request *wire.RetireStore) (*wire.FleetResult, error) {
+	var rejection error
 	command := &wire.RetireStore{Name: request.Name}
 	err := c.readLeader(func(now time.Time, v *fleetview.View) {
 		command.Counted = len(c.machine.Retiring())
-		if asked, _ := c.machine.Retirement(request.Name); asked {
+		if retiring, _ := c.machine.Retirement(request.Name); retiring {
 			return
 		}
 		remaining := v.RemainingStoreCount(now, request.Name, c.machine.Retiring())
 		switch {
 		case !v.HasStore(request.Name):
-			refusal = failure.New(failure.NotFound, "check the name", "there is no store %q", request.Name)
+			rejection = failure.New(failure.NotFound, "check the name", "there is no store %q", request.Name)
 		case remaining < 2*c.settings.Tolerate+1:
-			refusal = failure.New(failure.Conflict, "add a store first", "only %d stores would be left", remaining)
+			rejection = failure.New(failure.Conflict, "add a store first", "only %d stores would be left", remaining)
 		}
 	})
 	if err == nil {
-		err = refusal
+		err = rejection
 	}
 	if err != nil {
 		return nil, err
@@ -275,22 +276,23 @@
 	return c.propose(ctx, &wire.FleetCommand{Retire: command})
 }
 
-// Retirement tells how far the emptying of a store is.
+// Retirement returns whether a store that is being retired has been drained. It fails with
+// NotFound if the store is not being retired.
 func (c *Coordinator) Retirement(ctx context.Context, name string) (*wire.Retirement, error) {
 	request := &wire.RetireStore{Name: name}
-	return atLeader[wire.Retirement](ctx, c, methodRetirement, request, func(ctx context.Context) (*wire.Retirement, error) {
-		return c.retirementHere(ctx, request)
+	return runAtLeader[wire.Retirement](ctx, c, methodRetirement, request, func(ctx context.Context) (*wire.Retirement, error) {
+		return c.retirementLocal(ctx, request)
 	})
 }
 
-func (c *Coordinator) retirementHere(_ context.Context, request *wire.RetireStore) (*wire.Retirement, error) {
+func (c *Coordinator) retirementLocal(_ context.Context, request *wire.RetireStore) (*wire.Retirement, error) {
 	retirement := &wire.Retirement{Name: request.Name}
-	asked := false
-	err := c.readLeader(func(time.Time, *fleetview.View) { asked, retirement.Done = c.machine.Retirement(request.Name) })
+	retiring := false
+	err := c.readLeader(func(time.Time, *fleetview.View) { retiring, retirement.Done = c.machine.Retirement(request.Name) })
 	if err != nil {
 		return nil, err
 	}
-	if !asked {
+	if !retiring {
 		return nil, failure.New(failure.NotFound, "ask for it first", "store %q is not being emptied", request.Name)
 	}
 	return retirement, nil
--- a/internal/coordinator/quarantine.go
+++ b/internal/coordinator/quarantine.go
@@ -12,31 +12,31 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// maxReportRuns bounds the runs of one report.
+// maxReportRuns bounds the number of runs in one report.
 const maxReportRuns = 4096
 
-// takeReport takes in what a process saw of runs, and decides on the trial that it asks
-// for. It answers once that is committed.
-func (c *Coordinator) takeReport(ctx context.Context, request *wire.QuarantineReport) (*wire.QuarantineAnswer, error) {
+// handleReport records the runs of requests that a process observed, and decides whether to grant
+// the trial that it asks for. It returns once both are committed.
+func (c *Coordinator) handleReport(ctx context.Context, request *wire.QuarantineReport) (*wire.QuarantineAnswer, error) {
 	if len(request.Runs) > maxReportRuns {
 		return nil, failure.New(failure.BadRequest, "send fewer at a time", "the report has %d runs, %d may be", len(request.Runs), maxReportRuns)
 	}
-	return atLeader[wire.QuarantineAnswer](ctx, c, wire.MethodQuarantine, request, func(ctx context.Context) (*wire.QuarantineAnswer, error) {
-		return c.takeReportHere(ctx, request)
+	return runAtLeader[wire.QuarantineAnswer](ctx, c, wire.MethodQuarantine, request, func(ctx context.Context) (*wire.QuarantineAnswer, error) {
+		return c.handleReportLocal(ctx, request)
 	})
 }
 
-func (c *Coordinator) takeReportHere(ctx context.Context, request *wire.QuarantineReport) (*wire.QuarantineAnswer, error) {
+func (c *Coordinator) handleReportLocal(ctx context.Context, request *wire.QuarantineReport) (*wire.QuarantineAnswer, error) {
 	answer := &wire.QuarantineAnswer{}
 	command := &wire.QuarantineCommand{Runs: request.Runs}
-	before := map[uint64]bool{}
-	if err := c.passedOver(); err != nil {
+	rejectedBefore := map[uint64]bool{}
+	if err := c.checkQuarantineSupport(); err != nil {
 		return nil, err
 	}
 	err := c.readLeader(func(now time.Time, _ *fleetview.View) {
 		command.AtMillis = now.UnixMilli()
 		for _, run := range request.Runs {
-			before[run.Request] = c.quarantines(run.Request)
+			rejectedBefore[run.Request] = c.isRejected(run.Request)
 		}
 		if request.Trial != 0 {
 			c.decideTrial(now, quarantine.Fingerprint(request.Trial), command, answer)
@@ -50,45 +50,45 @@
 	}
 	err = c.readLeader(func(time.Time, *fleetview.View) {
 		answer.News = c.machine.Quarantine().Since(request.Known)
-		for run, was := range before {
-			c.logStanding(run, was)
+		for id, before := range rejectedBefore {
+			c.logRejectionChange(id, before)
 		}
 	})
 	return answer, err
 }
 
-// quarantines reports whether a request is refused now.
-func (c *Coordinator) quarantines(request uint64) bool {
+// isRejected reports whether the quarantine rejects a request now.
+func (c *Coordinator) isRejected(request uint64) bool {
 	entry := c.machine.Quarantine().Entry(quarantine.Fingerprint(request))
 	return entry != nil && entry.Refused
 }
 
-// logStanding writes a line where a report has changed whether a request is refused.
-func (c *Coordinator) logStanding(request uint64, was bool) {
-	if c.quarantines(request) == was {
+// logRejectionChange logs a line if a report has changed whether a request is rejected.
+func (c *Coordinator) logRejectionChange(request uint64, before bool) {
+	if c.isRejected(request) == before {
 		return
 	}
 	var workers []uint32
 	if entry := c.machine.Quarantine().Entry(quarantine.Fingerprint(request)); entry != nil {
-		for _, end := range entry.Ends {
-			workers = append(workers, end.Worker)
+		for _, exit := range entry.Ends {
+			workers = append(workers, exit.Worker)
 		}
 	}
-	logging.Info(c.logger, "quarantine_changed", "request", quarantine.Fingerprint(request), "refused", !was, "workers_ended", fmt.Sprint(workers), "revision", c.machine.Quarantine().Revision())
+	logging.Info(c.logger, "quarantine_changed", "request", quarantine.Fingerprint(request), "refused", !before, "workers_ended", fmt.Sprint(workers), "revision", c.machine.Quarantine().Revision())
 }
 
-// Quarantined is a request under which workers ended, as operators see it.
+// Quarantined describes to operators a request under which workers exited.
 type Quarantined struct {
-	// Request is its identity, as it stands in the logs of edges and stores.
+	// Request is the fingerprint of the request, as in the logs of edges and stores.
 	Request string `json:"request"`
 	Ends    int    `json:"ends"`
 	Refused bool   `json:"refused"`
 	Trials  int    `json:"trials"`
 }
 
-// Quarantine lists the requests under which workers ended, those that are refused first.
+// Quarantine lists the requests under which workers exited; rejected requests come first.
 func (c *Coordinator) Quarantine(ctx context.Context) ([]Quarantined, error) {
-	answer, err := atLeader[wire.QuarantineList](ctx, c, methodQuarantineList, &wire.Empty{}, c.quarantineHere)
+	answer, err := runAtLeader[wire.QuarantineList](ctx, c, methodQuarantineList, &wire.Empty{}, c.quarantineLocal)
 	if err != nil {
 		return nil, err
 	}
@@ -100,24 +100,24 @@
 	return list, nil
 }
 
-func (c *Coordinator) quarantineHere(context.Context) (*wire.QuarantineList, error) {
+func (c *Coordinator) quarantineLocal(context.Context) (*wire.QuarantineList, error) {
 	list := &wire.QuarantineList{}
 	err := c.readLeader(func(time.Time, *fleetview.View) { list.Entries = c.machine.Quarantine().Entries() })
 	return list, err
 }
 
-// Release lets a refused request in again, and forgets the ends under it. It fails with
-// NotFound where nothing is known of it.
+// Release makes a rejected request acceptable again and forgets the worker exits under it. It
+// fails with NotFound if the request is not in the quarantine.
 func (c *Coordinator) Release(ctx context.Context, request quarantine.Fingerprint) error {
 	release := &wire.QuarantineRelease{Request: uint64(request)}
-	_, err := atLeader[wire.FleetResult](ctx, c, methodQuarantineRelease, release, func(ctx context.Context) (*wire.FleetResult, error) {
-		return c.releaseHere(ctx, release)
+	_, err := runAtLeader[wire.FleetResult](ctx, c, methodQuarantineRelease, release, func(ctx context.Context) (*wire.FleetResult, error) {
+		return c.releaseLocal(ctx, release)
 	})
 	return err
 }
 
-func (c *Coordinator) releaseHere(ctx context.Context, release *wire.QuarantineRelease) (*wire.FleetResult, error) {
-	if err := c.passedOver(); err != nil {
+func (c *Coordinator) releaseLocal(ctx context.Context, release *wire.QuarantineRelease) (*wire.FleetResult, error) {
+	if err := c.checkQuarantineSupport(); err != nil {
 		return nil, err
 	}
 	result, err := c.propose(ctx, &wire.FleetCommand{Quarantine: &wire.QuarantineCommand{Expired: []uint64{release.Request}}})
@@ -132,8 +132,10 @@
 	return result, nil
 }
 
+// decideTrial decides whether a rejected request may be tried on a worker, and fills in the command
+// and the answer.
 func (c *Coordinator) decideTrial(now time.Time, request quarantine.Fingerprint, command *wire.QuarantineCommand, answer *wire.QuarantineAnswer) {
-	granted, wait := c.warden.GrantTrial(now, c.machine.Quarantine(), request)
+	granted, wait := c.timers.GrantTrial(now, c.machine.Quarantine(), request)
 	answer.Granted, answer.WaitMillis = granted, wait.Milliseconds()
 	trials := 0
 	if entry := c.machine.Quarantine().Entry(request); granted && entry != nil {
@@ -142,42 +144,44 @@
 	logging.Info(c.logger, "quarantine_trial", "request", request, "granted", granted, "trials", trials, "wait_ms", answer.WaitMillis)
 }
 
-// applied wakes the calls that wait for news, after a command. Nobody waits for what tells
-// only of suspects: in a row of workers' ends each edge reports, and waking 330 watches for
-// each report would take more of a small machine than the reports.
-func (c *Coordinator) applied() {
-	table, before := c.machine.Quarantine(), c.quarantineAt
-	c.quarantineAt = quarantineMark{table.Revision(), table.UrgentRevision()}
-	if c.quarantineAt.revision != before.revision && c.quarantineAt.urgent == before.urgent {
+// onApplied wakes the watches after a command, unless the command only changed which requests are
+// suspected: during a series of worker exits every edge sends reports, and waking 330 watches
+// for each report would cost a small machine more than the reports themselves.
+func (c *Coordinator) onApplied() {
+	table, before := c.machine.Quarantine(), c.appliedQuarantine
+	c.appliedQuarantine = quarantineRevisions{table.Revision(), table.UrgentRevision()}
+	if c.appliedQuarantine.current != before.current && c.appliedQuarantine.urgent == before.urgent {
 		return
 	}
 	c.notify()
 }
 
-// quarantineMark is how far the quarantine has come.
-type quarantineMark struct{ revision, urgent uint64 }
+// quarantineRevisions holds the current revision of the quarantine and the last urgent one.
+type quarantineRevisions struct{ current, urgent uint64 }
 
-// mustKnow reports whether a process that knows a revision of the quarantine must be told
-// at once.
-func (c *Coordinator) mustKnow(known uint64) bool {
+// needsUrgentUpdate reports whether a process that knows the given revision of the quarantine must
+// get an update immediately.
+func (c *Coordinator) needsUrgentUpdate(known uint64) bool {
 	table := c.machine.Quarantine()
 	return known < table.UrgentRevision() || known > table.Revision()
 }
 
-// tellQuarantine fills in what the caller of a watch does not know of requests under which
-// workers ended.
-func (c *Coordinator) tellQuarantine(request *wire.WatchRequest, response *wire.WatchResponse) {
+// fillQuarantine adds the changes of the quarantine that the caller of a watch does not know to
+// the response.
+func (c *Coordinator) fillQuarantine(request *wire.WatchRequest, response *wire.WatchResponse) {
 	if table := c.machine.Quarantine(); request.Quarantine != table.Revision() {
-		news := table.Since(request.Quarantine)
-		response.Quarantine = &news
+		update := table.Since(request.Quarantine)
+		response.Quarantine = &update
 	}
 }
 
-// keepQuarantine carries out what follows from the time that has passed.
-func (c *Coordinator) keepQuarantine(ctx context.Context) {
+// maintainQuarantine commits the changes to the quarantine that are due with the passing of time,
+// or restates the whole quarantine if the gate requires that because a coordinator of an older
+// build may have ignored commands.
+func (c *Coordinator) maintainQuarantine(ctx context.Context) {
 	var command *wire.QuarantineCommand
 	err := c.readLeader(func(now time.Time, _ *fleetview.View) {
-		command = c.gate.Command(c.warden.Tick(now, c.machine.Quarantine()), c.machine.Quarantine())
+		command = c.gate.Command(c.timers.Tick(now, c.machine.Quarantine()), c.machine.Quarantine())
 	})
 	if err != nil || command == nil {
 		return
@@ -191,8 +195,8 @@
 	logging.Info(c.logger, "quarantine_kept", "settled", len(command.Settled), "expired", len(command.Expired), "restated", command.Restated != nil, "error", err)
 }
 
-// noteGenerations takes in the builds of the coordinators known.
-func (c *Coordinator) noteGenerations(processes []wire.Process) {
+// applyGenerations updates the gate with the builds of the known coordinators.
+func (c *Coordinator) applyGenerations(processes []wire.Process) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.gate.ApplyProcesses(processes) {
@@ -200,9 +204,9 @@
 	}
 }
 
-// passedOver returns the refusal of commands of the quarantine while a coordinator would
-// pass over them, or nil.
-func (c *Coordinator) passedOver() error {
+// checkQuarantineSupport returns an error while a coordinator of an older build would ignore
+// commands of the quarantine.
+func (c *Coordinator) checkQuarantineSupport() error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.gate.Err()
--- a/internal/coordinator/quarantine_test.go
+++ b/internal/coordinator/quarantine_test.go
@@ -7,11 +7,12 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// TestOnlyRefusalsWakeWatches applies reports: suspects wake nobody, a refusal, the end of
-// it and every other change do, and who knows of it need not be told at once.
-func TestOnlyRefusalsWakeWatches(t *testing.T) {
+// TestOnlyRejectionChangesWakeWatches applies commands: reports that only add suspicion wake no
+// watch, the start and end of a rejection and every other command do, and a process that knows
+// the newest revision needs no urgent update.
+func TestOnlyRejectionChangesWakeWatches(t *testing.T) {
 	c := &Coordinator{machine: fleetstate.New(), changed: make(chan struct{})}
-	end := func(worker uint32) *wire.FleetCommand {
+	exit := func(worker uint32) *wire.FleetCommand {
 		return &wire.FleetCommand{Quarantine: &wire.QuarantineCommand{Runs: []wire.RunReport{{Request: 1, Worker: worker}}}}
 	}
 	for _, step := range []struct {
@@ -19,33 +20,33 @@
 		command *wire.FleetCommand
 		wakes   bool
 	}{
-		{"a first end", end(11), false},
-		{"a second one", end(12), false},
-		{"the same again", end(12), true}, // nothing has changed, as with any other command
-		{"a third one", end(13), true},
-		{"a further one", end(14), false},
+		{"a first exit", exit(11), false},
+		{"a second exit", exit(12), false},
+		{"the second exit again", exit(12), true}, // a command without a change wakes, as any other command
+		{"a third exit", exit(13), true},
+		{"a fourth exit", exit(14), false},
 		{"a configuration", &wire.FleetCommand{Apply: &wire.ApplyRoutes{Version: 1, Source: []byte("a")}}, true},
-		{"a good end", end(0), true},
+		{"a successful run", exit(0), true},
 	} {
 		encoded, err := step.command.MarshalMsg(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		waiting, known := c.changed, c.machine.Quarantine().Revision()
+		woken, known := c.changed, c.machine.Quarantine().Revision()
 		c.machine.Apply(encoded)
-		c.applied()
+		c.onApplied()
 		select {
-		case <-waiting:
+		case <-woken:
 			if !step.wakes {
-				t.Errorf("%s wakes the watches", step.name)
+				t.Errorf("%s wakes the watches, want none woken", step.name)
 			}
 		default:
 			if step.wakes {
-				t.Errorf("%s wakes nobody", step.name)
+				t.Errorf("%s wakes no watch, want all woken", step.name)
 			}
 		}
-		if now := c.machine.Quarantine().Revision(); c.mustKnow(now) || c.mustKnow(known) != (step.wakes && now != known) {
-			t.Errorf("%s: who knows revision %d of %d must be told: %t", step.name, known, now, c.mustKnow(known))
+		if now := c.machine.Quarantine().Revision(); c.needsUrgentUpdate(now) || c.needsUrgentUpdate(known) != (step.wakes && now != known) {
+			t.Errorf("%s: a process that knows revision %d of %d needs an urgent update: %t", step.name, known, now, c.needsUrgentUpdate(known))
 		}
 	}
 }
--- a/internal/coordinator/relay.go
+++ b/internal/coordinator/relay.go
@@ -13,24 +13,24 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// relayFresh bounds the age of what a relay tells: how long a call of its own to the
-// leader may take. A relay that has heard none for longer refuses its edges, who then ask
-// the next one. The age is taken by the clock that counts suspensions.
-const relayFresh = 1100 * time.Millisecond
+// maxRelayAge bounds the time since a relay last heard from the leader. It is the time that a call
+// of the relay to the leader may take. A relay that exceeds it rejects the watches of its
+// edges, which then call the next relay. The age is measured with the clock that includes suspensions.
+const maxRelayAge = 1100 * time.Millisecond
 
-// relay answers the watches of edges by what this process has heard of the leader. All
-// coordinators are relays; one that leads hears itself.
+// relay answers the watches of edges with the state that this process got from the leader. All
+// coordinators are relays; the leader's own relay watches the leader, too.
 type relay struct {
 	daemon  *daemon.Daemon
 	logger  logging.Logger
 	watcher *fleetwatch.Watcher
 	self    wire.ProcessReport
 
-	// mutex guards what follows.
+	// mutex guards the fields below.
 	mutex   sync.Mutex
 	mirror  *fleetview.Mirror
 	changed chan struct{}
-	// stale is set while edges are refused.
+	// stale is set while the watches of edges are rejected.
 	stale bool
 }
 
@@ -40,11 +40,11 @@
 	r.self.Replica.Address = c.daemon.Address()
 	seeds := append([]string{c.daemon.Address()}, c.settings.Seeds...)
 	r.watcher = fleetwatch.New(c.logger, c.daemon.Traffic, seeds, r.report)
-	r.watcher.OnChange(r.adopt)
+	r.watcher.OnChange(r.applySnapshot)
 	return r
 }
 
-// report tells the leader of this relay and how many edges watch it.
+// report returns the relay's report to the leader, with the number of edges that watch it.
 func (r *relay) report() wire.ProcessReport {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -53,8 +53,8 @@
 	return report
 }
 
-// adopt takes in what is new, and wakes the edges that wait for news.
-func (r *relay) adopt(snapshot *fleetwatch.Snapshot) {
+// applySnapshot updates the mirror with the leader's state and wakes the watches of edges.
+func (r *relay) applySnapshot(snapshot *fleetwatch.Snapshot) {
 	r.daemon.SetFleetKnown(snapshot.Table != nil, snapshot.Fleet.Listed || snapshot.Fleet.Partial)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -63,14 +63,14 @@
 	r.changed = make(chan struct{})
 }
 
-// ageStep is what ages are rounded up to, so that answers that say the same are encoded
-// once.
+// ageStep is the step to which ages are rounded up, so that answers with the same content have
+// the same age and are encoded once.
 const ageStep = 100 * time.Millisecond
 
 func roundUp(age time.Duration) time.Duration { return (age + ageStep - 1).Truncate(ageStep) }
 
-// watch answers with what the edge does not know, once there is any. It reports whether
-// the leader was heard lately; otherwise the edge is to ask elsewhere.
+// watch answers with an update once there is a change that the edge does not know. It returns
+// false if the state is older than maxRelayAge; the edge must call another coordinator then.
 func (r *relay) watch(ctx context.Context, request *wire.WatchRequest) (*wire.WatchResponse, bool) {
 	timeout := time.NewTimer(time.Duration(request.WaitMillis) * time.Millisecond)
 	defer timeout.Stop()
@@ -89,14 +89,15 @@
 	}
 }
 
-// answer returns what the edge does not know now, and what is closed at the next change.
+// answer returns the update for the edge, a channel that is closed at the next change, and whether
+// the state is fresh.
 func (r *relay) answer(request *wire.WatchRequest) (response *wire.WatchResponse, changed <-chan struct{}, fresh bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := clock.Now()
 	snapshot := r.watcher.Current()
 	age := now.Sub(snapshot.LeaderSeenAt)
-	if stale := snapshot.LeaderSeenAt.IsZero() || age > relayFresh; stale != r.stale {
+	if stale := snapshot.LeaderSeenAt.IsZero() || age > maxRelayAge; stale != r.stale {
 		r.stale = stale
 		logging.Info(r.logger, "relay", "fresh", !stale, "age_ms", age.Milliseconds(), "term", r.mirror.Term(), "view", r.mirror.View())
 	}
