--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Lease is a daemon's own side of a lease that control renews by heartbeat.
+// Lease is a daemon's view of its own lease, which control renews when it answers a heartbeat.
 type Lease struct {
-	until time.Time
+	expiry time.Time
 }
 
-// Renew extends the lease. The length counts from the moment the heartbeat was
-// sent, which is never later than the moment control counts from.
-func (l *Lease) Renew(sent time.Time, length time.Duration) {
-	if until := sent.Add(length); until.After(l.until) {
-		l.until = until
+// Renew extends the lease. The duration counts from the time at which the daemon sent the
+// heartbeat, which is never later than the time of receipt from which control counts.
+func (l *Lease) Renew(sent time.Time, duration time.Duration) {
+	if expiry := sent.Add(duration); expiry.After(l.expiry) {
+		l.expiry = expiry
 	}
 }
 
 // Valid reports whether the lease still runs.
-func (l *Lease) Valid(now time.Time) bool { return now.Before(l.until) }
+func (l *Lease) Valid(now time.Time) bool { return now.Before(l.expiry) }
 
-// Remaining returns the time the lease still runs; below zero it has lapsed.
-func (l *Lease) Remaining(now time.Time) time.Duration { return l.until.Sub(now) }
+// Remaining returns the time until the lease expires; it is negative for an expired lease.
+func (l *Lease) Remaining(now time.Time) time.Duration { return l.expiry.Sub(now) }
--- a/internal/membership/plan.go
+++ b/internal/membership/plan.go
@@ -6,8 +6,8 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// maxMovesPerPlan bounds how many workers one plan moves between living owners
-// for balance alone; workers without an owner are not bounded.
+// maxMovesPerPlan bounds the workers that one plan moves between living owners only for balance.
+// Assignments of workers without a living owner are not limited.
 const maxMovesPerPlan = 4
 
 // Owner is a dispatcher that may own workers.
@@ -16,19 +16,18 @@
 	Zone string
 }
 
-// Plan returns the changes that bring the assignments in line with the workers
-// and owners there are: every worker has a living owner, in its own zone where
-// that keeps the owners' shares even. The result is verified and committed by
-// the meta group.
+// Plan returns the changes after which every worker has a living owner, in the worker's own zone
+// if that keeps the owners' shares even, and workers that are no longer known have none. The
+// meta group verifies and commits the result.
 func Plan(workers *Workers, owners []Owner, current map[string]wire.Assignment, drained func(string) bool) wire.AssignCommand {
 	planner := newPlanner(workers, owners, current, drained)
-	planner.forgetGone()
-	planner.placeOrphans()
+	planner.forgetUnknown()
+	planner.assignOrphans()
 	planner.balance()
 	return planner.command
 }
 
-// planner holds one planning run.
+// planner holds the state of one call of Plan.
 type planner struct {
 	workers *Workers
 	owners  []Owner
@@ -52,7 +51,8 @@
 	return p
 }
 
-func (p *planner) forgetGone() {
+// forgetUnknown removes the assignments of workers that are no longer known.
+func (p *planner) forgetUnknown() {
 	for _, id := range sortedNames(p.current) {
 		if p.workers.known[id] == nil {
 			p.command.Forget = append(p.command.Forget, id)
@@ -60,9 +60,9 @@
 	}
 }
 
-// placeOrphans assigns workers that are new, whose owner is gone, or about
-// which something has changed.
-func (p *planner) placeOrphans() {
+// assignOrphans assigns workers that are new or whose owner is no longer living, and updates the
+// assignments of workers whose description has changed.
+func (p *planner) assignOrphans() {
 	if len(p.owners) == 0 {
 		return
 	}
@@ -70,7 +70,7 @@
 		wanted := p.describe(id)
 		assigned, found := p.current[id]
 		owner := assigned.Dispatcher
-		if !found || !p.lives(owner) {
+		if !found || !p.isLiving(owner) {
 			owner = p.leastLoaded(wanted.Zone)
 			p.owned[owner] = append(p.owned[owner], id)
 		}
@@ -93,7 +93,7 @@
 	}
 }
 
-func (p *planner) lives(name string) bool {
+func (p *planner) isLiving(name string) bool {
 	for _, owner := range p.owners {
 		if owner.Name == name {
 			return true
@@ -102,8 +102,8 @@
 	return false
 }
 
-// leastLoaded returns the owner with the fewest workers; between equals one in
-// the zone goes first.
+// leastLoaded returns the owner with the fewest workers; among equals an owner in the zone is
+// preferred.
 func (p *planner) leastLoaded(zone string) string {
 	best := p.owners[0]
 	for _, owner := range p.owners[1:] {
@@ -116,8 +116,8 @@
 	return best.Name
 }
 
-// balance moves workers from the fullest owner to the emptiest while they
-// differ by more than one.
+// balance moves workers from the owner with the most workers to the one with the fewest while
+// their numbers differ by more than one.
 func (p *planner) balance() {
 	for move := 0; move < maxMovesPerPlan && len(p.owners) > 1; move++ {
 		ordered := append([]Owner(nil), p.owners...)
@@ -132,6 +132,7 @@
 	}
 }
 
+// move reassigns one worker, preferably one in the zone of the new owner.
 func (p *planner) move(from string, to Owner) {
 	candidates := p.owned[from]
 	chosen := len(candidates) - 1
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -1,9 +1,10 @@
-// Package membership keeps the soft state of the control leader: which daemons
-// hold a lease, which workers there are, and who should own each worker. It is
-// pure; assignments take effect only once the meta group has committed them.
+// Package membership keeps the state of the control leader that is not replicated: which daemons
+// hold a lease, which workers exist, and which dispatcher should own each worker. It does no
+// I/O and reads no clock; assignments take effect only after the meta group has committed
+// them.
 //
-// A daemon counts its lease from the moment it sent the heartbeat, control from
-// the moment it received it, so that a daemon's lease always ends first.
+// A daemon counts its lease from the time at which it sent the heartbeat, and control from the
+// time of receipt, so that the lease expires at the daemon first.
 package membership
 
 import (
@@ -14,47 +15,48 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// versionTermShift leaves the low bits of a version to changes within a term.
+// versionTermShift is the number of low bits of a version that count the changes within a term;
+// the bits above hold the term.
 const versionTermShift = 32
 
 // LeaseTable holds the daemons' leases.
 type LeaseTable struct {
-	lease   time.Duration
-	ready   time.Time
-	version uint64
-	daemons map[string]*daemon
-	removed map[string]uint64
+	leaseDuration time.Duration
+	readyAt       time.Time
+	version       uint64
+	daemons       map[string]*daemon
+	removed       map[string]uint64
 }
 
-// daemon is the last report of a daemon with the lease it renewed.
+// daemon is the last report of a daemon and the expiry of the lease that the report renewed.
 type daemon struct {
 	report  wire.HeartbeatRequest
 	expires time.Time
-	// changed is the version at which other daemons' view of it changed.
+	// changed is the version at which the entry of this daemon in View last changed.
 	changed uint64
 }
 
-// NewLeaseTable returns the table of a leader whose term began at now. For one whole
-// lease it reports no daemon as gone, because leases that the former leader
-// granted may still run.
+// NewLeaseTable returns the table of a leader whose term began at now. It expires no daemon for
+// the duration of one lease, because leases that the former leader granted may still be
+// valid.
 func NewLeaseTable(term uint64, lease time.Duration, now time.Time) *LeaseTable {
 	return &LeaseTable{
-		lease:   lease,
-		ready:   now.Add(lease),
-		version: term<<versionTermShift + 1,
-		daemons: map[string]*daemon{},
-		removed: map[string]uint64{},
+		leaseDuration: lease,
+		readyAt:       now.Add(lease),
+		version:       term<<versionTermShift + 1,
+		daemons:       map[string]*daemon{},
+		removed:       map[string]uint64{},
 	}
 }
 
-// Ready reports whether every lease of a former leader has run out.
-func (t *LeaseTable) Ready(now time.Time) bool { return !now.Before(t.ready) }
+// Ready reports whether every lease that a former leader granted has expired.
+func (t *LeaseTable) Ready(now time.Time) bool { return !now.Before(t.readyAt) }
 
-// LeaseDuration returns the length of a lease.
-func (t *LeaseTable) LeaseDuration() time.Duration { return t.lease }
+// LeaseDuration returns the duration of a lease.
+func (t *LeaseTable) LeaseDuration() time.Duration { return t.leaseDuration }
 
-// Heartbeat renews a daemon's lease. A heartbeat of an older incarnation than
-// the one known is refused: two processes must not share a name.
+// Heartbeat renews a daemon's lease, or removes the daemon if it is leaving. It rejects a heartbeat
+// of an older incarnation than the known one: two processes must not share a name.
 func (t *LeaseTable) Heartbeat(now time.Time, report *wire.HeartbeatRequest) error {
 	known := t.daemons[report.Daemon]
 	if known != nil && report.Incarnation < known.report.Incarnation {
@@ -74,10 +76,11 @@
 		known.changed = t.version
 	}
 	known.report = *report
-	known.expires = now.Add(t.lease)
+	known.expires = now.Add(t.leaseDuration)
 	return nil
 }
 
+// viewChanged reports whether two reports of a daemon differ in what other daemons use.
 func viewChanged(before, after *wire.HeartbeatRequest) bool {
 	if before.Incarnation != after.Incarnation || before.Draining != after.Draining {
 		return true
@@ -102,7 +105,8 @@
 	t.removed[name] = t.version
 }
 
-// Expire removes the daemons whose lease has run out and returns their names.
+// Expire removes the daemons whose lease has expired and returns their names, sorted. It removes
+// none before the table is ready.
 func (t *LeaseTable) Expire(now time.Time) []string {
 	if !t.Ready(now) {
 		return nil
@@ -120,17 +124,17 @@
 	return expired
 }
 
-// View returns what has changed among the dispatchers since the version known,
-// or nil if nothing has.
+// View returns the changes of dispatchers since the known version, or nil if there are none. The
+// result is full if the known version is of another term.
 func (t *LeaseTable) View(now time.Time, known uint64) *wire.ViewDelta {
 	if known == t.version {
 		return nil
 	}
-	// Versions of another term can't be compared with this term's.
+	// Versions of different terms can't be compared.
 	full := known>>versionTermShift != t.version>>versionTermShift
 	if full && known != 0 && !t.Ready(now) {
-		// Not every dispatcher has reported to the new leader yet; what the
-		// daemon knows from the last one is the better view.
+		// Not every dispatcher has reported to this leader yet; the view that the daemon
+		// got from the former leader is more complete.
 		return nil
 	}
 	delta := &wire.ViewDelta{Version: t.version, Full: full}
@@ -159,7 +163,7 @@
 	return delta
 }
 
-// Dispatchers returns the dispatchers that may own workers.
+// Dispatchers returns the dispatchers that may own workers: those that are not draining.
 func (t *LeaseTable) Dispatchers() []Owner {
 	var owners []Owner
 	for _, name := range sortedNames(t.daemons) {
@@ -170,7 +174,7 @@
 	return owners
 }
 
-// Status returns the operators' rows, by name.
+// Status returns the daemons' status for operators, sorted by name.
 func (t *LeaseTable) Status(now time.Time) []wire.DaemonStatus {
 	var rows []wire.DaemonStatus
 	for _, name := range sortedNames(t.daemons) {
@@ -190,6 +194,7 @@
 	return rows
 }
 
+// sortedNames returns the keys of the map in order.
 func sortedNames[Value any](from map[string]Value) []string {
 	names := make([]string, 0, len(from))
 	for name := range from {
@@ -199,8 +204,8 @@
 	return names
 }
 
-// Count returns the number of living daemons of the role; zero while a new
-// leader has not heard of all of them.
+// Count returns the number of living daemons of the role, or zero before the table is ready,
+// because not all daemons may have reported to a new leader by then.
 func (t *LeaseTable) Count(now time.Time, role wire.Role) int {
 	if !t.Ready(now) {
 		return 0
--- a/internal/membership/workers.go
+++ b/internal/membership/workers.go
@@ -6,7 +6,7 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// ListedWorker is a worker as the platform's list shows it. The list lags.
+// ListedWorker is an entry of the platform's list of workers, which lags behind the workers' state.
 type ListedWorker struct {
 	ID          string
 	Address     string
@@ -15,9 +15,9 @@
 	Leaving     bool
 }
 
-// Workers merges the platform's lagging list with what dispatchers hear from
-// the engines themselves. Of contradicting news about one incarnation the one
-// that says "leaving" wins for good: it is sticky until a new incarnation.
+// Workers merges the platform's lagging list with the reports that dispatchers get from the engines
+// themselves. If sources contradict each other about an incarnation, "leaving" wins, and the
+// worker stays leaving until it has a new incarnation.
 type Workers struct {
 	forgetAfter time.Duration
 	known       map[string]*worker
@@ -29,13 +29,13 @@
 	lastListed time.Time
 }
 
-// NewWorkers returns an empty set. A worker is forgotten once the platform has
-// not listed it for forgetAfter.
+// NewWorkers returns an empty set. A worker that the platform has not listed for forgetAfter is
+// removed.
 func NewWorkers(forgetAfter time.Duration) *Workers {
 	return &Workers{forgetAfter: forgetAfter, known: map[string]*worker{}}
 }
 
-// ApplyList takes in one reading of the platform's list.
+// ApplyList updates the workers from one reading of the platform's list.
 func (w *Workers) ApplyList(now time.Time, list []ListedWorker) {
 	for _, listed := range list {
 		current := w.known[listed.ID]
@@ -44,7 +44,7 @@
 			continue
 		}
 		if listed.Incarnation < current.listed.Incarnation {
-			// The list lags behind a restart that was learnt elsewhere.
+			// The list lags behind a restart that is known from another source.
 			continue
 		}
 		current.lastListed = now
@@ -57,15 +57,15 @@
 	}
 }
 
-// ApplyReport takes in what the owner of a worker has heard from its engine.
+// ApplyReport updates a worker from its owner's report about the engine.
 func (w *Workers) ApplyReport(report *wire.WorkerReport) {
 	if current := w.known[report.Worker]; current != nil && report.Leaving {
 		current.leaving = true
 	}
 }
 
-// Restore takes in the assignments that a former leader committed, so that
-// "leaving" outlives the leader that learnt it.
+// Restore adds the workers of the assignments that a former leader committed, so that a worker
+// stays leaving after a change of leader.
 func (w *Workers) Restore(now time.Time, assignments map[string]wire.Assignment) {
 	for id, assignment := range assignments {
 		w.known[id] = &worker{
