--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,9 +1,10 @@
-// Package placement says which store group keeps a job, and which store leads which
-// group. It is pure.
+// Package placement decides which store group stores a job, which stores vote in a group, and
+// which store leads it. It does no I/O.
 //
-// Jobs are spread by their ids over a number of groups, each with a log, voters and a
-// leader of its own. A leader runs the items of its group's jobs, so the loss of one
-// store re-runs only what that store ran, and no store's processor or disk carries all.
+// Jobs are distributed over a number of groups by the hash of their ids. Each group has its own
+// log, voters and leader. A leader runs the items of its group's jobs, so that after the loss
+// of a store only the items that it ran are run again, and no store's CPU or disk has to
+// carry the whole load.
 package placement
 
 import (
@@ -14,9 +15,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// GroupOf returns the number of the group that keeps the job, of so many groups. Their
-// number can't change once stores have formed: a job's group follows from it. It is -1
-// while there are none.
+// GroupOf returns the index of the group that stores the job, or -1 if there are no groups. The
+// number of groups can't change after the groups have formed, because the group of every job
+// depends on it.
 func GroupOf(job string, groups int) int {
 	if groups <= 0 {
 		return -1
@@ -24,20 +25,21 @@
 	return int(xxhash.Sum64String(job) % uint64(groups))
 }
 
-// Transfer is a hand-over of a group's leadership to another replica.
+// Transfer moves the leadership of a group to another replica.
 type Transfer struct {
 	Group int
 	To    uint64
 }
 
-// leastLead is by how many groups a leader must be ahead of another replica before
-// it hands one over: fewer would move leaderships to and fro.
-const leastLead = 2
+// minLeadDifference is the smallest difference between the numbers of groups that two replicas
+// lead at which one transfers a leadership to the other. With a smaller value leaderships
+// would move back and forth.
+const minLeadDifference = 2
 
-// RebalanceLeaders returns a hand-over after which the groups are led by more replicas, or
-// false. leaders holds the leaders of the groups that this store is a member of, zero
-// where one is not known, and ready returns the replicas that could take over a group
-// that self leads.
+// RebalanceLeaders returns a transfer that makes the leaderships more even, or false if there is
+// none. leaders holds the leader of each group that this store is a member of, zero if it
+// is not known; no group is transferred while one is unknown. ready returns the replicas that
+// could take over a group that self leads.
 func RebalanceLeaders(self uint64, leaders map[int]uint64, ready func(group int) []uint64) (Transfer, bool) {
 	led := map[uint64]int{}
 	for _, leader := range leaders {
@@ -55,7 +57,7 @@
 			continue
 		}
 		to := slices.MinFunc(candidates, func(a, b uint64) int { return cmp.Or(cmp.Compare(led[a], led[b]), cmp.Compare(a, b)) })
-		if led[self]-led[to] >= leastLead {
+		if led[self]-led[to] >= minLeadDifference {
 			return Transfer{Group: group, To: to}, true
 		}
 	}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -10,7 +10,7 @@
 	"github.com/sedgemast/sedgemast/internal/proptest"
 )
 
-// TestJobsAreSpread checks that each group gets its part of many jobs.
+// TestJobsAreSpread checks that each group gets an even share of many jobs, to within 15%.
 func TestJobsAreSpread(t *testing.T) {
 	for groups := 1; groups <= MaxGroups; groups++ {
 		counts := make([]int, groups)
@@ -25,13 +25,13 @@
 		}
 	}
 	if group := GroupOf("j", 0); group != -1 {
-		t.Errorf("a job is in group %d of none", group)
+		t.Errorf("got group %d without any groups, want -1", group)
 	}
 }
 
-// TestVotersAreSpread places groups on fleets of different sizes: each group has as many
-// voters as wanted, spread over the zones, and no store carries many more than another
-// of its zone.
+// TestVotersAreSpread places groups on fleets of different sizes: each group has the wanted number
+// of voters, spread over the zones, and no store votes in more than one group above the
+// average.
 func TestVotersAreSpread(t *testing.T) {
 	for _, test := range []struct{ stores, zones, voters, groups int }{
 		{3, 3, 3, 3}, {4, 4, 3, 3}, {10, 3, 5, 3}, {12, 5, 5, 3}, {45, 5, 5, 9}, {45, 7, 5, 9}, {200, 9, 5, 9}, {2, 1, 3, 3},
@@ -43,18 +43,18 @@
 			candidates, zoneOf[c.ID] = append(candidates, c), c.Zone
 		}
 		if got := GroupCount(test.stores, test.voters); got != test.groups {
-			t.Errorf("%+v: %d groups", test, got)
+			t.Errorf("%+v: got %d groups", test, got)
 		}
-		carried := map[uint64]int{}
+		groupsOf := map[uint64]int{}
 		for group, voters := range InitialVoters(candidates, test.groups, test.voters) {
 			inZone, seen := map[string]int{}, map[uint64]bool{}
 			for _, id := range voters {
-				carried[id]++
+				groupsOf[id]++
 				inZone[zoneOf[id]]++
 				seen[id] = true
 			}
 			if len(seen) != min(test.voters, test.stores) {
-				t.Errorf("%+v: group %d has voters %v", test, group, voters)
+				t.Errorf("%+v: group %d has voters %v, want distinct ones in the wanted number", test, group, voters)
 			}
 			for zone, count := range inZone {
 				if count > (test.voters+test.zones-1)/test.zones {
@@ -63,18 +63,18 @@
 			}
 		}
 		most := 0
-		for _, count := range carried {
+		for _, count := range groupsOf {
 			most = max(most, count)
 		}
 		if even := (test.groups*min(test.voters, test.stores) + test.stores - 1) / test.stores; most > even+1 {
-			t.Errorf("%+v: a store carries %d groups", test, most)
+			t.Errorf("%+v: a store votes in %d groups, want at most one above the average", test, most)
 		}
 	}
 }
 
-// TestLeadersSpread lets replicas hand leaderships over from random beginnings: they
-// come to rest with no replica more than one group ahead of another that could lead,
-// and none gives away a group that it does not lead.
+// TestLeadersSpread lets replicas transfer leaderships from random initial leaders. The transfers
+// must end with no replica leading more than one group more than another, and no replica may
+// transfer a group that it does not lead.
 func TestLeadersSpread(t *testing.T) {
 	proptest.Run(t, "spread", func(random *rand.Rand) error {
 		replicas := 2 + random.Intn(5)
@@ -82,11 +82,11 @@
 		for group := range MaxGroups {
 			leaders[group] = uint64(1 + random.Intn(replicas))
 		}
-		for moves := 0; ; moves++ {
-			if moves > MaxGroups*replicas {
-				return errors.Newf("%v never comes to rest", leaders)
+		for transfers := 0; ; transfers++ {
+			if transfers > MaxGroups*replicas {
+				return errors.Newf("the transfers do not end: %v", leaders)
 			}
-			moved := false
+			transferred := false
 			for self := uint64(1); self <= uint64(replicas); self++ {
 				ready := func(int) (others []uint64) {
 					for id := uint64(1); id <= uint64(replicas); id++ {
@@ -96,17 +96,17 @@
 					}
 					return others
 				}
-				move, found := RebalanceLeaders(self, leaders, ready)
+				transfer, found := RebalanceLeaders(self, leaders, ready)
 				if !found {
 					continue
 				}
-				if leaders[move.Group] != self || move.To == self {
-					return errors.Newf("%d moves %+v of %v", self, move, leaders)
+				if leaders[transfer.Group] != self || transfer.To == self {
+					return errors.Newf("replica %d transfers %+v with the leaders %v", self, transfer, leaders)
 				}
-				leaders[move.Group] = move.To
-				moved = true
+				leaders[transfer.Group] = transfer.To
+				transferred = true
 			}
-			if !moved {
+			if !transferred {
 				break
 			}
 		}
@@ -116,8 +116,8 @@
 		}
 		for a := 1; a <= replicas; a++ {
 			for b := 1; b <= replicas; b++ {
-				if led[a]-led[b] >= leastLead {
-					return errors.Newf("%v rests unevenly", leaders)
+				if led[a]-led[b] >= minLeadDifference {
+					return errors.Newf("the leaderships are uneven after the last transfer: %v", leaders)
 				}
 			}
 		}
@@ -125,12 +125,14 @@
 	})
 }
 
-func TestNothingMovesBlindly(t *testing.T) {
-	everybody := func(int) []uint64 { return []uint64{2, 3} }
-	if _, found := RebalanceLeaders(1, map[int]uint64{0: 1, 2: 1, 3: 1, 7: 0}, everybody); found {
-		t.Error("a group moves while another has no known leader")
+// TestNoTransferWithoutLeaderOrReadyReplica checks that there is no transfer while the leader of
+// a group is unknown or no replica is ready to take over.
+func TestNoTransferWithoutLeaderOrReadyReplica(t *testing.T) {
+	allReady := func(int) []uint64 { return []uint64{2, 3} }
+	if _, found := RebalanceLeaders(1, map[int]uint64{0: 1, 2: 1, 3: 1, 7: 0}, allReady); found {
+		t.Error("a group is transferred while the leader of another is unknown")
 	}
 	if _, found := RebalanceLeaders(1, map[int]uint64{0: 1, 2: 1, 3: 1, 7: 1}, func(int) []uint64 { return nil }); found {
-		t.Error("a group moves to nobody")
+		t.Error("a group is transferred though no replica is ready")
 	}
 }
