--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -14,7 +14,7 @@
 	// time. The rest is a margin for prediction errors.
 	goalPercent    = 90
 	hundredPercent = 100
-	// maxRetryAfterDivisor limits Retry-After to this fraction, 1/3, of the caller's time left.
+	// maxRetryAfterDivisor limits Retry-After to 1/maxRetryAfterDivisor of the caller's time left.
 	maxRetryAfterDivisor = 3
 	// overShareWaitDivisor limits the wait of a request over its tenant's share to 1/4 of the wait
 	// tolerated for others. The limit may be zero: a request that finds a free slot doesn't wait
--- a/internal/admission/collapse_test.go
+++ b/internal/admission/collapse_test.go
@@ -160,7 +160,7 @@
 	s.after(simNetworkDelay, func() { s.hubs[e.number%simZones].ApplyReport(s.clock(), report) })
 }
 
-// exchangeReports sends the loads of an edge to its hub, takes in those of its peers, and calls
+// exchangeReports sends the loads of an edge to its hub, applies those of its peers, and calls
 // then.
 func (s *simulation) exchangeReports(e *simEdge, then func()) {
 	s.reportsExchanged++
@@ -176,7 +176,7 @@
 	})
 }
 
-// syncHub sends the sums of a zone's hub to the top hub, takes in those of the other zones, and
+// syncHub sends the sums of a zone's hub to the top hub, applies those of the other zones, and
 // repeats that every loadshare.Interval.
 func (s *simulation) syncHub(zone int) {
 	source := uint32(1000 + zone)
--- a/internal/admission/entry.go
+++ b/internal/admission/entry.go
@@ -96,11 +96,11 @@
 	return e.FirstEventTime >= e.Goal*goalPercent/hundredPercent
 }
 
-// compare orders entries of one tier: the smaller one goes first. The shares are divided by rank
-// already, after a part is reserved for later ranks. So entries within their tenants' shares go
-// before all entries over them, whatever the rank: otherwise nothing would stay reserved for later
-// ranks.
-func (e *Entry) compare(other *Entry, own tier) int {
+// compare orders two entries of the same tier, ownTier: the smaller one goes first. The shares are
+// divided by rank already, after a part is reserved for later ranks. So entries within their
+// tenants' shares go before all entries over them, whatever the rank: otherwise nothing would stay
+// reserved for later ranks.
+func (e *Entry) compare(other *Entry, ownTier tier) int {
 	if e.OverShare != other.OverShare {
 		if other.OverShare {
 			return -1
@@ -111,7 +111,7 @@
 		return cmp.Compare(e.Rank, other.Rank)
 	}
 	order := cmp.Compare(e.goalDeadlineNanos, other.goalDeadlineNanos)
-	if own == tierLate {
+	if ownTier == tierLate {
 		order = cmp.Compare(e.deadlineNanos, other.deadlineNanos)
 	}
 	if order != 0 {
@@ -121,11 +121,11 @@
 }
 
 // before reports whether the entry goes before the other, given their tiers.
-func (e *Entry) before(own tier, other *Entry, otherTier tier) bool {
-	if own != otherTier {
-		return own < otherTier
+func (e *Entry) before(ownTier tier, other *Entry, otherTier tier) bool {
+	if ownTier != otherTier {
+		return ownTier < otherTier
 	}
-	return e.compare(other, own) < 0
+	return e.compare(other, ownTier) < 0
 }
 
 const (
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -329,11 +329,11 @@
 	return last, len(q.entries) - 1
 }
 
-// countAhead returns how many waiting entries go before the entry while it is in the given tier.
-func (q *Queue) countAhead(entry *Entry, own tier) int {
+// countAhead returns how many waiting entries go before the entry while it is in entryTier.
+func (q *Queue) countAhead(entry *Entry, entryTier tier) int {
 	count := 0
 	for _, other := range q.entries {
-		if other != entry && other.before(other.tier, entry, own) {
+		if other != entry && other.before(other.tier, entry, entryTier) {
 			count++
 		}
 	}
--- a/internal/balance/forecast.go
+++ b/internal/balance/forecast.go
@@ -50,8 +50,8 @@
 	return forecasts
 }
 
-// addToForecast adds a worker to the forecast of its pool. It returns the number of slots that
-// the pool's total doesn't include, such as those of a worker that is leaving.
+// addToForecast adds a worker to the forecast of its pool. If the pool's total doesn't include the
+// worker's slots, for example because it is leaving, it returns their number, otherwise zero.
 func (t *Table) addToForecast(forecast *batchroom.Forecast, row *batchroom.Worker) int {
 	forecast.Online += row.Online
 	w := t.byHash[row.ShortName]
--- a/internal/balance/times.go
+++ b/internal/balance/times.go
@@ -154,7 +154,8 @@
 	return capacity.EffectiveSlots(w.listed.Slots, w.reportedSlots)
 }
 
-// slownessOf returns the worker's slowness as the scoring of its pool uses it.
+// slownessOf returns the worker's slowness: decayedSlowness if its pool is compared by predicted
+// times, else thresholdedSlowness.
 func (t *Table) slownessOf(now time.Time, w *worker) float64 {
 	if t.comparesByTime(w.listed.Pool) {
 		return capacity.ClampSlowness(w.decayedSlowness(now))
--- a/internal/balance/times_test.go
+++ b/internal/balance/times_test.go
@@ -208,20 +208,20 @@
 // slow, and all of them impossible values: nothing may change, because only measurements count.
 func TestLyingPaceChangesNothing(t *testing.T) {
 	t.Parallel()
-	play := func(pace func(f *unevenFleet, w *unevenWorker) int) *unevenFleet {
+	simulate := func(pace func(f *unevenFleet, w *unevenWorker) int) *unevenFleet {
 		scenario := fourZones()
 		scenario.reportPace, scenario.pace, scenario.waves = true, pace, 2
 		return newUnevenFleet(scenario, 8).run()
 	}
-	honest := play(nil)
-	lies := play(func(_ *unevenFleet, w *unevenWorker) int {
+	honest := simulate(nil)
+	lying := simulate(func(_ *unevenFleet, w *unevenWorker) int {
 		if w.slow || w.speed < 1 {
 			return 40
 		}
 		return 60_000
 	})
-	if lies.lateShare() != honest.lateShare() {
-		t.Errorf("lying %v, honest %v", lies, honest)
+	if lying.lateShare() != honest.lateShare() {
+		t.Errorf("lying %v, honest %v", lying, honest)
 	}
 }
 
--- a/internal/balance/uneven_test.go
+++ b/internal/balance/uneven_test.go
@@ -22,9 +22,9 @@
 	unevenEvents  = 20
 	unevenGoal    = 250 * time.Millisecond
 	unevenStep    = 2 * time.Millisecond
-	// inZone is the transit time of a message within a zone, across that between zones.
-	inZone = time.Millisecond
-	across = 25 * time.Millisecond
+	// inZoneDelay is the transit time of a message within a zone, crossZoneDelay that between zones.
+	inZoneDelay    = time.Millisecond
+	crossZoneDelay = 25 * time.Millisecond
 	// minSpell and maxSpell bound the duration of a slow spell of a worker, spellSlowdown is the
 	// factor by which the worker is slower in it.
 	minSpell      = 90 * time.Millisecond
@@ -103,7 +103,7 @@
 	random   *rand.Rand
 	now      time.Duration
 	events   waveEvents
-	number   int
+	sequence int
 	tables   []*Table
 	zones    []int
 	hubs     []*loadshare.Hub
@@ -162,8 +162,8 @@
 }
 
 func (f *unevenFleet) after(wait time.Duration, action func()) {
-	f.number++
-	heap.Push(&f.events, waveEvent{f.now + wait, f.number, action})
+	f.sequence++
+	heap.Push(&f.events, waveEvent{f.now + wait, f.sequence, action})
 }
 
 func (f *unevenFleet) clock() time.Time { return start.Add(f.now) }
@@ -174,19 +174,19 @@
 	zone, table := f.zones[edge], f.tables[edge]
 	report := &wire.LoadReport{Source: uint32(edge + 1), Proofs: table.ProbeResults(), Workers: table.Loads()}
 	if f.updatesStopped {
-		f.after(2*inZone, then)
+		f.after(2*inZoneDelay, then)
 		return
 	}
-	f.after(inZone, func() {
+	f.after(inZoneDelay, func() {
 		f.hubs[zone].ApplyReport(f.clock(), report)
 		if !answer {
 			return
 		}
 		loads := f.hubs[zone].PeerLoads(f.clock(), uint32(edge+1))
-		rows, part := loadshare.Subset(loads, table.zone, func(worker uint32) string { return f.zoneOf[worker] }, f.random)
-		f.after(inZone, func() {
+		rows, partial := loadshare.Subset(loads, table.zone, func(worker uint32) string { return f.zoneOf[worker] }, f.random)
+		f.after(inZoneDelay, func() {
 			scope := ScopeAll
-			if part {
+			if partial {
 				scope = ScopeZone
 			}
 			table.SetPeerLoads(f.clock(), rows, scope)
@@ -203,12 +203,12 @@
 	}
 	name := uint32(1000 + zone)
 	sums := f.hubs[zone].Sums(f.clock(), name)
-	f.after(across, func() {
+	f.after(crossZoneDelay, func() {
 		if sums != nil {
 			f.top.ApplyReport(f.clock(), sums)
 		}
 		update := f.top.UpdateFor(f.clock(), name)
-		f.after(across, func() {
+		f.after(crossZoneDelay, func() {
 			f.hubs[zone].SetParentLoads(f.clock(), update.Rows, update.UnlistedRate, update.Omitted > 0)
 		})
 	})
@@ -225,11 +225,11 @@
 func (f *unevenFleet) dispatch(r *unevenRequest) {
 	r.lease = f.tables[r.edge].Acquire(f.clock(), &Request{Pool: "p", PromptTokens: 200, Exclude: r.tried})
 	f.report(r.edge, false, nil)
-	w, transit := f.byID[r.lease.Endpoint.ID], inZone
+	w, transit := f.byID[r.lease.Endpoint.ID], inZoneDelay
 	f.sent[[2]int{f.zones[r.edge], w.zone}]++
 	if w.zone != f.zones[r.edge] {
 		f.changedZones++
-		transit = across
+		transit = crossZoneDelay
 	}
 	if f.onChoice != nil {
 		f.onChoice(f, w, r)
@@ -367,7 +367,7 @@
 		}
 		report.Workers = append(report.Workers, wire.WorkerLoad{Worker: loadshare.Hash(w.id), Batch: uint16(w.items - w.stopping)})
 	}
-	f.after(across, func() { f.top.ApplyReport(f.clock(), report) })
+	f.after(crossZoneDelay, func() { f.top.ApplyReport(f.clock(), report) })
 }
 
 // updateSpell starts or ends a slow spell.
@@ -395,9 +395,9 @@
 	if events <= r.events || events <= 0 {
 		return
 	}
-	transit := inZone
+	transit := inZoneDelay
 	if w.zone != f.zones[r.edge] {
-		transit = across
+		transit = crossZoneDelay
 	}
 	if r.events == 0 {
 		r.lease.RecordPrefill()
--- a/internal/balance/wave_test.go
+++ b/internal/balance/wave_test.go
@@ -28,9 +28,9 @@
 
 // waveEvent is a scheduled action.
 type waveEvent struct {
-	at     time.Duration
-	number int
-	action func()
+	at       time.Duration
+	sequence int
+	action   func()
 }
 
 type waveEvents []waveEvent
@@ -40,7 +40,7 @@
 
 // Less implements heap.Interface.
 func (e waveEvents) Less(a, b int) bool {
-	return e[a].at < e[b].at || e[a].at == e[b].at && e[a].number < e[b].number
+	return e[a].at < e[b].at || e[a].at == e[b].at && e[a].sequence < e[b].sequence
 }
 
 // Swap implements heap.Interface.
@@ -60,18 +60,18 @@
 // slots.
 type waveFleet struct {
 	// arrival draws the arrivals, random everything else.
-	arrival *rand.Rand
-	random  *rand.Rand
-	now     time.Duration
-	events  waveEvents
-	number  int
-	tables  []*Table
-	hubs    []*loadshare.Hub
-	top     *loadshare.Hub
-	near    []loadshare.Set
-	far     []loadshare.Set
-	running map[string]int
-	got     map[string]int
+	arrival  *rand.Rand
+	random   *rand.Rand
+	now      time.Duration
+	events   waveEvents
+	sequence int
+	tables   []*Table
+	hubs     []*loadshare.Hub
+	top      *loadshare.Hub
+	near     []loadshare.Set
+	far      []loadshare.Set
+	running  map[string]int
+	got      map[string]int
 	// requests and full count, by zone of the edge, all requests and those whose worker had no
 	// free slot on arrival.
 	requests [waveZones]int
@@ -110,8 +110,8 @@
 }
 
 func (f *waveFleet) after(wait time.Duration, action func()) {
-	f.number++
-	heap.Push(&f.events, waveEvent{f.now + wait, f.number, action})
+	f.sequence++
+	heap.Push(&f.events, waveEvent{f.now + wait, f.sequence, action})
 }
 
 func (f *waveFleet) clock() time.Time { return start.Add(f.now) }
@@ -125,9 +125,9 @@
 	switch {
 	case !choosing:
 	case f.fullUpdates:
-		rows, part := loadshare.Subset(f.hubs[zone].PeerLoads(f.clock(), uint32(edge+1)), table.zone, func(worker uint32) string { return f.zoneOf[worker] }, f.random)
+		rows, partial := loadshare.Subset(f.hubs[zone].PeerLoads(f.clock(), uint32(edge+1)), table.zone, func(worker uint32) string { return f.zoneOf[worker] }, f.random)
 		scope := ScopeAll
-		if part {
+		if partial {
 			scope = ScopeZone
 		}
 		table.SetPeerLoads(f.clock(), rows, scope)
--- a/internal/balance/worker.go
+++ b/internal/balance/worker.go
@@ -1,6 +1,7 @@
-// Package balance chooses workers for opaque requests by the load that this process and its peers
-// have reported at each: requests in flight and pending prompt tokens. It does no I/O and
-// takes its time and randomness from the caller; a lock makes it safe for concurrent use.
+// Package balance chooses workers for opaque requests by the load at each worker, in requests in
+// flight and pending prompt tokens: that of this process, and that of its peers as they reported
+// it. It does no I/O and takes its time and randomness from the caller; a lock makes it safe for
+// concurrent use.
 package balance
 
 import (
--- a/internal/batchplan/share.go
+++ b/internal/batchplan/share.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// taggedItem is an item with the number of running items that its tenant would have relative to
-// its weight once the item runs.
+// taggedItem is an item with its tag: the number of items that its tenant would have running once
+// this one runs, divided by the tenant's weight. The lowest tag goes first.
 type taggedItem struct {
 	item Item
 	tag  float64
--- a/internal/batchplan/stops_test.go
+++ b/internal/batchplan/stops_test.go
@@ -33,9 +33,9 @@
 	}
 }
 
-// TestStopsAreEnoughAndNoMore checks for random workers that, unless every item stops, the online
-// requests that wait after the stops get a slot within maxWait, and that one stop fewer would not
-// be enough.
+// TestStopsAreEnoughAndNoMore checks for random workers that after the stops all waiting online
+// requests get a slot within maxWait, or that no item is left to stop, and that one stop fewer
+// would not be enough.
 func TestStopsAreEnoughAndNoMore(t *testing.T) {
 	inTime := func(worker Worker, stops int, holdTime, maxWait time.Duration) bool {
 		waiting := worker.Online + worker.Items - stops - worker.Slots
--- a/internal/batchroom/batchroom.go
+++ b/internal/batchroom/batchroom.go
@@ -25,7 +25,7 @@
 // decides how many items stop at one worker; balance.Candidate is the worker chosen for one
 // request.
 type Worker struct {
-	// ShortName is the worker's short name.
+	// ShortName is the hash that identifies the worker in load reports (loadshare.WorkerHash).
 	ShortName uint32
 	// Pool and Zone are set if there is a forecast for the worker's pool.
 	Pool  string
--- a/internal/batchroom/runners_test.go
+++ b/internal/batchroom/runners_test.go
@@ -129,13 +129,13 @@
 
 // grantedWorker returns the least loaded worker where the runner may start an item, or -1.
 func (s *simulation) grantedWorker(r *simRunner) int {
-	best, least := -1, 0
+	best, leastLoad := -1, 0
 	for worker := range s.running {
 		if r.orders[uint32(worker+1)].Start == 0 {
 			continue
 		}
-		if load := s.online[worker] + s.items[worker]; load < s.slots && (best < 0 || load < least) {
-			best, least = worker, load
+		if load := s.online[worker] + s.items[worker]; load < s.slots && (best < 0 || load < leastLoad) {
+			best, leastLoad = worker, load
 		}
 	}
 	return best
--- a/internal/capacity/worker.go
+++ b/internal/capacity/worker.go
@@ -70,7 +70,7 @@
 	releaseInterval := holdTime / float64(slots+1)
 	excess := float64(w.Online + 1 - slots)
 	p := Prediction{FreeSlots: slots - w.Online - 1, Wait: time.Duration(max(excess, 0) * releaseInterval)}
-	// Slots held by batch items become free after a preemption, as long as there are any items.
+	// All slots are in use, but some by batch items: one of these is preempted.
 	if p.Wait == 0 && w.Online+w.Items+1 > slots {
 		p.Wait = pool.PreemptionTime
 	}
--- a/internal/edge/claim.go
+++ b/internal/edge/claim.go
@@ -141,7 +141,7 @@
 	}
 	c.countByRank("asked")
 	if noCapacity {
-		c.edge.noCapacityRequests.Add(1)
+		c.edge.shortages.Add(1)
 		c.countByRank("short")
 	}
 	if c.share.standing.OverShare {
--- a/internal/edge/claim_test.go
+++ b/internal/edge/claim_test.go
@@ -105,7 +105,7 @@
 	waitFor(t, "the counts", func() bool {
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
-		return want >= 5 && f.started == want && f.noCapacity == 0
+		return want >= 5 && f.started == want && f.shortages == 0
 	})
 	if given := counterValues(t, f.edge.metrics.capacity)["given 3"]; given < 2 {
 		t.Errorf("rank 3: counted %g started requests, want at least 2", given)
@@ -125,8 +125,8 @@
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if len(f.claims) > 0 || f.started+f.noCapacity > 0 {
-		t.Errorf("got %d claims, %d started, %d without capacity; want none", len(f.claims), f.started, f.noCapacity)
+	if len(f.claims) > 0 || f.started+f.shortages > 0 {
+		t.Errorf("got %d claims, %d started, %d without capacity; want none", len(f.claims), f.started, f.shortages)
 	}
 	if counts := counterValues(t, f.edge.metrics.capacity); len(counts) > 0 {
 		t.Errorf("counted %v, want nothing", counts)
@@ -182,8 +182,9 @@
 	}
 }
 
-// TestQueueCountsOverShareRejections checks that only requests that the queue rejects for their
-// share are told so and counted, and not those that would be late.
+// TestQueueCountsOverShareRejections checks that a request that the queue rejects because its
+// tenant is over its share gets that reason in the answer and is counted, and that one that is
+// rejected because it would be late is not.
 func TestQueueCountsOverShareRejections(t *testing.T) {
 	f := startTenants(t)
 	tenant := f.edge.Table().Tenant("a")
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -50,10 +50,10 @@
 	gate *startGate
 	// stallDetector detects that this process did not run for a while.
 	stallDetector *stall.Detector
-	// startedRequests counts requests that began to run, noCapacityRequests those that found no
-	// worker with a free slot. Both count only where capacity is divided among tenants.
-	startedRequests    atomic.Uint32
-	noCapacityRequests atomic.Uint32
+	// startedRequests counts requests that began to run, shortages those that found no worker with
+	// a free slot. Both count only where capacity is divided among tenants.
+	startedRequests atomic.Uint32
+	shortages       atomic.Uint32
 
 	// Stores submits jobs to the stores.
 	Stores *storeclient.Client
@@ -136,7 +136,7 @@
 		Hubs:        func() []string { return *e.hubs.Load() },
 		PreferFirst: true,
 		Report: func() *wire.LoadReport {
-			report := &wire.LoadReport{Source: source, Zone: e.settings.Zone, Proofs: e.workers.ProbeResults(), Begun: e.startedRequests.Load(), Short: e.noCapacityRequests.Load()}
+			report := &wire.LoadReport{Source: source, Zone: e.settings.Zone, Proofs: e.workers.ProbeResults(), Begun: e.startedRequests.Load(), Short: e.shortages.Load()}
 			report.Workers = e.workers.Loads()
 			return report
 		},
@@ -242,21 +242,21 @@
 // recordSelection counts a selected worker, and logs when the way in which a pool's workers are
 // compared changes.
 func (e *Edge) recordSelection(pool string, lease *balance.Lease) {
-	zone, by := "other", "cost"
+	zone, comparedBy := "other", "cost"
 	if lease.Zone == e.settings.Zone {
 		zone = "own"
 	}
 	if lease.ByPredictedTime {
-		by = "times"
+		comparedBy = "times"
 	}
-	e.metrics.choices.WithLabelValues(zone, by).Inc()
+	e.metrics.choices.WithLabelValues(zone, comparedBy).Inc()
 	e.mutex.Lock()
 	changed := e.byPredictedTime[pool] != lease.ByPredictedTime
 	e.byPredictedTime[pool] = lease.ByPredictedTime
 	e.mutex.Unlock()
 	if changed {
 		ownZone, otherZones := e.workers.Capacity(pool)
-		logging.Info(e.logger, "workers_compared", "pool", pool, "by", by, "tells_pace", e.workers.ReportsPace(pool), "own_slots", ownZone.Slots, "own_worth", ownZone.NormalizedSlots, "other_slots", otherZones.Slots, "other_worth", otherZones.NormalizedSlots)
+		logging.Info(e.logger, "workers_compared", "pool", pool, "by", comparedBy, "tells_pace", e.workers.ReportsPace(pool), "own_slots", ownZone.Slots, "own_worth", ownZone.NormalizedSlots, "other_slots", otherZones.Slots, "other_worth", otherZones.NormalizedSlots)
 	}
 }
 
--- a/internal/edge/hold.go
+++ b/internal/edge/hold.go
@@ -23,8 +23,8 @@
 	// maxHoldTime is the longest time for which a request is held. It leaves time for the answer:
 	// many callers give up a connection that stays silent for a second or two.
 	maxHoldTime = 800 * time.Millisecond
-	// holdTimeDivisor limits the hold to this fraction, one third, of the caller's time left. The
-	// rest is needed to run the request, or for the caller to retry.
+	// holdTimeDivisor limits the hold to 1/holdTimeDivisor of the caller's time left. The rest is
+	// needed to run the request, or for the caller to retry.
 	holdTimeDivisor = 3
 	// maxAssumedTimeLeft is the time left that is assumed for a caller that sends none or a longer
 	// one: the configured limit is not known yet.
--- a/internal/edge/hold_test.go
+++ b/internal/edge/hold_test.go
@@ -321,7 +321,7 @@
 	route.Kind = routetable.KindBatch
 	coordinator := startLateCoordinator(t, route, nil)
 	server, e := startUnconfigured(t, coordinator.address)
-	refusals := make(chan string, 2)
+	rejections := make(chan string, 2)
 	for _, call := range []struct{ method, path, body string }{
 		{http.MethodGet, PathJobs + "j/results", ""},
 		{http.MethodPost, "/a", `{"items":[{"id":"i","path":"/p"}]}`},
@@ -336,19 +336,19 @@
 			request.Header.Set("Request-Id", "j")
 			response, err := server.Client().Do(request)
 			if err != nil {
-				refusals <- err.Error()
+				rejections <- err.Error()
 				return
 			}
 			body, _ := io.ReadAll(response.Body)
 			_ = response.Body.Close()
-			refusals <- string(body)
+			rejections <- string(body)
 		}()
 	}
 	awaitHeld(t, e, 2)
 	coordinator.elected.Store(true)
 	for range 2 {
-		if refusal := <-refusals; strings.Contains(refusal, "no configuration") {
-			t.Errorf("rejected as if no configuration were known: %s", refusal)
+		if rejection := <-rejections; strings.Contains(rejection, "no configuration") {
+			t.Errorf("rejected as if no configuration were known: %s", rejection)
 		}
 	}
 }
--- a/internal/edge/identity_test.go
+++ b/internal/edge/identity_test.go
@@ -39,10 +39,10 @@
 	tokenRequests, tokensReturned int
 	rejectTokens, unresponsive    bool
 	// claims holds the claims on capacity, by ticket. overShare makes the hub report all of them
-	// as over their tenants' shares. started and noCapacity are the last reported counts.
-	claims              map[uint64]wire.RoomClaim
-	overShare           bool
-	started, noCapacity uint32
+	// as over their tenants' shares. started and shortages are the last reported counts.
+	claims             map[uint64]wire.RoomClaim
+	overShare          bool
+	started, shortages uint32
 }
 
 const (
@@ -135,7 +135,7 @@
 		f.tokenRequests++
 		answer.Verdicts = append(answer.Verdicts, wire.TokenVerdict{Ticket: question.Ticket, Granted: !f.rejectTokens, RetryMillis: 700})
 	}
-	f.started, f.noCapacity = report.Begun, report.Short
+	f.started, f.shortages = report.Begun, report.Short
 	for _, claim := range report.Claims {
 		f.claims[claim.Ticket] = claim
 		if f.overShare {
--- a/internal/edge/probe_test.go
+++ b/internal/edge/probe_test.go
@@ -64,9 +64,9 @@
 	return table, lease
 }
 
-// TestContentDecidesProbe checks what an answer to a probe says of the worker: content proves
-// once that it is well, headers alone prove nothing, and a broken connection counts against it
-// unless the caller disconnected.
+// TestContentDecidesProbe checks how answers to a probe count: the first content counts as one
+// success, headers alone count as nothing, and a broken connection counts as a failure unless the
+// caller disconnected.
 func TestContentDecidesProbe(t *testing.T) {
 	_, e := startEdge(t, streamRoute(true, 2), startWorkers(t, 1)...)
 	const event = "id: 1\ndata: x\n\n"
--- a/internal/edge/quarantine.go
+++ b/internal/edge/quarantine.go
@@ -34,11 +34,11 @@
 // quarantineStanding returns the request's standing. It does not compute the fingerprint while no
 // request is recorded.
 func (c *call) quarantineStanding() quarantine.Standing {
-	book := c.edge.watcher.Quarantine()
-	if !book.InUse() {
+	records := c.edge.watcher.Quarantine()
+	if !records.InUse() {
 		return quarantine.Unknown
 	}
-	return book.Standing(clock.Now(), c.fingerprint())
+	return records.Standing(clock.Now(), c.fingerprint())
 }
 
 // retryQuarantined reports whether a request under which a worker has just exited must not go to
--- a/internal/edge/queue_test.go
+++ b/internal/edge/queue_test.go
@@ -30,7 +30,7 @@
 )
 
 // queueFixture is an edge with one worker, which completes requests only when the test allows it.
-// The edge is told the worker's slots, one by default.
+// The worker list gives the worker one slot by default.
 type queueFixture struct {
 	server *httptest.Server
 	edge   *Edge
@@ -130,8 +130,8 @@
 	return startQueueAt(t, startBlockingWorker(t), "edge-1", 1, tenants...)
 }
 
-// startQueueAt runs an edge of the given name that is told the given number of slots of the
-// worker.
+// startQueueAt runs an edge of the given name, whose worker list has the given number of slots for
+// the worker.
 func startQueueAt(t *testing.T, worker *blockingWorker, name string, slots int, tenants ...routetable.Tenant) *queueFixture {
 	t.Helper()
 	route := streamRoute(false, 1)
--- a/internal/fairshare/fairshare.go
+++ b/internal/fairshare/fairshare.go
@@ -248,8 +248,8 @@
 	return max(min(level*d.weights[i], d.maxGrants[i]), d.minGrants[i])
 }
 
-// maxLevelSteps bounds the search of a level: halving the interval in each step reaches the accuracy
-// of a float64 within it.
+// maxLevelSteps bounds the search for a level. With steps that halve the interval, the search
+// reaches the accuracy of a float64 within this number.
 const maxLevelSteps = 64
 
 // levelTolerance is the fraction of a budget that may be left over.
--- a/internal/fairshare/fairshare_test.go
+++ b/internal/fairshare/fairshare_test.go
@@ -180,11 +180,11 @@
 		if len(floors) > 0 {
 			return nil
 		}
-		short := math.MaxInt
+		firstUnsatisfied := math.MaxInt
 		got := divide(capacity, floors, claimants)
 		for i := range claimants {
 			if got[i].Granted < claimants[i].maxGrant()*(1-relativeTolerance)-relativeTolerance {
-				short = min(short, claimants[i].Rank)
+				firstUnsatisfied = min(firstUnsatisfied, claimants[i].Rank)
 			}
 		}
 		together := make([]claimant, len(claimants))
@@ -195,12 +195,12 @@
 		fair := divide(capacity, nil, together)
 		later := 0.0
 		for i := range claimants {
-			if claimants[i].Rank > short {
+			if claimants[i].Rank > firstUnsatisfied {
 				later += got[i].Granted - max(guaranteedFraction*fair[i].Granted, min(claimants[i].Reserve, claimants[i].maxGrant()))
 			}
 		}
 		if later > capacity*relativeTolerance+relativeTolerance {
-			return errors.Newf("rank %d is short of capacity, and later ranks get %g beyond their guaranteed minimums", short, later)
+			return errors.Newf("rank %d is short of capacity, and later ranks get %g beyond their guaranteed minimums", firstUnsatisfied, later)
 		}
 		return nil
 	},
@@ -274,9 +274,9 @@
 		for rank := range 8 {
 			for i := range claimants {
 				if claimants[i].Rank == rank {
-					room := min(claimants[i].maxGrant(), capacity)
-					got[i] = allotment{room, room}
-					capacity -= room
+					grant := min(claimants[i].maxGrant(), capacity)
+					got[i] = allotment{grant, grant}
+					capacity -= grant
 				}
 			}
 		}
--- a/internal/fairshare/fallback.go
+++ b/internal/fairshare/fallback.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// fallbackTTL is how long an edge that gets no answer goes by earlier ones. Their weight falls
+	// fallbackTTL is how long an edge that gets no answer uses earlier ones. Their weight falls
 	// linearly to zero in this time, after which no class counts as over its share.
 	fallbackTTL = 500 * time.Millisecond
 	// fallbackDivisor gives an answer the weight 1/4 in the moving average.
@@ -67,7 +67,7 @@
 	return standing
 }
 
-// expire deletes the classes whose answers are too old to go by.
+// expire deletes the classes whose answers are older than fallbackTTL.
 func (f *Fallback) expire(now time.Time) {
 	for class, history := range f.classes {
 		if now.Sub(history.overShareAt) > fallbackTTL {
--- a/internal/fairshare/fleet_test.go
+++ b/internal/fairshare/fleet_test.go
@@ -327,8 +327,8 @@
 	return f.rates[tenant]
 }
 
-// modestFraction is the fraction of its share up to which a tenant's demand surely stays below the
-// share: its requests, like all others, are distributed to zones at random.
+// modestFraction limits the demand of modest tenants, as a fraction of their shares. Requests are
+// distributed to zones at random, so a tenant closer to its share may exceed it in some zone.
 const modestFraction = 0.7
 
 // modestTenants returns the tenants that ask for less than their shares during the floods.
@@ -483,7 +483,7 @@
 }
 
 // TestDisconnectedEdges leaves a tenth of the edges without a hub during a flood. For a short time they
-// go by earlier answers, and then hold no tenant to a share.
+// use earlier answers, and then hold no tenant to a share.
 func TestDisconnectedEdges(t *testing.T) {
 	for seed := range int64(seedCount) {
 		s := scenarios["75 tenants, the largest floods"].withTimes()
--- a/internal/fairshare/meter.go
+++ b/internal/fairshare/meter.go
@@ -82,8 +82,8 @@
 	maxClasses = 4096
 	// maxSources bounds the edges whose counts are kept.
 	maxSources = 4096
-	// sourceTimeout is the longest gap between two reports of an edge whose difference counts. What
-	// the edge counted in more time may have been reported to another hub.
+	// sourceTimeout is the longest time between two reports of an edge for the increase between them
+	// to count. After a longer gap, the edge may have reported a part of it to another hub.
 	sourceTimeout = 500 * time.Millisecond
 )
 
--- a/internal/loadshare/hub.go
+++ b/internal/loadshare/hub.go
@@ -1,8 +1,10 @@
 // Package loadshare shares the loads of workers among the processes that send requests to them.
 // Each process reports its requests in flight and the outcomes of its requests to the hub of its
 // zone, and receives the loads of all other processes and which workers are failing. The hubs of
-// the zones report the sums over their zones to the top hub in the same way, so that only sums
-// cross zones. Reports are datagrams; a lost one is replaced by the next.
+// the zones report the sums over their zones in the same way to the top hub, which is their parent
+// hub, so that only sums cross zones. Reports are datagrams; a lost one is replaced by the next.
+//
+// Reports name processes and workers by short names, which are hashes (Hash, WorkerHash).
 package loadshare
 
 import (
@@ -28,12 +30,12 @@
 	expireInterval = 50 * time.Millisecond
 )
 
-// Hash returns the 32-bit hash that identifies a process in reports.
+// Hash returns the short name of a process: the 32-bit hash that identifies it in reports.
 func Hash(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// WorkerHash returns the hash that identifies a worker in reports, given the name of its
-// incarnation. It is the same for all incarnations: loads are reported anew several times a
-// second, and processes that don't know about incarnations use the same hash.
+// WorkerHash returns the short name of a worker, given the name of its incarnation. It is the same
+// for all incarnations: loads are reported anew several times a second, and processes that don't
+// know about incarnations use the same hash.
 func WorkerHash(name string) uint32 { return Hash(incarnation.WorkerID(name)) }
 
 // Hub sums up reports. It does no I/O and is not safe for concurrent use.
@@ -77,14 +79,14 @@
 	processes int
 }
 
-// total is the load of several processes at a worker. pendingPrefill counts prompt tokens still to
+// total is the load of several processes at a worker. pendingTokens counts prompt tokens still to
 // be prefilled.
-type total struct{ online, batch, pendingPrefill int }
+type total struct{ online, batch, pendingTokens int }
 
 func (t total) plus(load *wire.WorkerLoad, sign int) total {
 	t.online += sign * int(load.Online)
 	t.batch += sign * int(load.Batch)
-	t.pendingPrefill += sign * int(load.Unread)
+	t.pendingTokens += sign * int(load.Unread)
 	return t
 }
 
@@ -204,7 +206,7 @@
 	}
 }
 
-// applyStats applies the outcomes and step times that a process observed at the workers.
+// applyStats applies the outcomes and event intervals that a process observed at the workers.
 func (h *Hub) applyStats(now time.Time, report *wire.LoadReport) {
 	for i := range report.Workers {
 		load := &report.Workers[i]
@@ -349,7 +351,7 @@
 	if stats := h.stats[load.Worker]; stats != nil {
 		load.Orphans = clamp16(stats.orphans.count(now))
 		load.Failing = stats.health.failing(now)
-		load.Step = stats.speed.step(now)
+		load.Step = stats.speed.eventInterval(now)
 		load.Rate = stats.speed.rate(now)
 	}
 	return load
@@ -372,7 +374,7 @@
 		Worker: worker,
 		Online: clamp16(t.online),
 		Batch:  clamp16(t.batch),
-		Unread: clamp32(t.pendingPrefill),
+		Unread: clamp32(t.pendingTokens),
 	}
 }
 
--- a/internal/loadshare/hubselector_test.go
+++ b/internal/loadshare/hubselector_test.go
@@ -17,14 +17,14 @@
 	lostAt = time.Second
 	for ; returnedAt == 0 && now < 10*time.Second; now += Interval {
 		target, _ := selector.next(now, hubs)
-		up := target != "a" || now < lostAt || now > 2*time.Second
-		if up {
+		answers := target != "a" || now < lostAt || now > 2*time.Second
+		if answers {
 			selector.recordAnswer(now)
 		}
 		switch {
 		case target == "b" && switchedAt == 0:
 			switchedAt = now
-		case switchedAt > 0 && target == "a" && up:
+		case switchedAt > 0 && target == "a" && answers:
 			returnedAt = now
 		}
 	}
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// selfCountReport returns a report of a process that has one request at worker 7 and was told by
-// that worker that it runs count requests in total.
+// selfCountReport returns a report of a process that has one request at worker 7, and to which
+// that worker reported that it runs count requests in total.
 func selfCountReport(source uint32, count uint16) *wire.LoadReport {
 	return &wire.LoadReport{Source: source, Workers: []wire.WorkerLoad{{Worker: 7, Online: 1, Told: count + 1}}}
 }
@@ -48,9 +48,9 @@
 	return 0
 }
 
-// TestOrphansAreDetectedAndExpire lets a worker tell two processes that it runs five requests more
-// than all processes have. They must count as orphans from the fourth answer on, and no longer
-// once the worker stops counting them or stops answering.
+// TestOrphansAreDetectedAndExpire lets a worker report to two processes that it runs five requests
+// more than all processes have. They must count as orphans from the fourth answer on, and no
+// longer once the worker stops counting them or stops answering.
 func TestOrphansAreDetectedAndExpire(t *testing.T) {
 	hub, now := NewHub(), start
 	hub.ApplyReport(now, selfCountReport(1, 2))
@@ -135,7 +135,7 @@
 }
 
 // TestFailingWorkersAreReported lets two processes observe one failure each at a worker: all processes
-// must be told to avoid it, and may try it again after some seconds.
+// must learn that it is to be avoided, and may try it again after some seconds.
 func TestFailingWorkersAreReported(t *testing.T) {
 	failing := func(hub *Hub, now time.Time) bool {
 		for _, load := range hub.PeerLoads(now, 9) {
@@ -295,7 +295,7 @@
 	var wg sync.WaitGroup
 	t.Cleanup(func() { cancel(); wg.Wait() })
 	address := freeUDP(t)
-	hub, quiet := NewHub(), 0
+	hub, unansweredReports := NewHub(), 0
 	var mutex sync.Mutex
 	unresponsive := false
 	wg.Go(func() {
@@ -304,7 +304,7 @@
 			defer mutex.Unlock()
 			hub.ApplyReport(time.Now(), report)
 			if report.Quiet {
-				quiet++
+				unansweredReports++
 			}
 			if report.Quiet || unresponsive {
 				return nil
@@ -369,7 +369,7 @@
 	}
 	mutex.Lock()
 	defer mutex.Unlock()
-	if quiet == 0 {
+	if unansweredReports == 0 {
 		t.Error("no report without an answer arrived")
 	}
 }
--- a/internal/loadshare/probe.go
+++ b/internal/loadshare/probe.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// probeIntervalDivisor sets the time between two probes to this fraction, a fifth, of the time
+	// probeIntervalDivisor sets the time between two probes to 1/probeIntervalDivisor of the time
 	// that the worker has been failing. A recovered worker is thus readmitted late by at most that
 	// fraction, and the number of probes grows with the logarithm of the time.
 	probeIntervalDivisor = 5
--- a/internal/loadshare/sample.go
+++ b/internal/loadshare/sample.go
@@ -91,7 +91,8 @@
 // rowWeight returns how much a row affects the choice of a worker.
 func rowWeight(row *wire.WorkerLoad) int {
 	load := int(row.Online) + int(row.Batch) + int(row.Orphans) + int(row.Start) + int(row.Stop)
-	// Observations since the last report are sent only once; together they count as one request.
+	// A row with observations since the last report weighs as much as one more request, because
+	// each observation is sent only once.
 	if row.Failing || row.Unread > 0 || row.Failed > 0 || row.Told > 0 || row.Answered > 0 || row.Steps > 0 {
 		load++
 	}
--- a/internal/loadshare/speed.go
+++ b/internal/loadshare/speed.go
@@ -10,9 +10,8 @@
 const (
 	// speedHalfLife is the time in which the weight of an observation halves.
 	speedHalfLife = time.Second
-	// minSteps is the minimum weight of steps that a mean rests on. A step is the time between two
-	// events.
-	minSteps = 2.0
+	// minIntervals is the minimum weight of event intervals that a mean rests on.
+	minIntervals = 2.0
 	// reportedRateSeconds is the time span, in seconds, that reported rates refer to.
 	reportedRateSeconds = 10
 )
@@ -22,36 +21,36 @@
 type workerSpeed struct {
 	updatedAt time.Time
 	answered  float64
-	steps     float64
-	// stepMicros is the sum of the times between events, in microseconds.
-	stepMicros float64
+	intervals float64
+	// intervalMicros is the sum of the intervals between events, in microseconds.
+	intervalMicros float64
 }
 
 // applyReport adds what a process observed since its last report.
 func (w *workerSpeed) applyReport(now time.Time, load *wire.WorkerLoad) {
 	w.decay(now)
 	w.answered += float64(load.Answered)
-	w.steps += float64(load.Steps)
-	w.stepMicros += float64(load.StepMicros)
+	w.intervals += float64(load.Steps)
+	w.intervalMicros += float64(load.StepMicros)
 }
 
 func (w *workerSpeed) decay(now time.Time) {
 	if !w.updatedAt.IsZero() {
 		weight := math.Exp2(-float64(now.Sub(w.updatedAt)) / float64(speedHalfLife))
 		w.answered *= weight
-		w.steps *= weight
-		w.stepMicros *= weight
+		w.intervals *= weight
+		w.intervalMicros *= weight
 	}
 	w.updatedAt = now
 }
 
-// step returns the mean time between events in microseconds, zero if unknown.
-func (w *workerSpeed) step(now time.Time) uint32 {
+// eventInterval returns the mean time between events in microseconds, zero if unknown.
+func (w *workerSpeed) eventInterval(now time.Time) uint32 {
 	w.decay(now)
-	if w.steps < minSteps {
+	if w.intervals < minIntervals {
 		return 0
 	}
-	return uint32(min(w.stepMicros/w.steps, math.MaxUint32))
+	return uint32(min(w.intervalMicros/w.intervals, math.MaxUint32))
 }
 
 // rate returns the number of online requests answered in ten seconds. At a constant rate, the
@@ -64,4 +63,4 @@
 }
 
 // stale reports whether all observations have decayed.
-func (w *workerSpeed) stale(now time.Time) bool { return w.step(now) == 0 && w.rate(now) == 0 }
+func (w *workerSpeed) stale(now time.Time) bool { return w.eventInterval(now) == 0 && w.rate(now) == 0 }
--- a/internal/loadshare/speed_test.go
+++ b/internal/loadshare/speed_test.go
@@ -8,9 +8,9 @@
 )
 
 // speedReport returns a report of a process that received the given number of answers from worker
-// 7 and saw the given number of steps there, which took micros in total.
-func speedReport(source uint32, answered, steps uint16, micros uint32) *wire.LoadReport {
-	return &wire.LoadReport{Source: source, Workers: []wire.WorkerLoad{{Worker: 7, Answered: answered, Steps: steps, StepMicros: micros}}}
+// 7 and observed the given number of event intervals there, which took micros in total.
+func speedReport(source uint32, answered, intervals uint16, micros uint32) *wire.LoadReport {
+	return &wire.LoadReport{Source: source, Workers: []wire.WorkerLoad{{Worker: 7, Answered: answered, Steps: intervals, StepMicros: micros}}}
 }
 
 func loadOf(hub *Hub, now time.Time) wire.WorkerLoad {
--- a/internal/loadshare/sums.go
+++ b/internal/loadshare/sums.go
@@ -14,8 +14,8 @@
 	minSelfCount    uint16
 	answered        int
 	failed          int
-	steps           int
-	stepMicros      int
+	intervals       int
+	intervalMicros  int
 	probesSucceeded int
 }
 
@@ -26,11 +26,11 @@
 	}
 	p.answered += int(load.Answered)
 	p.failed += int(load.Failed)
-	p.steps += int(load.Steps)
-	p.stepMicros += int(load.StepMicros)
+	p.intervals += int(load.Steps)
+	p.intervalMicros += int(load.StepMicros)
 }
 
-// Sums returns one report, sent under the given source hash, with the sums over all processes that
+// Sums returns one report, sent under the given short name, with the sums over all processes that
 // report here and what they observed at the workers since the last call. Once no process reports
 // any more it returns a last report, which withdraws the earlier sums, and after that nil.
 func (h *Hub) Sums(now time.Time, name uint32) *wire.LoadReport {
@@ -52,8 +52,8 @@
 		load.Told = stats.pending.minSelfCount
 		load.Answered = clamp16(stats.pending.answered)
 		load.Failed = clamp16(stats.pending.failed)
-		load.Steps = clamp16(stats.pending.steps)
-		load.StepMicros = clamp32(stats.pending.stepMicros)
+		load.Steps = clamp16(stats.pending.intervals)
+		load.StepMicros = clamp32(stats.pending.intervalMicros)
 		loads[worker] = load
 		stats.pending = pendingStats{}
 	}
