--- a/internal/loadshare/health.go
+++ b/internal/loadshare/health.go
@@ -12,10 +12,10 @@
 	// also at least the fraction minFailedFraction of its answers.
 	minFailedWeight   = 1.5
 	minFailedFraction = 0.2
-	// A worker to which no probe could be sent is readmitted without probes once the weight of its
-	// failures has fallen below negligibleWeight and no request has failed for timedReadmitDelay.
-	// The delay is longer than the time between two failed probes. negligibleWeight is also the
-	// weight of successes below which a rating may be dropped.
+	// An avoided worker is readmitted without probes once the weight of its failures has fallen
+	// below negligibleWeight and no request has failed for timedReadmitDelay. This is for the case
+	// that no probe could be sent: the delay is longer than the time between two failed probes.
+	// negligibleWeight is also the weight of successes below which a rating may be dropped.
 	negligibleWeight  = 0.3
 	timedReadmitDelay = maxProbeInterval + 2*probeTimeout
 	// probeWeight is the weight of a successful probe relative to a successful request that was
