--- a/internal/fairshare/fairshare.go
+++ b/internal/fairshare/fairshare.go
@@ -3,7 +3,7 @@
 //
 // Capacity is a rate, in requests a second, of whatever is scarce in one place. A division says how
 // much of it each claimant gets. Meter (meter.go) keeps the running account at the hub of a zone, and
-// says of each request whether its tenant is over its share. Fallback (recall.go) replaces the meter
+// says of each request whether its tenant is over its share. Fallback (fallback.go) replaces the meter
 // at an edge that gets no answer from the hub.
 package fairshare
 
@@ -248,8 +248,8 @@
 	return max(min(level*d.weights[i], d.maxGrants[i]), d.minGrants[i])
 }
 
-// maxLevelSteps bounds the search of a level: halving the interval in each step reaches the accuracy
-// of a float64 within it.
+// maxLevelSteps bounds the search for a level. With steps that halve the interval, the search
+// reaches the accuracy of a float64 within this number.
 const maxLevelSteps = 64
 
 // levelTolerance is the fraction of a budget that may be left over.
