--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -1,6 +1,6 @@
-// Package upstream sends opaque requests to workers over HTTP/1.1. Unlike
-// net/http's client it never sends a request twice, knows whether any byte of it
-// can have left, and drops every connection that showed an oddity.
+// Package upstream sends opaque requests to workers over HTTP/1.1. Unlike the client of net/http,
+// it never sends a request twice, knows whether any byte of the request may have reached the
+// worker, and closes every connection on which an unexpected response or extra bytes arrived.
 package upstream
 
 import (
@@ -26,18 +26,19 @@
 
 const (
 	dialTimeout = 400 * time.Millisecond
-	// longBody is the size from which a body is written while the answer is
-	// read, because a worker may answer first.
-	longBody = 16 << 10
-	// maxStrays bounds the answers of other requests that are passed over.
-	maxStrays = 2
-	// defaultIdle is how long a connection is kept where the worker tells
-	// nothing, and idleMargin how much earlier it is dropped where it does.
-	defaultIdle = 4 * time.Second
-	idleMargin  = 500 * time.Millisecond
+	// concurrentWriteBytes is the body size from which the body is written while the response is
+	// read, because a worker may respond before it has read the whole body.
+	concurrentWriteBytes = 16 << 10
+	// maxStrayResponses bounds the responses to other requests that are discarded before the
+	// response to this one.
+	maxStrayResponses = 2
+	// defaultIdleTimeout is how long an idle connection is kept if the worker sends no Keep-Alive
+	// timeout. If it sends one, the connection is closed idleMargin before that timeout ends.
+	defaultIdleTimeout = 4 * time.Second
+	idleMargin         = 500 * time.Millisecond
 )
 
-// Endpoint is a worker's incarnation and its address.
+// Endpoint is an incarnation of a worker and its address.
 type Endpoint struct {
 	ID      string
 	Address string
@@ -46,55 +47,56 @@
 // Request is an opaque request.
 type Request struct {
 	Method string
-	// Target is the path with the query, as it came.
+	// Target is the path with the query, as received from the caller.
 	Target  string
 	Host    string
 	Headers []wire.HeaderField
 	Body    []byte
-	// ID is the request's id, which the answer must carry if it carries any.
+	// ID is the request id. A response that carries another id is discarded.
 	ID string
 }
 
 // Client sends requests over pooled connections.
 type Client struct {
-	dialect *httpheader.Names
+	headers *httpheader.Names
 	dialer  net.Dialer
 	mutex   sync.Mutex
 	idle    map[string][]*connection
-	// Dialed and Reused count connections, under the mutex.
+	// dialed and reused count connections; guarded by mutex.
 	dialed uint64
 	reused uint64
 	meter  *traffic.Meter
-	// looks holds the looks at workers that broke off, by worker, while they last.
-	looks map[string]*look
-	// born holds since when workers have been there, where they were looked at.
-	born map[string]int64
+	// exitChecks holds the exit checks in progress, by worker.
+	exitChecks map[string]*exitCheck
+	// startTimes holds the start time that each worker last reported, in Unix milliseconds.
+	startTimes map[string]int64
 }
 
-// SetMeter makes the client count its requests in the meter. It must be called before
-// the first request.
+// SetMeter sets the meter that counts the bytes of requests. It must be called before the first
+// request.
 func (c *Client) SetMeter(meter *traffic.Meter) { c.meter = meter }
 
-// NewClient returns a client without connections.
+// NewClient returns a client without connections. The names say which headers carry request ids and
+// where workers report their start time.
 func NewClient(names *httpheader.Names) *Client {
-	return &Client{dialect: names, dialer: net.Dialer{Timeout: dialTimeout}, idle: map[string][]*connection{}, looks: map[string]*look{}, born: map[string]int64{}}
+	return &Client{headers: names, dialer: net.Dialer{Timeout: dialTimeout}, idle: map[string][]*connection{}, exitChecks: map[string]*exitCheck{}, startTimes: map[string]int64{}}
 }
 
-// Connections returns how many connections were made, and how many requests went
-// over one that was there.
+// Connections returns how many connections were opened, and how many requests reused an idle
+// connection.
 func (c *Client) Connections() (dialed, reused uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.dialed, c.reused
 }
 
-// CloseIdle drops the idle connections to all workers but those that keep accepts.
+// CloseIdle closes the idle connections to all workers except those for which keep returns true.
 func (c *Client) CloseIdle(keep func(id string) bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for id := range c.born {
+	for id := range c.startTimes {
 		if !keep(id) {
-			delete(c.born, id)
+			delete(c.startTimes, id)
 		}
 	}
 	for id, connections := range c.idle {
@@ -108,7 +110,7 @@
 	}
 }
 
-func (c *Client) take(id string) *connection {
+func (c *Client) takeIdle(id string) *connection {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := clock.Now()
@@ -119,7 +121,7 @@
 		}
 		last := connections[len(connections)-1]
 		c.idle[id] = connections[:len(connections)-1]
-		if now.Before(last.idleUntil) && last.quiet() {
+		if now.Before(last.idleUntil) && last.isClean() {
 			c.reused++
 			return last
 		}
@@ -127,14 +129,14 @@
 	}
 }
 
-func (c *Client) keep(id string, connection *connection) {
+func (c *Client) putIdle(id string, connection *connection) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.idle[id] = append(c.idle[id], connection)
 }
 
 func (c *Client) connect(ctx context.Context, endpoint Endpoint) (*connection, error) {
-	if pooled := c.take(endpoint.ID); pooled != nil {
+	if pooled := c.takeIdle(endpoint.ID); pooled != nil {
 		return pooled, nil
 	}
 	conn, err := c.dialer.DialContext(ctx, "tcp", endpoint.Address)
@@ -147,46 +149,45 @@
 	return newConnection(conn), nil
 }
 
-// Send sends a request and returns the head of its answer. The failure is NotRun
-// where no byte can have left, and OutcomeUnknown otherwise. The answer must be
-// closed; the end of ctx breaks the connection. headBy bounds the wait for the
-// head.
-func (c *Client) Send(ctx context.Context, endpoint Endpoint, request *Request, headBy time.Time) (*Response, error) {
+// Send sends a request and returns the head of its response. The failure is NotRun if no byte can
+// have reached the worker, else OutcomeUnknown. The caller must close the response. When ctx ends,
+// the connection is closed. headDeadline bounds the wait for the head.
+func (c *Client) Send(ctx context.Context, endpoint Endpoint, request *Request, headDeadline time.Time) (*Response, error) {
 	connection, err := c.connect(ctx, endpoint)
 	if err != nil {
 		return nil, err
 	}
-	return c.sendOver(ctx, endpoint, connection, request, headBy)
+	return c.sendOver(ctx, endpoint, connection, request, headDeadline)
 }
 
-// sendOver sends a request over a connection.
-func (c *Client) sendOver(ctx context.Context, endpoint Endpoint, connection *connection, request *Request, headBy time.Time) (*Response, error) {
+// sendOver sends a request over the given connection.
+func (c *Client) sendOver(ctx context.Context, endpoint Endpoint, connection *connection, request *Request, headDeadline time.Time) (*Response, error) {
 	response := &Response{client: c, endpoint: endpoint, connection: connection, written: make(chan error, 1)}
-	response.release = context.AfterFunc(ctx, func() { _ = connection.Close() })
+	response.stopCancel = context.AfterFunc(ctx, func() { _ = connection.Close() })
 	if err := response.write(request); err != nil {
 		response.Close()
-		return nil, c.unknown(err, endpoint, "the request broke off")
+		return nil, c.outcomeUnknown(err, endpoint, "the request broke off")
 	}
-	if err := connection.SetReadDeadline(headBy); err != nil {
+	if err := connection.SetReadDeadline(headDeadline); err != nil {
 		response.Close()
-		return nil, c.unknown(err, endpoint, "the connection broke")
+		return nil, c.outcomeUnknown(err, endpoint, "the connection broke")
 	}
-	if err := response.readHead(request, c.dialect.RequestID); err != nil {
+	if err := response.readHead(request, c.headers.RequestID); err != nil {
 		response.Close()
-		return nil, c.unknown(err, endpoint, "there was no answer")
+		return nil, c.outcomeUnknown(err, endpoint, "there was no answer")
 	}
 	return response, nil
 }
 
-func (c *Client) unknown(err error, endpoint Endpoint, what string) error {
+func (c *Client) outcomeUnknown(err error, endpoint Endpoint, what string) error {
 	return failure.Wrap(err, failure.OutcomeUnknown, "ask again if the request may be repeated", "worker %s: %s", endpoint.ID, what)
 }
 
-// Response is an answer whose body is still to be read.
+// Response is a response whose body has not been read yet.
 type Response struct {
 	Status int
 	Header http.Header
-	// Length is the length of the body, or -1 if it is not told.
+	// Length is the length of the body in bytes, or -1 if unknown.
 	Length int64
 
 	client     *Client
@@ -194,17 +195,17 @@
 	connection *connection
 	response   *http.Response
 	written    chan error
-	release    func() bool
-	// whole is set once the body has ended as it should.
-	whole bool
-	// strays counts answers of other requests that came first.
-	strays int
+	stopCancel func() bool
+	// complete is set once the body was read to its end without an error.
+	complete bool
+	// strayResponses counts responses to other requests that came first.
+	strayResponses int
 }
 
-// write sends the request; long bodies go on their way beside the answer.
+// write sends the request. Long bodies are written in the background while the response is read.
 func (r *Response) write(request *Request) error {
 	head := encodeHead(request)
-	if len(request.Body) < longBody {
+	if len(request.Body) < concurrentWriteBytes {
 		_, err := r.connection.Write(append(head, request.Body...))
 		r.written <- err
 		return err
@@ -233,32 +234,32 @@
 	return head.Bytes()
 }
 
-var errStray = errors.New("answers of other requests came instead")
+var errStrayResponses = errors.New("answers of other requests came instead")
 
-// readHead reads heads until one belongs to the request.
+// readHead reads response heads until one belongs to the request.
 func (r *Response) readHead(request *Request, idHeader string) error {
-	asked := &http.Request{Method: request.Method}
+	httpRequest := &http.Request{Method: request.Method}
 	for {
-		response, err := readResponse(r.connection.reader, asked)
+		response, err := readResponse(r.connection.reader, httpRequest)
 		if err != nil {
 			return err
 		}
 		echoed := response.Header.Get(idHeader)
 		if echoed == "" || echoed == request.ID {
-			r.adopt(response)
+			r.setResponse(response)
 			return nil
 		}
-		r.strays++
-		if r.strays > maxStrays || response.Close || discard(response) != nil {
-			return errStray
+		r.strayResponses++
+		if r.strayResponses > maxStrayResponses || response.Close || discard(response) != nil {
+			return errStrayResponses
 		}
 	}
 }
 
-// readResponse reads one final head.
-func readResponse(reader *bufio.Reader, asked *http.Request) (*http.Response, error) {
+// readResponse reads the head of one final response and skips informational (1xx) ones.
+func readResponse(reader *bufio.Reader, httpRequest *http.Request) (*http.Response, error) {
 	for {
-		response, err := http.ReadResponse(reader, asked)
+		response, err := http.ReadResponse(reader, httpRequest)
 		if err != nil || response.StatusCode >= http.StatusOK {
 			return response, err
 		}
@@ -269,7 +270,7 @@
 	buffer := make([]byte, readBufferBytes)
 	for {
 		if _, err := response.Body.Read(buffer); err != nil {
-			if isEnd(err) {
+			if isEOF(err) {
 				return nil
 			}
 			return err
@@ -277,43 +278,43 @@
 	}
 }
 
-func (r *Response) adopt(response *http.Response) {
+func (r *Response) setResponse(response *http.Response) {
 	r.response = response
 	r.Status = response.StatusCode
 	r.Header = response.Header
 	r.Length = response.ContentLength
 }
 
-// Read reads from the body. It returns io.EOF only at the end of a whole body.
+// Read reads from the body. It returns io.EOF only at the end of a complete body.
 func (r *Response) Read(buffer []byte) (int, error) {
 	count, err := r.response.Body.Read(buffer)
-	if err != nil && isEnd(err) {
-		r.whole = true
+	if err != nil && isEOF(err) {
+		r.complete = true
 	}
 	return count, err
 }
 
-// SetReadDeadline bounds the wait for more of the body.
+// SetReadDeadline sets the deadline for reads of the body.
 func (r *Response) SetReadDeadline(at time.Time) error { return r.connection.SetReadDeadline(at) }
 
-// Close ends the exchange. The connection is kept only if the request went out
-// whole, the answer ended as it should and nothing odd was seen; otherwise it is
-// closed, which cancels the request at the worker.
+// Close ends the exchange. The connection returns to the pool only if the request was written
+// whole, the response was complete and nothing unexpected was received. Otherwise it is closed,
+// which cancels the request at the worker.
 func (r *Response) Close() {
-	intact := r.release()
-	c := r.connection
-	r.client.meter.Add(traffic.Requests, r.endpoint.Address, int(c.sent.Swap(0)), int(c.received.Swap(0)))
+	intact := r.stopCancel()
+	conn := r.connection
+	r.client.meter.Add(traffic.Requests, r.endpoint.Address, int(conn.sent.Swap(0)), int(conn.received.Swap(0)))
 	if !intact || !r.reusable() {
 		_ = r.connection.Close()
 		return
 	}
 	r.connection.reused = true
-	r.connection.idleUntil = clock.Now().Add(keepFor(r.Header))
-	r.client.keep(r.endpoint.ID, r.connection)
+	r.connection.idleUntil = clock.Now().Add(idleTimeout(r.Header))
+	r.client.putIdle(r.endpoint.ID, r.connection)
 }
 
 func (r *Response) reusable() bool {
-	if r.response == nil || !r.whole || r.response.Close || r.strays > 0 || r.connection.reader.Buffered() > 0 {
+	if r.response == nil || !r.complete || r.response.Close || r.strayResponses > 0 || r.connection.reader.Buffered() > 0 {
 		return false
 	}
 	select {
@@ -324,8 +325,8 @@
 	}
 }
 
-// keepFor returns how long a connection may rest after an answer.
-func keepFor(header http.Header) time.Duration {
+// idleTimeout returns how long a connection may stay idle after a response with the given headers.
+func idleTimeout(header http.Header) time.Duration {
 	for _, parameter := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(parameter), "=")
 		seconds, err := strconv.Atoi(value)
@@ -333,5 +334,5 @@
 			return time.Duration(seconds)*time.Second - idleMargin
 		}
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -16,14 +16,14 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// patience bounds what a test waits for a peer on the same machine.
-const patience = 10 * time.Second
+// testTimeout bounds the waits of tests for a peer on the same machine.
+const testTimeout = 10 * time.Second
 
-// script answers the requests of one connection: each function gets the request
-// read and writes what it likes. After the last one the connection is closed.
+// script handles the requests of one connection: each function gets one request and writes the
+// response. After the last function the connection is closed.
 type script []func(request *http.Request, body string, connection net.Conn)
 
-// worker runs a script per connection and counts the requests.
+// worker serves each connection with one script and counts the requests.
 type worker struct {
 	endpoint Endpoint
 	requests atomic.Int64
@@ -43,13 +43,13 @@
 			if err != nil {
 				return
 			}
-			go w.play(steps, connection)
+			go w.serve(steps, connection)
 		}
 	}()
 	return w
 }
 
-func (w *worker) play(steps script, connection net.Conn) {
+func (w *worker) serve(steps script, connection net.Conn) {
 	defer connection.Close()
 	reader := bufio.NewReader(connection)
 	for _, step := range steps {
@@ -66,20 +66,20 @@
 	}
 }
 
-// say writes a fixed answer.
-func say(answer string) func(*http.Request, string, net.Conn) {
+// respondWith writes a fixed response.
+func respondWith(answer string) func(*http.Request, string, net.Conn) {
 	return func(_ *http.Request, _ string, connection net.Conn) { _, _ = connection.Write([]byte(answer)) }
 }
 
-func answer(id, body string) string {
+func okResponse(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nSedgemast-Request-Id: " + id + "\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
-func ask(t *testing.T, client *Client, w *worker, id string) (string, error) {
+func send(t *testing.T, client *Client, w *worker, id string) (string, error) {
 	t.Helper()
 	request := &Request{Method: http.MethodPost, Target: "/p/a?b=c", Host: "h.example", ID: id, Body: []byte("hello"),
 		Headers: []wire.HeaderField{{Name: "Sedgemast-Request-Id", Value: id}}}
-	response, err := client.Send(context.Background(), w.endpoint, request, time.Now().Add(patience))
+	response, err := client.Send(context.Background(), w.endpoint, request, time.Now().Add(testTimeout))
 	if err != nil {
 		return "", err
 	}
@@ -88,25 +88,25 @@
 	return string(body), err
 }
 
-func TestRequestArrivesAsItIs(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	got := make(chan string, 1)
 	w := startWorker(t, script{func(request *http.Request, body string, connection net.Conn) {
 		got <- request.Method + " " + request.RequestURI + " " + request.Host + " " + request.Header.Get("Sedgemast-Request-Id") + " " + body
-		say(answer("1", "ok"))(request, body, connection)
+		respondWith(okResponse("1", "ok"))(request, body, connection)
 	}})
-	if body, err := ask(t, NewClient(httpheader.Default()), w, "1"); err != nil || body != "ok" {
+	if body, err := send(t, NewClient(httpheader.Default()), w, "1"); err != nil || body != "ok" {
 		t.Fatalf("%q, %v", body, err)
 	}
 	if want := "POST /p/a?b=c h.example 1 hello"; <-got != want {
-		t.Errorf("the worker did not get %q", want)
+		t.Errorf("the worker did not receive %q", want)
 	}
 }
 
-func TestConnectionIsKept(t *testing.T) {
-	w := startWorker(t, script{say(answer("1", "a")), say(answer("2", "b"))})
+func TestConnectionIsReused(t *testing.T) {
+	w := startWorker(t, script{respondWith(okResponse("1", "a")), respondWith(okResponse("2", "b"))})
 	client := NewClient(httpheader.Default())
 	for _, id := range []string{"1", "2"} {
-		if _, err := ask(t, client, w, id); err != nil {
+		if _, err := send(t, client, w, id); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -115,24 +115,24 @@
 	}
 }
 
-// TestOddConnectionsAreDropped checks that a connection that showed an oddity
-// carries no second request, and that none is sent twice.
-func TestOddConnectionsAreDropped(t *testing.T) {
+// TestConnectionClosedAfterUnexpectedResponse checks that a connection is not reused after an
+// unexpected response, and that no request is sent twice.
+func TestConnectionClosedAfterUnexpectedResponse(t *testing.T) {
 	cases := map[string]string{
-		"bytes after the answer":  answer("1", "a") + "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra",
-		"connection: close":       "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\na",
-		"no length":               "HTTP/1.0 200 OK\r\n\r\na",
-		"a stray answer before":   answer("0", "x") + answer("1", "a"),
-		"a keep-alive of nothing": "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 1\r\n\r\na",
+		"bytes after the answer":            okResponse("1", "a") + "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra",
+		"connection: close":                 "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\na",
+		"no length":                         "HTTP/1.0 200 OK\r\n\r\na",
+		"response to another request first": okResponse("0", "x") + okResponse("1", "a"),
+		"keep-alive timeout of zero":        "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 1\r\n\r\na",
 	}
 	for name, first := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := startWorker(t, script{say(first)}, script{say(answer("2", "b"))})
+			w := startWorker(t, script{respondWith(first)}, script{respondWith(okResponse("2", "b"))})
 			client := NewClient(httpheader.Default())
-			if body, err := ask(t, client, w, "1"); err != nil || body != "a" {
+			if body, err := send(t, client, w, "1"); err != nil || body != "a" {
 				t.Fatalf("%q, %v", body, err)
 			}
-			if body, err := ask(t, client, w, "2"); err != nil || body != "b" {
+			if body, err := send(t, client, w, "2"); err != nil || body != "b" {
 				t.Fatalf("%q, %v", body, err)
 			}
 			if dialed, _ := client.Connections(); dialed != 2 || w.requests.Load() != 2 {
@@ -150,17 +150,17 @@
 		"cut within the head":   "HTTP/1.1 200 OK\r\nConte",
 		"no answer at all":      "",
 		"no HTTP":               "hello\r\n\r\n",
-		"only strays":           answer("8", "x") + answer("9", "y") + answer("7", "z") + answer("6", "z"),
+		"only strays":           okResponse("8", "x") + okResponse("9", "y") + okResponse("7", "z") + okResponse("6", "z"),
 	}
 	for name, first := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := startWorker(t, script{say(first)})
-			body, err := ask(t, NewClient(httpheader.Default()), w, "1")
+			w := startWorker(t, script{respondWith(first)})
+			body, err := send(t, NewClient(httpheader.Default()), w, "1")
 			if err == nil {
-				t.Fatalf("it counts as whole: %q", body)
+				t.Fatalf("a broken response was accepted as complete: %q", body)
 			}
 			if failure.Is(err, failure.NotRun) {
-				t.Errorf("it counts as not run: %v", err)
+				t.Errorf("the failure is NotRun, though the request was sent: %v", err)
 			}
 			if w.requests.Load() != 1 {
 				t.Errorf("%d requests were sent", w.requests.Load())
@@ -176,22 +176,22 @@
 	}
 	w := &worker{endpoint: Endpoint{ID: "w-1", Address: listener.Addr().String()}}
 	_ = listener.Close()
-	if _, err := ask(t, NewClient(httpheader.Default()), w, "1"); !failure.Is(err, failure.NotRun) {
+	if _, err := send(t, NewClient(httpheader.Default()), w, "1"); !failure.Is(err, failure.NotRun) {
 		t.Errorf("%v", err)
 	}
 }
 
-func TestEndOfContextCancelsAtTheWorker(t *testing.T) {
+func TestContextCancelClosesWorkerConnection(t *testing.T) {
 	closed := make(chan struct{})
 	w := startWorker(t, script{func(_ *http.Request, _ string, connection net.Conn) {
 		_, _ = connection.Write([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n"))
-		// The read ends when the other side closes.
+		// The read returns when the other side closes the connection.
 		_, _ = connection.Read(make([]byte, 1))
 		close(closed)
 	}})
 	ctx, cancel := context.WithCancel(context.Background())
 	request := &Request{Method: http.MethodPost, Target: "/", Host: "h"}
-	response, err := NewClient(httpheader.Default()).Send(ctx, w.endpoint, request, time.Now().Add(patience))
+	response, err := NewClient(httpheader.Default()).Send(ctx, w.endpoint, request, time.Now().Add(testTimeout))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -199,12 +199,12 @@
 	cancel()
 	select {
 	case <-closed:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the worker's connection is still open")
 	}
 }
 
-func TestSilenceTimesOut(t *testing.T) {
+func TestUnansweredRequestTimesOut(t *testing.T) {
 	w := startWorker(t, script{func(_ *http.Request, _ string, connection net.Conn) { _, _ = connection.Read(make([]byte, 1)) }})
 	request := &Request{Method: http.MethodGet, Target: "/", Host: "h"}
 	_, err := NewClient(httpheader.Default()).Send(context.Background(), w.endpoint, request, time.Now().Add(20*time.Millisecond))
@@ -213,8 +213,8 @@
 	}
 }
 
-// TestEarlyAnswer checks that the rest of a long body that the worker had not
-// read is never taken for a next request: the connection is not kept.
+// TestEarlyAnswer checks that a connection is not reused if the worker responded before it had read
+// the whole body. Otherwise the worker would take the rest of the body for the next request.
 func TestEarlyAnswer(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -234,22 +234,22 @@
 	}()
 	client := NewClient(httpheader.Default())
 	request := &Request{Method: http.MethodPost, Target: "/", Host: "h", Body: make([]byte, 32<<20)}
-	response, err := client.Send(context.Background(), Endpoint{ID: "w", Address: listener.Addr().String()}, request, time.Now().Add(patience))
+	response, err := client.Send(context.Background(), Endpoint{ID: "w", Address: listener.Addr().String()}, request, time.Now().Add(testTimeout))
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, _ = io.ReadAll(response)
 	response.Close()
 	close(release)
-	if client.take("w") != nil {
-		t.Error("the connection was kept")
+	if client.takeIdle("w") != nil {
+		t.Error("the connection was kept for reuse")
 	}
 }
 
-// TestAnswerBeforeTheSilence reads from a connection whose time was over long ago, as after a
-// standstill of this process: what the worker sent meanwhile is read, and nothing is a
-// timeout still.
-func TestAnswerBeforeTheSilence(t *testing.T) {
+// TestReadAfterStallReturnsReceivedData reads from a connection whose deadline passed long ago, as
+// after a stall of this process. Data that the worker sent in the meantime must be returned;
+// without data the read must time out.
+func TestReadAfterStallReturnsReceivedData(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -269,15 +269,15 @@
 		t.Fatal(err)
 	}
 	c := newConnection(dialed)
-	long := time.Now().Add(-time.Minute)
-	if err := c.SetReadDeadline(long); err != nil {
+	expired := time.Now().Add(-time.Minute)
+	if err := c.SetReadDeadline(expired); err != nil {
 		t.Fatal(err)
 	}
 	buffer := make([]byte, 16)
 	if count, err := c.Read(buffer); err != nil || string(buffer[:count]) != "event" {
 		t.Errorf("%q, %v", buffer[:count], err)
 	}
-	if err := c.SetReadDeadline(long); err != nil {
+	if err := c.SetReadDeadline(expired); err != nil {
 		t.Fatal(err)
 	}
 	if count, err := c.Read(buffer); !TimedOut(err) {
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -10,26 +10,28 @@
 
 const readBufferBytes = 8 << 10
 
-// connection is one connection to a worker. It carries one request at a time.
+// connection is a TCP connection to a worker. It carries one request at a time.
 type connection struct {
 	net.Conn
 	reader *bufio.Reader
-	// sent and received count the bytes of the present request.
+	// sent and received count the bytes of the current request.
 	sent     atomic.Int64
 	received atomic.Int64
-	// reused is set once it has carried a request.
+	// reused is set once the connection has carried a request.
 	reused bool
-	// idleUntil is when the worker may close it.
+	// idleUntil is the time from which the worker may close the idle connection.
 	idleUntil time.Time
-	// readBy is until when a read waits.
-	readBy time.Time
+	// readDeadline is the deadline of reads.
+	readDeadline time.Time
 }
 
 const (
-	// lateAfter is by how much a read may end after its time in a process that runs.
-	lateAfter = 100 * time.Millisecond
-	// lookTime is how long what has come meanwhile is read after a standstill.
-	lookTime = 20 * time.Millisecond
+	// lateThreshold is the delay after the deadline from which a timed out read counts as late,
+	// because the process was stalled.
+	lateThreshold = 100 * time.Millisecond
+	// rereadTimeout bounds the second read after a stall, which returns data that has already
+	// arrived.
+	rereadTimeout = 20 * time.Millisecond
 )
 
 func newConnection(conn net.Conn) *connection {
@@ -40,17 +42,16 @@
 
 // SetReadDeadline implements net.Conn.
 func (c *connection) SetReadDeadline(at time.Time) error {
-	c.readBy = at
+	c.readDeadline = at
 	return c.Conn.SetReadDeadline(at)
 }
 
-// Read implements net.Conn. Where its time ends long after it should have, this process
-// stood still: the worker may have answered in time, so that is looked for before its
-// silence counts.
+// Read implements net.Conn. If a read times out long after its deadline, this process was stalled
+// and the worker may have responded in time. So Read tries once more before it reports the timeout.
 func (c *connection) Read(buffer []byte) (int, error) {
 	count, err := c.Conn.Read(buffer)
-	if late := time.Since(c.readBy); err != nil && count == 0 && !c.readBy.IsZero() && late > lateAfter && TimedOut(err) {
-		if c.SetReadDeadline(time.Now().Add(lookTime)) == nil {
+	if late := time.Since(c.readDeadline); err != nil && count == 0 && !c.readDeadline.IsZero() && late > lateThreshold && TimedOut(err) {
+		if c.SetReadDeadline(time.Now().Add(rereadTimeout)) == nil {
 			count, err = c.Conn.Read(buffer)
 		}
 	}
@@ -65,9 +66,9 @@
 	return count, err
 }
 
-// quiet reports whether an idle connection is open and holds no bytes: what came
-// after the last answer belongs to no request.
-func (c *connection) quiet() bool {
+// isClean reports whether an idle connection is open and has no unread bytes. Bytes after the last
+// response belong to no request.
+func (c *connection) isClean() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -79,12 +80,12 @@
 	if err != nil {
 		return false
 	}
-	silent := false
+	empty := false
 	err = raw.Read(func(descriptor uintptr) bool {
 		var one [1]byte
 		_, _, peekErr := syscall.Recvfrom(int(descriptor), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		silent = peekErr == syscall.EAGAIN
+		empty = peekErr == syscall.EAGAIN
 		return true
 	})
-	return err == nil && silent
+	return err == nil && empty
 }
--- a/internal/upstream/end.go
+++ b/internal/upstream/end.go
@@ -7,10 +7,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// isEnd reports whether a body ended as it should.
-func isEnd(err error) bool { return err == io.EOF }
+// isEOF reports whether a body was read to its end.
+func isEOF(err error) bool { return err == io.EOF }
 
-// TimedOut reports whether a read ended because nothing came in time.
+// TimedOut reports whether a read failed because its deadline passed.
 func TimedOut(err error) bool {
 	var timeout net.Error
 	return errors.As(err, &timeout) && timeout.Timeout()
--- a/internal/upstream/ended.go
+++ b/internal/upstream/ended.go
@@ -12,98 +12,98 @@
 	"github.com/cockroachdb/errors"
 )
 
-// endedTimeout bounds the look whether a worker has ended: the machine has just sent the
-// end of a connection, so it answers within a round trip, or not at all.
-const endedTimeout = 150 * time.Millisecond
+// exitCheckTimeout bounds an exit check. The machine has just sent the end of a connection, so it
+// responds within a round trip or not at all.
+const exitCheckTimeout = 150 * time.Millisecond
 
-// Disconnected reports whether an exchange ended because the other side closed or reset the
-// connection in the midst of it.
+// Disconnected reports whether an exchange failed because the other side closed or reset the
+// connection before the end of the response.
 func Disconnected(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// look is a look at a worker that others wait for.
-type look struct {
+// exitCheck is a check whether a worker has exited, shared by all requests that wait for it.
+type exitCheck struct {
 	done chan struct{}
-	// refused is set where nobody listens at the address. born is since when the worker that
-	// does listen has been there, in milliseconds by its clock, zero for unknown; before is
-	// the same at an earlier look.
-	refused bool
-	born    int64
-	before  int64
+	// refused is set if nothing listens at the address. startTime is the start time that the worker
+	// reported, in Unix milliseconds by its own clock, or zero if unknown. previousStart is the
+	// start time from an earlier check, or zero.
+	refused       bool
+	startTime     int64
+	previousStart int64
 }
 
-// WorkerExited reports whether the worker, which has just broken off a request that began at
-// began, has ended: nobody listens at its address any more, or it says that it has started
-// since. A reset connection, a spoilt answer or a silent network is not an end. Those who
-// ask at the same time share one look.
-func (c *Client) WorkerExited(ctx context.Context, endpoint Endpoint, began time.Time) bool {
+// WorkerExited reports whether the worker, which has just disconnected during a request sent at
+// requestStart, has exited: nothing listens at its address any more, or the start time that it
+// reports shows a restart. A reset connection, a malformed response or an unresponsive network does
+// not count as an exit. Concurrent calls for one worker share one check.
+func (c *Client) WorkerExited(ctx context.Context, endpoint Endpoint, requestStart time.Time) bool {
 	c.mutex.Lock()
-	shared := c.looks[endpoint.ID]
-	if shared == nil {
-		shared = &look{done: make(chan struct{})}
-		c.looks[endpoint.ID] = shared
-		go c.look(endpoint, shared)
+	check := c.exitChecks[endpoint.ID]
+	if check == nil {
+		check = &exitCheck{done: make(chan struct{})}
+		c.exitChecks[endpoint.ID] = check
+		go c.checkExit(endpoint, check)
 	}
 	c.mutex.Unlock()
 	select {
-	case <-shared.done:
-		return shared.ended(began)
+	case <-check.done:
+		return check.exited(requestStart)
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// ended reports whether a life that had a request at began is over. Where an earlier look
-// does not show it, the worker's time of day has to do, against this machine's.
-func (l *look) ended(began time.Time) bool {
+// exited reports whether the incarnation that received a request at requestStart has exited. If no
+// earlier check shows this, the worker's start time is compared with this machine's wall clock.
+func (e *exitCheck) exited(requestStart time.Time) bool {
 	switch {
-	case l.refused:
+	case e.refused:
 		return true
-	case l.born == 0:
+	case e.startTime == 0:
 		return false
-	case l.before != 0 && l.born != l.before:
+	case e.previousStart != 0 && e.startTime != e.previousStart:
 		return true
 	}
-	return l.born > time.Now().Add(-clock.Since(began)).UnixMilli()
+	return e.startTime > time.Now().Add(-clock.Since(requestStart)).UnixMilli()
 }
 
-func (c *Client) look(endpoint Endpoint, l *look) {
-	// Whoever asked first may leave before the others.
-	ctx, cancel := context.WithTimeout(context.Background(), endedTimeout)
+func (c *Client) checkExit(endpoint Endpoint, check *exitCheck) {
+	// The check is shared, so the context of the first caller must not cancel it.
+	ctx, cancel := context.WithTimeout(context.Background(), exitCheckTimeout)
 	defer cancel()
 	conn, err := c.dialer.DialContext(ctx, "tcp", endpoint.Address)
-	l.refused = errors.Is(err, syscall.ECONNREFUSED)
+	check.refused = errors.Is(err, syscall.ECONNREFUSED)
 	if err == nil {
-		l.born = c.askBorn(ctx, endpoint, newConnection(conn))
+		check.startTime = c.fetchStartTime(ctx, endpoint, newConnection(conn))
 	}
 	c.mutex.Lock()
-	delete(c.looks, endpoint.ID)
+	delete(c.exitChecks, endpoint.ID)
 	if err == nil {
 		c.dialed++
 	}
-	l.before = c.born[endpoint.ID]
+	check.previousStart = c.startTimes[endpoint.ID]
 	switch {
-	case l.refused:
-		delete(c.born, endpoint.ID)
-	case l.born != 0:
-		c.born[endpoint.ID] = l.born
+	case check.refused:
+		delete(c.startTimes, endpoint.ID)
+	case check.startTime != 0:
+		c.startTimes[endpoint.ID] = check.startTime
 	}
 	c.mutex.Unlock()
-	close(l.done)
+	close(check.done)
 }
 
-// askBorn asks a worker since when it has been there, and keeps the connection. It returns
-// zero where the worker does not tell.
-func (c *Client) askBorn(ctx context.Context, endpoint Endpoint, fresh *connection) int64 {
-	if c.dialect.ReportPath == "" {
-		fresh.idleUntil = clock.Now().Add(defaultIdle)
-		c.keep(endpoint.ID, fresh)
+// fetchStartTime reads the start time from the worker's report and keeps the connection. It returns
+// zero if the worker does not report it.
+func (c *Client) fetchStartTime(ctx context.Context, endpoint Endpoint, conn *connection) int64 {
+	if c.headers.ReportPath == "" {
+		conn.idleUntil = clock.Now().Add(defaultIdleTimeout)
+		c.putIdle(endpoint.ID, conn)
 		return 0
 	}
-	request := &Request{Method: http.MethodGet, Target: c.dialect.ReportPath, Host: endpoint.Address}
-	response, err := c.sendOver(ctx, endpoint, fresh, request, time.Now().Add(endedTimeout))
+	request := &Request{Method: http.MethodGet, Target: c.headers.ReportPath, Host: endpoint.Address}
+	response, err := c.sendOver(ctx, endpoint, conn, request, time.Now().Add(exitCheckTimeout))
 	if err != nil {
 		return 0
 	}
@@ -112,8 +112,8 @@
 	if err != nil || response.Status != http.StatusOK {
 		return 0
 	}
-	return c.dialect.ParseStartTime(body)
+	return c.headers.ParseStartTime(body)
 }
 
-// maxReportBytes bounds what a worker says of itself.
+// maxReportBytes bounds the report that a worker returns.
 const maxReportBytes = 64 << 10
--- a/internal/upstream/ended_test.go
+++ b/internal/upstream/ended_test.go
@@ -11,13 +11,13 @@
 	"github.com/sedgemast/sedgemast/internal/httpheader"
 )
 
-// TestEndedIsSeen tells a worker that has ended from one that only broke a connection
-// off, and from a machine that says nothing.
-func TestEndedIsSeen(t *testing.T) {
-	breakOff := script{func(_ *http.Request, _ string, _ net.Conn) {}}
+// TestWorkerExited checks that an exited worker is told apart from one that only closed a
+// connection.
+func TestWorkerExited(t *testing.T) {
+	disconnect := script{func(_ *http.Request, _ string, _ net.Conn) {}}
 	for _, test := range []struct {
-		name string
-		ends bool
+		name  string
+		exits bool
 	}{{"ended", true}, {"broke off", false}} {
 		t.Run(test.name, func(t *testing.T) {
 			listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -31,46 +31,46 @@
 				if err != nil {
 					return
 				}
-				if test.ends {
+				if test.exits {
 					_ = listener.Close()
 				}
-				w.play(breakOff, connection)
+				w.serve(disconnect, connection)
 			}()
 			client := NewClient(httpheader.Default())
-			_, err = client.Send(context.Background(), w.endpoint, &Request{Method: http.MethodPost, Target: "/", Host: "h", ID: "a"}, time.Now().Add(patience))
+			_, err = client.Send(context.Background(), w.endpoint, &Request{Method: http.MethodPost, Target: "/", Host: "h", ID: "a"}, time.Now().Add(testTimeout))
 			if !Disconnected(err) {
-				t.Fatalf("the end of the exchange is %v", err)
+				t.Fatalf("the error is not a disconnect: %v", err)
 			}
-			if ended := client.WorkerExited(context.Background(), w.endpoint, clock.Now()); ended != test.ends {
-				t.Errorf("ended %t", ended)
+			if exited := client.WorkerExited(context.Background(), w.endpoint, clock.Now()); exited != test.exits {
+				t.Errorf("exited %t", exited)
 			}
-			if kept := len(client.idle[w.endpoint.ID]); kept > 0 == test.ends {
-				t.Errorf("%d connections are kept", kept)
+			if kept := len(client.idle[w.endpoint.ID]); kept > 0 == test.exits {
+				t.Errorf("%d idle connections", kept)
 			}
 		})
 	}
 }
 
-// TestEndedByStart judges by what a look has found: since when the worker has been there,
-// and what an earlier look found.
-func TestEndedByStart(t *testing.T) {
+// TestExitedByStartTime checks the decision on the results of an exit check: the start time of the
+// worker and the one from an earlier check.
+func TestExitedByStartTime(t *testing.T) {
 	now := time.Now().UnixMilli()
 	began := clock.Now().Add(-time.Second)
 	for _, test := range []struct {
-		name string
-		look look
-		want bool
+		name  string
+		check exitCheck
+		want  bool
 	}{
-		{"nobody listens", look{refused: true}, true},
-		{"it does not tell", look{}, false},
-		{"there before the request", look{born: now - 5000}, false},
-		{"started since", look{born: now - 500}, true},
-		{"another start than at an earlier look", look{born: now - 5000, before: now - 9000}, true},
-		{"the same as at an earlier look", look{born: now - 5000, before: now - 5000}, false},
-		{"seen by an earlier look, and started since", look{born: now - 500, before: now - 500}, true},
+		{"connection refused", exitCheck{refused: true}, true},
+		{"start time not reported", exitCheck{}, false},
+		{"started before the request", exitCheck{startTime: now - 5000}, false},
+		{"started after the request", exitCheck{startTime: now - 500}, true},
+		{"start time differs from the earlier check", exitCheck{startTime: now - 5000, previousStart: now - 9000}, true},
+		{"same start time as in the earlier check", exitCheck{startTime: now - 5000, previousStart: now - 5000}, false},
+		{"same start time as in the earlier check, after the request", exitCheck{startTime: now - 500, previousStart: now - 500}, true},
 	} {
-		if got := test.look.ended(began); got != test.want {
-			t.Errorf("%s: ended %t", test.name, got)
+		if got := test.check.exited(began); got != test.want {
+			t.Errorf("%s: exited %t", test.name, got)
 		}
 	}
 }
--- a/internal/upstream/events.go
+++ b/internal/upstream/events.go
@@ -5,27 +5,27 @@
 	"strconv"
 )
 
-// Event is one whole event of a stream.
+// Event is one complete server-sent event of a stream.
 type Event struct {
-	// Raw is the event as it came, with the empty line that ends it.
+	// Raw holds the bytes of the event as received, with the empty line that ends it.
 	Raw []byte
-	// ID is its id, if HasID is set.
+	// ID is the event id; valid only if HasID is set.
 	ID    int64
 	HasID bool
-	// Data is its data, lines joined by line feeds.
+	// Data is the text of the data fields, joined by line feeds.
 	Data string
 }
 
-// EventParser cuts a stream of bytes into whole events. What is left at the end
-// of the stream is no event. The zero value is ready for use.
+// EventParser splits a stream of bytes into complete events. An incomplete event at the end of the
+// stream is never returned. The zero value is ready for use.
 type EventParser struct {
 	pending []byte
 }
 
 var eventEnd = []byte("\n\n")
 
-// Feed takes in bytes and returns the events that are whole now. Their Raw is
-// valid until the next call.
+// Feed appends bytes and returns the events that are now complete. Their Raw is valid until the
+// next call.
 func (p *EventParser) Feed(data []byte) []Event {
 	p.pending = append(p.pending, data...)
 	var events []Event
@@ -39,14 +39,14 @@
 		rest = rest[end+len(eventEnd):]
 		events = append(events, parseEvent(raw))
 	}
-	// The events still point into the old array: it must not be overwritten.
+	// The returned events still point into the old array, so it must not be overwritten.
 	if len(events) > 0 {
 		p.pending = append([]byte(nil), rest...)
 	}
 	return events
 }
 
-// Buffered returns how many bytes of an unfinished event there are.
+// Buffered returns the number of buffered bytes of an incomplete event.
 func (p *EventParser) Buffered() int { return len(p.pending) }
 
 func parseEvent(raw []byte) Event {
--- a/internal/upstream/events_test.go
+++ b/internal/upstream/events_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// TestEventsInPieces checks that the cut of the bytes changes nothing.
+// TestEventsInPieces checks that the result does not depend on how the stream is split into reads.
 func TestEventsInPieces(t *testing.T) {
 	proptest.Run(t, "pieces", func(random *rand.Rand) error {
 		var parser EventParser
@@ -47,7 +47,7 @@
 	})
 }
 
-// FuzzEvents checks that the raw events and the rest are the input.
+// FuzzEvents checks that the raw events and the buffered bytes add up to the input.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte(sampleStream), uint8(3))
 	f.Add([]byte("\n\n\n\n"), uint8(1))
