--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -1,6 +1,5 @@
-// Package httpapi reads and writes what the HTTP interfaces towards callers and
-// operators have in common: whole bodies within a bound, counts in queries, typed
-// failures.
+// Package httpapi holds what the HTTP interfaces for callers and operators share: reading bodies up
+// to a limit, parsing counts in queries, and writing typed failures.
 package httpapi
 
 import (
@@ -11,16 +10,16 @@
 	"github.com/sedgemast/sedgemast/internal/failure"
 )
 
-// defaultMaxBody bounds a body where the configuration does not, in bytes.
+// defaultMaxBody is the limit of a body in bytes if the configuration sets none.
 const defaultMaxBody = 16 << 20
 
-// ReadBody reads a whole body of at most limit bytes, where zero means a default.
+// ReadBody reads a whole body of at most limit bytes; a limit of zero means the default of 16 MiB.
 func ReadBody(request *http.Request, limit int64) ([]byte, error) {
 	if limit <= 0 {
 		limit = defaultMaxBody
 	}
 	if request.ContentLength > limit {
-		return nil, refuseLong(request, limit)
+		return nil, rejectLongBody(request, limit)
 	}
 	if request.ContentLength == 0 {
 		return nil, nil
@@ -30,7 +29,7 @@
 		if _, err := io.ReadFull(request.Body, body); err != nil {
 			return nil, failure.Wrap(err, failure.BadRequest, "send the whole body", "the body broke off")
 		}
-		// The end must be seen, or the end of the connection is not noticed.
+		// net/http detects a disconnect of the caller only after the end of the body has been read.
 		_, _ = request.Body.Read(make([]byte, 1))
 		return body, nil
 	}
@@ -39,23 +38,23 @@
 		return nil, failure.Wrap(err, failure.BadRequest, "send the whole body", "the body broke off")
 	}
 	if int64(len(body)) > limit {
-		return nil, refuseLong(request, limit)
+		return nil, rejectLongBody(request, limit)
 	}
 	return body, nil
 }
 
-// tooLongField marks the refusal of a body over the bound.
-const tooLongField = "body"
+// bodyTooLongField marks the rejection of a body over the limit.
+const bodyTooLongField = "body"
 
-// refuseLong passes over as much again as is allowed, because a caller that still
-// writes when the connection closes does not see the answer.
-func refuseLong(request *http.Request, limit int64) error {
-	// What breaks off here is refused all the same.
+// rejectLongBody reads and discards up to limit more bytes, because a caller that is still writing
+// when the connection closes does not see the response.
+func rejectLongBody(request *http.Request, limit int64) error {
+	// The request is rejected even if the read fails.
 	_, _ = io.CopyN(io.Discard, request.Body, limit)
-	return failure.New(failure.BadRequest, "send a shorter body", "the body is longer than %d bytes", limit).WithField(tooLongField)
+	return failure.New(failure.BadRequest, "send a shorter body", "the body is longer than %d bytes", limit).WithField(bodyTooLongField)
 }
 
-// ParseCount reads a whole number of 0 or more from a query; nothing counts as 0.
+// ParseCount parses an integer of 0 or more from a query; an empty value counts as 0.
 func ParseCount(value, field string) (int, error) {
 	if value == "" {
 		return 0, nil
@@ -67,19 +66,18 @@
 	return count, nil
 }
 
-// WriteBody answers with a whole body.
+// WriteBody writes a response with the given body.
 func WriteBody(writer http.ResponseWriter, contentType string, body []byte) {
 	writer.Header().Set("Content-Type", contentType)
 	writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	// A failed write means that the caller has gone.
+	// A write fails only if the caller has disconnected.
 	_, _ = writer.Write(body)
 }
 
-// longHeadField marks the refusal of a head over the bound.
-const longHeadField = "head"
+// headTooLongField marks the rejection of a request head over the limit.
+const headTooLongField = "head"
 
-// CheckHeaderSize refuses a request whose head is longer than limit bytes, where zero
-// means no bound of its own.
+// CheckHeaderSize rejects a request whose head is longer than limit bytes; zero means no limit.
 func CheckHeaderSize(request *http.Request, limit int) error {
 	if limit <= 0 {
 		return nil
@@ -87,10 +85,10 @@
 	if HeaderSize(request) <= limit {
 		return nil
 	}
-	return failure.New(failure.BadRequest, "send shorter headers", "the head is longer than %d bytes", limit).WithField(longHeadField)
+	return failure.New(failure.BadRequest, "send shorter headers", "the head is longer than %d bytes", limit).WithField(headTooLongField)
 }
 
-// HeaderSize returns the length of a request's head in bytes.
+// HeaderSize returns the size of a request's head in bytes.
 func HeaderSize(request *http.Request) int {
 	size := len(request.Method) + len(request.RequestURI) + len(request.Host)
 	for name, values := range request.Header {
@@ -101,19 +99,18 @@
 	return size
 }
 
-// StatusCode returns the status that goes with a failure.
+// StatusCode returns the HTTP status of a failure.
 func StatusCode(typed *failure.Error) int {
 	switch typed.Field {
-	case tooLongField:
+	case bodyTooLongField:
 		return http.StatusRequestEntityTooLarge
-	case longHeadField:
+	case headTooLongField:
 		return http.StatusRequestHeaderFieldsTooLarge
 	}
 	return typed.Kind.HTTPStatus()
 }
 
-// WriteFailure answers with a typed failure, and with when to come back where
-// the request has not run.
+// WriteFailure writes a typed failure, with a Retry-After header if the failure has a retry time.
 func WriteFailure(writer http.ResponseWriter, status int, typed *failure.Error) {
 	if typed.RetryAfter > 0 {
 		writer.Header().Set("Retry-After", strconv.FormatFloat(typed.RetryAfter.Seconds(), 'f', 3, 64))
@@ -122,6 +119,6 @@
 	writer.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	writer.WriteHeader(status)
-	// A failed write means that the caller has gone.
+	// A write fails only if the caller has disconnected.
 	_, _ = writer.Write(body)
 }
--- a/internal/httpapi/httpapi_test.go
+++ b/internal/httpapi/httpapi_test.go
@@ -9,7 +9,7 @@
 	"github.com/sedgemast/sedgemast/internal/failure"
 )
 
-func TestHeadsOverTheBound(t *testing.T) {
+func TestCheckHeaderSize(t *testing.T) {
 	request := httptest.NewRequest(http.MethodGet, "/p", nil)
 	request.Header.Set("A", strings.Repeat("x", 1000))
 	for limit, want := range map[int]int{0: http.StatusOK, 2000: http.StatusOK, 900: http.StatusRequestHeaderFieldsTooLarge} {
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestBodiesWithinTheBound(t *testing.T) {
+func TestReadBody(t *testing.T) {
 	for name, test := range map[string]struct {
 		body   string
 		length int64
@@ -35,7 +35,7 @@
 		"no length":                 {"abc", -1, 3, http.StatusOK},
 		"longer than allowed":       {"abcd", 4, 3, http.StatusRequestEntityTooLarge},
 		"no length, and longer":     {"abcd", -1, 3, http.StatusRequestEntityTooLarge},
-		"shorter than it said":      {"ab", 3, 3, http.StatusBadRequest},
+		"shorter than announced":    {"ab", 3, 3, http.StatusBadRequest},
 		"default bound, and within": {"abcd", 4, 0, http.StatusOK},
 	} {
 		request := httptest.NewRequest(http.MethodPost, "/p", strings.NewReader(test.body))
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestCounts(t *testing.T) {
+func TestParseCount(t *testing.T) {
 	for value, want := range map[string]int{"": 0, "0": 0, "17": 17} {
 		if got, err := ParseCount(value, "f"); err != nil || got != want {
 			t.Errorf("%q: %d, %v", value, got, err)
