--- a/internal/tenancy/tenancy.go
+++ b/internal/tenancy/tenancy.go
@@ -1,7 +1,8 @@
-// Package tenancy names tenants, their keys and what belongs to them. It is pure.
+// Package tenancy defines the names of tenants, the hashes of their keys, and the scoped names of
+// what they own. It has no side effects.
 //
-// Keys are secrets: nothing but their hashes is kept, told to other processes or
-// compared. They are long and random, so a plain hash can't be reversed by guessing.
+// Keys are secrets: only their hashes are stored, sent to other processes or compared. Keys are
+// long and random, so a plain hash can't be reversed by guessing.
 package tenancy
 
 import (
@@ -12,14 +13,15 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Name is a tenant's name, empty where a request belongs to nobody.
+// Name is a tenant's name; empty if a request belongs to no tenant.
 type Name string
 
-// hashBytes is how much is kept of a key's SHA-256: two keys share 16 bytes by chance
-// once in 2^64 keys, and every change of the configuration carries all of them.
+// hashBytes is how many bytes of a key's SHA-256 are kept. With 16 bytes a collision is expected
+// only after 2^64 keys, and the short hash keeps configuration updates small, which carry the
+// hashes of all keys.
 const hashBytes = 16
 
-// KeyHash stands for a key. As text it is the beginning of the key's SHA-256 in hex.
+// KeyHash identifies a key. Its text form is the beginning of the key's SHA-256 in hex.
 type KeyHash [hashBytes]byte
 
 // HashKey returns the hash of a key.
@@ -31,8 +33,8 @@
 // MarshalText implements encoding.TextMarshaler.
 func (h KeyHash) MarshalText() ([]byte, error) { return hex.AppendEncode(nil, h[:]), nil }
 
-// UnmarshalText implements encoding.TextUnmarshaler. It takes a whole SHA-256, as
-// `sedgemastctl new-key` prints it, or its beginning.
+// UnmarshalText implements encoding.TextUnmarshaler. It accepts a whole SHA-256 in hex, as
+// `sedgemastctl new-key` prints it, or its first 16 bytes.
 func (h *KeyHash) UnmarshalText(text []byte) error {
 	digest, err := hex.DecodeString(string(text))
 	if err != nil || len(digest) != hashBytes && len(digest) != sha256.Size {
@@ -42,12 +44,12 @@
 	return nil
 }
 
-// separator stands between an owner and what it owns. It is a control character,
-// which neither names of tenants nor ids hold.
+// separator separates an owner from the id of what it owns. It is a control character, which
+// neither tenant names nor ids contain.
 const separator = "\x1f"
 
-// ScopedName returns the name by which something of an owner is known among those of all
-// others. What belongs to nobody keeps its own name.
+// ScopedName returns the name that identifies an object of an owner among the objects of all
+// owners. An object without an owner keeps its own id.
 func ScopedName(owner Name, id string) string {
 	if owner == "" {
 		return id
@@ -55,8 +57,8 @@
 	return string(owner) + separator + id
 }
 
-// IsPlainText reports whether a text holds no control character, and so can't be mistaken for
-// a scoped name.
+// IsPlainText reports whether a text contains no control character, and so can't be mistaken for a
+// scoped name.
 func IsPlainText(text string) bool {
 	return strings.IndexFunc(text, func(r rune) bool { return r < ' ' || r == '\x7f' }) < 0
 }
