--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -1,6 +1,6 @@
-// Package keys makes the secrets that callers and operators send. Only their
-// digests are kept; a key is shown once, when it is made. The secrets are
-// random and long, so that a plain digest can't be reversed by guessing.
+// Package keys generates the secret keys of callers and operators. Only their digests are stored; a
+// key is shown once, when it is created. The secrets are random and long, so a plain digest can't
+// be reversed by guessing.
 package keys
 
 import (
@@ -11,8 +11,8 @@
 
 const secretBytes = 24
 
-// New returns a new key. The kind ("tenant" or "operator") and the owner's name
-// stand in it so that a tired reader can tell keys apart.
+// New returns a new key. It contains the kind ("tenant" or "operator") and the owner's name, so
+// that people can tell keys apart.
 func New(kind, owner string) (string, error) {
 	secret := make([]byte, secretBytes)
 	if _, err := rand.Read(secret); err != nil {
