--- a/internal/storeclient/client.go
+++ b/internal/storeclient/client.go
@@ -1,6 +1,6 @@
-// Package storeclient hands jobs to the leaders of their store groups, and reads from
-// a store nearby. Every call may be repeated without harm, so it goes on to the
-// next leader until its time is over.
+// Package storeclient submits jobs to the leaders of their store groups, and reads results from a
+// nearby store. All calls are idempotent, so a failed call is retried at the next candidate until
+// the context ends.
 package storeclient
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// Methods of the stores.
+// RPC methods of the stores.
 const (
 	MethodSubmit = "batch_submit"
 	MethodRead   = "batch_read"
@@ -28,64 +28,66 @@
 )
 
 const (
-	// attemptTime bounds one call, beside the time that it is held on purpose.
-	attemptTime = 700 * time.Millisecond
-	pause       = 40 * time.Millisecond
+	// attemptTimeout bounds one call, in addition to the time that the store may wait before it
+	// responds.
+	attemptTimeout = 700 * time.Millisecond
+	retryInterval  = 40 * time.Millisecond
 )
 
 // Client calls the stores.
 type Client struct {
 	client *rpc.Client
 	fleet  func() *wire.FleetView
-	near   [placement.MaxGroups]near
+	nearby [placement.MaxGroups]nearbyStore
 	mutex  sync.Mutex
-	groups [placement.MaxGroups]groupTarget
+	groups [placement.MaxGroups]groupLeader
 	next   int
 }
 
-// groupTarget is what is known of the leader of a store group.
-type groupTarget struct {
-	// leader is the one that answered last, or was named, empty where none is known.
+// groupLeader is what the client knows about the leader of a store group.
+type groupLeader struct {
+	// leader is the address that last responded as the leader or was named as such; empty if
+	// unknown.
 	leader string
-	// failed is the one that was asked last and did not lead.
-	failed string
+	// lastFailed is the address whose last call failed.
+	lastFailed string
 }
 
-// New returns a client for a process in the zone; fleet returns the view of the fleet.
-// The meter, which may be nil, counts the calls.
+// New returns a client for a process in the zone; fleet returns the current view of the fleet. The
+// meter counts the calls and may be nil.
 func New(meter *traffic.Meter, zone string, fleet func() *wire.FleetView) *Client {
 	client := rpc.NewClient()
 	client.SetMeter(meter)
 	c := &Client{client: client, fleet: fleet}
-	for number := range c.near {
-		c.near[number] = near{zone: zone, shunned: map[string]time.Time{}}
+	for number := range c.nearby {
+		c.nearby[number] = nearbyStore{zone: zone, avoidedUntil: map[string]time.Time{}}
 	}
 	return c
 }
 
-// groupOf returns the group that keeps the job, or -1 while the groups are not known.
+// groupOf returns the group that stores the job, or -1 while the groups are unknown.
 func (c *Client) groupOf(job string) int {
 	return placement.GroupOf(job, min(len(c.fleet().Initial), placement.MaxGroups))
 }
 
-// target returns whom to ask about a group: the leader as it is known here, or by the
-// view of the fleet, or else one member after the other.
+// target returns the address to call for a group: the leader known from earlier calls, else the
+// leader in the view of the fleet, else the members in turn. It is empty if no store is known.
 func (c *Client) target(group int) string {
 	if group < 0 {
 		return ""
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	known := &c.groups[group]
-	if known.leader != "" {
-		return known.leader
+	state := &c.groups[group]
+	if state.leader != "" {
+		return state.leader
 	}
 	fleet := c.fleet()
-	place := fleet.Group(group)
-	if place.Leader != "" && place.Leader != known.failed {
-		return place.Leader
+	groupView := fleet.Group(group)
+	if groupView.Leader != "" && groupView.Leader != state.lastFailed {
+		return groupView.Leader
 	}
-	candidates := place.Members
+	candidates := groupView.Members
 	if len(candidates) == 0 {
 		candidates = fleet.StoreAddresses()
 	}
@@ -96,115 +98,117 @@
 	return candidates[c.next%len(candidates)]
 }
 
-// learn takes in how a call about a group to the address ended.
-func (c *Client) learn(group int, address string, err error) {
+// recordResult updates the known leader of a group from the result of a call to the address.
+func (c *Client) recordResult(group int, address string, err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	known := &c.groups[group]
+	state := &c.groups[group]
 	if err == nil {
-		*known = groupTarget{leader: address}
+		*state = groupLeader{leader: address}
 		return
 	}
-	known.failed = address
+	state.lastFailed = address
 	leader := consensus.LeaderFromError(err)
 	switch {
 	case leader != "":
-		known.leader = leader
-	case known.leader == address:
-		known.leader = ""
+		state.leader = leader
+	case state.leader == address:
+		state.leader = ""
 	}
 }
 
-// call asks the leader of the job's group until ctx ends. Where any try may have been carried out
-// and none was answered, the failure is OutcomeUnknown.
-func call[Response any, Pointer rpc.Decodable[Response]](ctx context.Context, c *Client, job, method string, request msgp.Marshaler, hold time.Duration) (*Response, error) {
-	unknown := false
+// call calls the leader of the job's group until it responds or ctx ends. If ctx ends and any
+// attempt may have been executed, the failure is OutcomeUnknown, else NotRun. wait is how long the
+// store may wait before it responds.
+func call[Response any, Pointer rpc.Decodable[Response]](ctx context.Context, c *Client, job, method string, request msgp.Marshaler, wait time.Duration) (*Response, error) {
+	outcomeUnknown := false
 	for {
 		group := c.groupOf(job)
 		address := c.target(group)
 		err := error(failure.New(failure.NotRun, "try again", "no store is known yet"))
 		if address != "" {
 			var response *Response
-			attempt, cancel := context.WithTimeout(ctx, attemptTime+hold)
+			attempt, cancel := context.WithTimeout(ctx, attemptTimeout+wait)
 			response, err = rpc.Call[Response, Pointer](attempt, c.client, address, method, request)
 			cancel()
-			c.learn(group, address, err)
+			c.recordResult(group, address, err)
 			if err == nil {
 				return response, nil
 			}
 		}
 		switch failure.KindOf(err) {
 		case failure.OutcomeUnknown:
-			unknown = true
+			outcomeUnknown = true
 		case failure.NotRun:
 		default:
 			return nil, err
 		}
 		select {
 		case <-ctx.Done():
-			if unknown {
+			if outcomeUnknown {
 				return nil, failure.Wrap(err, failure.OutcomeUnknown, "send it again", "no store answered in time")
 			}
-			return nil, failure.Wrap(err, failure.NotRun, "send it again", "no store could take it").WithRetryAfter(attemptTime)
-		case <-time.After(pause):
+			return nil, failure.Wrap(err, failure.NotRun, "send it again", "no store could take it").WithRetryAfter(attemptTimeout)
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
-// Submit hands in a job. Once it returns without a failure the job is kept.
+// Submit submits a job. If it returns no error, the job is stored.
 func (c *Client) Submit(ctx context.Context, job *wire.SubmitBatch) (*wire.BatchResult, error) {
 	return call[wire.BatchResult](ctx, c, job.ID, MethodSubmit, job, 0)
 }
 
-// holders returns the stores that hold a group's data, or all where that is not known.
-func (c *Client) holders(group int) []wire.ProcessAddress {
+// replicas returns the stores that hold a group's data, or all stores if the members of the group
+// are unknown.
+func (c *Client) replicas(group int) []wire.ProcessAddress {
 	fleet := c.fleet()
 	members := fleet.Group(group).Members
 	if len(members) == 0 {
 		return fleet.Stores
 	}
-	var holders []wire.ProcessAddress
+	var replicas []wire.ProcessAddress
 	for _, store := range fleet.Stores {
 		if slices.Contains(members, store.Address) {
-			holders = append(holders, store)
+			replicas = append(replicas, store)
 		}
 	}
-	return holders
+	return replicas
 }
 
-// read asks a store nearby, and the leader where that one does not answer.
-func read[Response any, Pointer rpc.Decodable[Response]](ctx context.Context, c *Client, job, method string, request msgp.Marshaler, hold time.Duration) (*Response, error) {
+// read calls a nearby store, and the leader if that store does not respond or can't serve the read.
+func read[Response any, Pointer rpc.Decodable[Response]](ctx context.Context, c *Client, job, method string, request msgp.Marshaler, wait time.Duration) (*Response, error) {
 	group := c.groupOf(job)
 	if group < 0 {
-		return call[Response, Pointer](ctx, c, job, method, request, hold)
+		return call[Response, Pointer](ctx, c, job, method, request, wait)
 	}
-	address := c.near[group].pick(time.Now(), c.holders(group))
+	address := c.nearby[group].pick(time.Now(), c.replicas(group))
 	if address == "" {
-		return call[Response, Pointer](ctx, c, job, method, request, hold)
+		return call[Response, Pointer](ctx, c, job, method, request, wait)
 	}
-	attempt, cancel := context.WithTimeout(ctx, attemptTime+hold)
+	attempt, cancel := context.WithTimeout(ctx, attemptTimeout+wait)
 	defer cancel()
 	response, err := rpc.Call[Response, Pointer](attempt, c.client, address, method, request)
 	if err == nil || !failure.Is(err, failure.NotRun) && !failure.Is(err, failure.OutcomeUnknown) {
 		return response, err
 	}
 	if ctx.Err() == nil {
-		c.near[group].shun(time.Now(), address)
+		c.nearby[group].avoid(time.Now(), address)
 	}
-	return call[Response, Pointer](ctx, c, job, method, request, hold)
+	return call[Response, Pointer](ctx, c, job, method, request, wait)
 }
 
-// Read reads results.
+// Read reads results of a job.
 func (c *Client) Read(ctx context.Context, request *wire.BatchReadRequest) (*wire.BatchReadResponse, error) {
 	return read[wire.BatchReadResponse](ctx, c, request.ID, MethodRead, request, time.Duration(request.WaitMillis)*time.Millisecond)
 }
 
-// Body reads the body of an item without a result.
+// Body reads the body of an item that has no result yet.
 func (c *Client) Body(ctx context.Context, request *wire.ItemBodyRequest) (*wire.ItemBody, error) {
 	return read[wire.ItemBody](ctx, c, request.Job, MethodBody, request, 0)
 }
 
-// End ends a job.
+// End ends the job with the id.
 func (c *Client) End(ctx context.Context, id string) (*wire.BatchResult, error) {
 	return call[wire.BatchResult](ctx, c, id, MethodEnd, &wire.BatchName{ID: id}, 0)
 }
--- a/internal/storeclient/client_test.go
+++ b/internal/storeclient/client_test.go
@@ -16,10 +16,10 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// store is a stand-in that answers the ends of jobs.
+// store is a fake store that serves ends of jobs and reads of item bodies.
 type store struct {
 	address string
-	asked   atomic.Int64
+	calls   atomic.Int64
 }
 
 func startStore(t *testing.T, answer func(*store) (msgp.Marshaler, error)) *store {
@@ -27,11 +27,11 @@
 	s := &store{}
 	mux := rpctest.NewMux()
 	rpc.Handle(mux, MethodEnd, func(context.Context, *wire.BatchName) (msgp.Marshaler, error) {
-		s.asked.Add(1)
+		s.calls.Add(1)
 		return answer(s)
 	})
 	rpc.Handle(mux, MethodBody, func(context.Context, *wire.ItemBodyRequest) (msgp.Marshaler, error) {
-		s.asked.Add(1)
+		s.calls.Add(1)
 		return answer(s)
 	})
 	server := httptest.NewServer(mux)
@@ -40,8 +40,8 @@
 	return s
 }
 
-// at lists stores at the addresses, all in the zone.
-func at(zone string, addresses ...string) func() []wire.ProcessAddress {
+// storesAt returns a function that lists stores at the addresses, all in the zone.
+func storesAt(zone string, addresses ...string) func() []wire.ProcessAddress {
 	var stores []wire.ProcessAddress
 	for _, address := range addresses {
 		stores = append(stores, wire.ProcessAddress{Address: address, Zone: zone})
@@ -49,12 +49,12 @@
 	return func() []wire.ProcessAddress { return stores }
 }
 
-// groups is how many store groups the tests' fleets have.
-const groups = 3
+// groupCount is the number of store groups in the tests' fleets.
+const groupCount = 3
 
-// fleet is a view of the stores alone.
+// fleet returns a view of the fleet that holds only stores.
 func fleet(stores ...wire.ProcessAddress) func() *wire.FleetView {
-	view := &wire.FleetView{Stores: stores, Initial: make([][]wire.Replica, groups)}
+	view := &wire.FleetView{Stores: stores, Initial: make([][]wire.Replica, groupCount)}
 	return func() *wire.FleetView { return view }
 }
 
@@ -62,33 +62,33 @@
 	return failure.New(failure.NotRun, "ask the leader", "it does not lead").WithField(consensus.LeaderFieldPrefix + leader)
 }
 
-func TestClientFollowsToTheLeaderAndStays(t *testing.T) {
+func TestClientFollowsLeaderRedirect(t *testing.T) {
 	leader := startStore(t, func(*store) (msgp.Marshaler, error) { return &wire.BatchResult{}, nil })
 	follower := startStore(t, func(*store) (msgp.Marshaler, error) { return nil, notLeader(leader.address) })
-	client := New(nil, "z", fleet(at("y", follower.address)()...))
+	client := New(nil, "z", fleet(storesAt("y", follower.address)()...))
 	for i := 0; i < 3; i++ {
 		if _, err := client.End(context.Background(), "j"); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if leader.asked.Load() != 3 || follower.asked.Load() != 1 {
-		t.Errorf("leader asked %d times, follower %d", leader.asked.Load(), follower.asked.Load())
+	if leader.calls.Load() != 3 || follower.calls.Load() != 1 {
+		t.Errorf("%d calls to the leader, %d to the follower", leader.calls.Load(), follower.calls.Load())
 	}
 }
 
-// TestOutcomes checks what a caller is told when its time is over: not run only
-// if no try can have been carried out.
+// TestOutcomes checks the kind of the failure when the context ends: NotRun only if no attempt can
+// have been executed.
 func TestOutcomes(t *testing.T) {
-	refusing := startStore(t, func(*store) (msgp.Marshaler, error) {
+	leaderless := startStore(t, func(*store) (msgp.Marshaler, error) {
 		return nil, failure.New(failure.NotRun, "try again", "there is no leader")
 	})
-	unsure := startStore(t, func(s *store) (msgp.Marshaler, error) {
-		if s.asked.Load() == 1 {
+	leadershipLost := startStore(t, func(s *store) (msgp.Marshaler, error) {
+		if s.calls.Load() == 1 {
 			return nil, failure.New(failure.OutcomeUnknown, "send it again", "leadership changed")
 		}
 		return nil, failure.New(failure.NotRun, "try again", "there is no leader")
 	})
-	definite := startStore(t, func(*store) (msgp.Marshaler, error) {
+	notFound := startStore(t, func(*store) (msgp.Marshaler, error) {
 		return nil, failure.New(failure.NotFound, "check the id", "there is no such job")
 	})
 	for _, test := range []struct {
@@ -98,12 +98,12 @@
 	}{
 		{"no store known", nil, failure.NotRun},
 		{"a store that can't be reached", []string{"127.0.0.1:1"}, failure.NotRun},
-		{"refused each time", []string{refusing.address}, failure.NotRun},
-		{"unsure once", []string{unsure.address}, failure.OutcomeUnknown},
-		{"an answer of its own", []string{definite.address}, failure.NotFound},
+		{"rejected each time", []string{leaderless.address}, failure.NotRun},
+		{"leadership lost once", []string{leadershipLost.address}, failure.OutcomeUnknown},
+		{"definite failure", []string{notFound.address}, failure.NotFound},
 	} {
 		ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
-		_, err := New(nil, "z", fleet(at("y", test.stores...)()...)).End(ctx, "j")
+		_, err := New(nil, "z", fleet(storesAt("y", test.stores...)()...)).End(ctx, "j")
 		cancel()
 		if failure.KindOf(err) != test.want {
 			t.Errorf("%s: %v", test.name, err)
@@ -111,16 +111,16 @@
 	}
 }
 
-// TestReadsStayNearby checks that reads go to a store of the client's own zone,
-// that a definite answer of it counts, and that the leader is asked instead for a
-// while once it gives none.
+// TestReadsStayNearby checks that reads go to a store in the client's own zone and that a definite
+// failure from it is returned. If that store can't serve a read, the leader must be called instead
+// for a while.
 func TestReadsStayNearby(t *testing.T) {
 	answer := func(*store) (msgp.Marshaler, error) { return &wire.ItemBody{Body: []byte("b")}, nil }
 	leader := startStore(t, answer)
 	for name, test := range map[string]struct {
-		nearby              func(*store) (msgp.Marshaler, error)
-		fails               bool
-		askedNear, askedFar int64
+		nearby                   func(*store) (msgp.Marshaler, error)
+		fails                    bool
+		nearbyCalls, leaderCalls int64
 	}{
 		"it answers":       {answer, false, 3, 0},
 		"it knows no such": {func(*store) (msgp.Marshaler, error) { return nil, failure.New(failure.NotFound, "check the id", "no") }, true, 3, 0},
@@ -128,8 +128,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			nearby := startStore(t, test.nearby)
-			before := leader.asked.Load()
-			stores := append(at("z", nearby.address)(), at("y", leader.address)()...)
+			before := leader.calls.Load()
+			stores := append(storesAt("z", nearby.address)(), storesAt("y", leader.address)()...)
 			client := New(nil, "z", fleet(stores...))
 			client.groups[client.groupOf("j")].leader = leader.address
 			for i := 0; i < 3; i++ {
@@ -138,18 +138,18 @@
 					t.Fatal(err)
 				}
 			}
-			if far := leader.asked.Load() - before; nearby.asked.Load() != test.askedNear || far != test.askedFar {
-				t.Errorf("the store nearby was asked %d times, the leader %d", nearby.asked.Load(), far)
+			if leaderCalls := leader.calls.Load() - before; nearby.calls.Load() != test.nearbyCalls || leaderCalls != test.leaderCalls {
+				t.Errorf("%d calls to the nearby store, %d to the leader", nearby.calls.Load(), leaderCalls)
 			}
 		})
 	}
 }
 
-// TestNearPick checks that the choice stays while the store is listed, and comes
-// back to it once it has been passed over for a while.
-func TestNearPick(t *testing.T) {
-	n := near{zone: "z", shunned: map[string]time.Time{}}
-	stores := append(at("y", "far")(), at("z", "a", "b")()...)
+// TestNearbyStorePick checks that pick returns the same store while it is listed, and that avoided
+// stores are returned again after avoidDuration.
+func TestNearbyStorePick(t *testing.T) {
+	n := nearbyStore{zone: "z", avoidedUntil: map[string]time.Time{}}
+	stores := append(storesAt("y", "far")(), storesAt("z", "a", "b")()...)
 	start := time.Unix(1000, 0)
 	first := n.pick(start, stores)
 	for i := 0; i < 10; i++ {
@@ -157,43 +157,43 @@
 			t.Fatalf("%q after %q", again, first)
 		}
 	}
-	n.shun(start, first)
+	n.avoid(start, first)
 	second := n.pick(start, stores)
-	n.shun(start, second)
+	n.avoid(start, second)
 	if second == first || second == "" || n.pick(start, stores) != "" {
-		t.Errorf("%q and %q were passed over", first, second)
+		t.Errorf("picked %q, then %q; want two different stores, then none", first, second)
 	}
-	if n.pick(start.Add(shunTime), stores) == "" {
-		t.Error("stores are passed over for ever")
+	if n.pick(start.Add(avoidDuration), stores) == "" {
+		t.Error("no store is picked after avoidDuration")
 	}
 }
 
-// grouped is a view in which all groups have one place.
-func grouped(place wire.GroupPlace, stores ...wire.ProcessAddress) func() *wire.FleetView {
+// fleetWithGroups returns a view of the fleet in which all groups have the same placement.
+func fleetWithGroups(place wire.GroupPlace, stores ...wire.ProcessAddress) func() *wire.FleetView {
 	view := fleet(stores...)()
-	for range groups {
+	for range groupCount {
 		view.Groups = append(view.Groups, place)
 	}
 	return func() *wire.FleetView { return view }
 }
 
-// TestTheLeaderOfTheViewIsAskedFirst puts two members among many stores that know
-// nothing: the leader that the view names is asked at once, and where it has changed
-// the next one is found among the members. Before, all stores were asked in turn.
+// TestTheLeaderOfTheViewIsAskedFirst calls a group in a fleet with many stores that are not members
+// of it. The leader in the view must be called first. If it no longer leads, the new leader must be
+// found among the members, without calls to the other stores.
 func TestTheLeaderOfTheViewIsAskedFirst(t *testing.T) {
-	leads := func(*store) (msgp.Marshaler, error) { return &wire.BatchResult{}, nil }
-	ignorant := startStore(t, func(*store) (msgp.Marshaler, error) {
+	accept := func(*store) (msgp.Marshaler, error) { return &wire.BatchResult{}, nil }
+	nonMember := startStore(t, func(*store) (msgp.Marshaler, error) {
 		return nil, failure.New(failure.NotRun, "ask the leader", "it does not lead")
 	})
 	for name, test := range map[string]struct {
-		stale bool
-		asked int64
+		stale      bool
+		otherCalls int64
 	}{
 		"it leads":          {false, 0},
 		"another leads now": {true, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			leader := startStore(t, leads)
+			leader := startStore(t, accept)
 			other := startStore(t, func(*store) (msgp.Marshaler, error) {
 				return nil, failure.New(failure.NotRun, "ask the leader", "it does not lead")
 			})
@@ -201,28 +201,28 @@
 			if test.stale {
 				place.Leader = other.address
 			}
-			stores := at("y", ignorant.address, ignorant.address, ignorant.address, leader.address, other.address)()
-			if _, err := New(nil, "z", grouped(place, stores...)).End(context.Background(), "j"); err != nil {
+			stores := storesAt("y", nonMember.address, nonMember.address, nonMember.address, leader.address, other.address)()
+			if _, err := New(nil, "z", fleetWithGroups(place, stores...)).End(context.Background(), "j"); err != nil {
 				t.Fatal(err)
 			}
-			if leader.asked.Load() != 1 || other.asked.Load() != test.asked || ignorant.asked.Load() != 0 {
-				t.Errorf("the leader was asked %d times, the one before %d, others %d", leader.asked.Load(), other.asked.Load(), ignorant.asked.Load())
+			if leader.calls.Load() != 1 || other.calls.Load() != test.otherCalls || nonMember.calls.Load() != 0 {
+				t.Errorf("%d calls to the leader, %d to the previous leader, %d to other stores", leader.calls.Load(), other.calls.Load(), nonMember.calls.Load())
 			}
 		})
 	}
 }
 
-// TestReadsGoToHolders checks that a store of the zone that holds nothing of the group
-// is not asked.
+// TestReadsGoToHolders checks that a store of the zone is not called if it holds no data of the
+// group.
 func TestReadsGoToHolders(t *testing.T) {
 	answer := func(*store) (msgp.Marshaler, error) { return &wire.ItemBody{Body: []byte("b")}, nil }
 	nearby, holder := startStore(t, answer), startStore(t, answer)
-	stores := append(at("z", nearby.address)(), at("y", holder.address)()...)
-	client := New(nil, "z", grouped(wire.GroupPlace{Leader: holder.address, Members: []string{holder.address}}, stores...))
+	stores := append(storesAt("z", nearby.address)(), storesAt("y", holder.address)()...)
+	client := New(nil, "z", fleetWithGroups(wire.GroupPlace{Leader: holder.address, Members: []string{holder.address}}, stores...))
 	if _, err := client.Body(context.Background(), &wire.ItemBodyRequest{Job: "j", Item: "i"}); err != nil {
 		t.Fatal(err)
 	}
-	if nearby.asked.Load() != 0 || holder.asked.Load() != 1 {
-		t.Errorf("the store that holds nothing was asked %d times, the other %d", nearby.asked.Load(), holder.asked.Load())
+	if nearby.calls.Load() != 0 || holder.calls.Load() != 1 {
+		t.Errorf("%d calls to the store without data, %d to the replica", nearby.calls.Load(), holder.calls.Load())
 	}
 }
--- a/internal/storeclient/near.go
+++ b/internal/storeclient/near.go
@@ -8,47 +8,48 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// shunTime is how long a store is passed over that did not answer a read.
-const shunTime = 3 * time.Second
+// avoidDuration is how long a store is avoided after it did not serve a read.
+const avoidDuration = 3 * time.Second
 
-// near chooses a store of the caller's own zone for reads, and stays with it while
-// it answers. Any store can answer them; one nearby costs no bytes between zones.
-type near struct {
-	zone    string
-	mutex   sync.Mutex
-	current string
-	shunned map[string]time.Time
+// nearbyStore chooses a store in the zone of this process for reads, and keeps it as long as it
+// responds. Any replica can serve reads; one in the same zone causes no traffic between zones.
+type nearbyStore struct {
+	zone         string
+	mutex        sync.Mutex
+	current      string
+	avoidedUntil map[string]time.Time
 }
 
-// pick returns a store of the zone, or nothing where none is known that answers.
-func (n *near) pick(now time.Time, stores []wire.ProcessAddress) string {
+// pick returns the address of a store in the zone that is not avoided, or an empty string if there
+// is none.
+func (n *nearbyStore) pick(now time.Time, stores []wire.ProcessAddress) string {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	var fit []string
+	var candidates []string
 	for _, store := range stores {
-		if store.Zone != n.zone || now.Before(n.shunned[store.Address]) {
+		if store.Zone != n.zone || now.Before(n.avoidedUntil[store.Address]) {
 			continue
 		}
 		if store.Address == n.current {
 			return n.current
 		}
-		fit = append(fit, store.Address)
+		candidates = append(candidates, store.Address)
 	}
 	n.current = ""
-	if len(fit) > 0 {
-		n.current = fit[rand.IntN(len(fit))]
+	if len(candidates) > 0 {
+		n.current = candidates[rand.IntN(len(candidates))]
 	}
 	return n.current
 }
 
-// shun takes in that the store did not answer.
-func (n *near) shun(now time.Time, address string) {
+// avoid excludes a store, which did not serve a read, for avoidDuration.
+func (n *nearbyStore) avoid(now time.Time, address string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	for known, until := range n.shunned {
+	for known, until := range n.avoidedUntil {
 		if now.After(until) {
-			delete(n.shunned, known)
+			delete(n.avoidedUntil, known)
 		}
 	}
-	n.shunned[address] = now.Add(shunTime)
+	n.avoidedUntil[address] = now.Add(avoidDuration)
 }
