--- a/internal/httpheader/httpheader.go
+++ b/internal/httpheader/httpheader.go
@@ -1,5 +1,5 @@
-// Package dialect names the headers of opaque requests as callers and workers
-// know them, so that nothing else in the product does.
+// Package httpheader defines the HTTP header names of opaque requests that callers and workers use,
+// so that no other package depends on them.
 package httpheader
 
 import (
@@ -15,55 +15,54 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// Names holds the names of headers, in canonical form.
+// Names holds header names in canonical form, and the names needed to read worker reports.
 type Names struct {
-	// RequestID carries a request's id, which workers echo.
+	// RequestID carries the request id, which workers echo.
 	RequestID string
-	// Deadline carries how many milliseconds are left.
+	// Deadline carries the time left in milliseconds.
 	Deadline string
-	// ExpectWorker carries the id of the worker that alone may run a request.
+	// ExpectWorker carries the id of the only worker that may run the request.
 	ExpectWorker string
-	// NotRun marks a worker's answer that did not run the request.
+	// NotRun marks a response of a worker that did not run the request.
 	NotRun string
-	// LastEvent carries the id of the last event received of a stream.
+	// LastEvent carries the id of the last event that was received of a stream.
 	LastEvent string
-	// Load carries what a worker tells of itself: running, waiting, slots and pace,
-	// separated by commas; the last two may be missing.
+	// Load carries the load that a worker reports: running, waiting, slots and pace, separated by
+	// commas. The last two are optional.
 	Load string
-	// PromptParts lists the parts of the prompt as ID:TOKENS, separated by
-	// commas.
+	// PromptParts lists the parts of the prompt as ID:TOKENS, separated by commas.
 	PromptParts string
-	// Tokens carries the tokens of the prompt and the most out, separated by a
-	// comma.
+	// Tokens carries the number of prompt tokens and the maximum number of output tokens, separated
+	// by a comma.
 	Tokens string
-	// LengthHint carries how many tokens the caller expects to be made.
+	// LengthHint carries the number of output tokens that the caller expects.
 	LengthHint string
-	// Key carries a caller's key, which goes no further than here.
+	// Key carries the caller's key, which is not forwarded to workers.
 	Key string
-	// Tenant tells workers whose request it is. What callers send there counts for
-	// nothing.
+	// Tenant tells workers which tenant a request belongs to. A value sent by the caller is
+	// dropped.
 	Tenant string
-	// ReportPath is the path at which a worker tells of itself, empty where there is none, and
-	// Born the field with the Unix millisecond of its start.
+	// ReportPath is the path at which a worker returns its report, empty if there is none.
+	// StartTimeField is the field of the report with the start time in Unix milliseconds.
 	ReportPath     string
 	StartTimeField string
 }
 
-// ParseStartTime returns when a worker started by what it tells of itself, zero where it does not
-// tell, or tells something else than a whole number.
-func (d *Names) ParseStartTime(report []byte) int64 {
+// ParseStartTime returns the start time in a worker's report, in Unix milliseconds, or zero if it
+// is missing or not a whole number of 0 or more.
+func (n *Names) ParseStartTime(report []byte) int64 {
 	var fields map[string]json.RawMessage
 	if json.Unmarshal(report, &fields) != nil {
 		return 0
 	}
-	born, err := strconv.ParseInt(string(fields[d.StartTimeField]), 10, 64)
-	if err != nil || born < 0 {
+	startTime, err := strconv.ParseInt(string(fields[n.StartTimeField]), 10, 64)
+	if err != nil || startTime < 0 {
 		return 0
 	}
-	return born
+	return startTime
 }
 
-// Default is the product's own dialect.
+// Default returns this project's own header names.
 func Default() *Names {
 	return &Names{
 		RequestID:    "Sedgemast-Request-Id",
@@ -80,13 +79,13 @@
 	}
 }
 
-// Part is a part of a prompt.
+// Part is a part of a prompt, with its number of tokens.
 type Part struct {
 	ID     string
 	Tokens int64
 }
 
-// ParseParts reads the parts of a prompt; what does not parse ends the list.
+// ParseParts parses the parts of a prompt. Parsing stops at the first invalid part.
 func ParseParts(value string) []Part {
 	var parts []Part
 	for _, field := range strings.Split(value, ",") {
@@ -100,42 +99,42 @@
 	return parts
 }
 
-// ParseTokenCounts reads the tokens of the prompt and the most out; zero where they
-// are not told.
-func ParseTokenCounts(value string) (prompt, out int64) {
+// ParseTokenCounts parses the number of prompt tokens and the maximum number of output tokens. A
+// missing count is zero.
+func ParseTokenCounts(value string) (prompt, maxOutput int64) {
 	first, second, _ := strings.Cut(value, ",")
 	prompt, _ = strconv.ParseInt(strings.TrimSpace(first), 10, 64)
-	out, _ = strconv.ParseInt(strings.TrimSpace(second), 10, 64)
-	return prompt, out
+	maxOutput, _ = strconv.ParseInt(strings.TrimSpace(second), 10, 64)
+	return prompt, maxOutput
 }
 
-// ParseExpected reads how many tokens the caller expects to be made, of the most that may be:
-// zero where that is not told.
-func ParseExpected(hint string, most int64) int64 {
+// ParseExpected parses the number of output tokens that the caller expects, limited to maxTokens if
+// that is positive. It returns zero if the hint is missing or invalid.
+func ParseExpected(hint string, maxTokens int64) int64 {
 	expected, err := strconv.ParseInt(strings.TrimSpace(hint), 10, 64)
 	if err != nil || expected <= 0 {
 		return 0
 	}
-	if most > 0 {
-		return min(expected, most)
+	if maxTokens > 0 {
+		return min(expected, maxTokens)
 	}
 	return expected
 }
 
-// ParseTimeLeft reads a deadline header; without one it returns the longest time
-// given.
-func ParseTimeLeft(value string, longest time.Duration) time.Duration {
+// ParseTimeLeft parses a deadline header. The result is at most maxTimeLeft, and maxTimeLeft if the
+// header is missing or invalid.
+func ParseTimeLeft(value string, maxTimeLeft time.Duration) time.Duration {
 	millis, err := strconv.ParseInt(strings.TrimSpace(value), 10, 64)
 	if err != nil || millis < 0 {
-		return longest
+		return maxTimeLeft
 	}
-	return min(longest, time.Duration(millis)*time.Millisecond)
+	return min(maxTimeLeft, time.Duration(millis)*time.Millisecond)
 }
 
-// ParseLoad reads what a worker tells of itself. It reports whether it tells anything: the
-// requests that it runs and those that wait at least. Slots and pace are zero where they are
-// missing, or no positive whole number.
-func ParseLoad(value string) (told capacity.Report, found bool) {
+// ParseLoad parses the load that a worker reports. found is false unless the numbers of running and
+// waiting requests are valid. Slots and pace are zero if they are missing or not positive whole
+// numbers.
+func ParseLoad(value string) (report capacity.Report, found bool) {
 	fields := strings.Split(value, ",")
 	if len(fields) < 2 {
 		return capacity.Report{}, false
@@ -148,25 +147,27 @@
 	if err != nil || waiting < 0 {
 		return capacity.Report{}, false
 	}
-	return capacity.Report{Running: running, Waiting: waiting, Slots: positive(fields, 2), Pace: positive(fields, 3)}, true
+	return capacity.Report{Running: running, Waiting: waiting, Slots: parsePositive(fields, 2), Pace: parsePositive(fields, 3)}, true
 }
 
-// mostTold bounds what is believed of a figure that a worker tells.
-const mostTold = math.MaxUint16
+// maxReported is the largest value accepted for the slots and the pace that a worker reports;
+// larger values are reduced to it.
+const maxReported = math.MaxUint16
 
-// positive returns a field as a positive whole number, zero where it is none.
-func positive(fields []string, at int) int {
-	if at >= len(fields) {
+// parsePositive parses the field at the index. It returns zero if the field is missing or not a
+// positive whole number.
+func parsePositive(fields []string, index int) int {
+	if index >= len(fields) {
 		return 0
 	}
-	number, err := strconv.Atoi(strings.TrimSpace(fields[at]))
+	number, err := strconv.Atoi(strings.TrimSpace(fields[index]))
 	if err != nil || number < 0 {
 		return 0
 	}
-	return min(number, mostTold)
+	return min(number, maxReported)
 }
 
-// hopByHop are headers that pertain to one connection only (RFC 9110, 7.6.1).
+// hopByHop holds headers that apply to a single connection only (RFC 9110, 7.6.1).
 var hopByHop = map[string]bool{
 	"Connection":          true,
 	"Keep-Alive":          true,
@@ -182,18 +183,18 @@
 	"Expect":              true,
 }
 
-// Forwardable returns the headers that are passed on, without those that the
+// Forwardable returns the headers to forward: all except hop-by-hop headers and those that the
 // Connection header names.
 func Forwardable(header http.Header) []wire.HeaderField {
-	named := map[string]bool{}
+	connectionHeaders := map[string]bool{}
 	for _, value := range header["Connection"] {
 		for _, name := range strings.Split(value, ",") {
-			named[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
+			connectionHeaders[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
 		}
 	}
 	fields := make([]wire.HeaderField, 0, len(header))
 	for name, values := range header {
-		if hopByHop[name] || named[name] {
+		if hopByHop[name] || connectionHeaders[name] {
 			continue
 		}
 		for _, value := range values {
@@ -203,25 +204,25 @@
 	return fields
 }
 
-// ForTenant returns the headers of a request of the tenant as a worker gets them: without
-// any key, and with the tenant's name in place of what the caller said. A request that
-// belongs to nobody names no tenant.
-func (d *Names) ForTenant(fields []wire.HeaderField, tenant tenancy.Name) []wire.HeaderField {
-	owned := make([]wire.HeaderField, 0, len(fields)+1)
+// ForTenant returns the headers that a worker receives for a request of the tenant: without the
+// key, and with the tenant's name instead of any value from the caller. Without a tenant, the
+// Tenant header is left out.
+func (n *Names) ForTenant(fields []wire.HeaderField, tenant tenancy.Name) []wire.HeaderField {
+	forwarded := make([]wire.HeaderField, 0, len(fields)+1)
 	for _, field := range fields {
 		switch http.CanonicalHeaderKey(field.Name) {
-		case d.Key, d.Tenant:
+		case n.Key, n.Tenant:
 		default:
-			owned = append(owned, field)
+			forwarded = append(forwarded, field)
 		}
 	}
 	if tenant != "" {
-		owned = append(owned, wire.HeaderField{Name: d.Tenant, Value: string(tenant)})
+		forwarded = append(forwarded, wire.HeaderField{Name: n.Tenant, Value: string(tenant)})
 	}
-	return owned
+	return forwarded
 }
 
-// Value returns the first value of a header, whose name is in canonical form.
+// Value returns the first value of a header, or an empty string; name must be in canonical form.
 func Value(fields []wire.HeaderField, name string) string {
 	for _, field := range fields {
 		if http.CanonicalHeaderKey(field.Name) == name {
--- a/internal/httpheader/httpheader_test.go
+++ b/internal/httpheader/httpheader_test.go
@@ -6,9 +6,8 @@
 	"github.com/sedgemast/sedgemast/internal/capacity"
 )
 
-// TestLoad reads what workers tell of themselves, of two figures to four, and what is no such
-// thing.
-func TestLoad(t *testing.T) {
+// TestParseLoad parses valid load headers with two to four figures, and invalid ones.
+func TestParseLoad(t *testing.T) {
 	for _, test := range []struct {
 		value string
 		want  capacity.Report
@@ -21,16 +20,16 @@
 		{"3,1,,250", capacity.Report{Running: 3, Waiting: 1, Pace: 250}, true},
 		{"3,1,-8,-1", capacity.Report{Running: 3, Waiting: 1}, true},
 		{"3,1,x,1e9", capacity.Report{Running: 3, Waiting: 1}, true},
-		{"3,1,999999999,99999999999999999999", capacity.Report{Running: 3, Waiting: 1, Slots: mostTold}, true},
+		{"3,1,999999999,99999999999999999999", capacity.Report{Running: 3, Waiting: 1, Slots: maxReported}, true},
 		{"3", capacity.Report{}, false},
 		{"", capacity.Report{}, false},
 		{"-1,0,8", capacity.Report{}, false},
 		{"1,-2,8", capacity.Report{}, false},
 		{"a,b", capacity.Report{}, false},
 	} {
-		told, found := ParseLoad(test.value)
-		if told != test.want || found != test.found {
-			t.Errorf("%q: %+v, %t", test.value, told, found)
+		report, found := ParseLoad(test.value)
+		if report != test.want || found != test.found {
+			t.Errorf("%q: %+v, %t", test.value, report, found)
 		}
 	}
 }
