--- a/internal/incarnation/incarnation.go
+++ b/internal/incarnation/incarnation.go
@@ -1,6 +1,7 @@
-// Package life names the lives of workers. A worker may start again under the id that it
-// had; it holds and knows nothing of before then. What is known of a worker is kept by the
-// name of its life, so that nothing of an earlier life is taken for the present one's.
+// Package incarnation names the incarnations of workers: each run of a worker under its id. A
+// worker may restart under the same id and then has no state from before. What other processes know
+// about a worker is stored under the name of its incarnation, so that nothing about an earlier
+// incarnation is applied to the current one.
 package incarnation
 
 import (
@@ -8,35 +9,35 @@
 	"strings"
 )
 
-// separator parts id and start. An id that holds it is no worker's id.
+// separator separates the id from the start time. A worker id never contains it.
 const separator = " "
 
-// Name names the life of the worker with the id that began at born, in milliseconds since
-// the Unix epoch by the worker's clock; zero where that is not known.
-func Name(id string, born int64) string {
-	if born == 0 {
+// Name returns the name of the incarnation of the worker id that started at startMillis, in Unix
+// milliseconds by the worker's clock. If the start time is unknown (zero), the name is the id.
+func Name(id string, startMillis int64) string {
+	if startMillis == 0 {
 		return id
 	}
-	return id + separator + strconv.FormatInt(born, 10)
+	return id + separator + strconv.FormatInt(startMillis, 10)
 }
 
-// WorkerID returns the id of the worker whose life has the name: what the worker itself
-// answers to, and what it is known by to processes that know of no lives.
+// WorkerID returns the worker id in the name of an incarnation. Workers, and processes that don't
+// know incarnations, use the id alone.
 func WorkerID(name string) string {
 	id, _, _ := strings.Cut(name, separator)
 	return id
 }
 
-// StartTime returns when the life began, zero where that is not known.
+// StartTime returns the start time of the incarnation in Unix milliseconds, or zero if unknown.
 func StartTime(name string) int64 {
-	_, born, _ := strings.Cut(name, separator)
-	// A name made here always parses; another one has no start.
-	at, _ := strconv.ParseInt(born, 10, 64)
-	return at
+	_, start, _ := strings.Cut(name, separator)
+	// The start time in a name returned by Name always parses. For any other name it is unknown.
+	startMillis, _ := strconv.ParseInt(start, 10, 64)
+	return startMillis
 }
 
-// ValidWorkerID reports whether an id can be a worker's: it is not empty, and travels in a header
-// and as a part of a name.
+// ValidWorkerID reports whether an id is a valid worker id: not empty, and without blanks and
+// control characters, because it is sent in a header and is part of incarnation names.
 func ValidWorkerID(id string) bool {
 	return id != "" && !strings.ContainsFunc(id, func(r rune) bool { return r <= ' ' || r == 0x7f })
 }
