--- a/internal/decodeerror/decodeerror.go
+++ b/internal/decodeerror/decodeerror.go
@@ -1,6 +1,6 @@
-// Package unread counts what other processes sent and this one could not read, and writes
-// a line of it now and then. A build that reads less than its peers write must not pass
-// over that in silence: half of a fleet may live on old news meanwhile.
+// Package decodeerror counts and logs messages from other processes that this process can't decode.
+// A build that can't decode all messages of its peers must not ignore this silently: half of a
+// fleet might run on outdated state meanwhile.
 package decodeerror
 
 import (
@@ -14,40 +14,43 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// lineInterval is the shortest time between two lines on messages of one kind; a process
-// that can't read one asks again at once.
-const lineInterval = 10 * time.Second
+// logInterval is the shortest time between two log lines for one kind of message. A process that
+// can't decode a response polls again at once, so each failure would be logged.
+const logInterval = 10 * time.Second
 
-// Messages counts by kind of message and generation of its writer. Each process registers it.
+// Messages counts undecodable messages by kind and by generation of the sender. Each process
+// registers it.
 var Messages = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "peer_unread_total", Help: "Messages of other processes that could not be read, by kind and the generation of the other's build."}, []string{"kind", "generation"})
 
-// book holds when a line on each kind is due again, and who writes it.
-var book = struct {
-	mutex  sync.Mutex
-	logger logging.Logger
-	due    map[string]time.Time
-	since  map[string]int
-}{logger: logging.Discard(), due: map[string]time.Time{}, since: map[string]int{}}
+// logState holds, for each kind, when it may be logged again and how many messages were not logged
+// yet.
+var logState = struct {
+	mutex    sync.Mutex
+	logger   logging.Logger
+	nextLog  map[string]time.Time
+	unlogged map[string]int
+}{logger: logging.Discard(), nextLog: map[string]time.Time{}, unlogged: map[string]int{}}
 
-// SetLogger names who writes the lines: one logger for all that runs in this process.
+// SetLogger sets the logger for all of this process.
 func SetLogger(logger logging.Logger) {
-	book.mutex.Lock()
-	defer book.mutex.Unlock()
-	book.logger = logger
+	logState.mutex.Lock()
+	defer logState.mutex.Unlock()
+	logState.logger = logger
 }
 
-// Record takes in that a message of a kind (a method, or that of a datagram) could not be
-// read. from is the address that it came from. It may be called from any goroutine.
+// Record counts a message of a kind (a method, or the kind of a datagram) that could not be
+// decoded, and logs it at most once per logInterval. from is the address of the sender. It is safe
+// for concurrent use.
 func Record(kind, from string, generation wire.Generation, cause error) {
 	Messages.WithLabelValues(kind, strconv.Itoa(int(generation))).Inc()
-	book.mutex.Lock()
-	defer book.mutex.Unlock()
-	book.since[kind]++
+	logState.mutex.Lock()
+	defer logState.mutex.Unlock()
+	logState.unlogged[kind]++
 	now := time.Now()
-	if now.Before(book.due[kind]) {
+	if now.Before(logState.nextLog[kind]) {
 		return
 	}
-	book.due[kind] = now.Add(lineInterval)
-	logging.Warn(book.logger, "message_unread", "kind", kind, "from", from, "generation", int(generation), "own_generation", int(wire.GenerationCurrent), "messages", book.since[kind], "error", cause)
-	book.since[kind] = 0
+	logState.nextLog[kind] = now.Add(logInterval)
+	logging.Warn(logState.logger, "message_unread", "kind", kind, "from", from, "generation", int(generation), "own_generation", int(wire.GenerationCurrent), "messages", logState.unlogged[kind], "error", cause)
+	logState.unlogged[kind] = 0
 }
