--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -1,7 +1,7 @@
-// Package standstill notices that this process stood still: stopped by a signal, starved of
-// its processor, or on a machine that was suspended. What it knew is as old then as the
-// standstill was long, and so may be what it reads first. It is pure: the time, by package
-// clock, is the caller's.
+// Package stall detects that this process did not run for a while: it was stopped by a signal, got
+// no processor time, or its machine was suspended. After a stall, the state of the process is
+// outdated by the length of the stall, and so may be the first data that it reads. The package
+// reads no clock: callers pass times of package clock.
 package stall
 
 import (
@@ -10,41 +10,42 @@
 )
 
 const (
-	// Interval is the time between two looks of a process that has nothing else to do.
+	// Interval is the time between two checks in a process that has nothing else to do.
 	Interval = 50 * time.Millisecond
-	// MinDuration is the shortest standstill. A process that shares a processor is kept waiting for
-	// some tenths of a second without having stood still.
+	// MinDuration is the shortest gap between checks that counts as a stall. A process that shares
+	// a processor may wait some tenths of a second without a stall.
 	MinDuration = 500 * time.Millisecond
 )
 
-// Detector keeps when a process stood still last. It is safe for concurrent use.
+// Detector records the last stall of the process. It is safe for concurrent use.
 type Detector struct {
-	mutex sync.Mutex
-	seen  time.Time
-	from  time.Time
-	until time.Time
+	mutex      sync.Mutex
+	lastCheck  time.Time
+	stallStart time.Time
+	stallEnd   time.Time
 }
 
-// New returns a watch of a process that runs now.
-func New(now time.Time) *Detector { return &Detector{seen: now} }
+// New returns a detector for a process that runs at the time now.
+func New(now time.Time) *Detector { return &Detector{lastCheck: now} }
 
-// Assume takes in a standstill as if it had been noticed, for tests of who goes by it.
-func (w *Detector) Assume(from, until time.Time) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.from, w.until, w.seen = from, until, until
+// Assume records a stall as if Check had detected it. It is meant for tests of code that depends on
+// stalls.
+func (d *Detector) Assume(from, until time.Time) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.stallStart, d.stallEnd, d.lastCheck = from, until, until
 }
 
-// Check takes in that the process runs now. It returns from when until when it stood still
-// last, and whether that was noticed by this look. Both are zero where it never did.
-func (w *Detector) Check(now time.Time) (from, until time.Time, noticed bool) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if now.Sub(w.seen) >= MinDuration {
-		w.from, w.until, noticed = w.seen, now, true
+// Check records that the process runs now. It returns the start and the end of the last stall, both
+// zero if there was none, and whether this call detected it.
+func (d *Detector) Check(now time.Time) (from, until time.Time, noticed bool) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	if now.Sub(d.lastCheck) >= MinDuration {
+		d.stallStart, d.stallEnd, noticed = d.lastCheck, now, true
 	}
-	if now.After(w.seen) {
-		w.seen = now
+	if now.After(d.lastCheck) {
+		d.lastCheck = now
 	}
-	return w.from, w.until, noticed
+	return d.stallStart, d.stallEnd, noticed
 }
