--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -1,6 +1,6 @@
-// Package traffic counts the bytes that a process exchanges with others, by kind of
-// message and by the other's zone. Only the process that asks counts an exchange, so
-// that the sum over all processes counts each byte once.
+// Package traffic counts the bytes that a process exchanges with other processes, by kind of
+// message and by the peer's zone. Only the process that sends the request counts an exchange, so
+// the sum over all processes counts each byte once.
 package traffic
 
 import (
@@ -13,49 +13,49 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Kind names what messages are for.
+// Kind is the purpose of messages.
 type Kind string
 
-// Kinds of messages that are no internal calls; calls count under their method.
+// Kinds of messages that are not RPC calls. RPC calls are counted under the name of their method.
 const (
-	// Loads are reports of loads and their answers, to a hub or between hubs.
+	// Loads are load reports to a hub or between hubs, and the responses.
 	Loads Kind = "loads"
-	// Requests are what callers sent to workers, and the answers.
+	// Requests are requests that are forwarded to workers, and the responses.
 	Requests Kind = "requests"
 )
 
-// Unknown is the zone of a process that no view of the fleet names.
+// Unknown is the zone of a process that is not in any view of the fleet.
 const Unknown = "unknown"
 
-// flow is one row of a meter.
+// flow is the key of a counter.
 type flow struct {
 	kind Kind
 	zone string
 }
 
-// counter counts one flow. Its fields may be changed by any goroutine.
+// counter counts the exchanges of one flow. It is safe for concurrent use.
 type counter struct {
 	exchanges atomic.Uint64
 	sent      atomic.Uint64
 	received  atomic.Uint64
 }
 
-// Meter counts the exchanges of a process. A nil Meter counts nothing. It is safe
-// for concurrent use.
+// Meter counts the exchanges of a process. A nil Meter counts nothing. It is safe for concurrent
+// use.
 type Meter struct {
 	mutex    sync.RWMutex
 	zones    map[string]string
 	counters map[flow]*counter
 }
 
-// NewMeter returns a meter that knows no zones.
+// NewMeter returns a meter without known zones.
 func NewMeter() *Meter {
 	return &Meter{counters: map[flow]*counter{}}
 }
 
-// AddZones takes in the zones of addresses (IP:port). What a process is at an address that
-// is given away counts in the zone of who has it now; addresses of those gone stay known,
-// because their last exchanges are still to be counted.
+// AddZones adds the zones of addresses (IP:port). If an address is reused, exchanges count for the
+// zone of its current process. Addresses of processes that have exited are kept, because their last
+// exchanges may not be counted yet.
 func (m *Meter) AddZones(zones map[string]string) {
 	if m == nil {
 		return
@@ -68,11 +68,11 @@
 	maps.Copy(m.zones, zones)
 }
 
-// maxZones bounds the addresses that are known: 2 MB. Past it they are learnt anew, and
-// exchanges count as those of an unknown zone meanwhile.
+// maxZones bounds the number of known addresses, which take about 2 MB. Beyond it all addresses are
+// dropped and learned again; until then, exchanges count for an unknown zone.
 const maxZones = 1 << 15
 
-// Add counts an exchange with the process at an address: bytes sent and received.
+// Add counts an exchange with the process at the address, with the bytes sent and received.
 func (m *Meter) Add(kind Kind, address string, sent, received int) {
 	if m == nil {
 		return
@@ -83,7 +83,7 @@
 	c.received.Add(uint64(received))
 }
 
-// AddReceived counts bytes that came for an exchange counted before.
+// AddReceived counts received bytes of an exchange that was already counted.
 func (m *Meter) AddReceived(kind Kind, address string, received int) {
 	if m == nil {
 		return
@@ -116,7 +116,7 @@
 	return flow{kind: kind, zone: zone}
 }
 
-// Row is what has been counted of one kind with one zone.
+// Row is the total of one kind of message with one zone.
 type Row struct {
 	Kind      Kind
 	Zone      string
@@ -125,7 +125,7 @@
 	Received  uint64
 }
 
-// Rows returns what has been counted so far, in the order of kinds and zones.
+// Rows returns the totals so far, sorted by kind and zone.
 func (m *Meter) Rows() []Row {
 	if m == nil {
 		return nil
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestRowsByKindAndZone counts exchanges with processes of known and unknown zones.
+// TestRowsByKindAndZone counts exchanges with processes in known and unknown zones.
 func TestRowsByKindAndZone(t *testing.T) {
 	m := NewMeter()
 	m.AddZones(map[string]string{"10.0.0.1:1": "a", "10.0.0.2:1": "b"})
@@ -24,8 +24,8 @@
 	}
 }
 
-// TestNoMeter checks that a process without a meter counts nothing and goes on.
-func TestNoMeter(t *testing.T) {
+// TestNilMeter checks that a nil Meter can be used and counts nothing.
+func TestNilMeter(t *testing.T) {
 	var m *Meter
 	m.AddZones(nil)
 	m.Add(Loads, "10.0.0.1:1", 1, 1)
