--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,7 +1,7 @@
-// Package control is the daemon that keeps the durable state: the meta group
-// with the configuration and the assignment of workers, and the job groups. All
-// decisions are made by the pure packages consensus, metastate, jobstate,
-// membership and coordination; this package feeds them with messages, time and
+// Package control implements the control process, which keeps the durable state in replicated
+// groups: the meta group holds the configuration and the assignments of workers, the job groups
+// hold the batch jobs. The packages consensus, metastate, jobstate, membership and coordination
+// make all decisions without doing any I/O; this package provides them with messages, time and
 // storage.
 package control
 
@@ -32,8 +32,8 @@
 const (
 	planInterval   = 50 * time.Millisecond
 	expireInterval = time.Second
-	// handOverTimeout bounds the hand-over of leadership on a planned stop.
-	handOverTimeout = 3 * time.Second
+	// transferTimeout bounds the transfer of leadership during a planned stop.
+	transferTimeout = 3 * time.Second
 	readyInterval   = 20 * time.Millisecond
 )
 
@@ -49,8 +49,8 @@
 	groups   []*jobGroup
 }
 
-// metaGroup is the meta group with its leader's soft state, if this process
-// leads it.
+// metaGroup is the meta group. leader is the leader's unreplicated state for term, the last term in
+// which this process was seen to lead the group.
 type metaGroup struct {
 	machine *metastate.Machine
 	mutex   sync.Mutex
@@ -58,7 +58,8 @@
 	leader  *coordination.MetaLeader
 }
 
-// jobGroup is a job group with its leader's soft state.
+// jobGroup is a job group. leader is the leader's unreplicated state for term, the last term in
+// which this process was seen to lead the group.
 type jobGroup struct {
 	number  int
 	machine *jobstate.Machine
@@ -67,7 +68,7 @@
 	leader  *coordination.JobLeader
 }
 
-// New opens the data folder and prepares the process; d.Run serves it.
+// New opens the data folder and registers the handlers and loops with d; d.Run serves them.
 func New(d *daemon.Daemon, config *settings.Control) (*Control, error) {
 	store, err := storage.OpenPebble(config.DataFolder, vfs.Default)
 	if err != nil {
@@ -92,7 +93,7 @@
 		return nil, errors.CombineErrors(err, store.Close())
 	}
 	c.register()
-	d.BeforeStop(c.handOver)
+	d.BeforeStop(c.transferLeadership)
 	d.Go(c.readyLoop)
 	d.Go(c.planLoop)
 	d.Go(c.expireLoop)
@@ -138,8 +139,8 @@
 	}
 }
 
-// readMeta calls read with the leader's soft state and the replicated state of
-// the meta group, if this process leads it.
+// readMeta calls read with the leader's unreplicated state and the replicated state of the meta
+// group. It returns an error if this process does not lead the group.
 func (c *Control) readMeta(read func(now time.Time, leader *coordination.MetaLeader, machine *metastate.Machine) error) error {
 	return c.host.Read(controlclient.MetaGroup, func(term uint64, _ storage.Reader) error {
 		c.meta.mutex.Lock()
@@ -154,7 +155,8 @@
 	})
 }
 
-// readJobs calls read with the leader's soft state and the state of a job group.
+// readJobs calls read with the leader's unreplicated state and the replicated state of a job group.
+// It returns an error if this process does not lead the group.
 func (c *Control) readJobs(group *jobGroup, read func(now time.Time, leader *coordination.JobLeader, reader storage.Reader) error) error {
 	return c.host.Read(group.number, func(term uint64, reader storage.Reader) error {
 		group.mutex.Lock()
@@ -169,23 +171,22 @@
 	})
 }
 
-// handOver is a step of the planned stop: other processes lead before this one
-// goes.
-func (c *Control) handOver(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
+// transferLeadership is a step of a planned stop: it makes other processes the leaders before this
+// one exits.
+func (c *Control) transferLeadership(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
 	c.host.TransferAllLeadership(ctx)
 }
 
-// Close stops the log and closes the store. It is called after the server has
-// stopped.
+// Close stops replication and closes the store. Call it after the server has stopped.
 func (c *Control) Close() error {
 	c.host.Close()
 	return c.store.Close()
 }
 
-// readyLoop makes the process ready once it belongs to a cluster whose leaders
-// it knows.
+// readyLoop marks the process as ready once it belongs to a cluster and knows the leader of every
+// group.
 func (c *Control) readyLoop(ctx context.Context) {
 	daemon.Every(ctx, readyInterval, func() {
 		statuses, err := c.host.Statuses(ctx)
@@ -226,11 +227,11 @@
 			return
 		}
 		failing = false
-		c.listWorkers(listed)
+		c.applyWorkerList(listed)
 	})
 }
 
-// propose commits a command to a group and decodes the answer.
+// propose commits a command to a group and decodes the state machine's response.
 func propose[Result any, Pointer interface {
 	*Result
 	msgp.Unmarshaler
@@ -240,12 +241,12 @@
 		return nil, err
 	}
 	started := time.Now()
-	answer, err := c.host.Propose(ctx, group, encoded)
-	c.metrics.proposal(group == controlclient.MetaGroup, started, err)
+	encodedResult, err := c.host.Propose(ctx, group, encoded)
+	c.metrics.observeProposal(group == controlclient.MetaGroup, started, err)
 	if err != nil {
 		return nil, err
 	}
 	result := new(Result)
-	_, err = Pointer(result).UnmarshalMsg(answer)
+	_, err = Pointer(result).UnmarshalMsg(encodedResult)
 	return result, err
 }
--- a/internal/control/handlers.go
+++ b/internal/control/handlers.go
@@ -147,7 +147,7 @@
 	return result.Job, nil
 }
 
-// readGroup reads the state of the group that an id names.
+// readGroup calls read with the group that the ID of a file or job names.
 func (c *Control) readGroup(id string, read func(group *jobGroup, reader storage.Reader) error) error {
 	number, err := jobstate.GroupOf(id)
 	if err != nil {
--- a/internal/control/items.go
+++ b/internal/control/items.go
@@ -30,7 +30,7 @@
 	return response, nil
 }
 
-// completeItems commits a group of results, which all belong to one job group.
+// completeItems commits a batch of results, which all belong to one job group.
 func (c *Control) completeItems(ctx context.Context, request *wire.CompleteItemsRequest) (msgp.Marshaler, error) {
 	if len(request.Results) == 0 {
 		return &wire.CompleteItemsResponse{}, nil
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// An error means that another process leads now; the leases went with it.
+	// An error means that another process leads now; this one's leases are void.
 	_ = c.readJobs(c.groups[number-1], func(_ time.Time, leader *coordination.JobLeader, _ storage.Reader) error {
 		leader.Release(request.Results)
 		return nil
@@ -57,12 +57,12 @@
 // expireJobs ends the jobs whose deadline has passed.
 func (c *Control) expireJobs(ctx context.Context) {
 	for _, group := range c.groups {
-		due := false
+		expiryDue := false
 		err := c.readJobs(group, func(now time.Time, _ *coordination.JobLeader, _ storage.Reader) error {
-			due = group.machine.ExpiryDue(now.UnixMilli())
+			expiryDue = group.machine.ExpiryDue(now.UnixMilli())
 			return nil
 		})
-		if err != nil || !due {
+		if err != nil || !expiryDue {
 			continue
 		}
 		if _, err := c.proposeJob(ctx, group.number, &wire.JobCommand{Expire: true}); err != nil {
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -33,11 +33,11 @@
 	return c.readMeta(func(time.Time, *coordination.MetaLeader, *metastate.Machine) error { return nil }) == nil
 }
 
-func (c *Control) listWorkers(listed []workerlist.Worker) {
+func (c *Control) applyWorkerList(listed []workerlist.Worker) {
 	rows := make([]membership.ListedWorker, 0, len(listed))
 	for _, row := range listed {
 		if row.Pool != "" {
-			// Workers of pools take opaque requests; they are the edges'.
+			// Workers in pools serve opaque requests and belong to the edge processes.
 			continue
 		}
 		rows = append(rows, membership.ListedWorker{ID: row.ID, Address: row.Address, Zone: row.Zone, Incarnation: row.Incarnation, Leaving: row.Leaving})
@@ -49,9 +49,8 @@
 	})
 }
 
-// plan ends the leases that have run out and commits the assignments that
-// follow. The plan is made from what is committed; the epochs are given by the
-// state machine.
+// plan expires daemon leases and commits the resulting assignments. It plans from committed state
+// only; the state machine issues the epochs.
 func (c *Control) plan(ctx context.Context) {
 	var expired []string
 	var command wire.AssignCommand
@@ -92,12 +91,12 @@
 	if err != nil {
 		return nil, err
 	}
-	response.Replicas = replicaRows(&statuses[controlclient.MetaGroup], c.settings.Name)
+	response.Replicas = replicaStatuses(&statuses[controlclient.MetaGroup], c.settings.Name)
 	return response, nil
 }
 
-// replicaRows describes the meta group's replicas as its leader sees them.
-func replicaRows(status *consensus.Status, leader string) []wire.ReplicaStatus {
+// replicaStatuses describes the meta group's replicas as seen by its leader.
+func replicaStatuses(status *consensus.Status, leader string) []wire.ReplicaStatus {
 	rows := []wire.ReplicaStatus{{Name: leader, State: "leader"}}
 	for i := range status.Peers {
 		peer := &status.Peers[i]
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/sedgemast/sedgemast/internal/failure"
 )
 
-// metrics are a control process's metrics.
+// metrics holds the Prometheus metrics of a control process.
 type metrics struct {
 	proposals  *prometheus.HistogramVec
 	heartbeats *prometheus.CounterVec
@@ -40,7 +40,7 @@
 	return m
 }
 
-func (m *metrics) proposal(meta bool, started time.Time, err error) {
+func (m *metrics) observeProposal(meta bool, started time.Time, err error) {
 	group, outcome := "jobs", "committed"
 	if meta {
 		group = "meta"
