--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -1,6 +1,5 @@
-// Package controlclient is the other daemons' side of control: calls that find
-// the leader of a group, and the session that keeps the daemon's lease and its
-// copy of the configuration.
+// Package controlclient is used by the other daemons to talk to control. Client finds the leader of
+// a group and calls it; Session keeps the daemon's lease and its copy of the configuration.
 package controlclient
 
 import (
@@ -16,7 +15,7 @@
 	"github.com/sedgemast/sedgemast/internal/rpc"
 )
 
-// Methods of control.
+// RPC methods of control.
 const (
 	MethodHeartbeat    = "heartbeat"
 	MethodStatus       = "status"
@@ -38,7 +37,7 @@
 	MethodComplete     = "complete_items"
 )
 
-// MetaGroup is the number of the group that keeps the configuration.
+// MetaGroup is the number of the group that holds the configuration and the assignments of workers.
 const MetaGroup = 0
 
 // LeaderFieldPrefix is the prefix of the failure field that names a group's leader.
@@ -46,11 +45,11 @@
 
 const (
 	attemptTimeout = time.Second
-	firstBackoff   = 20 * time.Millisecond
+	minBackoff     = 20 * time.Millisecond
 	maxBackoff     = 500 * time.Millisecond
 )
 
-// Client calls control. It remembers which process leads each group.
+// Client calls control. It caches the address of each group's leader.
 type Client struct {
 	rpc       *rpc.Client
 	addresses []string
@@ -63,22 +62,22 @@
 	return &Client{rpc: rpc.NewClient(), addresses: addresses, leaders: map[int]string{}}
 }
 
-// Traffic returns what the client has exchanged with control.
+// Traffic returns the counts of the traffic between the client and control.
 func (c *Client) Traffic() rpc.Traffic { return c.rpc.Traffic() }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.rpc.Close() }
 
-func (c *Client) leader(group, attempt int) string {
+func (c *Client) leaderAddress(group, attempt int) string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if known := c.leaders[group]; known != "" {
-		return known
+	if address := c.leaders[group]; address != "" {
+		return address
 	}
 	return c.addresses[(group+attempt)%len(c.addresses)]
 }
 
-func (c *Client) learn(group int, address string, err error) {
+func (c *Client) updateLeader(group int, address string, err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if err == nil {
@@ -91,18 +90,17 @@
 	}
 }
 
-// decodable is a pointer to T that decodes itself.
+// decodable is satisfied by *T if it decodes MessagePack.
 type decodable[T any] interface {
 	*T
 	msgp.Unmarshaler
 }
 
-// Call makes a call to the leader of the group, trying the control processes in
-// turn until ctx ends. Every call to control may be repeated: commands carry
-// what makes a repetition harmless. Answers of the state machine, good or bad,
-// are final.
+// Call calls the leader of the group and tries the control processes in turn until ctx ends. Every
+// call to control may be repeated, because commands contain what makes them idempotent. Responses
+// of the state machine, including failures, are final.
 func Call[Response any, Pointer decodable[Response]](ctx context.Context, c *Client, group int, method string, request msgp.Marshaler) (*Response, error) {
-	backoff := firstBackoff
+	backoff := minBackoff
 	for attempt := 0; ; attempt++ {
 		response, err := CallOnce[Response, Pointer](ctx, c, group, method, request, attempt)
 		if err == nil || !retryable(err) || ctx.Err() != nil {
@@ -120,14 +118,15 @@
 	}
 }
 
-// CallOnce makes one call to the process believed to lead the group.
+// CallOnce makes one call to the process that is believed to lead the group. If the leader is not
+// known, attempt selects one of the control processes.
 func CallOnce[Response any, Pointer decodable[Response]](ctx context.Context, c *Client, group int, method string, request msgp.Marshaler, attempt int) (*Response, error) {
-	address := c.leader(group, attempt)
+	address := c.leaderAddress(group, attempt)
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	response, err := rpc.Call[Response, Pointer](ctx, c.rpc, address, method, request)
 	if err == nil || retryable(err) {
-		c.learn(group, address, err)
+		c.updateLeader(group, address, err)
 	}
 	return response, err
 }
--- a/internal/controlclient/session.go
+++ b/internal/controlclient/session.go
@@ -13,21 +13,21 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// SessionOptions describe a daemon's session with control.
+// SessionOptions configures a daemon's session with control.
 type SessionOptions struct {
 	Client   *Client
 	Logger   logging.Logger
 	Interval time.Duration
 	Timeout  time.Duration
-	// Report fills in the daemon's part of a heartbeat.
+	// Report sets the fields of a heartbeat that describe the daemon.
 	Report func(*wire.HeartbeatRequest)
-	// OnChange is called after a heartbeat that brought news; may be nil.
+	// OnChange is called after each heartbeat whose response was applied; may be nil.
 	OnChange func(*wire.HeartbeatResponse)
 }
 
-// Session keeps a daemon's lease, its view of the dispatchers and its copy of
-// the configuration. Until the first heartbeat is answered nothing is valid:
-// a daemon never starts from an old copy.
+// Session keeps a daemon's lease, its view of the dispatchers and its copy of the configuration.
+// Both leases are invalid until the first heartbeat is answered, so a daemon never starts with an
+// old copy of the configuration.
 type Session struct {
 	options SessionOptions
 	config  *configuration.Store
@@ -42,38 +42,38 @@
 	gateways          int
 	jobGroups         int
 	failures          int
-	kick              chan struct{}
+	wake              chan struct{}
 }
 
-// NewSession returns a session that begins with Run.
+// NewSession returns a session; Run starts its heartbeats.
 func NewSession(options SessionOptions) *Session {
 	return &Session{
 		options:  options,
 		config:   configuration.NewStore(),
 		view:     map[string]wire.DaemonView{},
 		gateways: 1,
-		kick:     make(chan struct{}, 1),
+		wake:     make(chan struct{}, 1),
 	}
 }
 
-// Config returns the configuration in force here.
+// Config returns the configuration in force in this process.
 func (s *Session) Config() *configuration.Snapshot { return s.config.Current() }
 
-// LeaseValid reports whether control still counts this daemon as living.
+// LeaseValid reports whether this daemon's lease with control still runs.
 func (s *Session) LeaseValid(now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.lease.Valid(now)
 }
 
-// ConfigValid reports whether the configuration may still be acted on.
+// ConfigValid reports whether the daemon may still act on its configuration.
 func (s *Session) ConfigValid(now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.configLease.Valid(now)
 }
 
-// GatewayCount returns the number of living gateways, at least one.
+// GatewayCount returns the number of live gateways, at least one.
 func (s *Session) GatewayCount() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -87,7 +87,7 @@
 	return s.jobGroups
 }
 
-// View returns the dispatchers and a number that changes whenever they do.
+// View returns the dispatchers and the version of the view, as returned by ViewVersion.
 func (s *Session) View() ([]wire.DaemonView, uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -98,7 +98,7 @@
 	return dispatchers, s.viewChanges
 }
 
-// ViewVersion returns the number that changes whenever the view does.
+// ViewVersion returns a number that increases with every update of the view.
 func (s *Session) ViewVersion() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -115,39 +115,40 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-s.kick:
+		case <-s.wake:
 		}
 	}
 }
 
-// HeartbeatNow makes the next heartbeat go out at once.
+// HeartbeatNow makes Run send the next heartbeat at once.
 func (s *Session) HeartbeatNow() {
 	select {
-	case s.kick <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// SendHeartbeat sends one heartbeat, trying every control process until the timeout.
+// SendHeartbeat sends one heartbeat. It tries the control processes in turn, each for at most the
+// session's timeout.
 func (s *Session) SendHeartbeat(ctx context.Context) {
-	request := s.request()
+	request := s.newRequest()
 	for attempt := 0; attempt <= len(s.options.Client.addresses); attempt++ {
 		sent := clock.Exact()
 		callContext, cancel := context.WithTimeout(ctx, s.options.Timeout)
 		response, err := CallOnce[wire.HeartbeatResponse](callContext, s.options.Client, MetaGroup, MethodHeartbeat, request, attempt)
 		cancel()
 		if err == nil {
-			s.accept(sent, response)
+			s.applyResponse(sent, response)
 			return
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		s.failed(err)
+		s.recordFailure(err)
 	}
 }
 
-func (s *Session) request() *wire.HeartbeatRequest {
+func (s *Session) newRequest() *wire.HeartbeatRequest {
 	request := &wire.HeartbeatRequest{}
 	s.options.Report(request)
 	s.mutex.Lock()
@@ -158,7 +159,7 @@
 	return request
 }
 
-func (s *Session) failed(err error) {
+func (s *Session) recordFailure(err error) {
 	s.mutex.Lock()
 	s.failures++
 	first := s.failures == 1
@@ -168,17 +169,18 @@
 	}
 }
 
-// accept takes in an answer. The leases count from the sending.
-func (s *Session) accept(sent time.Time, response *wire.HeartbeatResponse) {
+// applyResponse applies the response to a heartbeat. The leases run from the time at which the
+// heartbeat was sent.
+func (s *Session) applyResponse(sent time.Time, response *wire.HeartbeatResponse) {
 	changed, err := s.config.Apply(response.Config)
 	if err != nil {
-		// Without the configuration its lease must not be renewed.
+		// The lease of a configuration that was not applied must not be renewed.
 		logging.Error(s.options.Logger, "configuration_refused", "revision", response.ConfigRevision, "error", err)
 		return
 	}
 	if changed {
 		logging.Info(s.options.Logger, "configuration_in_force", "revision", s.config.Current().Revision)
-		// Control learns at once that the change is in force here.
+		// Tell control at once that the new revision is in force here.
 		s.HeartbeatNow()
 	}
 	s.mutex.Lock()
