--- a/internal/coordination/jobs.go
+++ b/internal/coordination/jobs.go
@@ -9,51 +9,51 @@
 )
 
 const (
-	// adoptionTime is how long a new leader waits for dispatchers to renew the
-	// item leases that its predecessor granted.
+	// adoptionTime is how long a new leader waits for dispatchers to renew the item leases that its
+	// predecessor granted.
 	adoptionTime = 1500 * time.Millisecond
-	// maxLeasedItems bounds the items given in one answer, and so its size.
+	// maxLeasedItems limits the items, and thus the size, of one response.
 	maxLeasedItems = 256
-	// idlePerAsker bounds the asking for items that are not there to 200 a
-	// second in each job group, whatever the number of dispatchers.
-	idlePerAsker = 5 * time.Millisecond
-	minIdle      = 100 * time.Millisecond
-	maxIdle      = 5 * time.Second
-	askerMemory  = 10 * time.Second
+	// idlePerDispatcher limits the requests that find no items to 200 per second in each job group,
+	// whatever the number of dispatchers.
+	idlePerDispatcher = 5 * time.Millisecond
+	minIdle           = 100 * time.Millisecond
+	maxIdle           = 5 * time.Second
+	lastRequestTTL    = 10 * time.Second
 )
 
-// JobLeader is the soft state of a job group's leader in one term.
+// JobLeader is the unreplicated state of a job group's leader in one term.
 type JobLeader struct {
 	policy  Policy
 	machine *jobstate.Machine
 	leases  *jobstate.Leases
-	// askers holds when each dispatcher asked for items last.
-	askers map[string]time.Time
-	pruned time.Time
+	// lastRequests holds when each dispatcher last requested items.
+	lastRequests map[string]time.Time
+	lastPrune    time.Time
 }
 
-// NewJobLeader begins a term.
+// NewJobLeader returns the state of a leader whose term begins now.
 func NewJobLeader(machine *jobstate.Machine, policy Policy, now time.Time) *JobLeader {
 	return &JobLeader{
-		policy:  policy,
-		machine: machine,
-		leases:  jobstate.NewLeases(machine, policy.ItemLease, adoptionTime, now),
-		askers:  map[string]time.Time{},
+		policy:       policy,
+		machine:      machine,
+		leases:       jobstate.NewLeases(machine, policy.ItemLease, adoptionTime, now),
+		lastRequests: map[string]time.Time{},
 	}
 }
 
-// LeaseItems renews what a dispatcher holds and grants it waiting items. The
-// reader is the group's state.
+// LeaseItems renews the leases that a dispatcher holds and grants it waiting items, whose contents
+// it reads from the group's state with reader.
 func (j *JobLeader) LeaseItems(now time.Time, request *wire.LeaseItemsRequest, reader storage.Reader) (*wire.LeaseItemsResponse, error) {
 	response := &wire.LeaseItemsResponse{
 		LeaseMillis: j.policy.ItemLease.Milliseconds(),
-		IdleMillis:  j.idle(now, request.Dispatcher).Milliseconds(),
+		IdleMillis:  j.idleTime(now, request.Dispatcher).Milliseconds(),
 	}
 	j.leases.Expire(now)
 	response.Stop = j.leases.Renew(now, request.Dispatcher, request.Incarnation, request.Held)
 	granted := j.leases.Grant(now, request.Dispatcher, request.Incarnation, min(request.Want, maxLeasedItems), request.Models)
 	for _, ref := range granted {
-		item, err := j.read(reader, ref)
+		item, err := j.readItem(reader, ref)
 		if err != nil {
 			return nil, err
 		}
@@ -62,23 +62,22 @@
 	return response, nil
 }
 
-// idle returns when a dispatcher that got no items may ask again: the more
-// dispatchers there are, the later, so that their number does not multiply the
-// asking.
-func (j *JobLeader) idle(now time.Time, asker string) time.Duration {
-	j.askers[asker] = now
-	if now.Sub(j.pruned) > askerMemory {
-		j.pruned = now
-		for name, asked := range j.askers {
-			if now.Sub(asked) > askerMemory {
-				delete(j.askers, name)
+// idleTime returns how long a dispatcher that got no items waits before it requests items again. It
+// grows with the number of dispatchers, so that the total rate of requests does not.
+func (j *JobLeader) idleTime(now time.Time, dispatcher string) time.Duration {
+	j.lastRequests[dispatcher] = now
+	if now.Sub(j.lastPrune) > lastRequestTTL {
+		j.lastPrune = now
+		for name, lastRequest := range j.lastRequests {
+			if now.Sub(lastRequest) > lastRequestTTL {
+				delete(j.lastRequests, name)
 			}
 		}
 	}
-	return min(max(time.Duration(len(j.askers))*idlePerAsker, minIdle), maxIdle)
+	return min(max(time.Duration(len(j.lastRequests))*idlePerDispatcher, minIdle), maxIdle)
 }
 
-func (j *JobLeader) read(reader storage.Reader, ref wire.ItemRef) (wire.LeasedItem, error) {
+func (j *JobLeader) readItem(reader storage.Reader, ref wire.ItemRef) (wire.LeasedItem, error) {
 	record, err := j.machine.Job("", ref.JobID)
 	if err != nil {
 		return wire.LeasedItem{}, err
@@ -95,5 +94,5 @@
 	}, err
 }
 
-// Release forgets the leases of items whose results are committed.
+// Release removes the leases of items whose results are committed.
 func (j *JobLeader) Release(results []wire.ItemResult) { j.leases.Release(results) }
--- a/internal/coordination/meta.go
+++ b/internal/coordination/meta.go
@@ -1,8 +1,7 @@
-// Package coordination is what the leader of a group knows beyond the replicated
-// state: the leases of daemons, the workers, and the leases of batch items. It is
-// pure and soft: a new leader begins with none of it and learns it from the
-// daemons' next messages; it waits one lease before it takes anything from
-// anyone.
+// Package coordination holds what the leader of a group knows beyond the replicated state: the
+// leases of daemons, the workers, and the leases of batch items. It does no I/O, and its state is
+// not replicated: a new leader rebuilds it from the daemons' next messages, and revokes nothing
+// until one lease duration has passed.
 package coordination
 
 import (
@@ -15,40 +14,40 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// Policy holds the lengths of the leases that a leader grants.
+// Policy holds the durations of the leases that a leader grants.
 type Policy struct {
 	DaemonLease time.Duration
 	ConfigLease time.Duration
 	ItemLease   time.Duration
-	// WorkerRetention is how long a worker may be missing from the platform's
-	// list.
+	// WorkerRetention is how long a worker may be missing from the platform's list before it is
+	// removed.
 	WorkerRetention time.Duration
 	JobGroups       int
 }
 
-// MetaLeader is the soft state of the meta group's leader in one term.
+// MetaLeader is the unreplicated state of the meta group's leader in one term.
 type MetaLeader struct {
-	policy  Policy
-	machine *metastate.Machine
-	table   *membership.LeaseTable
-	workers *membership.Workers
+	policy       Policy
+	machine      *metastate.Machine
+	daemonLeases *membership.LeaseTable
+	workers      *membership.Workers
 }
 
-// NewMetaLeader begins a term.
+// NewMetaLeader returns the state of a leader whose term begins now.
 func NewMetaLeader(machine *metastate.Machine, policy Policy, term uint64, now time.Time) *MetaLeader {
 	m := &MetaLeader{
-		policy:  policy,
-		machine: machine,
-		table:   membership.NewLeaseTable(term, policy.DaemonLease, now),
-		workers: membership.NewWorkers(policy.WorkerRetention),
+		policy:       policy,
+		machine:      machine,
+		daemonLeases: membership.NewLeaseTable(term, policy.DaemonLease, now),
+		workers:      membership.NewWorkers(policy.WorkerRetention),
 	}
 	m.workers.Restore(now, machine.Assignments())
 	return m
 }
 
-// Heartbeat renews a daemon's leases and answers with what it does not know yet.
+// Heartbeat renews a daemon's leases and returns the changes that the daemon does not have yet.
 func (m *MetaLeader) Heartbeat(now time.Time, request *wire.HeartbeatRequest) (*wire.HeartbeatResponse, error) {
-	if err := m.table.Heartbeat(now, request); err != nil {
+	if err := m.daemonLeases.Heartbeat(now, request); err != nil {
 		return nil, err
 	}
 	for i := range request.Workers {
@@ -58,21 +57,21 @@
 		LeaseMillis:       m.policy.DaemonLease.Milliseconds(),
 		ConfigLeaseMillis: m.policy.ConfigLease.Milliseconds(),
 		JobGroups:         m.policy.JobGroups,
-		Gateways:          m.table.Count(now, wire.RoleGateway),
+		Gateways:          m.daemonLeases.Count(now, wire.RoleGateway),
 		ConfigRevision:    m.machine.Revision(),
 		Config:            m.machine.ChangedSince(request.ConfigRevision),
 	}
 	switch request.Role {
 	case wire.RoleGateway:
-		response.View = m.table.View(now, request.ViewVersion)
+		response.View = m.daemonLeases.View(now, request.ViewVersion)
 	case wire.RoleDispatcher:
 		m.fillAssignments(request, response)
 	}
 	return response, nil
 }
 
-// fillAssignments lists a dispatcher's workers unless it knows them already.
-// The version is a digest of the list, which no change of leader invalidates.
+// fillAssignments adds the dispatcher's assignments to the response unless the dispatcher has them
+// already. Their version is a hash of the list, so that it stays valid when the leader changes.
 func (m *MetaLeader) fillAssignments(request *wire.HeartbeatRequest, response *wire.HeartbeatResponse) {
 	owned := m.machine.AssignmentsOf(request.Daemon)
 	var encoded []byte
@@ -88,23 +87,23 @@
 	}
 }
 
-// ApplyList takes in one reading of the platform's list.
+// ApplyList applies one reading of the platform's worker list.
 func (m *MetaLeader) ApplyList(now time.Time, rows []membership.ListedWorker) {
 	m.workers.ApplyList(now, rows)
 }
 
-// Plan ends the daemon leases that have run out, whose holders it returns, and
-// works out the assignments that follow; an empty command changes nothing.
+// Plan expires daemon leases, whose holders it returns, and computes the resulting assignments. An
+// empty command changes nothing.
 func (m *MetaLeader) Plan(now time.Time) (expired []string, command wire.AssignCommand) {
-	expired = m.table.Expire(now)
-	if m.table.Ready(now) {
-		command = membership.Plan(m.workers, m.table.Dispatchers(), m.machine.Assignments(), m.drained)
+	expired = m.daemonLeases.Expire(now)
+	if m.daemonLeases.Ready(now) {
+		command = membership.Plan(m.workers, m.daemonLeases.Dispatchers(), m.machine.Assignments(), m.drainRequested)
 	}
 	return expired, command
 }
 
-// drained reports whether an operator drains the worker.
-func (m *MetaLeader) drained(name string) bool {
+// drainRequested reports whether an operator has requested to drain the worker.
+func (m *MetaLeader) drainRequested(name string) bool {
 	return len(m.machine.Documents(metastate.KindDrain, name)) > 0
 }
 
@@ -112,7 +111,7 @@
 func (m *MetaLeader) Status(now time.Time) *wire.StatusResponse {
 	response := &wire.StatusResponse{
 		ConfigRevision: m.machine.Revision(),
-		Daemons:        m.table.Status(now),
+		Daemons:        m.daemonLeases.Status(now),
 		Workers:        m.machine.SortedAssignments(),
 	}
 	for i := range response.Daemons {
