--- a/internal/scheduling/actions.go
+++ b/internal/scheduling/actions.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// ActionKind tells actions apart.
+// ActionKind is the type of an action.
 type ActionKind uint8
 
 const (
-	// Start hands the attempt to the worker.
+	// Start runs the attempt on the worker.
 	Start ActionKind = iota
-	// Preempt cancels a batch attempt whose place is needed.
+	// Preempt cancels a running batch attempt whose capacity an online attempt needs.
 	Preempt
-	// Abandon gives up an attempt on a worker that does not answer.
+	// Abandon gives up an attempt on a worker that is unresponsive or was replaced.
 	Abandon
-	// Reject ends an attempt that did not run.
+	// Reject ends an attempt that was not started.
 	Reject
 )
 
-// Reason says why an attempt was refused.
+// Reason is the reason for a rejection.
 type Reason uint8
 
 const (
-	// ReasonNone is the reason of actions that are no refusal.
+	// ReasonNone is the reason of all actions other than Reject.
 	ReasonNone Reason = iota
-	// ReasonSaturated means that the wait would be too long.
+	// ReasonSaturated means that the queue is full or the expected wait exceeds the deadline.
 	ReasonSaturated
-	// ReasonNoWorker means that no worker here can serve the attempt.
+	// ReasonNoWorker means that no worker of this dispatcher can serve the attempt.
 	ReasonNoWorker
-	// ReasonDeadline means that the deadline passed while it waited.
+	// ReasonDeadline means that the deadline passed while the attempt was queued.
 	ReasonDeadline
 )
 
-// Action is something for the input and output side to carry out.
+// Action is an instruction to the caller of Step.
 type Action struct {
 	Kind      ActionKind
 	AttemptID string
@@ -38,7 +38,7 @@
 	Address   string
 	Epoch     uint64
 	Reason    Reason
-	// RetryAfter is when a refused attempt may come back.
+	// RetryAfter is the time after which a rejected attempt may be sent again.
 	RetryAfter time.Duration
 }
 
@@ -48,30 +48,31 @@
 	rateWindow         = 5 * time.Second
 )
 
-// finishRate estimates the wait in the queue from recent finishes.
-type finishRate struct {
-	started time.Time
-	count   int
-	rate    float64
+// completionRate estimates the wait in the queue from the rate at which online attempts ended
+// recently.
+type completionRate struct {
+	windowStart time.Time
+	count       int
+	rate        float64
 }
 
-func (f *finishRate) finished(now time.Time) {
-	if f.started.IsZero() {
-		f.started = now
+func (c *completionRate) recordEnd(now time.Time) {
+	if c.windowStart.IsZero() {
+		c.windowStart = now
 	}
-	f.count++
-	if elapsed := now.Sub(f.started); elapsed >= rateWindow {
-		f.rate = float64(f.count) / elapsed.Seconds()
-		f.started, f.count = now, 0
+	c.count++
+	if elapsed := now.Sub(c.windowStart); elapsed >= rateWindow {
+		c.rate = float64(c.count) / elapsed.Seconds()
+		c.windowStart, c.count = now, 0
 	}
 }
 
-// expectedWait returns how long the attempt at the position will wait. Without
-// any measurement yet it is zero, so that the queue's bound alone decides.
-func (f *finishRate) expectedWait(now time.Time, position int) time.Duration {
-	rate := f.rate
-	if elapsed := now.Sub(f.started); rate == 0 && f.count > 0 && elapsed > time.Second {
-		rate = float64(f.count) / elapsed.Seconds()
+// expectedWait returns the expected wait of the attempt at the given queue position. Before the
+// first measurement it is zero, so that only MaxQueue limits the queue.
+func (c *completionRate) expectedWait(now time.Time, position int) time.Duration {
+	rate := c.rate
+	if elapsed := now.Sub(c.windowStart); rate == 0 && c.count > 0 && elapsed > time.Second {
+		rate = float64(c.count) / elapsed.Seconds()
 	}
 	if rate == 0 {
 		return 0
--- a/internal/scheduling/events.go
+++ b/internal/scheduling/events.go
@@ -6,118 +6,118 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// Event is something that happened to the dispatcher.
+// Event is an input of the scheduler, such as an arrival or a worker's report.
 type Event interface {
 	apply(scheduler *Scheduler, now time.Time)
 }
 
-// AttemptArrived brings a new attempt.
+// AttemptArrived adds a new attempt.
 type AttemptArrived struct{ Attempt *Attempt }
 
 func (e AttemptArrived) apply(s *Scheduler, now time.Time) {
 	if e.Attempt.Class == wire.Online {
-		s.arriveOnline(now, e.Attempt)
+		s.admitOnline(now, e.Attempt)
 		return
 	}
 	s.batch.push(e.Attempt)
 }
 
-// AttemptProgress tells how many tokens an attempt has generated.
+// AttemptProgress reports how many tokens an attempt has generated.
 type AttemptProgress struct {
 	AttemptID string
 	Tokens    int
 }
 
 func (e AttemptProgress) apply(s *Scheduler, _ time.Time) {
-	if found := s.running[e.AttemptID]; found != nil {
-		found.tokens = e.Tokens
+	if r := s.running[e.AttemptID]; r != nil {
+		r.tokens = e.Tokens
 	}
 }
 
-// AttemptEnded ends an attempt, whatever its outcome, or takes it out of its queue.
+// AttemptEnded ends an attempt, whatever its outcome, or removes it from its queue.
 type AttemptEnded struct {
 	AttemptID string
-	// CachedBlocks is how many leading blocks the engine had cached; below
-	// zero it is not known.
+	// CachedBlocks is the number of leading blocks that the engine had cached; negative if it is
+	// not known.
 	CachedBlocks int
 }
 
 func (e AttemptEnded) apply(s *Scheduler, now time.Time) {
-	found := s.running[e.AttemptID]
-	if found == nil {
+	r := s.running[e.AttemptID]
+	if r == nil {
 		if !s.online.remove(e.AttemptID) {
 			s.batch.remove(e.AttemptID)
 		}
 		return
 	}
 	delete(s.running, e.AttemptID)
-	found.worker.remove(found)
+	r.worker.remove(r)
 	if e.CachedBlocks >= 0 {
-		found.worker.prefixes.Add(found.attempt.Blocks...)
+		r.worker.prefixes.Add(r.attempt.Blocks...)
 	}
-	if found.attempt.Class == wire.Online {
-		s.rate.finished(now)
+	if r.attempt.Class == wire.Online {
+		s.onlineRate.recordEnd(now)
 	}
 }
 
-// WorkerUpdated adds a worker or changes what is known of it. A worker that was
-// silent counts as answering again.
+// WorkerUpdated adds a worker or replaces its spec. A worker that was unresponsive counts as
+// responsive again.
 type WorkerUpdated struct{ Spec WorkerSpec }
 
 func (e WorkerUpdated) apply(s *Scheduler, now time.Time) {
-	if known := s.workers[e.Spec.ID]; known != nil {
-		known.spec = e.Spec
-		known.silent = false
-		known.heard = now
+	if w := s.workers[e.Spec.ID]; w != nil {
+		w.spec = e.Spec
+		w.unresponsive = false
+		w.lastReport = now
 		return
 	}
 	s.workers[e.Spec.ID] = newWorker(e.Spec)
-	s.workers[e.Spec.ID].heard = now
-	s.order = sortedNames(s.workers)
+	s.workers[e.Spec.ID].lastReport = now
+	s.sortedWorkers = sortedKeys(s.workers)
 }
 
-// WorkerUnresponsive marks a worker that does not answer. Its attempts are abandoned,
-// so that the input and output side can move them elsewhere.
+// WorkerUnresponsive marks a worker that does not respond. Its attempts are abandoned, so that the
+// caller of Step can run them elsewhere.
 type WorkerUnresponsive struct{ Worker string }
 
 func (e WorkerUnresponsive) apply(s *Scheduler, _ time.Time) {
-	known := s.workers[e.Worker]
-	if known == nil || known.silent {
+	w := s.workers[e.Worker]
+	if w == nil || w.unresponsive {
 		return
 	}
-	known.silent = true
-	s.abandonAll(known)
+	w.unresponsive = true
+	s.abandonAll(w)
 }
 
-// WorkerRemoved takes away a worker that now belongs to another dispatcher, or
-// is gone. Its running attempts go on unless Abandon is set.
+// WorkerRemoved removes a worker that was assigned to another dispatcher or no longer exists. Its
+// running attempts continue unless Abandon is set.
 type WorkerRemoved struct {
 	Worker  string
 	Abandon bool
 }
 
 func (e WorkerRemoved) apply(s *Scheduler, _ time.Time) {
-	known := s.workers[e.Worker]
-	if known == nil {
+	w := s.workers[e.Worker]
+	if w == nil {
 		return
 	}
 	if e.Abandon {
-		s.abandonAll(known)
+		s.abandonAll(w)
 	}
 	delete(s.workers, e.Worker)
-	s.order = sortedNames(s.workers)
+	s.sortedWorkers = sortedKeys(s.workers)
 }
 
-func (s *Scheduler) abandonAll(from *worker) {
-	for _, id := range sortedNames(from.inFlight) {
-		abandoned := from.inFlight[id]
-		from.remove(abandoned)
+func (s *Scheduler) abandonAll(w *worker) {
+	for _, id := range sortedKeys(w.inFlight) {
+		abandoned := w.inFlight[id]
+		w.remove(abandoned)
 		delete(s.running, id)
-		s.emit(Action{Kind: Abandon, AttemptID: id, Worker: from.spec.ID, Address: from.spec.Address})
+		s.emit(Action{Kind: Abandon, AttemptID: id, Worker: w.spec.ID, Address: w.spec.Address})
 	}
 }
 
-// CacheChanged brings an engine's cache events.
+// CacheChanged reports the cache events of a worker's engine.
 type CacheChanged struct {
 	Worker  string
 	Added   []uint64
@@ -125,13 +125,13 @@
 }
 
 func (e CacheChanged) apply(s *Scheduler, _ time.Time) {
-	if known := s.workers[e.Worker]; known != nil {
-		known.prefixes.Add(e.Added...)
-		known.prefixes.Remove(e.Evicted...)
+	if w := s.workers[e.Worker]; w != nil {
+		w.prefixes.Add(e.Added...)
+		w.prefixes.Remove(e.Evicted...)
 	}
 }
 
-// Tick lets time pass: waiting attempts whose deadline has passed are refused.
+// Tick advances the time: attempts whose deadline has passed in the queue are rejected.
 type Tick struct{}
 
 func (Tick) apply(*Scheduler, time.Time) {}
--- a/internal/scheduling/queue.go
+++ b/internal/scheduling/queue.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// queue holds waiting attempts: higher ranks first, then in order of arrival.
+// queue holds waiting attempts by descending rank, then in order of arrival.
 type queue struct {
 	attempts []*Attempt
 }
@@ -19,7 +19,7 @@
 	q.attempts[index] = attempt
 }
 
-// filter keeps the attempts for which keep returns true.
+// filter removes the attempts for which keep returns false.
 func (q *queue) filter(keep func(*Attempt) bool) {
 	kept := make([]*Attempt, 0, len(q.attempts))
 	for _, attempt := range q.attempts {
@@ -30,7 +30,7 @@
 	q.attempts = kept
 }
 
-// remove takes out the attempt with the id and reports whether it was there.
+// remove removes the attempt with the given ID and reports whether it was queued.
 func (q *queue) remove(id string) bool {
 	for index, attempt := range q.attempts {
 		if attempt.ID == id {
@@ -41,8 +41,8 @@
 	return false
 }
 
-// takeExpired removes and returns the attempts whose deadline has passed.
-func (q *queue) takeExpired(now time.Time) []*Attempt {
+// removeExpired removes and returns the attempts whose deadline has passed.
+func (q *queue) removeExpired(now time.Time) []*Attempt {
 	var expired []*Attempt
 	for _, attempt := range q.attempts {
 		if now.After(attempt.Deadline) {
--- a/internal/scheduling/reserve.go
+++ b/internal/scheduling/reserve.go
@@ -3,54 +3,54 @@
 import "time"
 
 const (
-	// burstWindow is the time within which arrivals count as one burst: about as
-	// long as a batch item needs to end by itself.
+	// burstWindow is the time within which arrivals count as one burst. It is about the time that a
+	// running batch item takes to end by itself.
 	burstWindow = 500 * time.Millisecond
-	// burstMemory is how long a burst is remembered.
-	burstMemory = 30 * time.Second
-	// burstCells is how many windows are remembered.
-	burstCells = int(burstMemory / burstWindow)
+	// burstRetention is how long a burst counts for the reserve.
+	burstRetention = 30 * time.Second
+	// burstWindowCount is the number of windows that are kept.
+	burstWindowCount = int(burstRetention / burstWindow)
 )
 
-// burstMeter remembers how many online attempts arrived in each recent window.
+// burstMeter counts the online arrivals in each recent window. counts is a ring buffer, indexed by
+// the window's number.
 type burstMeter struct {
-	cells [burstCells]int
-	cell  int64
+	counts [burstWindowCount]int
+	window int64
 }
 
-// arrived counts one arrival.
-func (b *burstMeter) arrived(now time.Time) {
+// recordArrival counts one online arrival.
+func (b *burstMeter) recordArrival(now time.Time) {
 	b.advance(now)
-	b.cells[int(b.cell)%burstCells]++
+	b.counts[int(b.window)%burstWindowCount]++
 }
 
-// advance forgets the windows that have passed.
+// advance moves to the current window and clears those that are no longer kept.
 func (b *burstMeter) advance(now time.Time) {
 	current := now.UnixNano() / int64(burstWindow)
-	if b.cell == 0 {
-		b.cell = current
+	if b.window == 0 {
+		b.window = current
 	}
-	for steps := 0; b.cell < current && steps < burstCells; steps++ {
-		b.cell++
-		b.cells[int(b.cell)%burstCells] = 0
+	for steps := 0; b.window < current && steps < burstWindowCount; steps++ {
+		b.window++
+		b.counts[int(b.window)%burstWindowCount] = 0
 	}
-	b.cell = max(b.cell, current)
+	b.window = max(b.window, current)
 }
 
-// largest returns the arrivals of the largest remembered burst.
+// largest returns the number of arrivals in the largest recent burst.
 func (b *burstMeter) largest(now time.Time) int {
 	b.advance(now)
-	most := 0
-	for _, count := range b.cells {
-		most = max(most, count)
+	largest := 0
+	for _, count := range b.counts {
+		largest = max(largest, count)
 	}
-	return most
+	return largest
 }
 
-// reservePercent returns the share of each worker's slots that batch work leaves
-// free. The adaptive reserve is as large as the largest recent burst, less what
-// online work holds already, so that the burst finds its slots without any
-// preemption; it is never larger than the operator's choice.
+// reservePercent returns the percentage of each worker's slots that batch work leaves free. Without
+// AdaptiveReserve it is the configured ReservePercent. The adaptive reserve covers the largest
+// recent burst, so that such a burst starts without preemption, up to ReservePercent.
 func (s *Scheduler) reservePercent() int {
 	if s.config.EnginePriorities {
 		return 0
@@ -59,7 +59,7 @@
 		return s.config.ReservePercent
 	}
 	slots := 0
-	for _, id := range s.order {
+	for _, id := range s.sortedWorkers {
 		if w := s.workers[id]; w.available() {
 			slots += w.spec.Slots
 		}
@@ -67,6 +67,6 @@
 	if slots == 0 {
 		return s.config.ReservePercent
 	}
-	const whole = 100
-	return min(s.bursts.largest(s.now)*whole/slots, s.config.ReservePercent)
+	const fullPercent = 100
+	return min(s.bursts.largest(s.now)*fullPercent/slots, s.config.ReservePercent)
 }
--- a/internal/scheduling/scheduler.go
+++ b/internal/scheduling/scheduler.go
@@ -1,15 +1,15 @@
-// Package scheduling decides, for the workers that one dispatcher owns, where
-// each attempt runs, when it waits, and when batch work must yield. It is a
-// pure state machine: Step takes an event and a time and returns actions.
+// Package scheduling decides, for the workers that one dispatcher owns, where each attempt runs,
+// how long it is queued, and when batch attempts are preempted. It is a state machine without I/O:
+// Step takes an event and a time and returns actions.
 //
-// Because a worker has one owner, the in-flight table is exact, and batch work
-// yields in the very step in which an online request arrives.
+// Because each worker has a single owner, the table of attempts in flight is exact, and batch work
+// is preempted in the same step in which an online request arrives.
 //
 // Invariants:
-//   - no online attempt waits while a batch attempt holds what it needs on a
-//     worker that could serve it;
-//   - batch attempts never take the slots held in reserve for bursts;
-//   - a worker that is leaving or silent gets no new attempt.
+//   - no online attempt is queued while a worker that can serve it has enough capacity after
+//     the preemption of its batch attempts;
+//   - batch attempts never use the slots that are reserved for bursts;
+//   - a worker that is leaving or unresponsive gets no new attempt.
 package scheduling
 
 import (
@@ -19,20 +19,20 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// Config holds what an operator may choose.
+// Config holds the operator's settings.
 type Config struct {
-	// MaxQueue bounds the online attempts that wait.
+	// MaxQueue limits the number of queued online attempts.
 	MaxQueue int
-	// ReservePercent is the share of a worker's slots left free of batch work.
+	// ReservePercent is the percentage of a worker's slots that batch work leaves free.
 	ReservePercent int
-	// AdaptiveReserve lets the reserve follow the recent bursts of online
-	// arrivals, up to ReservePercent.
+	// AdaptiveReserve makes the reserve follow the recent bursts of online arrivals, up to
+	// ReservePercent.
 	AdaptiveReserve bool
-	// EnginePriorities leaves the order of work to the engines, for
-	// comparison: nothing is preempted and no slot is kept free.
+	// EnginePriorities leaves the order of work to the engines, for comparisons: nothing is
+	// preempted and no slot is reserved.
 	EnginePriorities bool
-	// WorkerTimeout is how long a worker may not be heard of before it counts
-	// as silent; zero means for ever.
+	// WorkerTimeout is how long a worker may send no report before it counts as unresponsive; zero
+	// means no limit.
 	WorkerTimeout time.Duration
 }
 
@@ -49,48 +49,48 @@
 	// Blocks are the chained hashes of the prompt's blocks.
 	Blocks   []uint64
 	Deadline time.Time
-	// Exclude names workers that failed this request before.
+	// Exclude names the workers on which this request has failed.
 	Exclude map[string]bool
 }
 
-// kvTokens is the memory an attempt may come to need.
+// kvTokens returns the KV cache memory, in tokens, that an attempt may need.
 func (a *Attempt) kvTokens() int { return a.PromptTokens + a.MaxTokens }
 
-// Scheduler is the state of one dispatcher.
+// Scheduler holds the scheduling state of one dispatcher.
 type Scheduler struct {
-	config   Config
-	workers  map[string]*worker
-	order    []string
-	running  map[string]*running
-	online   queue
-	batch    queue
-	pipeline *routing.Pipeline
-	random   routing.Random
-	actions  []Action
-	now      time.Time
-	rate     finishRate
-	bursts   burstMeter
+	config        Config
+	workers       map[string]*worker
+	sortedWorkers []string
+	running       map[string]*runningAttempt
+	online        queue
+	batch         queue
+	pipeline      *routing.Pipeline
+	random        routing.Random
+	actions       []Action
+	now           time.Time
+	onlineRate    completionRate
+	bursts        burstMeter
 }
 
-// Weights of the scorers that choose a worker.
+// Weights of the scorers that select a worker.
 const (
 	weightPrefix = 2.0
 	weightLoad   = 1.0
-	weightGather = 0.3
+	weightClass  = 0.3
 )
 
-// New returns a scheduler without workers. The random source settles ties.
+// New returns a scheduler without workers. random breaks ties.
 func New(config Config, random routing.Random) *Scheduler {
 	return &Scheduler{
 		config:  config,
 		workers: map[string]*worker{},
-		running: map[string]*running{},
+		running: map[string]*runningAttempt{},
 		pipeline: routing.NewPipeline(
 			[]routing.Filter{routing.AvailableFilter{}, routing.ModelFilter{}, routing.ExcludeFilter{}},
 			[]routing.WeightedScorer{
 				{Scorer: routing.PrefixScorer{}, Weight: weightPrefix},
 				{Scorer: routing.LoadScorer{}, Weight: weightLoad},
-				{Scorer: routing.ClassScorer{}, Weight: weightGather},
+				{Scorer: routing.ClassScorer{}, Weight: weightClass},
 			},
 			routing.BestPicker{},
 		),
@@ -98,30 +98,31 @@
 	}
 }
 
-// Pipeline returns the steps that choose a worker, for their metrics.
+// Pipeline returns the routing steps that select a worker, for their metrics.
 func (s *Scheduler) Pipeline() *routing.Pipeline { return s.pipeline }
 
-// Step takes one event and returns the actions to carry out, in order.
+// Step processes one event and returns the resulting actions in the order in which they must be
+// carried out.
 func (s *Scheduler) Step(now time.Time, event Event) []Action {
 	s.actions = nil
 	s.now = now
-	s.silenceStale(event)
+	s.markUnresponsive(event)
 	event.apply(s, now)
-	s.drainOnline(now)
+	s.drainOnlineQueue(now)
 	s.fillBatch(now)
 	return s.actions
 }
 
-// silenceStale marks the workers that have not been heard of for too long, but
-// for one that the event brings news of. It runs at the beginning of every step,
-// so that a process that was frozen does not act on what it knew before.
-func (s *Scheduler) silenceStale(event Event) {
+// markUnresponsive marks the workers whose last report is older than WorkerTimeout, except one that
+// the event updates. It runs at the start of every step, so that a process that was suspended does
+// not act on outdated reports.
+func (s *Scheduler) markUnresponsive(event Event) {
 	if s.config.WorkerTimeout == 0 {
 		return
 	}
 	update, _ := event.(WorkerUpdated)
-	for _, id := range s.order {
-		if known := s.workers[id]; id != update.Spec.ID && !known.silent && s.now.Sub(known.heard) > s.config.WorkerTimeout {
+	for _, id := range s.sortedWorkers {
+		if w := s.workers[id]; id != update.Spec.ID && !w.unresponsive && s.now.Sub(w.lastReport) > s.config.WorkerTimeout {
 			WorkerUnresponsive{Worker: id}.apply(s, s.now)
 		}
 	}
@@ -129,75 +130,74 @@
 
 func (s *Scheduler) emit(action Action) { s.actions = append(s.actions, action) }
 
-// arriveOnline places an online attempt, queues it, or refuses it at once.
-func (s *Scheduler) arriveOnline(now time.Time, attempt *Attempt) {
-	s.bursts.arrived(now)
+// admitOnline starts, queues or rejects an online attempt.
+func (s *Scheduler) admitOnline(now time.Time, attempt *Attempt) {
+	s.bursts.recordArrival(now)
 	if s.online.len() == 0 && s.placeOnline(attempt) {
 		return
 	}
 	if !s.servable(attempt) {
-		s.refuse(attempt, ReasonNoWorker, noWorkerRetryAfter)
+		s.reject(attempt, ReasonNoWorker, noWorkerRetryAfter)
 		return
 	}
-	wait := s.rate.expectedWait(now, s.online.len()+1)
+	wait := s.onlineRate.expectedWait(now, s.online.len()+1)
 	if s.online.len() >= s.config.MaxQueue || now.Add(wait).After(attempt.Deadline) {
-		s.refuse(attempt, ReasonSaturated, wait)
+		s.reject(attempt, ReasonSaturated, wait)
 		return
 	}
 	s.online.push(attempt)
 }
 
-func (s *Scheduler) refuse(attempt *Attempt, reason Reason, retryAfter time.Duration) {
+func (s *Scheduler) reject(attempt *Attempt, reason Reason, retryAfter time.Duration) {
 	s.emit(Action{Kind: Reject, AttemptID: attempt.ID, Reason: reason, RetryAfter: retryAfter})
 }
 
-// servable reports whether any worker could ever run the attempt.
+// servable reports whether any worker could run the attempt if it had no other work.
 func (s *Scheduler) servable(attempt *Attempt) bool {
 	request := attempt.request()
-	for _, id := range s.order {
-		candidate := s.workers[id]
-		if candidate.usable(request) && attempt.kvTokens() <= candidate.spec.KVTokens {
+	for _, id := range s.sortedWorkers {
+		w := s.workers[id]
+		if w.canServe(request) && attempt.kvTokens() <= w.spec.KVTokens {
 			return true
 		}
 	}
 	return false
 }
 
-// drainOnline places waiting online attempts, in order, and drops those whose
-// deadline has passed.
-func (s *Scheduler) drainOnline(now time.Time) {
-	for _, attempt := range s.online.takeExpired(now) {
-		s.refuse(attempt, ReasonDeadline, 0)
+// drainOnlineQueue starts queued online attempts, in order, and rejects those whose deadline has
+// passed or that no worker can serve any more.
+func (s *Scheduler) drainOnlineQueue(now time.Time) {
+	for _, attempt := range s.online.removeExpired(now) {
+		s.reject(attempt, ReasonDeadline, 0)
 	}
 	s.online.filter(func(attempt *Attempt) bool {
 		if s.placeOnline(attempt) {
 			return false
 		}
 		if !s.servable(attempt) {
-			s.refuse(attempt, ReasonNoWorker, noWorkerRetryAfter)
+			s.reject(attempt, ReasonNoWorker, noWorkerRetryAfter)
 			return false
 		}
 		return true
 	})
 }
 
-// placeOnline starts an online attempt where it fits, preempting batch work if
-// it must. It reports whether the attempt was started. A worker on which an
-// earlier attempt failed is the last choice, but better than waiting behind the
-// batch work there.
+// placeOnline starts an online attempt where it fits, preempting batch attempts if necessary, and
+// reports whether it was started. Workers on which an earlier attempt failed are used last, but
+// before the attempt is queued behind their batch work.
 func (s *Scheduler) placeOnline(attempt *Attempt) bool {
 	request := attempt.request()
-	if s.placeOnlineFor(attempt, request) {
+	if s.placeOnlineRequest(attempt, request) {
 		return true
 	}
 	if len(request.Exclude) == 0 {
 		return false
 	}
 	request.Exclude = nil
-	return s.placeOnlineFor(attempt, request)
+	return s.placeOnlineRequest(attempt, request)
 }
 
-func (s *Scheduler) placeOnlineFor(attempt *Attempt, request *routing.Request) bool {
+func (s *Scheduler) placeOnlineRequest(attempt *Attempt, request *routing.Request) bool {
 	if chosen := s.choose(request, func(w *worker) bool { return w.fits(attempt, 0) }); chosen != nil {
 		s.start(chosen, attempt)
 		return true
@@ -216,8 +216,8 @@
 	return true
 }
 
-// placeBeyondSlots hands the attempt to a worker without a free slot, whose
-// engine orders it by priority.
+// placeBeyondSlots starts the attempt on a worker without a free slot, whose engine orders its work
+// by priority.
 func (s *Scheduler) placeBeyondSlots(attempt *Attempt, request *routing.Request) bool {
 	chosen := s.choose(request, func(w *worker) bool { return w.available() && len(w.inFlight) < 2*w.spec.Slots })
 	if chosen == nil {
@@ -227,10 +227,10 @@
 	return true
 }
 
-// choose runs the routing steps over the workers that the condition accepts.
+// choose selects a worker with the routing steps among those that satisfy the condition.
 func (s *Scheduler) choose(request *routing.Request, condition func(*worker) bool) *worker {
-	candidates := make([]*routing.Candidate, 0, len(s.order))
-	for _, id := range s.order {
+	candidates := make([]*routing.Candidate, 0, len(s.sortedWorkers))
+	for _, id := range s.sortedWorkers {
 		if w := s.workers[id]; condition(w) {
 			candidates = append(candidates, w.candidate())
 		}
@@ -249,49 +249,49 @@
 	return &routing.Request{Batch: a.Class == wire.Batch, Model: a.Model, Adapter: a.Adapter, Blocks: a.Blocks, Exclude: a.Exclude}
 }
 
-func (s *Scheduler) start(on *worker, attempt *Attempt) {
-	started := &running{attempt: attempt, worker: on, since: s.now}
-	on.add(started)
+func (s *Scheduler) start(w *worker, attempt *Attempt) {
+	started := &runningAttempt{attempt: attempt, worker: w, startedAt: s.now}
+	w.add(started)
 	s.running[attempt.ID] = started
 	s.emit(Action{
 		Kind:      Start,
 		AttemptID: attempt.ID,
-		Worker:    on.spec.ID,
-		Address:   on.spec.Address,
-		Epoch:     on.spec.Epoch,
+		Worker:    w.spec.ID,
+		Address:   w.spec.Address,
+		Epoch:     w.spec.Epoch,
 	})
 }
 
-// preempt takes a batch attempt off its worker. The input and output side
-// cancels it and brings the rest of the item back as a new attempt.
-func (s *Scheduler) preempt(victim *running) {
+// preempt removes a batch attempt from its worker. The caller of Step cancels it and submits the
+// rest of the item as a new attempt.
+func (s *Scheduler) preempt(victim *runningAttempt) {
 	victim.worker.remove(victim)
 	delete(s.running, victim.attempt.ID)
 	s.emit(Action{Kind: Preempt, AttemptID: victim.attempt.ID, Worker: victim.worker.spec.ID, Address: victim.worker.spec.Address})
 }
 
-// fillBatch starts batch work on what online work and the reserve leave free.
+// fillBatch starts batch attempts in the slots that online work and the reserve leave free.
 func (s *Scheduler) fillBatch(now time.Time) {
-	for _, attempt := range s.batch.takeExpired(now) {
-		s.refuse(attempt, ReasonDeadline, 0)
+	for _, attempt := range s.batch.removeExpired(now) {
+		s.reject(attempt, ReasonDeadline, 0)
 	}
 	if s.batch.len() == 0 {
 		return
 	}
-	full := map[string]bool{}
+	modelsFull := map[string]bool{}
 	s.batch.filter(func(attempt *Attempt) bool {
-		// Attempts of one model compete for the same room: once it is out for
-		// one there is none for the next.
-		if full[attempt.Model] {
+		// Attempts for the same model compete for the same capacity: if one does not fit, those
+		// behind it wait too.
+		if modelsFull[attempt.Model] {
 			return true
 		}
 		if !s.servable(attempt) {
-			s.refuse(attempt, ReasonNoWorker, noWorkerRetryAfter)
+			s.reject(attempt, ReasonNoWorker, noWorkerRetryAfter)
 			return false
 		}
 		chosen := s.choose(attempt.request(), func(w *worker) bool { return w.fits(attempt, w.reserve(s.reservePercent())) })
 		if chosen == nil {
-			full[attempt.Model] = true
+			modelsFull[attempt.Model] = true
 			return true
 		}
 		s.start(chosen, attempt)
@@ -299,26 +299,26 @@
 	})
 }
 
-// BatchCapacity returns how many more batch items could start now, and the models
-// that the workers serve.
+// BatchCapacity returns how many more batch items could start now, and the models that the workers
+// serve.
 func (s *Scheduler) BatchCapacity() (int, []string) {
-	room := 0
+	capacity := 0
 	models := map[string]bool{}
-	for _, id := range s.order {
+	for _, id := range s.sortedWorkers {
 		w := s.workers[id]
 		if !w.available() {
 			continue
 		}
-		room += max(0, w.freeSlots()-w.reserve(s.reservePercent()))
+		capacity += max(0, w.freeSlots()-w.reserve(s.reservePercent()))
 		for model := range w.spec.Models {
 			models[model] = true
 		}
 	}
-	return max(0, room-s.batch.len()), sortedNames(models)
+	return max(0, capacity-s.batch.len()), sortedKeys(models)
 }
 
-// Utilization returns the share of slots that online work holds or waits for,
-// from 0 to 255. Batch work does not count, because it yields.
+// Utilization returns the share of slots that online work uses or waits for, from 0 to 255. Batch
+// work does not count, because it can be preempted.
 func (s *Scheduler) Utilization() uint8 {
 	slots, used := 0, s.online.len()
 	for _, w := range s.workers {
@@ -327,20 +327,20 @@
 			used += w.onlineCount()
 		}
 	}
-	const full = 255
+	const maxUtilization = 255
 	if slots == 0 {
-		return full
+		return maxUtilization
 	}
-	return uint8(min(full, used*full/slots))
+	return uint8(min(maxUtilization, used*maxUtilization/slots))
 }
 
-// Queued returns the number of waiting online and batch attempts.
+// Queued returns the numbers of queued online and batch attempts.
 func (s *Scheduler) Queued() (online, batch int) { return s.online.len(), s.batch.len() }
 
-// InFlight returns the number of running online and batch attempts.
+// InFlight returns the numbers of running online and batch attempts.
 func (s *Scheduler) InFlight() (online, batch int) {
-	for _, candidate := range s.running {
-		if candidate.attempt.Class == wire.Batch {
+	for _, r := range s.running {
+		if r.attempt.Class == wire.Batch {
 			batch++
 		} else {
 			online++
@@ -349,19 +349,19 @@
 	return online, batch
 }
 
-// SetReserve changes the reserve in percent of a worker's slots.
+// SetReserve sets ReservePercent.
 func (s *Scheduler) SetReserve(percent int) { s.config.ReservePercent = percent }
 
-// RunningSince returns the attempts in flight on a worker that were started at the
-// moment given or before.
+// RunningSince returns the number of attempts in flight on a worker that were started at or before
+// startedBy.
 func (s *Scheduler) RunningSince(worker string, startedBy time.Time) int {
-	known := s.workers[worker]
-	if known == nil {
+	w := s.workers[worker]
+	if w == nil {
 		return 0
 	}
 	count := 0
-	for _, candidate := range known.inFlight {
-		if !candidate.since.After(startedBy) {
+	for _, r := range w.inFlight {
+		if !r.startedAt.After(startedBy) {
 			count++
 		}
 	}
--- a/internal/scheduling/scheduler_test.go
+++ b/internal/scheduling/scheduler_test.go
@@ -20,7 +20,7 @@
 	return &Attempt{ID: id, Class: class, Rank: 5, Model: "m", PromptTokens: 40, MaxTokens: 60, Deadline: start.Add(time.Hour)}
 }
 
-func kinds(actions []Action) string {
+func formatActions(actions []Action) string {
 	names := map[ActionKind]string{Start: "start", Preempt: "preempt", Abandon: "abandon", Reject: "refuse"}
 	text := ""
 	for _, action := range actions {
@@ -29,7 +29,7 @@
 	return text
 }
 
-// seededRandom adapts the source of a property test.
+// seededRandom adapts a math/rand source to routing.Random.
 type seededRandom struct{ source *rand.Rand }
 
 func (r seededRandom) IntN(n int) int { return r.source.Intn(n) }
@@ -42,15 +42,15 @@
 	s.Step(start, AttemptArrived{attempt("b1", wire.Batch)})
 	s.Step(start, AttemptArrived{attempt("b2", wire.Batch)})
 	s.Step(start, AttemptProgress{AttemptID: "b1", Tokens: 30})
-	if got := kinds(s.Step(start, AttemptArrived{attempt("o1", wire.Online)})); got != "preempt b2;start o1;" {
-		t.Errorf("the step gave %q; the attempt that loses least must yield", got)
+	if got := formatActions(s.Step(start, AttemptArrived{attempt("o1", wire.Online)})); got != "preempt b2;start o1;" {
+		t.Errorf("actions %q; want the batch attempt with the fewest tokens preempted", got)
 	}
 	s.Step(start, AttemptArrived{attempt("o2", wire.Online)})
-	if got := kinds(s.Step(start, AttemptArrived{attempt("o3", wire.Online)})); got != "" {
-		t.Errorf("a full worker gave %q, want the attempt to wait", got)
+	if got := formatActions(s.Step(start, AttemptArrived{attempt("o3", wire.Online)})); got != "" {
+		t.Errorf("actions %q with a full worker; want the attempt queued", got)
 	}
-	if got := kinds(s.Step(start, AttemptEnded{AttemptID: "o1", CachedBlocks: -1})); got != "start o3;" {
-		t.Errorf("after a finish: %q", got)
+	if got := formatActions(s.Step(start, AttemptEnded{AttemptID: "o1", CachedBlocks: -1})); got != "start o3;" {
+		t.Errorf("actions %q after an attempt ended; want the queued attempt started", got)
 	}
 }
 
@@ -62,86 +62,86 @@
 		s.Step(start, AttemptArrived{attempt(fmt.Sprint("b", i), wire.Batch)})
 	}
 	if _, batch := s.InFlight(); batch != 5 {
-		t.Errorf("%d batch attempts run beside 1 online on 8 slots with a reserve of 2", batch)
+		t.Errorf("%d batch attempts run beside 1 online attempt on 8 slots with a reserve of 2; want 5", batch)
 	}
 }
 
-// TestReserveOnlyBesideOnline: a worker without online work is filled, and yields
-// in the step in which online work arrives.
-func TestReserveOnlyBesideOnline(t *testing.T) {
+// TestReserveAppliesOnlyBesideOnlineWork checks that batch work fills a worker without online work,
+// and that an arriving online attempt preempts it in the same step.
+func TestReserveAppliesOnlyBesideOnlineWork(t *testing.T) {
 	s := New(Config{MaxQueue: 4, ReservePercent: 25}, testRandom())
 	s.Step(start, WorkerUpdated{spec("w1", 2)})
 	for i := 0; i < 3; i++ {
 		s.Step(start, AttemptArrived{attempt(fmt.Sprint("b", i), wire.Batch)})
 	}
 	if _, batch := s.InFlight(); batch != 2 {
-		t.Errorf("%d batch attempts run on 2 slots without online work", batch)
+		t.Errorf("%d batch attempts run on 2 slots without online work; want 2", batch)
 	}
-	if got := kinds(s.Step(start, AttemptArrived{attempt("o1", wire.Online)})); got != "preempt b0;start o1;" {
-		t.Errorf("an online arrival: %q", got)
+	if got := formatActions(s.Step(start, AttemptArrived{attempt("o1", wire.Online)})); got != "preempt b0;start o1;" {
+		t.Errorf("actions %q after an online arrival; want a preemption and a start", got)
 	}
 }
 
-func TestLeavingAndSilentWorkersGetNothing(t *testing.T) {
+func TestLeavingAndUnresponsiveWorkersGetNoAttempts(t *testing.T) {
 	s := New(Config{MaxQueue: 4}, testRandom())
 	s.Step(start, WorkerUpdated{spec("w", 2)})
 	s.Step(start, AttemptArrived{attempt("o1", wire.Online)})
 	leaving := spec("w", 2)
 	leaving.Leaving = true
-	if got := kinds(s.Step(start, WorkerUpdated{leaving})); got != "" {
-		t.Errorf("leaving cut a request: %q", got)
+	if got := formatActions(s.Step(start, WorkerUpdated{leaving})); got != "" {
+		t.Errorf("actions %q when a worker starts to leave; want its request to continue", got)
 	}
-	if got := kinds(s.Step(start, AttemptArrived{attempt("o2", wire.Online)})); got != "refuse o2;" {
-		t.Errorf("a leaving worker: %q", got)
+	if got := formatActions(s.Step(start, AttemptArrived{attempt("o2", wire.Online)})); got != "refuse o2;" {
+		t.Errorf("actions %q with only a leaving worker; want a rejection", got)
 	}
-	if got := kinds(s.Step(start, WorkerUnresponsive{"w"})); got != "abandon o1;" {
-		t.Errorf("a silent worker: %q", got)
+	if got := formatActions(s.Step(start, WorkerUnresponsive{"w"})); got != "abandon o1;" {
+		t.Errorf("actions %q after a worker became unresponsive; want its attempt abandoned", got)
 	}
 	s.Step(start, WorkerUpdated{spec("w", 2)})
-	if got := kinds(s.Step(start, AttemptArrived{attempt("o3", wire.Online)})); got != "start o3;" {
-		t.Errorf("a worker that came back: %q", got)
+	if got := formatActions(s.Step(start, AttemptArrived{attempt("o3", wire.Online)})); got != "start o3;" {
+		t.Errorf("actions %q after the worker responded again; want a start", got)
 	}
 }
 
-func TestOverloadIsAnsweredAtOnce(t *testing.T) {
+func TestFullQueueRejectsImmediately(t *testing.T) {
 	s := New(Config{MaxQueue: 1}, testRandom())
 	s.Step(start, WorkerUpdated{spec("w", 1)})
 	s.Step(start, AttemptArrived{attempt("o1", wire.Online)})
 	s.Step(start, AttemptArrived{attempt("o2", wire.Online)})
-	if got := kinds(s.Step(start, AttemptArrived{attempt("o3", wire.Online)})); got != "refuse o3;" {
-		t.Errorf("a full queue: %q", got)
+	if got := formatActions(s.Step(start, AttemptArrived{attempt("o3", wire.Online)})); got != "refuse o3;" {
+		t.Errorf("actions %q with a full queue; want a rejection", got)
 	}
-	if got := kinds(s.Step(start.Add(2*time.Hour), Tick{})); got != "refuse o2;" {
-		t.Errorf("a deadline that passed in the queue: %q", got)
+	if got := formatActions(s.Step(start.Add(2*time.Hour), Tick{})); got != "refuse o2;" {
+		t.Errorf("actions %q after the deadline passed in the queue; want a rejection", got)
 	}
 }
 
-// TestExcludedWorkerBeforeWaiting: simulation seed 1 of stundir with worker_dies
-// showed an online attempt waiting behind batch work on the one worker that was
-// left, because an earlier attempt had failed there.
-func TestExcludedWorkerBeforeWaiting(t *testing.T) {
+// TestExcludedWorkerIsUsedBeforeWaiting guards against an online attempt that waits behind batch
+// work on the only remaining worker because an earlier attempt of its request failed there.
+func TestExcludedWorkerIsUsedBeforeWaiting(t *testing.T) {
 	s := New(Config{MaxQueue: 4}, testRandom())
 	s.Step(start, WorkerUpdated{spec("w1", 1)})
 	s.Step(start, AttemptArrived{attempt("b1", wire.Batch)})
-	again := attempt("o1", wire.Online)
-	again.Exclude = map[string]bool{"w1": true}
-	if got := kinds(s.Step(start, AttemptArrived{again})); got != "preempt b1;start o1;" {
-		t.Errorf("an attempt excluded from the only worker: %q", got)
+	retried := attempt("o1", wire.Online)
+	retried.Exclude = map[string]bool{"w1": true}
+	if got := formatActions(s.Step(start, AttemptArrived{retried})); got != "preempt b1;start o1;" {
+		t.Errorf("actions %q for an attempt that excludes the only worker; want a preemption and a start there", got)
 	}
 }
 
-// TestThawedProcess: simulation seed 2544 of stundir showed a dispatcher that had
-// been frozen send work to a worker that had begun to leave meanwhile.
-func TestThawedProcess(t *testing.T) {
+// TestSuspendedProcessDropsStaleWorkers guards against a dispatcher that was suspended and then
+// sends work to a worker that began to leave in the meantime.
+func TestSuspendedProcessDropsStaleWorkers(t *testing.T) {
 	s := New(Config{MaxQueue: 4, WorkerTimeout: time.Second}, testRandom())
 	s.Step(start, WorkerUpdated{spec("w1", 2)})
 	late := start.Add(6 * time.Second)
-	if got := kinds(s.Step(late, AttemptArrived{attempt("o1", wire.Online)})); got != "refuse o1;" {
-		t.Errorf("an arrival long after the last report: %q", got)
+	if got := formatActions(s.Step(late, AttemptArrived{attempt("o1", wire.Online)})); got != "refuse o1;" {
+		t.Errorf("actions %q for an arrival after the worker timeout; want a rejection", got)
 	}
 }
 
-// TestRandomEvents checks the package's invariants after every step.
+// TestRandomEvents checks the scheduler's invariants after every step of a random sequence of
+// events.
 func TestRandomEvents(t *testing.T) {
 	proptest.Run(t, "invariants", func(random *rand.Rand) error {
 		s := New(Config{MaxQueue: 8, ReservePercent: 20}, seededRandom{random})
@@ -176,7 +176,7 @@
 				switch action.Kind {
 				case Start:
 					if !s.workers[action.Worker].available() {
-						return fmt.Errorf("step %d: a start on a worker that is leaving or silent", step)
+						return fmt.Errorf("step %d: start on a worker that is leaving or unresponsive", step)
 					}
 					running[action.AttemptID] = action.Worker
 				case Preempt, Abandon:
@@ -193,7 +193,7 @@
 
 func checkInvariants(s *Scheduler, running map[string]string) error {
 	if len(s.running) != len(running) {
-		return fmt.Errorf("%d attempts in the table, %d running", len(s.running), len(running))
+		return fmt.Errorf("scheduler has %d attempts in flight, want %d", len(s.running), len(running))
 	}
 	return s.CheckInvariants()
 }
--- a/internal/scheduling/worker.go
+++ b/internal/scheduling/worker.go
@@ -9,10 +9,10 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// prefixCapacity bounds the blocks remembered for one worker.
+// prefixCapacity limits the number of prefix blocks that are recorded for one worker.
 const prefixCapacity = 8192
 
-// WorkerSpec is what a dispatcher knows of a worker it owns.
+// WorkerSpec is what a dispatcher knows about a worker that it owns.
 type WorkerSpec struct {
 	ID       string
 	Address  string
@@ -23,37 +23,37 @@
 	Models   map[string]bool
 	Adapters map[string]bool
 	Leaving  bool
-	// PreviousOwnerSlots is the number of slots in use by attempts of a former owner.
+	// PreviousOwnerSlots is the number of slots in use by attempts of a previous owner.
 	PreviousOwnerSlots int
 }
 
-// worker is a worker with the exact table of the attempts in flight on it.
+// worker holds a worker's spec and the exact table of the attempts in flight on it.
 type worker struct {
-	spec     WorkerSpec
-	silent   bool
-	heard    time.Time
-	inFlight map[string]*running
-	online   int
-	kvUsed   int
-	prefixes *routing.PrefixIndex
+	spec         WorkerSpec
+	unresponsive bool
+	lastReport   time.Time
+	inFlight     map[string]*runningAttempt
+	online       int
+	kvUsed       int
+	prefixes     *routing.PrefixIndex
 }
 
-// running is an attempt in flight.
-type running struct {
-	attempt *Attempt
-	worker  *worker
-	since   time.Time
+// runningAttempt is an attempt in flight.
+type runningAttempt struct {
+	attempt   *Attempt
+	worker    *worker
+	startedAt time.Time
 	// tokens is the number of tokens generated so far.
 	tokens int
 }
 
 func newWorker(spec WorkerSpec) *worker {
-	return &worker{spec: spec, inFlight: map[string]*running{}, prefixes: routing.NewPrefixIndex(prefixCapacity)}
+	return &worker{spec: spec, inFlight: map[string]*runningAttempt{}, prefixes: routing.NewPrefixIndex(prefixCapacity)}
 }
 
-func (w *worker) available() bool { return !w.spec.Leaving && !w.silent }
+func (w *worker) available() bool { return !w.spec.Leaving && !w.unresponsive }
 
-func (w *worker) usable(request *routing.Request) bool {
+func (w *worker) canServe(request *routing.Request) bool {
 	candidate := w.candidate()
 	return routing.AvailableFilter{}.Keep(request, candidate) && routing.ModelFilter{}.Keep(request, candidate)
 }
@@ -64,8 +64,8 @@
 
 func (w *worker) freeKV() int { return w.spec.KVTokens - w.kvUsed }
 
-// reserve returns how many slots batch work must leave free: none where no online
-// work runs, because what arrives there preempts at once.
+// reserve returns how many slots batch work must leave free. It is zero if no online work runs on
+// the worker, because an online arrival then preempts batch work at once.
 func (w *worker) reserve(percent int) int {
 	if w.online == 0 {
 		return 0
@@ -82,39 +82,39 @@
 		return false
 	}
 	slots, memory := w.freeSlots(), w.freeKV()
-	for _, candidate := range w.inFlight {
-		if candidate.attempt.Class == wire.Batch {
+	for _, r := range w.inFlight {
+		if r.attempt.Class == wire.Batch {
 			slots++
-			memory += candidate.attempt.kvTokens()
+			memory += r.attempt.kvTokens()
 		}
 	}
 	return slots > 0 && memory >= attempt.kvTokens()
 }
 
-// victims returns the batch attempts to preempt so that the attempt fits: those
-// of the lowest rank first, and of these those that lose the fewest tokens.
-func (w *worker) victims(attempt *Attempt) []*running {
-	var batch []*running
-	for _, candidate := range w.inFlight {
-		if candidate.attempt.Class == wire.Batch {
-			batch = append(batch, candidate)
+// victims returns the batch attempts to preempt so that the attempt fits: those of the lowest rank
+// first, and among these the ones that lose the fewest generated tokens.
+func (w *worker) victims(attempt *Attempt) []*runningAttempt {
+	var batch []*runningAttempt
+	for _, r := range w.inFlight {
+		if r.attempt.Class == wire.Batch {
+			batch = append(batch, r)
 		}
 	}
-	sort.Slice(batch, func(a, b int) bool { return losesLess(batch[a], batch[b]) })
+	sort.Slice(batch, func(a, b int) bool { return preemptBefore(batch[a], batch[b]) })
 	slots, memory := w.freeSlots(), w.freeKV()
-	var chosen []*running
-	for _, candidate := range batch {
+	var chosen []*runningAttempt
+	for _, r := range batch {
 		if slots > 0 && memory >= attempt.kvTokens() {
 			break
 		}
-		chosen = append(chosen, candidate)
+		chosen = append(chosen, r)
 		slots++
-		memory += candidate.attempt.kvTokens()
+		memory += r.attempt.kvTokens()
 	}
 	return chosen
 }
 
-func losesLess(a, b *running) bool {
+func preemptBefore(a, b *runningAttempt) bool {
 	if a.attempt.Rank != b.attempt.Rank {
 		return a.attempt.Rank < b.attempt.Rank
 	}
@@ -124,22 +124,22 @@
 	return a.attempt.ID < b.attempt.ID
 }
 
-func (w *worker) add(started *running) {
-	w.inFlight[started.attempt.ID] = started
-	w.kvUsed += started.attempt.kvTokens()
-	if started.attempt.Class == wire.Online {
+func (w *worker) add(r *runningAttempt) {
+	w.inFlight[r.attempt.ID] = r
+	w.kvUsed += r.attempt.kvTokens()
+	if r.attempt.Class == wire.Online {
 		w.online++
 	}
-	w.prefixes.Add(started.attempt.Blocks...)
+	w.prefixes.Add(r.attempt.Blocks...)
 }
 
-func (w *worker) remove(ended *running) {
-	if _, found := w.inFlight[ended.attempt.ID]; !found {
+func (w *worker) remove(r *runningAttempt) {
+	if _, found := w.inFlight[r.attempt.ID]; !found {
 		return
 	}
-	delete(w.inFlight, ended.attempt.ID)
-	w.kvUsed -= ended.attempt.kvTokens()
-	if ended.attempt.Class == wire.Online {
+	delete(w.inFlight, r.attempt.ID)
+	w.kvUsed -= r.attempt.kvTokens()
+	if r.attempt.Class == wire.Online {
 		w.online--
 	}
 }
@@ -161,7 +161,7 @@
 	}
 }
 
-func sortedNames[Value any](from map[string]Value) []string {
+func sortedKeys[Value any](from map[string]Value) []string {
 	names := make([]string, 0, len(from))
 	for name := range from {
 		names = append(names, name)
