--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -20,10 +20,10 @@
 
 const (
 	dialTimeout = 500 * time.Millisecond
-	// ShortDial bounds a dial by a caller that sends again anyhow, or has others to ask: a
-	// machine that is dark answers none, and what waits behind the dial waits as long. A
-	// first packet that was lost is repeated after a second only, so more time helps where
-	// the way there and back takes longer than this, and nowhere else.
+	// ShortDial is the dial timeout of callers that retry anyway or can call another peer. A
+	// machine without power never answers a dial, and calls that wait for the connection are
+	// delayed as long. TCP resends a lost SYN only after a second, so a longer timeout would
+	// help only where the round trip itself takes longer than this.
 	ShortDial          = 250 * time.Millisecond
 	idleTimeout        = 90 * time.Second
 	maxIdleConnections = 512
@@ -33,7 +33,7 @@
 type Client struct {
 	pooled  *http.Client
 	fresh   *http.Client
-	traffic *connectionBytes
+	traffic *trafficCounters
 	meter   *traffic.Meter
 }
 
@@ -44,24 +44,25 @@
 // NewClient returns a client with its own connections.
 func NewClient() *Client { return NewClientWithDialTimeout(dialTimeout) }
 
-// NewClientWithDialTimeout returns a client that gives a dial up after the given time.
-func NewClientWithDialTimeout(dial time.Duration) *Client {
-	counted := &connectionBytes{}
+// NewClientWithDialTimeout returns a client with its own connections whose dials time out
+// after the given time.
+func NewClientWithDialTimeout(timeout time.Duration) *Client {
+	counters := &trafficCounters{}
 	return &Client{
-		pooled:  &http.Client{Transport: newTransport(false, dial, counted)},
-		fresh:   &http.Client{Transport: newTransport(true, dial, counted)},
-		traffic: counted,
+		pooled:  &http.Client{Transport: newTransport(false, timeout, counters)},
+		fresh:   &http.Client{Transport: newTransport(true, timeout, counters)},
+		traffic: counters,
 	}
 }
 
-// Traffic is what a client has sent and received so far.
+// Traffic counts what a client has sent and received so far.
 type Traffic struct {
 	Calls         uint64
 	SentBytes     uint64
 	ReceivedBytes uint64
 }
 
-// Traffic returns the bytes on the client's connections, headers included.
+// Traffic returns the calls made and the bytes on the client's connections, HTTP headers included.
 func (c *Client) Traffic() Traffic {
 	return Traffic{
 		Calls:         c.traffic.calls.Load(),
@@ -70,42 +71,42 @@
 	}
 }
 
-// connectionBytes counts calls and the bytes on connections.
-type connectionBytes struct {
+// trafficCounters counts the calls of a client and the bytes on its connections.
+type trafficCounters struct {
 	calls    atomic.Uint64
 	sent     atomic.Uint64
 	received atomic.Uint64
 }
 
-// countedConnection counts the bytes that pass through a connection.
-type countedConnection struct {
+// countingConnection counts the bytes that are read from and written to a connection.
+type countingConnection struct {
 	net.Conn
-	traffic *connectionBytes
+	traffic *trafficCounters
 }
 
 // Read implements net.Conn.
-func (c countedConnection) Read(buffer []byte) (int, error) {
+func (c countingConnection) Read(buffer []byte) (int, error) {
 	count, err := c.Conn.Read(buffer)
 	c.traffic.received.Add(uint64(count))
 	return count, err
 }
 
 // Write implements net.Conn.
-func (c countedConnection) Write(data []byte) (int, error) {
+func (c countingConnection) Write(data []byte) (int, error) {
 	count, err := c.Conn.Write(data)
 	c.traffic.sent.Add(uint64(count))
 	return count, err
 }
 
-func newTransport(fresh bool, dial time.Duration, counted *connectionBytes) *http.Transport {
-	dialer := &net.Dialer{Timeout: dial}
+func newTransport(fresh bool, timeout time.Duration, counters *trafficCounters) *http.Transport {
+	dialer := &net.Dialer{Timeout: timeout}
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			connection, err := dialer.DialContext(ctx, network, address)
 			if err != nil {
 				return nil, err
 			}
-			return countedConnection{connection, counted}, nil
+			return countingConnection{connection, counters}, nil
 		},
 		MaxIdleConns:        maxIdleConnections,
 		MaxIdleConnsPerHost: maxIdleConnections,
@@ -116,17 +117,18 @@
 }
 
 const (
-	// requestHeadBytes and answerHeadBytes are how long the heads of a call are that
-	// net/http writes, without the method's name, to within some ten bytes.
-	requestHeadBytes = 140
-	answerHeadBytes  = 130
+	// requestHeaderBytes and responseHeaderBytes estimate, to within about ten bytes, the
+	// start line and headers that net/http writes for a call, without the method's name.
+	requestHeaderBytes  = 140
+	responseHeaderBytes = 130
 )
 
-// meteredBody counts what is read of an answer's body, and tells it once at the end.
+// meteredBody counts the bytes read from a response body, and passes the count to onClose
+// at the first Close.
 type meteredBody struct {
 	io.ReadCloser
-	count int
-	done  func(received int)
+	count   int
+	onClose func(received int)
 }
 
 // Read implements io.Reader.
@@ -138,9 +140,9 @@
 
 // Close implements io.Closer.
 func (b *meteredBody) Close() error {
-	if b.done != nil {
-		b.done(b.count)
-		b.done = nil
+	if b.onClose != nil {
+		b.onClose(b.count)
+		b.onClose = nil
 	}
 	return b.ReadCloser.Close()
 }
@@ -151,10 +153,9 @@
 	c.fresh.CloseIdleConnections()
 }
 
-// Call makes one call to the peer at address (IP:port). It never retries. The
-// failure is NotRun when no connection was made, so that no byte of the
-// request can have left; the peer's own typed failure when it answered with
-// one; and OutcomeUnknown otherwise.
+// Call makes one call to the peer at address (IP:port). It never retries. The failure is
+// NotRun if no connection was made, so that no byte of the request can have been sent; the
+// peer's own typed failure if the peer answered with one; and OutcomeUnknown otherwise.
 func Call[Response any, Pointer Decodable[Response]](ctx context.Context, client *Client, address, method string, request msgp.Marshaler) (*Response, error) {
 	httpResponse, err := client.Open(ctx, address, method, request, false)
 	if err != nil {
@@ -163,16 +164,16 @@
 	defer httpResponse.Body.Close()
 	response := new(Response)
 	if err := ReadMessage(httpResponse.Header, httpResponse.Body, Pointer(response)); err != nil {
-		noteUnread(method, address, httpResponse.Header, err)
+		recordDecodeError(method, address, httpResponse.Header, err)
 		return nil, failure.Wrap(err, failure.OutcomeUnknown, "ask again for the state", "the answer of %s was cut", address)
 	}
 	return response, nil
 }
 
-// Open makes one call and returns the open answer, whose body the caller reads
-// and closes. With fresh set a new connection is dialled for the call, so that
-// a connection which the peer closed while idle can't leave its outcome
-// unknown. The failures are those of Call.
+// Open makes one call and returns the open response, whose body the caller reads and
+// closes. If fresh is set, Open dials a new connection for the call: a pooled connection
+// that the peer closed while idle would leave the outcome unknown. The failures are those
+// of Call.
 func (c *Client) Open(ctx context.Context, address, method string, request msgp.Marshaler, fresh bool) (*http.Response, error) {
 	body, encoding, err := encodeBody(request)
 	if err != nil {
@@ -186,27 +187,27 @@
 	if err != nil {
 		return nil, failure.Wrap(err, failure.Internal, "check the peer's address", "no request can be made to %q", address)
 	}
-	// Without GetBody net/http never sends the body a second time by itself.
+	// Without GetBody, net/http can't resend the body on its own.
 	httpRequest.GetBody = nil
 	httpRequest.Header.Set("Content-Type", ContentType)
 	httpRequest.Header.Set(generationHeader, currentGeneration)
 	if encoding != "" {
 		httpRequest.Header.Set(encodingHeader, encoding)
 	}
-	// Without this net/http names itself in every call.
+	// A nil value keeps net/http from sending its own User-Agent with every call.
 	httpRequest.Header["User-Agent"] = nil
 	httpClient := c.pooled
 	if fresh {
 		httpClient = c.fresh
 	}
 	httpResponse, err := httpClient.Do(httpRequest)
-	sent := requestHeadBytes + len(method) + len(body)
+	sent := requestHeaderBytes + len(method) + len(body)
 	if err != nil {
 		c.meter.Add(traffic.Kind(method), address, sent, 0)
 		return nil, transportFailure(err, address, connected.Load())
 	}
-	httpResponse.Body = &meteredBody{ReadCloser: httpResponse.Body, done: func(received int) {
-		c.meter.Add(traffic.Kind(method), address, sent, answerHeadBytes+received)
+	httpResponse.Body = &meteredBody{ReadCloser: httpResponse.Body, onClose: func(received int) {
+		c.meter.Add(traffic.Kind(method), address, sent, responseHeaderBytes+received)
 	}}
 	if httpResponse.StatusCode == http.StatusOK {
 		return httpResponse, nil
@@ -215,8 +216,8 @@
 	return nil, peerFailure(httpResponse, address)
 }
 
-// transportError marks failures of the connection, as against failures that the
-// peer itself answered.
+// transportError marks failures of the connection, in contrast to failures that the peer
+// answered with.
 type transportError struct{ cause error }
 
 // Error implements error.
@@ -225,8 +226,8 @@
 // Unwrap returns the cause.
 func (e *transportError) Unwrap() error { return e.cause }
 
-// IsUnreachable reports whether the failure is one of the connection: the peer may
-// be dead or cut off.
+// IsUnreachable reports whether err is a failure of the connection: the peer may be down
+// or unreachable over the network.
 func IsUnreachable(err error) bool {
 	var transport *transportError
 	return errors.As(err, &transport)
@@ -244,9 +245,9 @@
 	if httpResponse.Header.Get(failureHeader) == "" {
 		return failure.New(failure.OutcomeUnknown, "check that the address is a peer's", "%s answered with status %d", address, httpResponse.StatusCode)
 	}
-	var told wire.Failure
-	if err := ReadMessage(httpResponse.Header, httpResponse.Body, &told); err != nil {
+	var remote wire.Failure
+	if err := ReadMessage(httpResponse.Header, httpResponse.Body, &remote); err != nil {
 		return failure.Wrap(err, failure.OutcomeUnknown, "ask again for the state", "the answer of %s was cut", address)
 	}
-	return told.Err()
+	return remote.Err()
 }
--- a/internal/rpc/compress.go
+++ b/internal/rpc/compress.go
@@ -14,21 +14,21 @@
 const (
 	encodingHeader = "Content-Encoding"
 	encodingZstd   = "zstd"
-	// minCompressed is the size, in bytes, from which a body is compressed:
-	// below it the time costs more than the bytes.
-	minCompressed = 512
-	// compressWindow bounds the memory of an encoder, in bytes.
-	compressWindow = 128 << 10
+	// minCompressBytes is the size from which a body is compressed: below it, the
+	// compression time costs more than the bytes it saves.
+	minCompressBytes = 512
+	// compressWindowBytes bounds the memory of an encoder.
+	compressWindowBytes = 128 << 10
 )
 
-// encoder and decoder are made when they are first used: most processes of the
-// embedded fleet never need them.
+// encoder and decoder are created on first use, because most processes of the embedded
+// fleet never need them.
 var (
 	encoder = sync.OnceValues(func() (*zstd.Encoder, error) {
 		return zstd.NewWriter(nil,
 			zstd.WithEncoderLevel(zstd.SpeedFastest),
 			zstd.WithEncoderConcurrency(1),
-			zstd.WithWindowSize(compressWindow),
+			zstd.WithWindowSize(compressWindowBytes),
 			zstd.WithLowerEncoderMem(true),
 		)
 	})
@@ -41,28 +41,27 @@
 	})
 )
 
-// encodeBody encodes a message and compresses it where that makes it shorter. It
-// returns the body and its Content-Encoding, empty for none.
+// encodeBody encodes a message and compresses it if that makes it shorter. It returns the
+// body and its Content-Encoding, which is empty for an uncompressed body.
 func encodeBody(message msgp.Marshaler) (body []byte, encoding string, err error) {
-	if done, isEncoded := message.(*Encoded); isEncoded {
-		return done.body, done.encoding, nil
+	if encoded, ok := message.(*Encoded); ok {
+		return encoded.body, encoded.encoding, nil
 	}
 	body, err = message.MarshalMsg(nil)
-	if err != nil || len(body) < minCompressed {
+	if err != nil || len(body) < minCompressBytes {
 		return body, "", err
 	}
 	e, err := encoder()
 	if err != nil {
 		return nil, "", err
 	}
-	if short := e.EncodeAll(body, nil); len(short) < len(body) {
-		return short, encodingZstd, nil
+	if compressed := e.EncodeAll(body, nil); len(compressed) < len(body) {
+		return compressed, encodingZstd, nil
 	}
 	return body, "", nil
 }
 
-// readBody reads a whole body of at most MaxBodyBytes and undoes its
-// compression.
+// readBody reads a whole body of at most MaxBodyBytes and decompresses it.
 func readBody(header http.Header, body io.Reader) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(body, MaxBodyBytes+1))
 	if err != nil {
--- a/internal/rpc/compress_test.go
+++ b/internal/rpc/compress_test.go
@@ -15,16 +15,16 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// TestLongBodiesTravelCompressed sends bodies there and back, and looks at how
-// many bytes that took.
-func TestLongBodiesTravelCompressed(t *testing.T) {
+// TestLongBodiesAreCompressed calls an echo handler and checks how many bytes the request
+// and the response took on the connection.
+func TestLongBodiesAreCompressed(t *testing.T) {
 	mux := rpctest.NewMux()
 	Handle(mux, "echo", func(_ context.Context, body *wire.ItemBody) (msgp.Marshaler, error) { return body, nil })
 	server := httptest.NewServer(mux)
 	defer server.Close()
 	for name, test := range map[string]struct {
-		body []byte
-		most uint64
+		body     []byte
+		maxBytes uint64
 	}{
 		"empty": {nil, 400},
 		"short": {[]byte("a few words"), 400},
@@ -33,17 +33,17 @@
 		c := NewClient()
 		answer, err := Call[wire.ItemBody](context.Background(), c, server.Listener.Addr().String(), "echo", &wire.ItemBody{Body: test.body})
 		if err != nil || !bytes.Equal(answer.Body, test.body) {
-			t.Errorf("%s: %d of %d bytes came back, %v", name, len(answer.Body), len(test.body), err)
+			t.Errorf("%s: %d of %d bytes returned, %v", name, len(answer.Body), len(test.body), err)
 		}
-		if moved := c.Traffic(); moved.SentBytes > test.most || moved.ReceivedBytes > test.most {
-			t.Errorf("%s: %d bytes sent, %d received", name, moved.SentBytes, moved.ReceivedBytes)
+		if traffic := c.Traffic(); traffic.SentBytes > test.maxBytes || traffic.ReceivedBytes > test.maxBytes {
+			t.Errorf("%s: %d bytes sent, %d received", name, traffic.SentBytes, traffic.ReceivedBytes)
 		}
 		c.Close()
 	}
 }
 
-// TestWrongEncodings checks that a body that does not decompress, or that would
-// become too long, is refused and does not take the process along.
+// TestWrongEncodings checks that a body that does not decompress, or that would decompress
+// to more than MaxBodyBytes, is rejected and does not crash the process.
 func TestWrongEncodings(t *testing.T) {
 	e, err := encoder()
 	if err != nil {
@@ -67,9 +67,9 @@
 	}
 }
 
-// TestEncodedOnceIsTheSame checks that an answer encoded beforehand arrives as one that
-// is encoded for the call, short and long.
-func TestEncodedOnceIsTheSame(t *testing.T) {
+// TestEncodedResponse checks that a response encoded in advance is decoded to the message,
+// with a body short enough to stay uncompressed and with a compressed one.
+func TestEncodedResponse(t *testing.T) {
 	for _, size := range []int{3, 64 << 10} {
 		body := &wire.ItemBody{Body: bytes.Repeat([]byte("ab"), size)}
 		encoded, err := Encode(body)
--- a/internal/rpc/dial_test.go
+++ b/internal/rpc/dial_test.go
@@ -12,9 +12,9 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// darkAddress returns an address at which dials are neither taken nor refused, as at a
-// machine without power: the queue of its listener is full.
-func darkAddress(t *testing.T) string {
+// unresponsiveAddress returns an address at which connections are neither accepted nor
+// refused, as at a machine without power: the backlog of its listener is full.
+func unresponsiveAddress(t *testing.T) string {
 	t.Helper()
 	socket, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
 	if err != nil {
@@ -41,15 +41,15 @@
 	}
 }
 
-// TestDialIsGivenUp calls a dark machine: the client gives up long before the call's time is
-// over, and says that nothing was run.
-func TestDialIsGivenUp(t *testing.T) {
+// TestDialTimeout calls an address that does not respond: the dial must time out long before
+// the call's context does, and the failure must be NotRun.
+func TestDialTimeout(t *testing.T) {
 	client := NewClientWithDialTimeout(20 * time.Millisecond)
 	defer client.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	_, err := Call[wire.Empty](ctx, client, darkAddress(t), "m", &wire.Empty{})
+	_, err := Call[wire.Empty](ctx, client, unresponsiveAddress(t), "m", &wire.Empty{})
 	if !failure.Is(err, failure.NotRun) || ctx.Err() != nil {
-		t.Errorf("%v, the call's time: %v", err, ctx.Err())
+		t.Errorf("%v, error of the call's context: %v", err, ctx.Err())
 	}
 }
--- a/internal/rpc/encoded.go
+++ b/internal/rpc/encoded.go
@@ -2,14 +2,14 @@
 
 import "github.com/tinylib/msgp/msgp"
 
-// Encoded is an answer that is encoded once for many callers: at a fleet's size, the
-// same news encoded and compressed for each of them is most of a coordinator's work.
+// Encoded is a response that is encoded once for many callers. In a large fleet, encoding
+// and compressing the same update for each caller would be most of a coordinator's work.
 type Encoded struct {
 	body     []byte
 	encoding string
 }
 
-// Encode encodes an answer.
+// Encode encodes a response for repeated use.
 func Encode(message msgp.Marshaler) (*Encoded, error) {
 	body, encoding, err := encodeBody(message)
 	if err != nil {
@@ -18,6 +18,6 @@
 	return &Encoded{body: body, encoding: encoding}, nil
 }
 
-// MarshalMsg implements msgp.Marshaler, so that handlers can answer with it; Handle
-// writes the body as it is.
-func (e *Encoded) MarshalMsg(before []byte) ([]byte, error) { return append(before, e.body...), nil }
+// MarshalMsg implements msgp.Marshaler, so that handlers can return an Encoded; Handle
+// writes its body unchanged.
+func (e *Encoded) MarshalMsg(buffer []byte) ([]byte, error) { return append(buffer, e.body...), nil }
--- a/internal/rpc/rpctest/rpctest.go
+++ b/internal/rpc/rpctest/rpctest.go
@@ -3,7 +3,7 @@
 
 import "net/http"
 
-// Mux is a ServeMux that takes rpc's handlers. Use it in tests only.
+// Mux is a ServeMux that implements rpc.Router. Use it in tests only.
 type Mux struct{ *http.ServeMux }
 
 // NewMux returns an empty mux.
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -1,6 +1,6 @@
-// Package rpc carries the system's own messages between its processes: one
-// POST per call over HTTP, MessagePack bodies, long-lived connections, typed
-// failures. It chooses no peer and retries nothing; callers do.
+// Package rpc carries the system's own messages between its processes: one HTTP POST per
+// call, with MessagePack bodies, long-lived connections and typed failures. It neither
+// chooses peers nor retries; its callers do.
 package rpc
 
 import (
@@ -18,20 +18,20 @@
 )
 
 const (
-	// PathPrefix begins the path of every internal call.
+	// PathPrefix is the prefix of the path of every internal call.
 	PathPrefix = "/internal/v1/"
 	// ContentType is the media type of internal bodies.
 	ContentType = "application/x-msgpack"
-	// failureHeader marks a body that is a wire.Failure.
+	// failureHeader marks a response whose body is a wire.Failure; its value is the kind.
 	failureHeader = "Sedgemast-Failure"
-	// generationHeader tells the generation of the writer's build with each request and
-	// answer. It is short because it travels with each: 8 bytes.
+	// generationHeader holds the generation of the sender's build. It is part of every
+	// request and response, so its name is short: the header takes 8 bytes.
 	generationHeader = "Gen"
 	// MaxBodyBytes bounds the body of one internal call.
 	MaxBodyBytes = 32 << 20
 )
 
-// currentGeneration is this build's generation as it is told.
+// currentGeneration is this build's generation as the value of generationHeader.
 var currentGeneration = strconv.Itoa(int(wire.GenerationCurrent))
 
 // Router registers HTTP handlers; kratos' HTTP server implements it.
@@ -39,18 +39,18 @@
 	HandleFunc(path string, handler http.HandlerFunc)
 }
 
-// Decodable is a pointer to T that decodes itself.
+// Decodable is a pointer to T that decodes itself from MessagePack.
 type Decodable[T any] interface {
 	*T
 	msgp.Unmarshaler
 }
 
-// Handle registers a call handler under the method name.
+// Handle registers the handler of the calls of a method.
 func Handle[Request any, Pointer Decodable[Request]](router Router, method string, handler func(context.Context, *Request) (msgp.Marshaler, error)) {
 	router.HandleFunc(PathPrefix+method, func(writer http.ResponseWriter, httpRequest *http.Request) {
 		var request Request
 		if err := ReadMessage(httpRequest.Header, httpRequest.Body, Pointer(&request)); err != nil {
-			noteUnread(method, httpRequest.RemoteAddr, httpRequest.Header, err)
+			recordDecodeError(method, httpRequest.RemoteAddr, httpRequest.Header, err)
 			WriteFailure(writer, err)
 			return
 		}
@@ -69,44 +69,46 @@
 			writer.Header().Set(encodingHeader, encoding)
 		}
 		writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
-		// A failed write means that the peer has gone; its call fails there.
+		// A failed write means that the peer has disconnected; its call fails on its side.
 		_, _ = writer.Write(body)
 	})
 }
 
-// originated is a message whose reader must know who wrote it.
-type originated interface {
+// originSetter is a message that records the generation of the build that sent it.
+type originSetter interface {
 	WrittenBy(generation wire.Generation)
 }
 
-// generationOf returns the generation of the build that wrote a header.
+// generationOf returns the generation of the build that sent the header: GenerationFirst,
+// which sends none, if the header has no valid one.
 func generationOf(header http.Header) wire.Generation {
-	told, err := strconv.ParseUint(header.Get(generationHeader), 10, 8)
+	generation, err := strconv.ParseUint(header.Get(generationHeader), 10, 8)
 	if err != nil {
 		return wire.GenerationFirst
 	}
-	return wire.Generation(told)
+	return wire.Generation(generation)
 }
 
-// formError marks a body that came whole and could not be read.
-type formError struct{ cause error }
+// decodeError marks a body that was received whole but could not be decoded.
+type decodeError struct{ cause error }
 
 // Error implements error.
-func (e *formError) Error() string { return e.cause.Error() }
+func (e *decodeError) Error() string { return e.cause.Error() }
 
 // Unwrap returns the cause.
-func (e *formError) Unwrap() error { return e.cause }
+func (e *decodeError) Unwrap() error { return e.cause }
 
-// noteUnread counts a message that came whole and could not be read.
-func noteUnread(method, from string, header http.Header, err error) {
-	var form *formError
-	if errors.As(err, &form) {
+// recordDecodeError records a message that was received whole but could not be decoded;
+// other errors are ignored.
+func recordDecodeError(method, from string, header http.Header, err error) {
+	var decodeErr *decodeError
+	if errors.As(err, &decodeErr) {
 		decodeerror.Record(method, from, generationOf(header), err)
 	}
 }
 
-// ReadMessage decodes one whole body of at most MaxBodyBytes, which came with the
-// header.
+// ReadMessage decodes the one message of a body of at most MaxBodyBytes that was received
+// with the header.
 func ReadMessage(header http.Header, body io.Reader, message msgp.Unmarshaler) error {
 	data, err := readBody(header, body)
 	if err != nil {
@@ -114,19 +116,19 @@
 	}
 	rest, err := message.UnmarshalMsg(data)
 	if err != nil {
-		return failure.Wrap(&formError{err}, failure.BadRequest, "look up in the other's log which build it is", "the body does not decode")
+		return failure.Wrap(&decodeError{err}, failure.BadRequest, "look up in the other's log which build it is", "the body does not decode")
 	}
 	if len(rest) > 0 {
-		return failure.Wrap(&formError{errors.New("the message is followed by others")}, failure.BadRequest, "send one message per call", "%d bytes follow the message", len(rest))
+		return failure.Wrap(&decodeError{errors.New("the message is followed by others")}, failure.BadRequest, "send one message per call", "%d bytes follow the message", len(rest))
 	}
-	if message, asks := message.(originated); asks {
+	if message, ok := message.(originSetter); ok {
 		message.WrittenBy(generationOf(header))
 	}
 	return nil
 }
 
-// setHeader sets what answers have in common. The time of day is left out: nobody
-// reads it, and it travels with every answer.
+// setHeader sets the headers that all responses share. It suppresses the Date header, which
+// no reader needs and which would be sent with every response.
 func setHeader(header http.Header) {
 	header.Set("Content-Type", ContentType)
 	header.Set(generationHeader, currentGeneration)
--- a/internal/rpc/stream.go
+++ b/internal/rpc/stream.go
@@ -11,21 +11,21 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// FrameWriter sends the frames of a streamed answer. Frames are numbered by it.
+// FrameWriter sends and numbers the frames of a streamed response.
 type FrameWriter struct {
 	writer   http.ResponseWriter
 	flusher  http.Flusher
 	sequence uint32
-	begun    bool
+	started  bool
 	buffer   []byte
 }
 
-// Send writes one frame at once.
+// Send numbers the frame, writes it and flushes it to the peer.
 func (f *FrameWriter) Send(frame *wire.GenerateFrame) error {
 	frame.Sequence = f.sequence
 	f.sequence++
-	if !f.begun {
-		f.begun = true
+	if !f.started {
+		f.started = true
 		f.writer.Header().Set("Content-Type", ContentType)
 		f.writer.WriteHeader(http.StatusOK)
 	}
@@ -42,23 +42,23 @@
 	return nil
 }
 
-// Fail ends the answer with a failure: as a frame once frames have been sent,
-// as a plain failure before.
+// Fail ends the response with a failure. After the first frame it sends a failure frame;
+// before, it returns err, which the handler must return as a plain failure.
 func (f *FrameWriter) Fail(err error) error {
-	if !f.begun {
+	if !f.started {
 		return err
 	}
 	return f.Send(&wire.GenerateFrame{Kind: wire.FrameFailure, Failure: wire.NewFailure(err)})
 }
 
-// HandleStream registers a call handler whose answer is a stream of frames. An
-// error returned before the first frame is answered as a plain failure; later
-// ones break the stream off without an end.
+// HandleStream registers the handler of a method whose response is a stream of frames. An
+// error that the handler returns before the first frame is sent as a plain failure; a later
+// one aborts the connection without an end frame.
 func HandleStream[Request any, Pointer Decodable[Request]](router Router, method string, handler func(context.Context, *Request, *FrameWriter) error) {
 	router.HandleFunc(PathPrefix+method, func(writer http.ResponseWriter, httpRequest *http.Request) {
 		var request Request
 		if err := ReadMessage(httpRequest.Header, httpRequest.Body, Pointer(&request)); err != nil {
-			noteUnread(method, httpRequest.RemoteAddr, httpRequest.Header, err)
+			recordDecodeError(method, httpRequest.RemoteAddr, httpRequest.Header, err)
 			WriteFailure(writer, err)
 			return
 		}
@@ -67,7 +67,7 @@
 		err := handler(httpRequest.Context(), &request, frames)
 		switch {
 		case err == nil:
-		case frames.begun:
+		case frames.started:
 			panic(http.ErrAbortHandler)
 		default:
 			WriteFailure(writer, err)
@@ -75,16 +75,16 @@
 	})
 }
 
-// FrameReader reads the frames of a streamed answer. It checks that they are
-// numbered without gaps.
+// FrameReader reads the frames of a streamed response and checks that they are numbered
+// without gaps.
 type FrameReader struct {
 	body     io.ReadCloser
 	reader   *msgp.Reader
 	sequence uint32
 }
 
-// OpenStream makes a call whose answer is a stream of frames. The failures are
-// those of Call.
+// OpenStream makes a call whose response is a stream of frames. With fresh set it dials a
+// new connection, as Open does. The failures are those of Call.
 func OpenStream(ctx context.Context, client *Client, address, method string, request msgp.Marshaler, fresh bool) (*FrameReader, error) {
 	response, err := client.Open(ctx, address, method, request, fresh)
 	if err != nil {
@@ -93,8 +93,8 @@
 	return &FrameReader{body: response.Body, reader: msgp.NewReader(response.Body)}, nil
 }
 
-// Next returns the next frame. A stream that breaks off before its end frame is
-// an OutcomeUnknown failure.
+// Next returns the next frame. The error is an OutcomeUnknown failure if the stream breaks
+// off or a frame is missing.
 func (f *FrameReader) Next() (*wire.GenerateFrame, error) {
 	frame := &wire.GenerateFrame{}
 	if err := frame.DecodeMsg(f.reader); err != nil {
@@ -107,5 +107,5 @@
 	return frame, nil
 }
 
-// Close ends the reading.
+// Close closes the response body.
 func (f *FrameReader) Close() error { return f.body.Close() }
