--- a/internal/wire/batch.go
+++ b/internal/wire/batch.go
@@ -2,7 +2,8 @@
 
 //msgp:limit arrays:1048576 maps:65536
 
-// BatchCommand is a command of the batch group's log. Exactly one field is set.
+// BatchCommand is a command of the batch group's log. Exactly one field is set: Submit accepts
+// a job, Record records results, End ends a job, and Forget removes a job from the store.
 type BatchCommand struct {
 	Submit *SubmitBatch `msg:"submit"`
 	Record *RecordItems `msg:"record"`
@@ -10,16 +11,16 @@
 	Forget *BatchName   `msg:"forget"`
 }
 
-// SubmitBatch hands in a job of opaque items.
+// SubmitBatch submits a job of opaque items.
 type SubmitBatch struct {
 	ID string `msg:"id"`
-	// Route and Host say which route's quota it counts against.
+	// Route and Host identify the route against whose quota the job counts.
 	Route string `msg:"route"`
 	Host  string `msg:"host"`
-	// Owner is the tenant that the job belongs to, empty for nobody.
+	// Owner is the tenant that the job belongs to, empty for none.
 	Owner string `msg:"owner"`
-	// Limit is how many tokens of the owner may wait on the route; zero means no
-	// limit.
+	// Limit is the maximum number of the owner's tokens that may wait on the route; zero
+	// means no limit.
 	Limit int64       `msg:"limit"`
 	Items []BatchItem `msg:"items"`
 }
@@ -30,9 +31,10 @@
 	Path    string        `msg:"path"`
 	Headers []HeaderField `msg:"headers"`
 	Body    []byte        `msg:"body,limit=33554432"`
-	// Tokens are those of the prompt and the most that may be generated.
+	// Tokens is the number of prompt tokens plus the maximum number of generated tokens.
 	Tokens int64 `msg:"tokens"`
-	// Expected is how many tokens the caller expects to be generated, zero if unknown.
+	// Expected is the number of tokens that the caller expects to be generated, zero if
+	// unknown.
 	Expected int64 `msg:"expected"`
 }
 
@@ -46,15 +48,15 @@
 type ItemState uint8
 
 const (
-	// ItemWaiting has no result yet.
+	// ItemWaiting is an item without a result so far.
 	ItemWaiting ItemState = iota
-	// ItemCompleted has its whole text.
+	// ItemCompleted is an item with its complete text.
 	ItemCompleted
-	// ItemAbandoned will never be done.
+	// ItemAbandoned is an item that will not be run again.
 	ItemAbandoned
 )
 
-// String returns the state as callers and logs see it.
+// String returns the state as used in answers to callers and in logs.
 func (s ItemState) String() string {
 	names := [...]string{"waiting", "completed", "abandoned"}
 	if int(s) >= len(names) {
@@ -63,28 +65,28 @@
 	return names[s]
 }
 
-// RecordItems records progress and results, several at a time.
+// RecordItems records the progress and results of several items.
 type RecordItems struct {
 	Items []ItemRecord `msg:"items"`
 }
 
-// ItemRecord is the news of one item.
+// ItemRecord is the progress or the result of one item since its previous record.
 type ItemRecord struct {
 	Job   string    `msg:"job"`
 	Item  int       `msg:"item"`
 	State ItemState `msg:"state"`
-	// Text is the item's text after its first From events, with the line feed
-	// that parts it from what came before. Events is how many events there are
-	// with it, LastEvent the id of the last one.
+	// Text is the item's text after its first From events. If there is text before it, Text
+	// begins with the line feed that separates them. Events is the number of the item's
+	// events including those of Text, LastEvent the id of the last one.
 	From      int    `msg:"from"`
 	Text      string `msg:"text,limit=33554432"`
 	Events    int    `msg:"events"`
 	LastEvent int64  `msg:"last_event"`
-	// Failures counts the attempts that failed.
+	// Failures is the number of failed attempts.
 	Failures int `msg:"failures"`
-	// Chain names the runs that were made one after another in one place, each
-	// from where the one before had come. Opens is set in the first record of a
-	// chain, which goes on from what the log has.
+	// Chain identifies a sequence of runs of the item at one store, each of which continues
+	// where the previous one stopped. Opens is set in the first record of a chain, which
+	// continues from the progress in the log.
 	Chain uint64 `msg:"chain"`
 	Opens bool   `msg:"opens"`
 }
@@ -97,14 +99,15 @@
 // BatchResult is the answer to a BatchCommand.
 type BatchResult struct {
 	Failure *Failure `msg:"failure"`
-	// Repeated is set where a job had been accepted before.
+	// Repeated is set if the job had been accepted before.
 	Repeated bool `msg:"repeated"`
-	// Dropped lists, by number, the records of the command that were not taken
-	// in: they don't follow on what the log has, or come too late.
+	// Dropped lists the indexes of the command's records that were not applied: they do not
+	// continue from the progress in the log, or came too late.
 	Dropped []int `msg:"dropped"`
 }
 
-// BatchMeta is the stored record of a job.
+// BatchMeta is the stored record of a job. Ended is set once the job has ended; Order is its
+// sequence number in the order of acceptance.
 type BatchMeta struct {
 	ID    string          `msg:"id"`
 	Route string          `msg:"route"`
@@ -115,7 +118,7 @@
 	Items []BatchItemMeta `msg:"items"`
 }
 
-// BatchItemMeta is what is kept in memory of an item.
+// BatchItemMeta is the part of an item that is kept in memory.
 type BatchItemMeta struct {
 	ID       string `msg:"id"`
 	Tokens   int64  `msg:"tokens"`
@@ -129,24 +132,25 @@
 	Body    []byte        `msg:"body,limit=33554432"`
 }
 
-// BatchReadRequest reads results from a position on.
+// BatchReadRequest asks for the results of a job from position Since on.
 type BatchReadRequest struct {
 	ID    string `msg:"id"`
 	Since int    `msg:"since"`
-	// WaitMillis is how long the call may be held until there is a result.
+	// WaitMillis is how long the call may wait for a result.
 	WaitMillis int64 `msg:"wait_millis"`
-	// MaxBytes bounds the texts of the answer, which holds at least one result
-	// if there is one.
+	// MaxBytes limits the total size of the answer's texts. The answer holds at least one
+	// result if there is any.
 	MaxBytes int `msg:"max_bytes"`
 }
 
-// BatchReadResponse holds results in the order of their positions.
+// BatchReadResponse holds results in the order of their positions. Total is the number of
+// the job's items.
 type BatchReadResponse struct {
 	Total   int              `msg:"total"`
 	Results []BatchResultRow `msg:"results"`
 }
 
-// BatchResultRow is the result at a position.
+// BatchResultRow is the result at one position.
 type BatchResultRow struct {
 	ID    string    `msg:"id"`
 	State ItemState `msg:"state"`
@@ -164,12 +168,12 @@
 	Body []byte `msg:"body,limit=33554432"`
 }
 
-// ReplicaIndexRequest asks the leader of a store group how far it has come.
+// ReplicaIndexRequest asks the leader of a store group for its position in the group's log.
 type ReplicaIndexRequest struct {
 	Group int `msg:"group"`
 }
 
-// ReplicaIndex says how far a replica has come in its group's log.
+// ReplicaIndex is the position of a replica in its group's log.
 type ReplicaIndex struct {
 	Index uint64 `msg:"index"`
 }
--- a/internal/wire/configuration.go
+++ b/internal/wire/configuration.go
@@ -2,8 +2,8 @@
 
 //msgp:limit arrays:65536 maps:65536
 
-// Document is one configuration document as control keeps it. Body is
-// canonical JSON of the kind's type in package metastate.
+// Document is one configuration document as control stores it. Body is the canonical JSON of
+// the kind's type in package metastate.
 type Document struct {
 	Kind     string `msg:"kind" json:"kind"`
 	Name     string `msg:"name" json:"name"`
@@ -12,17 +12,17 @@
 	Deleted  bool   `msg:"deleted" json:"deleted,omitempty"`
 }
 
-// ConfigDelta lists the documents changed after the requested revision. A full
-// delta replaces everything known.
+// ConfigDelta lists the documents that changed after the requested revision. A full delta
+// replaces all documents that the reader has.
 type ConfigDelta struct {
 	Revision  uint64     `msg:"revision"`
 	Full      bool       `msg:"full"`
 	Documents []Document `msg:"documents"`
 }
 
-// ApplyRequest changes configuration documents, all or none.
+// ApplyRequest changes configuration documents atomically: all or none.
 type ApplyRequest struct {
-	// ChangeID names the change; sending it again returns the first answer.
+	// ChangeID identifies the change; sending it again returns the first answer.
 	ChangeID string `msg:"change"`
 	// ExpectedRevision is the revision that the change is based on.
 	ExpectedRevision uint64     `msg:"expected_revision"`
@@ -33,23 +33,24 @@
 // ApplyResponse is the answer to an accepted change.
 type ApplyResponse struct {
 	Revision uint64 `msg:"revision" json:"revision"`
-	// Repeated is set when the change had been accepted before.
+	// Repeated is set if the change had been accepted before.
 	Repeated bool `msg:"repeated" json:"repeated"`
 }
 
-// GetDocumentsRequest asks for the documents of a kind, or of all kinds.
+// GetDocumentsRequest asks for the documents of a kind and name. An empty Kind or Name matches
+// all.
 type GetDocumentsRequest struct {
 	Kind string `msg:"kind"`
 	Name string `msg:"name"`
 }
 
-// GetDocumentsResponse holds the documents and the revision they were read at.
+// GetDocumentsResponse holds the documents and the revision at which they were read.
 type GetDocumentsResponse struct {
 	Revision  uint64     `msg:"revision"`
 	Documents []Document `msg:"documents"`
 }
 
-// HistoryRequest asks for the most recent changes.
+// HistoryRequest asks for the most recent changes, Limit at most.
 type HistoryRequest struct {
 	Limit int `msg:"limit"`
 }
@@ -76,8 +77,8 @@
 	Assign   *AssignCommand `msg:"assign"`
 }
 
-// AssignCommand gives workers to dispatchers. The epoch of each worker is
-// raised by the state machine.
+// AssignCommand assigns workers to dispatchers. The state machine raises the epoch of each
+// assigned worker. Forget names workers whose assignments are removed.
 type AssignCommand struct {
 	Assignments []Assignment `msg:"assignments"`
 	Forget      []string     `msg:"forget"`
--- a/internal/wire/control.go
+++ b/internal/wire/control.go
@@ -10,7 +10,7 @@
 	RoleGateway Role = iota
 	// RoleDispatcher owns workers.
 	RoleDispatcher
-	// RoleControl keeps the durable state.
+	// RoleControl stores the durable state.
 	RoleControl
 )
 
@@ -32,17 +32,17 @@
 	Worker string   `msg:"worker"`
 	Epoch  uint64   `msg:"epoch"`
 	Models []string `msg:"models"`
-	// Leaving is set once the engine itself has said that it is leaving.
+	// Leaving is set once the engine has reported that it is leaving.
 	Leaving bool `msg:"leaving"`
 	// Unreachable is set while the engine does not answer.
 	Unreachable bool `msg:"unreachable"`
 }
 
-// HeartbeatRequest renews a daemon's lease and says what it knows already, so
-// that the answer carries only what has changed.
+// HeartbeatRequest renews a daemon's lease. It names the versions that the daemon has, so that
+// the response carries only what has changed since.
 type HeartbeatRequest struct {
 	Daemon string `msg:"daemon"`
-	// Incarnation differs between two processes that bear the same name.
+	// Incarnation distinguishes processes with the same name, as before and after a restart.
 	Incarnation       uint64         `msg:"incarnation"`
 	Role              Role           `msg:"role"`
 	Zone              string         `msg:"zone"`
@@ -59,29 +59,29 @@
 
 // HeartbeatResponse carries what has changed since the versions in the request.
 type HeartbeatResponse struct {
-	// LeaseMillis is the length of the renewed lease, counted from the moment
-	// at which the daemon sent the heartbeat.
+	// LeaseMillis is the duration of the renewed lease, counted from the moment at which
+	// the daemon sent the heartbeat.
 	LeaseMillis int64 `msg:"lease"`
-	// ConfigLeaseMillis is how long the configuration may be acted on, counted
-	// in the same way.
+	// ConfigLeaseMillis is how long the daemon may use the configuration, counted from the
+	// same moment.
 	ConfigLeaseMillis int64        `msg:"config_lease"`
 	ConfigRevision    uint64       `msg:"config_revision"`
 	Config            *ConfigDelta `msg:"config"`
 	View              *ViewDelta   `msg:"view"`
 	AssignmentVersion uint64       `msg:"assignment_version"`
-	// Assignments lists all of the daemon's workers if the version differs
-	// from the one in the request.
+	// Assignments lists all of the daemon's workers if AssignmentVersion differs from the
+	// one in the request.
 	Assignments []Assignment `msg:"assignments"`
 	// JobGroups is the number of job groups.
 	JobGroups int `msg:"job_groups"`
-	// Gateways is the number of living gateways, which share tenants' limits;
-	// zero while control does not know.
+	// Gateways is the number of running gateways, which share tenants' limits; zero if
+	// control does not know it.
 	Gateways int  `msg:"gateways"`
 	Drain    bool `msg:"drain"`
 }
 
-// ViewDelta lists the dispatchers that changed since the requested version. A
-// full delta replaces everything known.
+// ViewDelta lists the dispatchers that changed since the requested version. A full delta
+// replaces all dispatchers that the reader has.
 type ViewDelta struct {
 	Version     uint64       `msg:"version"`
 	Full        bool         `msg:"full"`
@@ -89,7 +89,7 @@
 	Removed     []string     `msg:"removed"`
 }
 
-// DaemonView is what other daemons learn of a dispatcher.
+// DaemonView describes a dispatcher to other daemons.
 type DaemonView struct {
 	Name        string   `msg:"name"`
 	Zone        string   `msg:"zone"`
@@ -99,7 +99,7 @@
 	Models      []string `msg:"models"`
 }
 
-// Assignment gives a worker to a dispatcher under a fencing epoch.
+// Assignment assigns a worker to a dispatcher under a fencing epoch.
 type Assignment struct {
 	Worker      string `msg:"worker"`
 	Address     string `msg:"address"`
@@ -110,7 +110,8 @@
 	Leaving     bool   `msg:"leaving"`
 }
 
-// DaemonStatus is one row of the operators' status table.
+// DaemonStatus is one row of the operators' status table. LeaseLeft is the time for which the
+// daemon's lease still runs, in milliseconds.
 type DaemonStatus struct {
 	Name           string `msg:"name" json:"name"`
 	Role           string `msg:"role" json:"role"`
@@ -126,7 +127,8 @@
 // StatusRequest asks for the state of the fleet.
 type StatusRequest struct{}
 
-// StatusResponse is the state of the fleet as control sees it.
+// StatusResponse is the state of the fleet as control knows it. InForce is the number of
+// daemons that have the current configuration.
 type StatusResponse struct {
 	ConfigRevision uint64         `msg:"config_revision" json:"config_revision"`
 	InForce        int            `msg:"in_force" json:"in_force"`
@@ -136,13 +138,14 @@
 	Replicas []ReplicaStatus `msg:"replicas" json:"replicas"`
 }
 
-// ReplicaStatus is one control process as the meta group's leader sees it.
+// ReplicaStatus is the state of one control process as the meta group's leader knows it.
 type ReplicaStatus struct {
 	Name    string `msg:"name" json:"name"`
 	Address string `msg:"address" json:"address"`
 	// State is leader, voter or spare.
 	State string `msg:"state" json:"state"`
-	// Behind is the number of log entries that it has not stored yet.
+	// Behind is the lag of the process: the number of log entries that it has not stored
+	// yet. SilentMillis is the time since its last message.
 	Behind       uint64 `msg:"behind" json:"behind"`
 	SilentMillis int64  `msg:"silent" json:"silent_ms"`
 }
--- a/internal/wire/corpus/corpus.go
+++ b/internal/wire/corpus/corpus.go
@@ -1,6 +1,7 @@
-// Package corpus makes a sample of each message of package wire, the same in each build
-// that has the message, so that what one build writes can be read by another. Release
-// builds' samples stand in testdata of package wire; scripts/corpus.sh makes them.
+// Package corpus creates samples of the messages of package wire. Builds that have the same
+// message create the same sample, so that tests can check whether one build decodes what
+// another encoded. The samples of released builds are in the testdata of package wire;
+// scripts/corpus.sh creates them.
 package corpus
 
 import (
@@ -17,7 +18,7 @@
 	msgp.Unmarshaler
 }
 
-// Sample is a message as one build wrote it.
+// Sample is a message as one build encoded it.
 type Sample struct {
 	// Bytes is the encoded message.
 	Bytes []byte `json:"bytes"`
@@ -25,20 +26,20 @@
 	Value json.RawMessage `json:"value"`
 }
 
-// Reading is what a build made of another one's message.
+// Reading is the result of decoding a sample of another build.
 type Reading struct {
-	// Value is the message as JSON, Rest how many bytes follow it.
+	// Value is the message as JSON, Rest the number of bytes that follow the message.
 	Value json.RawMessage `json:"value,omitempty"`
 	Rest  int             `json:"rest,omitempty"`
-	// Failure is set where the message could not be read.
+	// Failure is the error if the message could not be decoded.
 	Failure string `json:"failure,omitempty"`
 }
 
-// Empty is the suffix of the names of samples in which nothing is set.
+// Empty is the suffix of the names of samples in which no field is set.
 const Empty = "/empty"
 
-// Write returns two samples of each message, by its name: one with every field set, and
-// one with none.
+// Write returns two samples of each message: one with every field set, under the message's
+// name, and one with none, under the name with the suffix Empty.
 func Write() (map[string]Sample, error) {
 	samples := map[string]Sample{}
 	for name, create := range Types() {
@@ -64,8 +65,8 @@
 	return Sample{Bytes: encoded, Value: value}, err
 }
 
-// Read returns what this build makes of samples that another one wrote. Messages that this
-// build does not have are left out.
+// Read decodes samples that another build wrote and returns the results by name. Messages that
+// this build does not have are omitted.
 func Read(samples map[string]Sample) (map[string]Reading, error) {
 	types := Types()
 	readings := map[string]Reading{}
@@ -89,18 +90,19 @@
 	return readings, nil
 }
 
-// filler sets fields to values that differ from one another.
-type filler struct{ last int }
+// filler sets fields to distinct values, so that swapped fields are noticed. last is the number
+// used last.
+type filler struct{ lastNumber int }
 
-// maxNumber is up to where numbers go: those of the smallest type of a field.
+// maxNumber is the largest number used: it fits into the smallest integer type of a field.
 const maxNumber = 120
 
-func (f *filler) next() int {
-	f.last = f.last%maxNumber + 1
-	return f.last
+func (f *filler) nextNumber() int {
+	f.lastNumber = f.lastNumber%maxNumber + 1
+	return f.lastNumber
 }
 
-// listLength is how many elements each list has.
+// listLength is the number of elements of each list in a sample.
 const listLength = 2
 
 func (f *filler) fill(value reflect.Value) {
@@ -125,14 +127,14 @@
 		value.Set(reflect.MakeMap(value.Type()))
 		value.SetMapIndex(key, element)
 	case reflect.String:
-		value.SetString("text " + string(rune('a'+f.next()%26)))
+		value.SetString("text " + string(rune('a'+f.nextNumber()%26)))
 	case reflect.Bool:
 		value.SetBool(true)
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		value.SetInt(int64(f.next()))
+		value.SetInt(int64(f.nextNumber()))
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		value.SetUint(uint64(f.next()))
+		value.SetUint(uint64(f.nextNumber()))
 	case reflect.Float32, reflect.Float64:
-		value.SetFloat(float64(f.next()))
+		value.SetFloat(float64(f.nextNumber()))
 	}
 }
--- a/internal/wire/corpus/write/main.go
+++ b/internal/wire/corpus/write/main.go
@@ -1,5 +1,5 @@
-// Write writes samples of all messages of this build, or what this build reads in those of
-// another one. scripts/corpus.sh runs it in the tree of a release.
+// Write prints samples of all messages of this build, or what this build decodes from a file
+// of samples of another build. scripts/corpus.sh runs it in the source tree of a release.
 package main
 
 import (
@@ -16,7 +16,7 @@
 	}
 }
 
-// run prints samples, or readings of the file that is named.
+// run prints samples, or the readings of the sample file in the first argument.
 func run(arguments []string) error {
 	if len(arguments) == 0 {
 		samples, err := corpus.Write()
--- a/internal/wire/doc.go
+++ b/internal/wire/doc.go
@@ -1,10 +1,10 @@
-// Package wire holds the messages that the system's own processes exchange and
-// the commands that control writes to its log. All are encoded by MessagePack
-// with generated code; the generated files are committed.
+// Package wire holds the messages that the system's own processes exchange and the commands
+// that control, coordinators and stores write to their replicated logs. All are encoded as
+// MessagePack by generated code; the generated files are committed.
 //
-// Times are milliseconds since the Unix epoch where they name an instant, and
-// milliseconds where they are durations; deadlines between processes travel as
-// time left, so that clocks need not agree.
+// Unless a field's name or comment says otherwise, an instant is in milliseconds since the
+// Unix epoch and a duration in milliseconds. Between processes, a deadline is sent as the time
+// left, so that their clocks need not agree.
 package wire
 
 //go:generate go tool msgp -file generate.go -o generate_gen.go -tests=false
--- a/internal/wire/failure.go
+++ b/internal/wire/failure.go
@@ -6,7 +6,7 @@
 	"github.com/sedgemast/sedgemast/internal/failure"
 )
 
-// NewFailure returns err in the form that travels between processes.
+// NewFailure returns err as a message, with its cause in the text.
 func NewFailure(err error) *Failure {
 	typed := failure.From(err)
 	message := typed.Message
@@ -22,7 +22,7 @@
 	}
 }
 
-// Err returns the failure as a typed error.
+// Err returns the failure as a typed error, nil for none.
 func (z *Failure) Err() error {
 	if z == nil {
 		return nil
--- a/internal/wire/fleet.go
+++ b/internal/wire/fleet.go
@@ -2,7 +2,9 @@
 
 //msgp:limit arrays:1048576 maps:65536
 
-// FleetCommand is a command of the fleet group's log. Exactly one field is set.
+// FleetCommand is a command of the fleet group's log. Exactly one field is set: Apply replaces
+// the configuration, Form bootstraps the store groups, Retire requests that a store is drained,
+// Retired records that it is drained, and Quarantine changes the quarantine.
 type FleetCommand struct {
 	Apply   *ApplyRoutes `msg:"apply"`
 	Form    *FormStores  `msg:"form"`
@@ -12,27 +14,27 @@
 	Quarantine *QuarantineCommand `msg:"quarantine"`
 }
 
-// ApplyRoutes brings in a whole configuration of routes and pools.
+// ApplyRoutes replaces the configuration of routes and pools.
 type ApplyRoutes struct {
-	// Version orders configurations: the highest one is in force.
+	// Version orders configurations: the one with the highest version is in force.
 	Version uint64 `msg:"version"`
 	// Document is the encoded routetable.Configuration.
 	Document []byte `msg:"document,limit=33554432"`
-	// Source is what the operator sent, byte for byte.
+	// Source is the configuration exactly as the operator sent it.
 	Source []byte `msg:"source,limit=33554432"`
 }
 
-// FormStores names the first voters of each store group, and so how many groups there
-// are. Only the first such command counts.
+// FormStores bootstraps the store groups. Groups lists the initial voters of each group, and
+// thereby sets the number of groups. Only the first such command takes effect.
 type FormStores struct {
 	Groups [][]Replica `msg:"groups"`
 }
 
-// RetireStore names a store process that is to hold nothing any more.
+// RetireStore names a store process that is to be drained, so that it holds no data any more.
 type RetireStore struct {
 	Name string `msg:"name"`
-	// Counted is how many stores had been asked for when it was checked that
-	// enough would be left. The command fails if others were meanwhile.
+	// Counted is the number of requested retirements when the coordinator checked that enough
+	// stores would be left. The command fails if others have been requested since.
 	Counted int `msg:"counted"`
 }
 
@@ -41,151 +43,154 @@
 	Failure *Failure `msg:"failure"`
 	// Version is the configuration in force after the command.
 	Version uint64 `msg:"version"`
-	// Changed is set where the command changed the state.
+	// Changed is set if the command changed the state.
 	Changed bool `msg:"changed"`
 }
 
-// ProcessKind says what a watching process is.
+// ProcessKind is the kind of a process that polls a coordinator.
 type ProcessKind uint8
 
 const (
 	// ProcessEdge serves callers.
 	ProcessEdge ProcessKind = iota
-	// ProcessStore keeps batch jobs.
+	// ProcessStore stores batch jobs.
 	ProcessStore
-	// ProcessRelay is a coordinator that does not lead: it answers watches of edges.
+	// ProcessRelay is a coordinator that does not lead: it answers polls of edges.
 	ProcessRelay
 )
 
-// ProcessReport is what a process tells the coordinator of itself.
+// ProcessReport describes the sending process to a coordinator.
 type ProcessReport struct {
 	Kind ProcessKind `msg:"kind"`
 	Name string      `msg:"name"`
 	Zone string      `msg:"zone"`
-	// Replica and Formed are a store's.
+	// Replica and Formed are set by stores, see Hello.
 	Replica Replica `msg:"replica"`
 	Formed  bool    `msg:"formed"`
 	// Led lists the store groups that the process leads.
 	Led []GroupReport `msg:"led"`
-	// Edges counts the edges that watch a relay.
+	// Edges is set by relays: the number of edges that poll the relay.
 	Edges int `msg:"edges"`
 }
 
-// GroupReport is what the leader of a store group tells of it.
+// GroupReport is the report of a store group by its leader.
 type GroupReport struct {
 	Group int `msg:"group"`
-	// Term is the one that the process leads in.
+	// Term is the term in which the process leads the group.
 	Term uint64 `msg:"term"`
-	// Members lists the names of the processes that hold its data.
+	// Members lists the names of the processes that hold the group's data.
 	Members []string `msg:"members"`
 }
 
-// WatchRequest asks the coordinator's leader for what differs from what the
-// caller knows. It is held until something does, for WaitMillis at most.
+// WatchRequest polls a coordinator for changes since the state that the caller has. The call
+// waits for a change for WaitMillis at most.
 type WatchRequest struct {
 	Origin  `msg:"-" json:"-"`
 	Process ProcessReport `msg:"process"`
-	// Version and View are the last ones received, zero for none.
+	// Version and View are the configuration version and view number received last, zero for
+	// none.
 	Version uint64 `msg:"version"`
 	View    uint64 `msg:"view"`
 	// Term is the leader's term that View belongs to.
 	Term       uint64 `msg:"term"`
 	WaitMillis int64  `msg:"wait_millis"`
-	// Quarantine is the revision of what the caller knows of refused requests.
+	// Quarantine is the revision of the quarantine that the caller has.
 	Quarantine uint64 `msg:"quarantine"`
-	// Digests are those of the buckets of the caller's list of workers, where the one
-	// that is asked may not know which list View stands for. Lost is set where the list
-	// came out as another one than was told: View says nothing of it then.
+	// Digests holds the digests of the buckets of the caller's list of workers. It is set if
+	// the polled coordinator may not know which list View stands for. Lost is set if the
+	// list's digest did not match after an update: View then does not describe the list.
 	Digests []byte `msg:"digests"`
 	Lost    bool   `msg:"lost"`
 }
 
-// WatchResponse tells what differs.
+// WatchResponse carries what has changed.
 type WatchResponse struct {
 	Version uint64 `msg:"version"`
-	// Document is the configuration, unless the caller has this version.
+	// Document is the configuration, nil if the caller has this version.
 	Document []byte `msg:"document,limit=33554432"`
 	Term     uint64 `msg:"term"`
 	View     uint64 `msg:"view"`
-	// Fleet is the view of processes and workers, unless the caller has it.
+	// Fleet is the view of processes and workers, nil if the caller has it.
 	Fleet *FleetView `msg:"fleet"`
-	// Quarantine is what differs of the requests under which workers ended, nil where
-	// nothing does.
+	// Quarantine holds the changes of the quarantine, that is, of the requests that were
+	// running when a worker process exited. It is nil if there are none.
 	Quarantine *QuarantineNews `msg:"quarantine"`
-	// AgeMillis is how long ago a relay heard the leader of whom it tells.
+	// AgeMillis is set by relays: the age of the leader's last message to the relay.
 	AgeMillis int64 `msg:"age_millis"`
 }
 
 // FleetView is the leader's view of the processes and the workers.
 type FleetView struct {
-	// SameStores is set where all but News, Listed and Edges is left out: the caller has it
-	// from the last view.
+	// SameStores is set if only News, Listed and Edges are set, and all other fields are as in
+	// the caller's last view.
 	SameStores bool `msg:"same_stores"`
 	// Listed is set once the platform's list has been read.
 	Listed bool `msg:"listed"`
-	// Partial is set while a part of the list only has been read: it is for processes that
-	// have none.
+	// Partial is set while only a part of the list has been read. Only processes that have no
+	// list use such a part.
 	Partial bool `msg:"partial"`
-	// News is what differs of the list of workers, and its digest also where nothing does;
-	// nil while nothing has been read.
+	// News holds the changes of the list of workers, and the list's digest even if there are
+	// none. It is nil while no list has been read.
 	News *WorkerNews `msg:"news"`
-	// Workers is the whole list in place of News for and by GenerationFirst, left out where
-	// SameWorkers is set: the reader has it, and Listed, from the last view.
+	// Workers is the whole list, which processes of GenerationFirst send and receive instead
+	// of News. With SameWorkers set it is omitted, and the list and Listed are as in the
+	// reader's last view.
 	SameWorkers  bool         `msg:"same_workers,omitempty"`
 	Workers      []PoolWorker `msg:"workers,omitempty"`
 	Coordinators []string     `msg:"coordinators"`
-	// Relays lists the coordinators that answer watches of edges, the leader included.
+	// Relays lists the coordinators that answer polls of edges, including the leader.
 	Relays []ProcessAddress `msg:"relays"`
-	// Stores lists the living stores in the order of their names.
+	// Stores lists the running stores, ordered by name.
 	Stores []ProcessAddress `msg:"stores"`
-	// Groups says, by the group's number, where the store groups are, as far as that
-	// is known. A leader may have changed since.
+	// Groups holds the addresses of the store groups, indexed by the group's number, as far as
+	// they are known. A leader may have changed since.
 	Groups []GroupPlace `msg:"groups"`
-	// Edges counts the processes that serve callers.
+	// Edges is the number of processes that serve callers.
 	Edges int `msg:"edges"`
-	// Initial lists the first voters of each store group.
+	// Initial lists the initial voters of each store group.
 	Initial [][]Replica `msg:"initial"`
-	// Retiring names stores that are to hold nothing any more.
+	// Retiring names the stores that are being drained or are drained.
 	Retiring []string `msg:"retiring"`
 }
 
-// Upon returns the whole view but for the workers, where this one tells what differs from
-// the one before. Stores stay known while a new leader has not heard of any yet.
-func (v *FleetView) Upon(before *FleetView) FleetView {
-	after := *v
-	after.SameStores, after.News = false, nil
-	after.SameWorkers, after.Workers = false, nil
-	after.Listed = v.Listed || before.Listed
-	after.Partial = v.Partial && !after.Listed
+// Upon returns the complete view, without the list of workers, that results from applying this
+// update to the previous view. While a new leader has received no report of any store, the
+// stores of the previous view are kept.
+func (v *FleetView) Upon(previous *FleetView) FleetView {
+	view := *v
+	view.SameStores, view.News = false, nil
+	view.SameWorkers, view.Workers = false, nil
+	view.Listed = v.Listed || previous.Listed
+	view.Partial = v.Partial && !view.Listed
 	if v.SameStores {
-		after.Coordinators, after.Relays, after.Stores, after.Groups = before.Coordinators, before.Relays, before.Stores, before.Groups
-		after.Initial, after.Retiring = before.Initial, before.Retiring
+		view.Coordinators, view.Relays, view.Stores, view.Groups = previous.Coordinators, previous.Relays, previous.Stores, previous.Groups
+		view.Initial, view.Retiring = previous.Initial, previous.Retiring
 	}
-	if len(after.Stores) == 0 {
-		after.Stores = before.Stores
+	if len(view.Stores) == 0 {
+		view.Stores = previous.Stores
 	}
-	return after
+	return view
 }
 
-// WorkerNews tells a reader what it lacks of the list of workers.
+// WorkerNews is an update of a reader's list of workers.
 type WorkerNews struct {
-	// Whole is set where Rows are all workers; else they are those that came or changed,
-	// and Gone names those that left.
+	// Whole is set if Rows holds all workers. Otherwise Rows holds those that were added or
+	// changed, and Gone names those that were removed.
 	Whole bool         `msg:"whole"`
 	Rows  []PoolWorker `msg:"rows"`
 	Gone  []string     `msg:"gone"`
-	// Buckets are told whole in place of changes.
+	// Buckets holds all workers of the listed buckets, and is sent instead of single changes.
 	Buckets []WorkerBucket `msg:"buckets"`
-	// Digest is that of the whole list after the news.
+	// Digest is the digest of the whole list after the update.
 	Digest uint64 `msg:"digest"`
 }
 
-// Nothing reports whether the list is the one that the reader has.
+// Nothing reports whether the update leaves the reader's list unchanged.
 func (n *WorkerNews) Nothing() bool {
 	return !n.Whole && len(n.Rows) == 0 && len(n.Gone) == 0 && len(n.Buckets) == 0
 }
 
-// WorkerBucket is a part of the list: all workers whose ids hash to its number.
+// WorkerBucket is the part of the list whose workers' ids hash to its number.
 //
 //msgp:tuple WorkerBucket
 type WorkerBucket struct {
@@ -193,7 +198,7 @@
 	Rows   []PoolWorker
 }
 
-// ProcessAddress says where a store or a coordinator is.
+// ProcessAddress is the address and zone of a store or coordinator.
 //
 //msgp:tuple ProcessAddress
 type ProcessAddress struct {
@@ -201,17 +206,17 @@
 	Zone    string
 }
 
-// GroupPlace says where a store group is.
+// GroupPlace holds the addresses of a store group's members.
 //
 //msgp:tuple GroupPlace
 type GroupPlace struct {
-	// Leader is the address of the group's leader, empty where none is known.
+	// Leader is the address of the group's leader, empty if none is known.
 	Leader string
-	// Members lists the addresses of the stores that hold its data, in order.
+	// Members lists the addresses of the stores that hold the group's data, in order.
 	Members []string
 }
 
-// Group returns where a store group is.
+// Group returns the addresses of a store group; the zero value if they are not known.
 func (v *FleetView) Group(number int) GroupPlace {
 	if number < 0 || number >= len(v.Groups) {
 		return GroupPlace{}
@@ -219,7 +224,7 @@
 	return v.Groups[number]
 }
 
-// StoreAddresses returns where the stores are reached.
+// StoreAddresses returns the addresses of the stores.
 func (v *FleetView) StoreAddresses() []string {
 	addresses := make([]string, 0, len(v.Stores))
 	for _, store := range v.Stores {
@@ -232,7 +237,7 @@
 //
 //msgp:tuple PoolWorker
 type PoolWorker struct {
-	// ID names one life of the worker, see package life.
+	// ID identifies one incarnation of the worker, see package incarnation.
 	ID      string
 	Pool    string
 	Address string
@@ -241,13 +246,13 @@
 	Leaving bool
 }
 
-// RouteSource asks for the configuration as it was sent.
+// RouteSource is the configuration as the operator sent it, with its version.
 type RouteSource struct {
 	Version uint64 `msg:"version"`
 	Source  []byte `msg:"source,limit=33554432"`
 }
 
-// Retirement tells how far the emptying of a store is.
+// Retirement is the state of draining a store. Done is set once the store holds no data.
 type Retirement struct {
 	Name string `msg:"name"`
 	Done bool   `msg:"done"`
--- a/internal/wire/generate.go
+++ b/internal/wire/generate.go
@@ -2,13 +2,13 @@
 
 //msgp:limit arrays:65536 maps:65536
 
-// Class tells online work from batch work.
+// Class distinguishes online work from batch work.
 type Class uint8
 
 const (
-	// Online work has a caller waiting for it.
+	// Online is work that a caller waits for.
 	Online Class = iota
-	// Batch work fills what online work leaves over.
+	// Batch is work that uses the capacity that online work leaves free.
 	Batch
 )
 
@@ -23,11 +23,11 @@
 // GenerateRequest asks a dispatcher to run one attempt of a request.
 type GenerateRequest struct {
 	RequestID string `msg:"request"`
-	// AttemptID names this attempt; engines refuse a second start of it.
+	// AttemptID identifies this attempt; engines reject a second start of it.
 	AttemptID string `msg:"attempt"`
 	Tenant    string `msg:"tenant"`
 	Class     Class  `msg:"class"`
-	// Rank orders work of one class: higher ranks go first.
+	// Rank orders work of one class: higher ranks run first.
 	Rank      int    `msg:"rank"`
 	Model     string `msg:"model"`
 	Adapter   string `msg:"adapter"`
@@ -35,16 +35,16 @@
 	MaxTokens int    `msg:"max_tokens"`
 	// TimeLeftMillis is the time left until the request's deadline.
 	TimeLeftMillis int64 `msg:"time_left"`
-	// ContinueTokens and ContinueText are what an earlier attempt generated;
-	// the answer goes on after them.
+	// ContinueTokens and ContinueText are the tokens and text that an earlier attempt
+	// generated; the answer continues after them.
 	ContinueTokens int    `msg:"continue_tokens"`
 	ContinueText   string `msg:"continue_text"`
-	// NotRepeatable forbids a second start once a byte has left for an engine.
+	// NotRepeatable forbids a second start once any byte has been sent to an engine.
 	NotRepeatable bool `msg:"not_repeatable"`
 }
 
-// ResumeRequest asks a dispatcher to go on reading the stream of an attempt
-// that another dispatcher started. It starts nothing.
+// ResumeRequest asks a dispatcher to continue reading the stream of an attempt that another
+// dispatcher started, from Offset in tokens. It does not start an attempt.
 type ResumeRequest struct {
 	RequestID      string `msg:"request"`
 	AttemptID      string `msg:"attempt"`
@@ -53,7 +53,7 @@
 	TimeLeftMillis int64  `msg:"time_left"`
 }
 
-// FrameKind tells the frames of an answer apart.
+// FrameKind is the kind of a frame.
 type FrameKind uint8
 
 const (
@@ -61,14 +61,14 @@
 	FrameStarted FrameKind = iota
 	// FrameTokens carries generated text.
 	FrameTokens
-	// FrameEnd is the explicit end of a whole answer.
+	// FrameEnd ends a complete answer.
 	FrameEnd
-	// FrameFailure ends an answer that did not become whole.
+	// FrameFailure ends an incomplete answer with a failure.
 	FrameFailure
 )
 
-// GenerateFrame is one frame of the answer to a GenerateRequest. Frames of one
-// attempt are numbered from zero without gaps.
+// GenerateFrame is one frame of the response to a GenerateRequest or ResumeRequest. The frames
+// of one response are numbered from zero without gaps.
 type GenerateFrame struct {
 	AttemptID string    `msg:"attempt"`
 	Kind      FrameKind `msg:"kind"`
@@ -81,12 +81,12 @@
 	PromptTokens  int    `msg:"prompt_tokens"`
 	Worker        string `msg:"worker"`
 	WorkerAddress string `msg:"worker_address"`
-	// Utilization is the dispatcher's load when the frame was sent, 0 to 255.
+	// Utilization is the dispatcher's utilization when the frame was sent, from 0 to 255.
 	Utilization uint8    `msg:"utilization"`
 	Failure     *Failure `msg:"failure"`
 }
 
-// Failure carries a typed failure between processes.
+// Failure is a typed failure as a message, see package failure.
 type Failure struct {
 	Kind             uint8  `msg:"kind"`
 	Message          string `msg:"message"`
--- a/internal/wire/generation.go
+++ b/internal/wire/generation.go
@@ -1,31 +1,32 @@
 package wire
 
-// Generation counts the forms in which builds write to one another. Machines are replaced
-// one after the other, so that builds of two generations run side by side for a while, and
-// the newer one may have to make way for the older again.
+// Generation is the version of the protocol between processes that a build uses. During an
+// upgrade machines are replaced one by one, so builds of two generations run side by side for
+// a while, and the upgrade may be rolled back.
 //
-// A message may get fields, which older readers pass over; a released field keeps its name
-// and shape. Only where an older reader needs another answer does the writer look at the
-// reader's generation, which comes with each call (package rpc).
+// New fields may be added to a message, because older readers ignore them; a released field
+// keeps its name and type. A sender checks the generation of the reader, which comes with each
+// call (package rpc), only where an older reader needs a different answer.
 type Generation uint8
 
 const (
-	// GenerationFirst is that of builds that tell none. They are told the list of workers
-	// whole, by the leader alone, and pass over what is known of requests under which
-	// workers ended.
+	// GenerationFirst is the generation of builds that do not send their generation. Only the
+	// leader answers their polls; it sends them the list of workers as a whole, never as
+	// changes. They ignore the quarantine.
 	GenerationFirst Generation = 1
-	// GenerationCurrent is this build's.
+	// GenerationCurrent is the generation of this build.
 	GenerationCurrent Generation = 2
 )
 
-// Origin is embedded in messages whose reader must know who wrote them: the generation of
-// the writer's build, zero for this one's.
+// Origin is embedded in messages whose reader must know the generation of the build that
+// sent them. Zero stands for the generation of this build.
 type Origin Generation
 
-// WrittenBy takes in the writer's generation. Package rpc calls it for what came.
+// WrittenBy sets the generation of the sender's build. Package rpc calls it for each received
+// message.
 func (o *Origin) WrittenBy(generation Generation) { *o = Origin(generation) }
 
-// Generation returns the generation of the writer's build.
+// Generation returns the generation of the sender's build.
 func (o Origin) Generation() Generation {
 	if o == 0 {
 		return GenerationCurrent
--- a/internal/wire/jobs.go
+++ b/internal/wire/jobs.go
@@ -15,7 +15,7 @@
 	Tenant   string `msg:"tenant"`
 	Filename string `msg:"filename"`
 	Purpose  string `msg:"purpose"`
-	// Model and Adapter are those of every line of the file.
+	// Model and Adapter are the same for every line of the file.
 	Model         string `msg:"model"`
 	Adapter       string `msg:"adapter"`
 	Lines         uint32 `msg:"lines"`
@@ -33,8 +33,8 @@
 	MaxTokens int    `msg:"max_tokens"`
 }
 
-// AppendFileRequest adds lines to an open upload. FirstLine makes a resend of
-// the same lines harmless.
+// AppendFileRequest appends lines to an open upload. FirstLine is the number of the first one,
+// so that lines that are sent again are not appended twice.
 type AppendFileRequest struct {
 	FileID    string      `msg:"file"`
 	Tenant    string      `msg:"tenant"`
@@ -43,7 +43,7 @@
 	Lines     []BatchLine `msg:"lines"`
 }
 
-// CompleteFileRequest closes an upload; only then can a job use it.
+// CompleteFileRequest completes an upload. A job can use only a complete file.
 type CompleteFileRequest struct {
 	FileID  string `msg:"file"`
 	Tenant  string `msg:"tenant"`
@@ -53,13 +53,13 @@
 	Digest  string `msg:"digest"`
 }
 
-// DeleteFileRequest removes a file that no unfinished job uses.
+// DeleteFileRequest deletes a file that no running job uses.
 type DeleteFileRequest struct {
 	FileID string `msg:"file"`
 	Tenant string `msg:"tenant"`
 }
 
-// FileResponse is the answer to the upload commands.
+// FileResponse is the answer to the requests that create, change or read a file's record.
 type FileResponse struct {
 	File FileRecord `msg:"file"`
 }
@@ -70,15 +70,15 @@
 	Tenant string `msg:"tenant"`
 }
 
-// CreateJobRequest turns a complete file into a job.
+// CreateJobRequest creates a job from a complete file.
 type CreateJobRequest struct {
 	Tenant string `msg:"tenant"`
-	// IdempotencyKey makes a resend return the first job.
+	// IdempotencyKey identifies the request: sent again, it returns the job created first.
 	IdempotencyKey string `msg:"key"`
 	FileID         string `msg:"file"`
 	Endpoint       string `msg:"endpoint"`
-	// WindowMillis is the time until the job's deadline; RequestedMillis is what
-	// the caller asked for, zero where the tenant's default was taken.
+	// WindowMillis is the time from creation to the job's deadline. RequestedMillis is the
+	// time that the caller requested, zero if the tenant's default was used.
 	WindowMillis    int64  `msg:"window"`
 	RequestedMillis int64  `msg:"requested_window"`
 	Rank            int    `msg:"rank"`
@@ -90,17 +90,17 @@
 type JobState uint8
 
 const (
-	// JobRunning has items that are not finished.
+	// JobRunning is a job with items that have no result.
 	JobRunning JobState = iota
-	// JobCompleted has a result for every item.
+	// JobCompleted is a job with a result for every item.
 	JobCompleted
-	// JobCancelled was stopped; the results it had remain readable.
+	// JobCancelled is a job that was cancelled; its results up to then remain readable.
 	JobCancelled
-	// JobExpired passed its deadline; the results it had remain readable.
+	// JobExpired is a job whose deadline passed; its results up to then remain readable.
 	JobExpired
 )
 
-// String returns the state in the words of the batches API.
+// String returns the state as the batches API names it.
 func (s JobState) String() string {
 	switch s {
 	case JobCompleted:
@@ -137,7 +137,7 @@
 // JobResponse is a job's record.
 type JobResponse struct {
 	Job JobRecord `msg:"job"`
-	// Repeated is set when the job had been accepted before.
+	// Repeated is set if the job had been accepted before.
 	Repeated bool `msg:"repeated"`
 }
 
@@ -147,8 +147,8 @@
 	Tenant string `msg:"tenant"`
 }
 
-// ListJobsRequest asks for the newest jobs of one tenant, or of all, in a group.
-// Without a group it means the tenant's own.
+// ListJobsRequest asks for the newest jobs of one tenant, or of all, in a job group. Without a
+// group it refers to the group that holds the tenant's jobs.
 type ListJobsRequest struct {
 	Group  int    `msg:"group"`
 	Tenant string `msg:"tenant"`
@@ -160,7 +160,7 @@
 	Jobs []JobRecord `msg:"jobs"`
 }
 
-// CancelJobRequest stops a job.
+// CancelJobRequest cancels a job.
 type CancelJobRequest struct {
 	JobID  string `msg:"job"`
 	Tenant string `msg:"tenant"`
@@ -184,15 +184,15 @@
 type ReadResultsRequest struct {
 	JobID  string `msg:"job"`
 	Tenant string `msg:"tenant"`
-	// From is the first item wanted; Limit bounds the number of results.
+	// From is the first item to return; Limit is the maximum number of results.
 	From  uint32 `msg:"from"`
 	Limit int    `msg:"limit"`
 	// Failed selects failed items instead of succeeded ones.
 	Failed bool `msg:"failed"`
 }
 
-// ReadResultsResponse holds results; Next is the item to go on from, and Done
-// is set when there are none after it.
+// ReadResultsResponse holds results. Next is the item from which to continue; Done is set if
+// there are no further results.
 type ReadResultsResponse struct {
 	Results []ItemResult `msg:"results"`
 	Next    uint32       `msg:"next"`
@@ -212,20 +212,21 @@
 	Lines []BatchLine `msg:"lines"`
 }
 
-// ItemRef names an item of a job.
+// ItemRef identifies an item of a job.
 type ItemRef struct {
 	JobID string `msg:"job"`
 	Item  uint32 `msg:"item"`
 }
 
-// LeaseItemsRequest renews a dispatcher's item leases and asks for more items.
+// LeaseItemsRequest renews a dispatcher's item leases and asks for up to Want more items.
 type LeaseItemsRequest struct {
 	Group       int      `msg:"group"`
 	Dispatcher  string   `msg:"dispatcher"`
 	Incarnation uint64   `msg:"incarnation"`
 	Want        int      `msg:"want"`
 	Models      []string `msg:"models"`
-	// Held lists the items the dispatcher still works on; leases of others end.
+	// Held lists the items that the dispatcher still processes; its leases of other items
+	// end.
 	Held []ItemRef `msg:"held"`
 }
 
@@ -240,29 +241,29 @@
 	Line           BatchLine `msg:"line"`
 }
 
-// LeaseItemsResponse carries new items, and the held items that must stop
-// because their job was cancelled or somebody else has finished them.
+// LeaseItemsResponse carries newly leased items in Items, and in Stop the held items that the
+// dispatcher must stop because their job was cancelled or another process completed them.
 type LeaseItemsResponse struct {
 	Items       []LeasedItem `msg:"items"`
 	Stop        []ItemRef    `msg:"stop"`
 	LeaseMillis int64        `msg:"lease"`
-	// IdleMillis is when to ask again after an answer without items.
+	// IdleMillis is the time to wait before the next request after an answer without items.
 	IdleMillis int64 `msg:"idle"`
 }
 
-// CompleteItemsRequest reports finished items in a group.
+// CompleteItemsRequest reports completed items of one job group.
 type CompleteItemsRequest struct {
 	Dispatcher string       `msg:"dispatcher"`
 	Results    []ItemResult `msg:"results"`
 }
 
-// CompleteItemsResponse counts what became of the reported items. Every
-// reported item is settled by the answer: it needs no further report.
+// CompleteItemsResponse counts the reported items by outcome. No reported item needs to be
+// reported again, whatever its outcome.
 type CompleteItemsResponse struct {
 	Accepted uint32 `msg:"accepted"`
-	// Duplicates had been completed before; the first completion stays.
+	// Duplicates counts items that had been completed before; the first result is kept.
 	Duplicates uint32 `msg:"duplicates"`
-	// Refused belong to a job that is cancelled, expired or not known.
+	// Refused counts items of a job that is cancelled, expired or unknown.
 	Refused uint32 `msg:"refused"`
 }
 
--- a/internal/wire/load.go
+++ b/internal/wire/load.go
@@ -2,72 +2,74 @@
 
 //msgp:ignore LoadReport
 
-// LoadReport tells how many requests a process has at each worker. It travels as a
-// datagram, so it is packed without names: a LoadBase, whose length was released and stays,
-// and behind it a LoadMore, which readers of GenerationFirst pass over.
+// LoadReport reports how many requests a process has at each worker; hubs answer it with
+// another LoadReport. It is sent as a datagram, so most of it is encoded without field names:
+// first a LoadBase, a tuple whose length was released and must not change, then a LoadMore,
+// which readers of GenerationFirst ignore.
 type LoadReport struct {
 	// Source is the hash of the sender's name.
 	Source  uint32
 	Workers []WorkerLoad
-	// Hub is set by a process that is not the hub: the address of the one that is.
+	// Hub is set in answers of a process that is not the hub: the address of the hub.
 	Hub string
-	// Sources is how many processes tell their loads: all of them in the top hub's
+	// Sources is the number of processes that report loads: all of them in the top hub's
 	// answers, those of the zone in a zone's sums.
 	Sources uint16
-	// Waiting is set by stores: how many items could start.
+	// Waiting is set by stores: the number of items that could start.
 	Waiting uint32
-	// Groups holds the tokens that wait in store groups. A store tells of those
-	// that it leads; the hub tells stores of all, with the age of what it knows.
+	// Groups holds the tokens that wait in store groups. A store reports the groups that it
+	// leads; the hub sends stores all groups, with the age of its data.
 	Groups []GroupTokens
-	// Sums is set where a zone's hub tells the top hub the sums over its zone.
+	// Sums is set in reports of a zone's hub to the top hub, which hold the sums over the zone.
 	Sums bool
-	// Left is set in the last report to a hub: the sender reports elsewhere now.
+	// Left is set in the last report to a hub: the sender reports to another one from now on.
 	Left bool
-	// Quiet is set in reports that are not to be answered.
+	// Quiet is set in reports that the hub must not answer.
 	Quiet bool
-	// Zone is set in reports of processes that serve callers: the zone whose workers
-	// they are told of each time.
+	// Zone is set in reports of processes that serve callers: the zone whose workers each
+	// answer covers.
 	Zone string
-	// Part is set in answers that leave workers of other zones out.
+	// Part is set in answers that omit workers of other zones.
 	Part bool
-	// Tokens are the questions of a process that serves callers for tokens of tenants,
+	// Tokens are the requests of a process that serves callers for tokens of tenants' limits,
 	// and Verdicts the answers.
 	Tokens   []TokenQuestion
 	Verdicts []TokenVerdict
-	// Tenants is what a zone's hub and the top hub tell each other of the tenants'
-	// limits, nil where the message says nothing of them.
+	// Tenants is the update on tenants' limits that a zone's hub and the top hub send each
+	// other, nil for none.
 	Tenants *TenantNews
-	// Choosing is set in reports of processes that are about to choose a worker: in a large
-	// zone only these are told of any. Asked holds the short names of workers that they
-	// want to know of.
+	// Choosing is set in reports of processes that are about to choose a worker. In a large
+	// zone, only the answers to these reports hold loads of workers. Asked holds the hashes of
+	// the ids of workers whose loads the process needs.
 	Choosing bool
 	Asked    []uint32
-	// Drawn is set in answers that say nothing of workers that they don't name.
+	// Drawn is set in answers that hold only a sample of the workers: they say nothing about
+	// workers that are not listed.
 	Drawn bool
-	// Rest is set in the top hub's answers: how many online requests the workers that are
-	// left out, because they have no load, answer in ten seconds.
+	// Rest is set in the top hub's answers. It covers the workers that are not listed because
+	// they have no load: the number of online requests that they answer in ten seconds.
 	Rest uint32
-	// Proofs are set in reports to hubs: what requests showed that were sent to avoided
-	// workers to learn whether these are well again.
+	// Proofs is set in reports to hubs: the results of probes, that is, of requests that were
+	// sent to avoided workers to find out whether they are healthy again.
 	Proofs []WorkerProof
-	// Repeatable is set in reports of processes that are about to choose for a request that
-	// may run more than once, and Probes in answers to these: the short names of avoided
-	// workers to one of which it may go.
+	// Repeatable is set in reports of processes that are about to choose a worker for a request
+	// that may run more than once. Probes is set in answers to these: the hashes of the ids of
+	// avoided workers, one of which the request may probe.
 	Repeatable bool
 	Probes     []uint32
-	// Claims are what requests of a process that serves callers claim of scarce room, and
-	// Standings the answers to those whose tenants are over their shares.
+	// Claims are the claims on scarce capacity by requests of a process that serves callers,
+	// and Standings the answers to claims of tenants that are over their share.
 	Claims    []RoomClaim
 	Standings []RoomStanding
-	// Begun and Short count the requests of such a process since its start: those that a
-	// worker began to answer, and those that found no worker with room.
+	// Begun and Short count the requests of such a process since its start: Begun those that a
+	// worker began to answer, Short those for which no worker had free capacity.
 	Begun uint32
 	Short uint32
-	// First is set by the reader where the sender is of GenerationFirst.
+	// First is set on decoding if the sender is of GenerationFirst. It is not sent.
 	First bool
 }
 
-// LoadBase is what each generation reads of a LoadReport.
+// LoadBase is the part of a LoadReport that all generations read.
 //
 //msgp:tuple LoadBase
 type LoadBase struct {
@@ -84,8 +86,8 @@
 	Part    bool
 }
 
-// LoadMore is what came to LoadReport after GenerationFirst. It has names, so that it may
-// grow, and holds only what is set.
+// LoadMore holds the fields that were added to LoadReport after GenerationFirst. They are
+// encoded with names, so that more can be added, and fields that are not set are omitted.
 type LoadMore struct {
 	Tokens   []TokenQuestion `msg:"t,omitempty"`
 	Verdicts []TokenVerdict  `msg:"v,omitempty"`
@@ -105,7 +107,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler.
-func (r *LoadReport) MarshalMsg(before []byte) ([]byte, error) {
+func (r *LoadReport) MarshalMsg(buffer []byte) ([]byte, error) {
 	base := LoadBase{
 		Source: r.Source, Workers: r.Workers, Hub: r.Hub, Sources: r.Sources, Waiting: r.Waiting, Groups: r.Groups,
 		Sums: r.Sums, Left: r.Left, Quiet: r.Quiet, Zone: r.Zone, Part: r.Part,
@@ -116,7 +118,7 @@
 		Proofs: r.Proofs, Repeatable: r.Repeatable, Probes: r.Probes,
 		Claims: r.Claims, Standings: r.Standings, Begun: r.Begun, Short: r.Short,
 	}
-	encoded, err := base.MarshalMsg(before)
+	encoded, err := base.MarshalMsg(buffer)
 	if err != nil {
 		return nil, err
 	}
@@ -131,8 +133,8 @@
 	if err != nil {
 		return rest, err
 	}
-	first := len(rest) == 0
-	if !first {
+	firstGeneration := len(rest) == 0
+	if !firstGeneration {
 		if rest, err = more.UnmarshalMsg(rest); err != nil {
 			return rest, err
 		}
@@ -144,13 +146,14 @@
 		Choosing: more.Choosing, Asked: more.Asked, Drawn: more.Drawn, Rest: more.Rest,
 		Proofs: more.Proofs, Repeatable: more.Repeatable, Probes: more.Probes,
 		Claims: more.Claims, Standings: more.Standings, Begun: more.Begun, Short: more.Short,
-		First: first,
+		First: firstGeneration,
 	}
 	return rest, nil
 }
 
-// WorkerProof is how many requests an avoided worker answered well that were sent there to
-// learn whether it is well again, since the last report. Those that it failed count as any.
+// WorkerProof is the result of probes of an avoided worker since the last report. Well is the
+// number of probes that it answered successfully; failed probes are counted in
+// WorkerLoad.Failed like other requests. Worker is the hash of the worker's id.
 //
 //msgp:tuple WorkerProof
 type WorkerProof struct {
@@ -158,15 +161,15 @@
 	Well   uint16
 }
 
-// TokenQuestion asks for a token of a tenant's limit, or gives it back.
+// TokenQuestion requests a token of a tenant's limit, or returns one.
 //
 //msgp:tuple TokenQuestion
 type TokenQuestion struct {
-	// Ticket names the question; one that is sent again takes no second token.
+	// Ticket identifies the request for the token: sent again, it takes no second one.
 	Ticket uint64
 	// Tenant is the hash of the tenant's name.
 	Tenant uint32
-	// Back is set where the token is given back: its request did not run.
+	// Back is set if the token is returned because its request did not run.
 	Back bool
 }
 
@@ -176,42 +179,45 @@
 type TokenVerdict struct {
 	Ticket  uint64
 	Granted bool
-	// RetryMillis is after which time to come back where it is not granted.
+	// RetryMillis is the time after which to retry if the token is not granted.
 	RetryMillis uint32
-	// Level is how many tokens were left, by news of the age AgeMillis.
+	// Level is the number of tokens left, according to data of the age AgeMillis.
 	Level     int32
 	AgeMillis uint32
 }
 
-// RoomClaim is what a request claims of scarce room.
+// RoomClaim is the claim of one request on scarce capacity.
 //
 //msgp:tuple RoomClaim
 type RoomClaim struct {
-	// Ticket names the request; one that claims again is counted once.
+	// Ticket identifies the request: repeated claims of one request count once.
 	Ticket uint64
-	// Tenant is the hash of the tenant's name, zero for callers that are no tenant.
+	// Tenant is the hash of the tenant's name, zero for callers that are not tenants.
 	Tenant uint32
 	Rank   int32
 }
 
-// RoomRateParts is how the rates of a RoomStanding travel: one request a second is so many.
+// RoomRateParts is the number by which a rate of one request per second is sent in a
+// RoomStanding.
 const RoomRateParts = 10
 
-// RoomStanding is the answer to a RoomClaim of a tenant that is over its share. Where none
-// comes the tenant is within it, or the hub is of an older build.
+// RoomStanding is the answer to a RoomClaim of a tenant that is over its share. If a claim gets
+// no standing, the tenant is within its share or the hub is of an older build.
 //
 //msgp:tuple RoomStanding
 type RoomStanding struct {
 	Ticket uint64
-	// Asked and Share are the tenant's in the zone, Room is what all have there, in tenths
-	// of a request a second; AgeMillis is how old they are.
+	// Asked is the tenant's demand in the zone, Share its share of the capacity and Room the
+	// zone's capacity for all tenants, in tenths of a request per second (RoomRateParts).
+	// AgeMillis is the age of these figures.
 	Asked     uint32
 	Share     uint32
 	Room      uint32
 	AgeMillis uint32
 }
 
-// TenantNews is ratelimit.News on the wire.
+// TenantNews is the encoded form of ratelimit.Update. Mark is its Sequence, HeardEpoch and Heard
+// are its AckEpoch and AckSequence, and Complete is its AllZonesJoined.
 //
 //msgp:tuple TenantNews
 type TenantNews struct {
@@ -223,13 +229,13 @@
 	Rows       []TenantRow
 }
 
-// TenantRow is ratelimit.Row on the wire.
+// TenantRow is the encoded form of ratelimit.Row. Count is its Taken, Refills its RefillShare.
 //
 //msgp:tuple TenantRow
 type TenantRow struct {
 	Tenant uint32
 	Count  int64
-	// Level is in hundredths of a token, Share and Refills in thousandths.
+	// Level is in hundredths of a token; Share and Refills are in thousandths of the whole.
 	Level   int32
 	Share   uint16
 	Refills uint16
@@ -237,7 +243,8 @@
 	Counted bool
 }
 
-// GroupTokens is how many tokens wait in a store group.
+// GroupTokens is the number of tokens that wait in a store group, by route. AgeMillis is the age
+// of the data.
 //
 //msgp:tuple GroupTokens
 type GroupTokens struct {
@@ -246,11 +253,11 @@
 	Routes    []RouteTokens
 }
 
-// RouteTokens is how many tokens of one owner wait on a route.
+// RouteTokens is the number of tokens of one owner that wait on a route.
 //
 //msgp:tuple RouteTokens
 type RouteTokens struct {
-	// Route is the hash of its name, scoped by the owner's.
+	// Route is the hash of the route's name, scoped by the owner's name.
 	Route  uint32
 	Tokens int64
 }
@@ -261,38 +268,38 @@
 type WorkerLoad struct {
 	// Worker is the hash of the worker's id.
 	Worker uint32
-	// Online and Batch count requests of each kind.
+	// Online and Batch are the numbers of online and batch requests at the worker.
 	Online uint16
 	Batch  uint16
-	// Unread counts prompt tokens that are still to be read.
+	// Unread is the pending prefill: the number of prompt tokens not processed yet.
 	Unread uint32
-	// Told is set in reports to the hub: one more than the requests that the
-	// worker said it has, where it has said so since the last report.
+	// Told is set in reports to the hub if the worker has reported its own number of requests
+	// since the last report: that number plus one. Zero means that it has not.
 	Told uint16
-	// Answered and Failed are set in reports to the hub: how many requests the
-	// worker has answered since the last one, and how many it failed or was
-	// silent at.
+	// Answered and Failed are set in reports to the hub: the numbers of requests since the
+	// last report that the worker answered, and that it failed or did not respond to.
 	Answered uint16
 	Failed   uint16
-	// Steps and StepMicros are set in reports to the hub: how many times between
-	// events the sender has seen at the worker since the last one, and their sum.
+	// Steps and StepMicros are set in reports to the hub: the number of times between two
+	// events that the sender has measured at the worker since the last report, and their sum
+	// in microseconds.
 	Steps      uint16
 	StepMicros uint32
-	// Step is set by the hub: the worker's mean time between events, in
-	// microseconds; zero means unknown.
+	// Step is set by the hub: the worker's mean time between two events, in microseconds;
+	// zero means unknown.
 	Step uint32
-	// Rate is set by the hub: how many online requests the worker answers in ten
+	// Rate is set by the hub: the number of online requests that the worker answers in ten
 	// seconds.
 	Rate uint16
-	// Start and Stop are set by the hub in answers to stores: how many items the
-	// store may start at the worker until its next report, and how many it is to
-	// stop there. Start is also set in answers to zones' hubs, at an avoided worker that items
-	// don't probe: one online request may start there, to learn whether it is well.
+	// Start and Stop are set by the hub in answers to stores: the number of items that the
+	// store may start at the worker until its next report, and the number that it must stop
+	// there. Start is also set in answers to zones' hubs, for an avoided worker that no item
+	// probes: one online request may then probe it.
 	Start uint16
 	Stop  uint16
-	// Orphans is set by the hub: how many requests the worker seems to have
-	// that no living process answers for.
+	// Orphans is set by the hub: the estimated number of requests at the worker that belong
+	// to no running process.
 	Orphans uint16
-	// Failing is set by the hub where the worker fails too many requests.
+	// Failing is set by the hub if the worker fails too many requests.
 	Failing bool
 }
--- a/internal/wire/methods.go
+++ b/internal/wire/methods.go
@@ -1,9 +1,9 @@
 package wire
 
-// Methods of the coordinators that all processes call.
+// Methods of the coordinators that other processes call.
 const (
-	// MethodWatch asks for what differs from what the caller knows, see WatchRequest.
+	// MethodWatch polls for changes since the state that the caller has, see WatchRequest.
 	MethodWatch = "fleet_watch"
-	// MethodQuarantine takes reports of runs, and grants trials, see QuarantineReport.
+	// MethodQuarantine reports runs and requests trials, see QuarantineReport.
 	MethodQuarantine = "fleet_quarantine"
 )
--- a/internal/wire/quarantine.go
+++ b/internal/wire/quarantine.go
@@ -4,89 +4,97 @@
 
 //msgp:limit arrays:65536 maps:65536
 
-// RunReport tells of one run of a request: its worker ended under it, or it came to a good
-// end.
+// RunReport is the outcome of one run of a request: the worker process exited during the run,
+// or the run succeeded.
 //
 //msgp:tuple RunReport
 type RunReport struct {
 	// Request is the request's quarantine.Fingerprint.
 	Request uint64
-	// Worker is the hash of the worker's id, where it ended under the request; zero means
-	// a good end.
+	// Worker is the hash of the worker's id if the worker exited; zero means that the run
+	// succeeded.
 	Worker uint32
-	// AgoMillis is how long before the report the run began, zero for unknown. A run that
-	// began after an end of the worker tells of another end: the worker was back.
+	// AgoMillis is the time between the start of the run and the report, zero if unknown. If
+	// the run started after a known exit of the worker, the worker had restarted, so the
+	// report is of another exit.
 	AgoMillis uint32
 }
 
-// QuarantineReport is what a process tells the coordinators of runs, and asks of them.
+// QuarantineReport reports the outcomes of runs to the coordinators, and may request a trial of a
+// rejected request.
 type QuarantineReport struct {
-	// Runs are in the order in which they ended.
+	// Runs holds the outcomes in the order in which the runs ended.
 	Runs []RunReport `msg:"runs"`
-	// Trial, where it is not zero, asks whether the refused request may be tried now.
+	// Trial is the fingerprint of a rejected request, to ask whether it may be tried now; zero
+	// for none.
 	Trial uint64 `msg:"trial"`
-	// Known is the revision that the process knows.
+	// Known is the revision of the quarantine that the process has.
 	Known uint64 `msg:"known"`
 }
 
 // QuarantineAnswer is the answer to a QuarantineReport.
 type QuarantineAnswer struct {
 	News QuarantineNews `msg:"news"`
-	// Granted is set where the request may be tried, by the asker, once; otherwise
-	// WaitMillis is after which time to ask again.
+	// Granted is set if the requesting process may try the request once. Otherwise WaitMillis
+	// is the time after which it may ask again.
 	Granted    bool  `msg:"granted"`
 	WaitMillis int64 `msg:"wait_millis"`
 }
 
-// QuarantineNews tells what has changed since a revision.
+// QuarantineNews holds the changes of the quarantine since a revision.
 type QuarantineNews struct {
 	Revision uint64 `msg:"revision"`
-	// Whole is set where Rows are all there are, and not only what differs.
+	// Whole is set if Rows holds all entries, not only the changed ones.
 	Whole bool            `msg:"whole"`
 	Rows  []QuarantineRow `msg:"rows"`
 }
 
-// Urgent reports whether the news change what is refused: what tells only of suspects may
-// wait for the next answer.
+// Urgent reports whether the update may change which requests are rejected. Changes of requests
+// that are only suspected can wait for the next answer.
 func (n *QuarantineNews) Urgent() bool {
 	return n.Whole || slices.ContainsFunc(n.Rows, func(row QuarantineRow) bool { return row.Refused || len(row.Ended) == 0 })
 }
 
-// QuarantineRow is what is known of a request. One without any worker is
-// known no more.
+// QuarantineRow is the state of a request in the quarantine. A row with an empty Ended removes
+// the request. Refused is set if the request is rejected.
 //
 //msgp:tuple QuarantineRow
 type QuarantineRow struct {
 	Request uint64
-	// Ended holds the hashes of the workers that ended under it since its last good end.
+	// Ended holds the hashes of the workers that exited while running the request, since its
+	// last successful run.
 	Ended   []uint32
 	Refused bool
 }
 
-// QuarantineCommand changes what the fleet group knows of requests.
+// QuarantineCommand changes the quarantine in the fleet group's state.
 type QuarantineCommand struct {
-	// AtMillis is the leader's time by package clock, which only tells two ends of one
-	// worker apart.
+	// AtMillis is the leader's time by package clock. It is used only to distinguish two exits
+	// of one worker.
 	AtMillis int64       `msg:"at_millis"`
 	Runs     []RunReport `msg:"runs"`
-	// Trial names a refused request that is tried, zero for none.
+	// Trial is the fingerprint of a rejected request whose trial was granted, zero for none.
 	Trial uint64 `msg:"trial"`
-	// Settled names refused requests whose ends are no longer held against others, Expired
-	// those to be forgotten.
+	// Settled lists rejected requests that are now held responsible for the worker exits during
+	// their runs: other requests are no longer suspected because of these exits. Expired lists
+	// requests to remove.
 	Settled []uint64 `msg:"settled"`
 	Expired []uint64 `msg:"expired"`
-	// Restated, where it is set, is all that is known, in place of the rest: replicas of
-	// GenerationFirst passed over earlier commands.
+	// Restated is the whole quarantine. If it is set, it replaces the state and the other
+	// fields are ignored. It is needed because replicas of GenerationFirst ignored earlier
+	// commands.
 	Restated *QuarantineState `msg:"restated,omitempty"`
 }
 
-// QuarantineState is all that is known at a revision.
+// QuarantineState is the whole quarantine at a revision.
 type QuarantineState struct {
 	Revision uint64            `msg:"revision"`
 	Entries  []QuarantineEntry `msg:"entries"`
 }
 
-// QuarantineEntry is the stored record of a request.
+// QuarantineEntry is the stored record of a request. Ends holds the worker exits during its
+// runs, Refused whether it is rejected, Trials the number of granted trials; Settled is set once
+// the exits are attributed to it, see QuarantineCommand.
 type QuarantineEntry struct {
 	Request  uint64      `msg:"request"`
 	Ends     []WorkerEnd `msg:"ends"`
@@ -96,7 +104,7 @@
 	Revision uint64      `msg:"revision"`
 }
 
-// WorkerEnd is the end of a worker.
+// WorkerEnd is the exit of a worker process. Worker is the hash of the worker's id.
 //
 //msgp:tuple WorkerEnd
 type WorkerEnd struct {
@@ -104,12 +112,12 @@
 	AtMillis int64
 }
 
-// QuarantineList is all that is known of requests under which workers ended.
+// QuarantineList lists all requests in the quarantine.
 type QuarantineList struct {
 	Entries []QuarantineEntry `msg:"entries"`
 }
 
-// QuarantineRelease lets a request in again.
+// QuarantineRelease readmits a request.
 type QuarantineRelease struct {
 	Request uint64 `msg:"request"`
 }
--- a/internal/wire/release_test.go
+++ b/internal/wire/release_test.go
@@ -1,18 +1,16 @@
 package wire_test
 
-// The story: while machines were replaced one after the other, edges refused everything for
-// half a minute, then answered 404 on routes that had been acknowledged seconds before, and
-// stores that led a group ran none of its items. Each process started on the newer build
-// asked a leader of the older one for what had changed and could not read the answer: a
-// field had kept its name and changed its shape. Reports of loads were lost between the
-// builds, too, because a tuple had grown.
+// These tests guard against messages that builds of two releases can't exchange, which breaks
+// a fleet while its machines are upgraded one by one. Once, a released field kept its name but
+// changed its type: processes of the newer build could not decode the updates of a leader of
+// the older one, so edges rejected all requests for half a minute and then answered 404 on
+// routes acknowledged seconds before, and stores that led a group ran none of its items. Load
+// reports were lost as well, because a tuple had grown. Of the 103 messages of both builds,
+// only these two and the messages that contain them were affected.
 //
-// The evidence: of 103 messages that both builds have, these two (and what holds them) are
-// those of which one build could not read what the other had written.
-//
-// So what a released build writes is kept in testdata/releases, with what that build reads
-// in today's messages. A message may get fields; a field that was released keeps its name
-// and shape, and a tuple its length.
+// testdata/releases therefore holds the samples that each released build writes, and what that
+// build decodes from the current samples. A message may get new fields, but a released field
+// keeps its name and type, and a tuple its length.
 
 import (
 	"bytes"
@@ -31,46 +29,47 @@
 
 const releases = "testdata/releases"
 
-// remedy is what to do where a sample has changed.
+// remedy says in test failures what to do if a sample has changed.
 const remedy = "a released field keeps its name and shape: give what is new a name of its own, and run scripts/corpus.sh for each release"
 
-// renamed holds today's names of messages that a release has under another one.
+// renamed maps names of messages in a release to their current names.
 var renamed = map[string]string{"StoreAddress": "ProcessAddress"}
 
-// datagrams are messages behind which more may stand in the same packet.
+// datagrams are the messages that may be followed by further data in the same packet.
 var datagrams = map[string]bool{"LoadReport": true}
 
-// TestReleases reads what each release wrote by today's build, and looks at what the
-// release read in what today's writes: nothing is refused, and what both have is the same.
+// TestReleases decodes the samples of each release, and checks what the release decoded from
+// the current samples: every message must be decoded, and the fields that both builds have must
+// hold the same values.
 func TestReleases(t *testing.T) {
-	var today map[string]corpus.Sample
-	load(t, filepath.Join(releases, "today.json"), &today)
+	var current map[string]corpus.Sample
+	load(t, filepath.Join(releases, "today.json"), &current)
 	written, err := corpus.Write()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, sample := range written {
-		if !bytes.Equal(today[name].Bytes, sample.Bytes) {
-			t.Errorf("%s is no more written as when the releases read it: run scripts/corpus.sh for each release", name)
+		if !bytes.Equal(current[name].Bytes, sample.Bytes) {
+			t.Errorf("the encoding of %s has changed since the releases decoded it: run scripts/corpus.sh for each release", name)
 		}
 	}
-	for _, release := range folders(t) {
-		t.Run(release+" is read", func(t *testing.T) { readsRelease(t, release) })
-		t.Run(release+" reads", func(t *testing.T) { isReadByRelease(t, release, today) })
+	for _, release := range releaseNames(t) {
+		t.Run(release+" is read", func(t *testing.T) { checkDecodesRelease(t, release) })
+		t.Run(release+" reads", func(t *testing.T) { checkDecodedByRelease(t, release, current) })
 	}
 }
 
-func readsRelease(t *testing.T, release string) {
-	var theirs map[string]corpus.Sample
-	load(t, filepath.Join(releases, release, "written.json"), &theirs)
+func checkDecodesRelease(t *testing.T, release string) {
+	var samples map[string]corpus.Sample
+	load(t, filepath.Join(releases, release, "written.json"), &samples)
 	types := corpus.Types()
-	for name, sample := range theirs {
+	for name, sample := range samples {
 		kind, empty := strings.CutSuffix(name, corpus.Empty)
-		if today := renamed[kind]; today != "" {
-			kind = today
+		if currentName := renamed[kind]; currentName != "" {
+			kind = currentName
 		}
 		if types[kind] == nil {
-			t.Errorf("%s is gone: %s", kind, remedy)
+			t.Errorf("message %s no longer exists: %s", kind, remedy)
 			continue
 		}
 		reading, err := corpus.Read(map[string]corpus.Sample{kind: sample})
@@ -81,7 +80,7 @@
 	}
 }
 
-func isReadByRelease(t *testing.T, release string, today map[string]corpus.Sample) {
+func checkDecodedByRelease(t *testing.T, release string, current map[string]corpus.Sample) {
 	var readings map[string]corpus.Reading
 	load(t, filepath.Join(releases, release, "read.json"), &readings)
 	for name, reading := range readings {
@@ -91,31 +90,33 @@
 			rest = reading.Rest
 		}
 		if reading.Failure != "" {
-			t.Errorf("%s is not read by %s: %s; %s", name, release, reading.Failure, remedy)
+			t.Errorf("%s can't be decoded by release %s: %s; %s", name, release, reading.Failure, remedy)
 			continue
 		}
-		compare(t, kind, empty, reading.Value, corpus.Reading{Value: today[name].Value, Rest: reading.Rest}, rest)
+		compare(t, kind, empty, reading.Value, corpus.Reading{Value: current[name].Value, Rest: reading.Rest}, rest)
 	}
 }
 
-// compare checks that what stands in one value stands in the reading, too.
+// compare checks that the reading succeeded, that it holds the fields of value, and that rest
+// bytes follow the message.
 func compare(t *testing.T, kind string, empty bool, value json.RawMessage, reading corpus.Reading, rest int) {
 	t.Helper()
 	if reading.Failure != "" || reading.Rest != rest {
-		t.Errorf("%s (empty: %v) is not read: %s, %d bytes follow; %s", kind, empty, reading.Failure, reading.Rest, remedy)
+		t.Errorf("%s (empty: %v) can't be decoded: %s, %d bytes follow; %s", kind, empty, reading.Failure, reading.Rest, remedy)
 		return
 	}
 	var want, got any
 	decode(t, value, &want)
 	decode(t, reading.Value, &got)
-	if at := missing(want, got); at != "" {
-		t.Errorf("%s (empty: %v): %s is another one: %s", kind, empty, at, remedy)
+	if path := firstDifference(want, got); path != "" {
+		t.Errorf("%s (empty: %v): %s has another value: %s", kind, empty, path, remedy)
 	}
 }
 
-// missing returns where something stands in want and not in got, empty for nowhere. A list,
-// text or message that is empty in one may be left out in the other.
-func missing(want, got any) string {
+// firstDifference returns the path of a field of want that got lacks or that differs there,
+// empty if there is none. A list, text or message that is empty in one may be omitted in the
+// other.
+func firstDifference(want, got any) string {
 	switch want := want.(type) {
 	case map[string]any:
 		got, same := got.(map[string]any)
@@ -123,8 +124,8 @@
 			return "the message"
 		}
 		for name, field := range want {
-			if at := missing(field, got[name]); at != "" {
-				return strings.TrimSuffix(name+"/"+at, "/value")
+			if path := firstDifference(field, got[name]); path != "" {
+				return strings.TrimSuffix(name+"/"+path, "/value")
 			}
 		}
 		return ""
@@ -134,8 +135,8 @@
 			return "the list"
 		}
 		for i := range want {
-			if at := missing(want[i], got[i]); at != "" {
-				return at
+			if path := firstDifference(want[i], got[i]); path != "" {
+				return path
 			}
 		}
 		return ""
@@ -151,8 +152,8 @@
 	return "value"
 }
 
-// TestCorpusIsWhole checks that the samples hold each message of this package.
-func TestCorpusIsWhole(t *testing.T) {
+// TestCorpusIsComplete checks that the corpus has a sample of each message of this package.
+func TestCorpusIsComplete(t *testing.T) {
 	types := corpus.Types()
 	entries, err := os.ReadDir(".")
 	if err != nil {
@@ -167,7 +168,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, kind := range structs(file) {
+		for _, kind := range exportedStructs(file) {
 			if types[kind] == nil {
 				t.Errorf("%s is not in the corpus: run scripts/corpus.sh for each release", kind)
 			}
@@ -175,8 +176,8 @@
 	}
 }
 
-// structs returns the names of the exported messages of a file.
-func structs(file *ast.File) []string {
+// exportedStructs returns the names of the exported struct types of a file.
+func exportedStructs(file *ast.File) []string {
 	var names []string
 	for _, declaration := range file.Decls {
 		general, isGeneral := declaration.(*ast.GenDecl)
@@ -196,7 +197,7 @@
 	return names
 }
 
-func folders(t *testing.T) []string {
+func releaseNames(t *testing.T) []string {
 	t.Helper()
 	entries, err := os.ReadDir(releases)
 	if err != nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -18,8 +18,7 @@
 	msgp.Unmarshaler
 }
 
-// peerMessages returns an empty message of each kind that a process takes from
-// another.
+// peerMessages returns an empty message of each type that a process receives from another.
 func peerMessages() []message {
 	return []message{
 		&PeerBatch{}, &Hello{}, &LogEntry{}, &LogBase{}, &HardState{},
@@ -29,8 +28,8 @@
 	}
 }
 
-// TestRoundTrip fills messages at random and checks that decoding gives back what
-// was encoded, and that a cut message is refused.
+// TestRoundTrip fills messages at random and checks that decoding restores what was encoded,
+// and that a truncated message is rejected.
 func TestRoundTrip(t *testing.T) {
 	proptest.Run(t, "messages survive encoding", func(random *rand.Rand) error {
 		for _, original := range peerMessages() {
@@ -42,14 +41,14 @@
 			decoded := reflect.New(reflect.TypeOf(original).Elem()).Interface().(message)
 			rest, err := decoded.UnmarshalMsg(encoded)
 			if err != nil || len(rest) > 0 {
-				return errors.Newf("%T: %d bytes rest, %v", original, len(rest), err)
+				return errors.Newf("%T: %d bytes are left after decoding, %v", original, len(rest), err)
 			}
 			again, err := decoded.MarshalMsg(nil)
 			if err != nil || !bytes.Equal(encoded, again) {
-				return errors.Newf("%T changed: %v", original, err)
+				return errors.Newf("%T differs after decoding and encoding: %v", original, err)
 			}
 			if _, err := decoded.UnmarshalMsg(encoded[:len(encoded)-1]); err == nil {
-				return errors.Newf("%T: a cut message decodes", original)
+				return errors.Newf("%T: a truncated message decodes", original)
 			}
 		}
 		return nil
@@ -58,7 +57,7 @@
 
 const maxDepth = 4
 
-// fill sets a value at random.
+// fill sets a value at random. Below maxDepth, pointers and lists stay empty.
 func fill(random *rand.Rand, value reflect.Value, depth int) {
 	switch value.Kind() {
 	case reflect.Struct:
@@ -93,8 +92,8 @@
 	}
 }
 
-// FuzzPeerMessages feeds arbitrary bytes to the decoders that face other
-// processes: they must refuse or accept, and what they accept must encode.
+// FuzzPeerMessages feeds arbitrary bytes to the decoders of messages from other processes.
+// They must not panic, and a message that decodes must encode again.
 func FuzzPeerMessages(f *testing.F) {
 	random := rand.New(rand.NewSource(1))
 	for index, seed := range peerMessages() {
@@ -112,13 +111,14 @@
 			return
 		}
 		if _, err := target.MarshalMsg(nil); err != nil {
-			t.Errorf("%T was decoded and does not encode: %v", target, err)
+			t.Errorf("%T decodes but does not encode again: %v", target, err)
 		}
 	})
 }
 
-// TestLargeFields: the limit on lists must not refuse a chunk of an upload or a
-// long prompt. With it, groups that carried uploads lost their leaders for good.
+// TestLargeFields checks that the limit on the length of lists does not reject a chunk of an
+// upload or a long prompt. When it did, groups whose logs held uploads lost their leaders
+// permanently.
 func TestLargeFields(t *testing.T) {
 	large := bytes.Repeat([]byte("x"), 8<<20)
 	for _, original := range []message{
