--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon is the frame of every process: a kratos application with one
-// HTTP server, health and readiness, metrics, logs and a planned stop.
+// Package daemon provides what all processes have in common: a kratos application with an
+// HTTP server, health and readiness checks, metrics, logs and a graceful shutdown.
 package daemon
 
 import (
@@ -34,54 +34,55 @@
 // Version is the version of the programs; releases set it when linking.
 var Version = "0.1.0-dev"
 
-// BuildRevision returns the revision that the program was built from, as the build's own
-// information tells it: twelve signs, and "+" where the tree had changes beside it.
+// BuildRevision returns the first twelve characters of the VCS revision in the program's
+// build information, followed by "+" if the working tree had uncommitted changes; "unknown"
+// if there is none.
 func BuildRevision() string {
-	info, told := debug.ReadBuildInfo()
-	if !told {
-		return unknownBuild
+	info, ok := debug.ReadBuildInfo()
+	if !ok {
+		return unknownRevision
 	}
-	revision, changed := unknownBuild, ""
+	revision, suffix := unknownRevision, ""
 	for _, setting := range info.Settings {
 		switch {
 		case setting.Key == "vcs.revision":
 			revision = setting.Value[:min(len(setting.Value), revisionLength)]
 		case setting.Key == "vcs.modified" && setting.Value == "true":
-			changed = "+"
+			suffix = "+"
 		}
 	}
-	return revision + changed
+	return revision + suffix
 }
 
 const (
-	unknownBuild   = "unknown"
-	revisionLength = 12
+	unknownRevision = "unknown"
+	revisionLength  = 12
 )
 
-// Options describe a process.
+// Options holds the options of a process.
 type Options struct {
 	Role   string
 	Name   string
 	Listen string
-	// Advertise is the address that others are told, if it is not Listen.
+	// Advertise is the address that other processes are given, if it differs from Listen.
 	Advertise string
 	Logger    logging.Logger
-	// StopTimeout bounds the time between the order to stop and the exit.
+	// StopTimeout bounds the time between the request to stop and the exit.
 	StopTimeout time.Duration
-	// Embedded processes share an operating-system process and leave its
-	// signals to their owner.
+	// Embedded is set for processes that share an operating-system process. They leave
+	// its signals to the program that runs them.
 	Embedded bool
 }
 
-// Daemon is one process, or one embedded in another.
+// Daemon is one process of the system, possibly embedded in a shared operating-system process.
 type Daemon struct {
-	// Server registers HTTP handlers.
+	// Server is the HTTP server at the listen address; handlers are registered with it.
 	Server *kratoshttp.Server
-	// Registry registers metrics.
+	// Registry holds the metrics that /metrics serves.
 	Registry *prometheus.Registry
-	// Traffic counts what the process exchanges with others.
+	// Traffic counts the messages and bytes exchanged with other processes.
 	Traffic *traffic.Meter
-	// Logger is the process's logger.
+	// Logger is the logger of the options; without one, log lines are discarded.
 	Logger logging.Logger
 
 	options    Options
@@ -91,7 +92,7 @@
 	appOnce    sync.Once
 	ready      atomic.Bool
 	stopping   atomic.Bool
-	steps      *steps
+	steps      *startupSteps
 	beforeStop []func(context.Context)
 	background sync.WaitGroup
 	cancel     context.CancelFunc
@@ -117,13 +118,12 @@
 		listener: listener,
 		context:  ctx,
 		cancel:   cancel,
-		steps:    newSteps(options.Embedded),
+		steps:    newStartupSteps(options.Embedded),
 	}
-	// Streams outlive kratos' default timeout; each request has a deadline of
-	// its own instead.
+	// kratos' default timeout would cut long streams; each request has a deadline of its own.
 	d.Server = kratoshttp.NewServer(
 		kratoshttp.Listener(listener),
-		endpointOf(listener),
+		endpointOption(listener),
 		kratoshttp.Timeout(0),
 		kratoshttp.StrictSlash(false),
 		kratoshttp.NotFoundHandler(http.HandlerFunc(notFound)),
@@ -134,9 +134,9 @@
 	return d, nil
 }
 
-// AddServer serves another address with the handler alone: paths reach it as
-// they came, without the routes that all processes have. It must be called
-// before Run; configure, where it is set, may change the server's limits.
+// AddServer serves another address with only the given handler: request paths are passed on
+// unchanged, and the routes that all processes have are not served there. It must be called
+// before Run. If configure is not nil, it may change the server's limits.
 func (d *Daemon) AddServer(listen string, handler http.Handler, configure func(*http.Server)) error {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -144,7 +144,7 @@
 	}
 	server := kratoshttp.NewServer(
 		kratoshttp.Listener(listener),
-		endpointOf(listener),
+		endpointOption(listener),
 		kratoshttp.Timeout(0),
 		kratoshttp.Filter(func(http.Handler) http.Handler { return handler }),
 	)
@@ -155,15 +155,16 @@
 	return nil
 }
 
-// application returns the frame, which is made once all servers are known.
+// application returns the kratos application. The first call creates it, so all servers must
+// have been added before.
 func (d *Daemon) application() *kratos.App {
 	d.appOnce.Do(func() { d.app = d.newApplication() })
 	return d.app
 }
 
-// endpointOf tells kratos the address, which it would otherwise look for among the
-// machine's network interfaces; not every machine shows those.
-func endpointOf(listener net.Listener) kratoshttp.ServerOption {
+// endpointOption returns the option that sets the server's endpoint. Without it kratos looks for
+// the address among the machine's network interfaces, which not every machine lists.
+func endpointOption(listener net.Listener) kratoshttp.ServerOption {
 	return kratoshttp.Endpoint(&url.URL{Scheme: "http", Host: listener.Addr().String()})
 }
 
@@ -179,10 +180,10 @@
 	}
 	d.Server.Handle("/metrics", d.MetricsHandler())
 	d.Server.HandleFunc("/healthz", func(writer http.ResponseWriter, _ *http.Request) {
-		writeState(writer, true)
+		writeHealth(writer, true)
 	})
 	d.Server.HandleFunc("/readyz", func(writer http.ResponseWriter, _ *http.Request) {
-		writeState(writer, d.ready.Load())
+		writeHealth(writer, d.ready.Load())
 	})
 	d.Server.HandleFunc("/debug/pprof/profile", pprof.Profile)
 	d.Server.HandlePrefix("/debug/pprof/", http.HandlerFunc(pprof.Index))
@@ -193,8 +194,8 @@
 	return promhttp.HandlerFor(d.Registry, promhttp.HandlerOpts{})
 }
 
-func writeState(writer http.ResponseWriter, good bool) {
-	if !good {
+func writeHealth(writer http.ResponseWriter, ok bool) {
+	if !ok {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		_, _ = writer.Write([]byte("not ready\n"))
 		return
@@ -202,7 +203,7 @@
 	_, _ = writer.Write([]byte("ok\n"))
 }
 
-// Address returns the IP:port at which others reach the process.
+// Address returns the IP:port at which other processes reach this one.
 func (d *Daemon) Address() string {
 	if d.options.Advertise != "" {
 		return d.options.Advertise
@@ -210,10 +211,10 @@
 	return d.listener.Addr().String()
 }
 
-// Context ends when the process has stopped.
+// Context returns a context that ends when the process has stopped.
 func (d *Daemon) Context() context.Context { return d.context }
 
-// SetReady changes what /readyz answers.
+// SetReady sets whether /readyz reports the process as ready.
 func (d *Daemon) SetReady(ready bool) {
 	d.ready.Store(ready)
 	if ready {
@@ -221,19 +222,20 @@
 	}
 }
 
-// Ready reports what /readyz answers.
+// Ready reports whether /readyz reports the process as ready.
 func (d *Daemon) Ready() bool { return d.ready.Load() }
 
-// Stopping reports whether a planned stop has begun.
+// Stopping reports whether a graceful shutdown has begun.
 func (d *Daemon) Stopping() bool { return d.stopping.Load() }
 
-// BeforeStop adds a step of the planned stop. The steps run in order, before
-// the server stops, and share the stop timeout.
+// BeforeStop adds a step to the graceful shutdown. The steps run in the order in which they
+// were added, before the servers stop, and share the stop timeout.
 func (d *Daemon) BeforeStop(step func(context.Context)) {
 	d.beforeStop = append(d.beforeStop, step)
 }
 
-// Go runs a loop until the process has stopped.
+// Go runs loop in a goroutine, with a context that ends when the process stops. Run waits
+// for the loop to return.
 func (d *Daemon) Go(loop func(context.Context)) {
 	d.background.Add(1)
 	go func() {
@@ -245,7 +247,7 @@
 func (d *Daemon) newApplication() *kratos.App {
 	signals := kratos.Signal(syscall.SIGTERM, syscall.SIGINT)
 	if d.options.Embedded {
-		// kratos always listens to some signal; this one is not used.
+		// kratos always listens for a signal; nothing sends this one.
 		signals = kratos.Signal(syscall.SIGUSR2)
 	}
 	return kratos.New(
@@ -260,7 +262,7 @@
 	)
 }
 
-// Run serves until the process is told to stop, by a signal or by Stop.
+// Run serves until a signal or Stop ends the process.
 func (d *Daemon) Run() error {
 	if !d.options.Embedded {
 		kratoslog.SetLogger(logging.Kratos(d.Logger))
@@ -272,7 +274,7 @@
 	d.background.Wait()
 	logging.Info(d.Logger, "stopped")
 	if err != nil {
-		return errors.Wrapf(err, "%s ended", d.options.Name)
+		return errors.Wrapf(err, "%s exited", d.options.Name)
 	}
 	return nil
 }
@@ -288,21 +290,21 @@
 	}
 }
 
-// Stop begins the planned stop.
+// Stop begins the graceful shutdown.
 func (d *Daemon) Stop() error { return d.application().Stop() }
 
-// Kill ends an embedded process as if its machine had died: open connections
-// break, and no step of the planned stop runs.
+// Kill ends an embedded process as if its machine had failed: open connections break, and no
+// step of the graceful shutdown runs.
 func (d *Daemon) Kill() error {
 	d.cancel()
 	return d.Server.Close()
 }
 
-// trafficInterval is the time between two lines on the traffic: a run's whole course
-// can be read from some ten lines a process.
+// trafficInterval is the time between two log lines on the traffic. It is long enough that
+// about ten lines per process cover a whole test run.
 const trafficInterval = 10 * time.Second
 
-// logTraffic logs what has been exchanged with others so far, a line at the interval.
+// logTraffic logs the total traffic with other processes at each interval.
 func (d *Daemon) logTraffic(ctx context.Context) {
 	Every(ctx, trafficInterval, func() {
 		rows := d.Traffic.Rows()
@@ -318,7 +320,7 @@
 	})
 }
 
-// Every calls action at once and then at the interval, until ctx ends.
+// Every calls action at once and then at each interval, until ctx ends.
 func Every(ctx context.Context, interval time.Duration, action func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/daemon/steps.go
+++ b/internal/daemon/steps.go
@@ -10,76 +10,78 @@
 	"github.com/sedgemast/sedgemast/internal/logging"
 )
 
-// StartupStep is a step of a process's start, as used in logs and metrics.
+// StartupStep is a step of a process's startup. Its text stands in logs and metrics.
 type StartupStep string
 
-// The steps of a start. Which there are, and their order, differs by role.
+// The steps of a startup. Which of them occur, and in which order, depends on the role.
 const (
 	// StepSettings: the settings are read, and the process listens.
 	StepSettings StartupStep = "settings_read"
 	// StepStorage: the data folder is open, and what it holds is restored.
 	StepStorage StartupStep = "storage_open"
-	// StepPeer: another process of the same role was heard.
+	// StepPeer: a message of another process of the same role was received.
 	StepPeer StartupStep = "peer_heard"
-	// StepLeader: the fleet group has a leader, and this process heard it.
+	// StepLeader: the fleet group has a leader, and this process received its update.
 	StepLeader StartupStep = "leader_heard"
-	// StepConfiguration: a configuration is in force here.
+	// StepConfiguration: this process has a configuration and applies it.
 	StepConfiguration StartupStep = "configuration_known"
-	// StepWorkers: the list of workers is known, or a part of it.
+	// StepWorkers: the list of workers, or a part of it, was received.
 	StepWorkers StartupStep = "workers_known"
-	// StepReady: the process said that it is ready.
+	// StepReady: the process has declared itself ready, see SetReady.
 	StepReady StartupStep = "ready"
-	// StepServed: the first request, or item of a job, was answered as it should be.
+	// StepServed: the first request, or item of a job, was completed successfully.
 	StepServed StartupStep = "first_served"
 )
 
-// processBegan is when this operating-system process began, to within some milliseconds.
-var processBegan = clock.Now()
+// processStartedAt is when this operating-system process started, to within a few milliseconds.
+var processStartedAt = clock.Now()
 
-// steps remembers which steps of the start were taken. It is safe for concurrent use.
-type steps struct {
-	began   time.Time
-	seconds *prometheus.GaugeVec
+// startupSteps records which startupSteps of the startup are complete. It is safe for concurrent use.
+type startupSteps struct {
+	startedAt time.Time
+	seconds   *prometheus.GaugeVec
 
-	mutex sync.Mutex
-	taken map[StartupStep]bool
+	mutex     sync.Mutex
+	completed map[StartupStep]bool
 }
 
-// newSteps returns the steps of a process. Those that share an operating-system process begin
-// one by one.
-func newSteps(embedded bool) *steps {
-	s := &steps{
-		began:   processBegan,
-		seconds: prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "process_start_seconds", Help: "Time from the start of the process to each step of it."}, []string{"step"}),
-		taken:   map[StartupStep]bool{},
+// newStartupSteps returns the steps of a process, none of them complete. Embedded processes
+// start one after another in one operating-system process, so each has its own start time.
+func newStartupSteps(embedded bool) *startupSteps {
+	s := &startupSteps{
+		startedAt: processStartedAt,
+		seconds:   prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "process_start_seconds", Help: "Time from the start of the process to each step of it."}, []string{"step"}),
+		completed: map[StartupStep]bool{},
 	}
 	if embedded {
-		s.began = clock.Now()
+		s.startedAt = clock.Now()
 	}
 	return s
 }
 
-// take reports whether the step is taken for the first time, and after how long.
-func (s *steps) take(now time.Time, step StartupStep) (after time.Duration, first bool) {
+// complete records that the step is complete. It reports whether this is the first time, and
+// the time since the start.
+func (s *startupSteps) complete(now time.Time, step StartupStep) (elapsed time.Duration, first bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.taken[step] {
+	if s.completed[step] {
 		return 0, false
 	}
-	s.taken[step] = true
-	after = now.Sub(s.began)
-	s.seconds.WithLabelValues(string(step)).Set(after.Seconds())
-	return after, true
+	s.completed[step] = true
+	elapsed = now.Sub(s.startedAt)
+	s.seconds.WithLabelValues(string(step)).Set(elapsed.Seconds())
+	return elapsed, true
 }
 
-// CompleteStep takes in that a step of the start is done; repeated, it does nothing.
+// CompleteStep records and logs that a step of the startup is complete. Repeated calls do nothing.
 func (d *Daemon) CompleteStep(step StartupStep) {
-	if after, first := d.steps.take(clock.Now(), step); first {
-		logging.Info(d.Logger, "start_step", "step", string(step), "ms", after.Milliseconds())
+	if elapsed, first := d.steps.complete(clock.Now(), step); first {
+		logging.Info(d.Logger, "start_step", "step", string(step), "ms", elapsed.Milliseconds())
 	}
 }
 
-// SetFleetKnown takes in what is known of the fleet: a leader has told it.
+// SetFleetKnown completes the steps for an update of the fleet group's leader, after which a
+// configuration and workers are known or not.
 func (d *Daemon) SetFleetKnown(configuration, workers bool) {
 	d.CompleteStep(StepLeader)
 	if configuration {
--- a/internal/daemon/steps_test.go
+++ b/internal/daemon/steps_test.go
@@ -7,15 +7,15 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// TestStepsAreTakenOnce takes steps of a start: each is told once, with the time since the
-// start, and ready is told when the process says so first.
-func TestStepsAreTakenOnce(t *testing.T) {
-	s := newSteps(true)
-	if after, first := s.take(s.began.Add(2*time.Second), StepLeader); !first || after != 2*time.Second {
-		t.Errorf("after %s, first %t", after, first)
+// TestStartupStepsCompleteOnce completes steps of a startup: each must be reported once, with
+// the time since the start, and StepReady when the process first declares itself ready.
+func TestStartupStepsCompleteOnce(t *testing.T) {
+	s := newStartupSteps(true)
+	if elapsed, first := s.complete(s.startedAt.Add(2*time.Second), StepLeader); !first || elapsed != 2*time.Second {
+		t.Errorf("after %s, first %t", elapsed, first)
 	}
-	if _, first := s.take(s.began.Add(3*time.Second), StepLeader); first {
-		t.Error("a step is told twice")
+	if _, first := s.complete(s.startedAt.Add(3*time.Second), StepLeader); first {
+		t.Error("a repeated step is reported as the first")
 	}
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(s.seconds)
@@ -28,15 +28,15 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = d.Kill() }()
-	if !d.steps.taken[StepSettings] || d.steps.taken[StepReady] {
-		t.Errorf("at the start: %v", d.steps.taken)
+	if !d.steps.completed[StepSettings] || d.steps.completed[StepReady] {
+		t.Errorf("completed steps after New: %v", d.steps.completed)
 	}
 	d.SetReady(false)
-	if d.steps.taken[StepReady] {
-		t.Error("not ready counts as ready")
+	if d.steps.completed[StepReady] {
+		t.Error("SetReady(false) completes StepReady")
 	}
 	d.SetReady(true)
-	if !d.steps.taken[StepReady] {
-		t.Error("ready does not count")
+	if !d.steps.completed[StepReady] {
+		t.Error("SetReady(true) does not complete StepReady")
 	}
 }
