--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -25,7 +25,7 @@
 	maxReplyBytes      = 4 << 20
 )
 
-// RejectedError is an engine's refusal of a call, before anything was started.
+// RejectedError is an engine's rejection of a call, before anything was started.
 type RejectedError struct {
 	Code    string
 	Message string
@@ -37,8 +37,8 @@
 	return fmt.Sprintf("the engine refused: %s (%s)", e.Message, e.Code)
 }
 
-// Client speaks to engines over its own connections, apart from those of other
-// clients, so that batch work can't hold up online work.
+// Client calls engines over its own connections. Online and batch work use different
+// clients, so that batch work can't delay online work.
 type Client struct {
 	pooled *http.Client
 	fresh  *http.Client
@@ -69,9 +69,9 @@
 	c.fresh.CloseIdleConnections()
 }
 
-// Generate starts an attempt and returns its stream. The error is a
-// *RefusedError or a NotRun failure if it truly did not start, otherwise an
-// OutcomeUnknown failure. With fresh set a new connection is dialled.
+// Generate starts an attempt and returns its stream. The error is a *RejectedError or a
+// NotRun failure if the attempt certainly did not start, otherwise an OutcomeUnknown failure.
+// If fresh is set, Generate dials a new connection.
 func (c *Client) Generate(ctx context.Context, address string, request *GenerateRequest, fresh bool) (*Stream, error) {
 	client := c.pooled
 	if fresh {
@@ -84,7 +84,7 @@
 	return newStream(response.Body, request.AttemptID, request.ContinueTokens), nil
 }
 
-// Resume reads the stream of a running or just ended attempt from the offset.
+// Resume reads the stream of a running or recently ended attempt from the offset, in tokens.
 func (c *Client) Resume(ctx context.Context, address, attemptID string, offset int) (*Stream, error) {
 	query := url.Values{"attempt_id": {attemptID}, "offset": {strconv.Itoa(offset)}}
 	response, err := c.send(ctx, c.pooled, http.MethodGet, "http://"+address+PathStreams+"?"+query.Encode(), nil)
@@ -94,23 +94,23 @@
 	return newStream(response.Body, attemptID, offset), nil
 }
 
-// Cancel stops an attempt.
+// Cancel stops an attempt. Cancelling an unknown attempt is not an error.
 func (c *Client) Cancel(ctx context.Context, address, attemptID string) error {
 	return c.call(ctx, http.MethodPost, address, PathCancel, &CancelRequest{AttemptID: attemptID}, nil)
 }
 
-// Load reads an engine's report of itself.
+// Load returns an engine's load report.
 func (c *Client) Load(ctx context.Context, address string) (*Load, error) {
 	load := &Load{}
 	return load, c.call(ctx, http.MethodGet, address, PathLoad, nil, load)
 }
 
-// Order sends a fenced order.
+// Order sends a fenced order to an engine.
 func (c *Client) Order(ctx context.Context, address string, order *Order) error {
 	return c.call(ctx, http.MethodPost, address, PathOrders, order, nil)
 }
 
-// CacheEvents reads the cache events after the sequence number given.
+// CacheEvents returns the cache events after the given sequence number.
 func (c *Client) CacheEvents(ctx context.Context, address string, after uint64) (*CacheEvents, error) {
 	page := &CacheEvents{}
 	path := PathEvents + "?after=" + strconv.FormatUint(after, 10)
@@ -130,7 +130,7 @@
 	return json.NewDecoder(io.LimitReader(response.Body, maxReplyBytes)).Decode(reply)
 }
 
-// send makes one call and returns the answer if its status is 200.
+// send makes one call and returns the response if its status is 200.
 func (c *Client) send(ctx context.Context, client *http.Client, method, address string, request any) (*http.Response, error) {
 	var body io.Reader
 	if request != nil {
@@ -146,7 +146,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "the request can't be made")
 	}
-	// Without GetBody net/http never sends a body a second time by itself.
+	// Without GetBody, net/http can't resend the body on its own.
 	httpRequest.GetBody = nil
 	response, err := client.Do(httpRequest)
 	if err != nil && !connected.Load() {
@@ -159,13 +159,13 @@
 		return response, nil
 	}
 	defer response.Body.Close()
-	return nil, readRefusal(response)
+	return nil, readRejection(response)
 }
 
-func readRefusal(response *http.Response) error {
-	var told ErrorBody
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxReplyBytes)).Decode(&told); err != nil || told.Code == "" {
+func readRejection(response *http.Response) error {
+	var body ErrorBody
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxReplyBytes)).Decode(&body); err != nil || body.Code == "" {
 		return failure.New(failure.OutcomeUnknown, "check that the address is an engine's", "the engine answered with status %d", response.StatusCode)
 	}
-	return &RejectedError{Code: told.Code, Message: told.Message, Epoch: told.Epoch}
+	return &RejectedError{Code: body.Code, Message: body.Message, Epoch: body.Epoch}
 }
--- a/internal/engine/prefix.go
+++ b/internal/engine/prefix.go
@@ -10,25 +10,25 @@
 // BlockTokens is the number of tokens in one block of the prefix cache.
 const BlockTokens = 16
 
-// Tokenize splits a prompt into tokens. The published protocol counts words.
+// Tokenize splits a prompt into tokens. In the published protocol, a token is a word.
 func Tokenize(prompt string) []string { return strings.Fields(prompt) }
 
 // CountTokens returns the number of tokens of a prompt.
 func CountTokens(prompt string) int {
 	count := 0
-	inside := false
+	inToken := false
 	for i := 0; i < len(prompt); i++ {
-		space := prompt[i] == ' ' || prompt[i] == '\n' || prompt[i] == '\t' || prompt[i] == '\r'
-		if !space && !inside {
+		isSpace := prompt[i] == ' ' || prompt[i] == '\n' || prompt[i] == '\t' || prompt[i] == '\r'
+		if !isSpace && !inToken {
 			count++
 		}
-		inside = !space
+		inToken = !isSpace
 	}
 	return count
 }
 
-// PrefixBlocks returns the chained hashes of the prompt's whole blocks: two
-// prompts share the first n hashes exactly if they share the first n blocks,
+// PrefixBlocks returns the chained hashes of the prompt's full blocks, without a shorter last
+// one. Two prompts share the first n hashes if and only if they share the first n blocks,
 // the model and the adapter.
 func PrefixBlocks(model, adapter, prompt string) []uint64 {
 	tokens := Tokenize(prompt)
--- a/internal/engine/protocol.go
+++ b/internal/engine/protocol.go
@@ -1,6 +1,5 @@
-// Package engine is the client of the language-model engines' published
-// protocol: JSON requests, streams of server-sent events, load reports, cache
-// events and fenced orders.
+// Package engine is the client of the published protocol of language-model engines: JSON
+// requests, streams of server-sent events, load reports, cache events and fenced orders.
 package engine
 
 // Paths of the engines' protocol.
@@ -29,8 +28,9 @@
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens"`
 	Priority  int    `json:"priority"`
-	// ContinueTokens and ContinueText let the answer go on after text that an
-	// earlier attempt generated; MaxTokens counts the whole answer.
+	// ContinueTokens and ContinueText are the tokens and text that an earlier attempt
+	// generated; the engine continues after them. MaxTokens limits the whole answer,
+	// including them.
 	ContinueTokens int    `json:"continue_tokens,omitempty"`
 	ContinueText   string `json:"continue_text,omitempty"`
 }
@@ -57,8 +57,8 @@
 	Message      string `json:"message,omitempty"`
 }
 
-// Error codes. All but CodeStopped, CodeEvicted and CodeUnknownAttempt say that
-// the attempt was refused before it started.
+// Error codes. All but CodeStopped and CodeUnknownAttempt mean that the attempt was rejected
+// before it started.
 const (
 	CodeStaleEpoch       = "stale_epoch"
 	CodeUnknownModel     = "unknown_model"
@@ -71,20 +71,20 @@
 	CodeBusy             = "busy"
 )
 
-// ErrorBody is the body of a refused call.
+// ErrorBody is the response body of a rejected call.
 type ErrorBody struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
-	// Epoch is the engine's current epoch where the code is CodeStaleEpoch.
+	// Epoch is the engine's current epoch if the code is CodeStaleEpoch.
 	Epoch uint64 `json:"epoch,omitempty"`
 }
 
-// CancelRequest stops an attempt. Cancelling an unknown attempt is no error.
+// CancelRequest stops an attempt. Cancelling an unknown attempt is not an error.
 type CancelRequest struct {
 	AttemptID string `json:"attempt_id"`
 }
 
-// Load is an engine's report of itself. It may be some time old.
+// Load is an engine's load report. It was measured at MeasuredAtMS and may be outdated.
 type Load struct {
 	Worker        string   `json:"worker"`
 	Incarnation   uint64   `json:"incarnation"`
@@ -113,8 +113,8 @@
 	OrderLeave       = "leave"
 )
 
-// Order is a fenced order. An engine refuses an order whose epoch is below the
-// highest it has seen, and takes over a higher one.
+// Order is a fenced order. An engine rejects an order whose epoch is below the highest that
+// it has seen, and adopts a higher one.
 type Order struct {
 	Epoch uint64 `json:"epoch"`
 	Kind  string `json:"kind"`
@@ -122,8 +122,8 @@
 	Name  string `json:"name,omitempty"`
 }
 
-// CacheEvent tells that a block of prompt tokens entered or left the prefix
-// cache. Sequences may have gaps.
+// CacheEvent reports that a block of prompt tokens entered or left the prefix cache.
+// Sequence numbers may have gaps.
 type CacheEvent struct {
 	Sequence uint64 `json:"sequence"`
 	Block    uint64 `json:"block"`
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -11,21 +11,21 @@
 
 const maxEventBytes = 1 << 20
 
-// Stream reads the events of one attempt. It passes on only events of that
-// attempt and only tokens not seen yet, in order; a gap ends the stream as cut.
+// Stream reads the events of one attempt. It returns only events of that attempt and only
+// tokens not seen before, in order; a gap in the offsets ends the stream with an error.
 type Stream struct {
 	Sequencer
 	body    io.ReadCloser
 	scanner *bufio.Scanner
 }
 
-// Sequencer keeps the events of one attempt in order.
+// Sequencer drops misrouted and duplicate events of a stream and detects gaps.
 type Sequencer struct {
-	// AttemptID is the attempt, Offset the number of tokens seen.
+	// AttemptID identifies the attempt; Offset is the number of its tokens seen so far.
 	AttemptID string
 	Offset    int
-	// Misrouted counts dropped events of other attempts, Repeated dropped events
-	// whose tokens had been seen.
+	// Misrouted counts dropped events of other attempts, Duplicates dropped events whose
+	// tokens had been seen before.
 	Misrouted  int
 	Duplicates int
 }
@@ -36,11 +36,11 @@
 	return &Stream{Sequencer: Sequencer{AttemptID: attemptID, Offset: offset}, body: body, scanner: scanner}
 }
 
-// Close ends the reading; the engine goes on until cancelled.
+// Close stops reading; the engine continues the attempt until it is cancelled.
 func (s *Stream) Close() error { return s.body.Close() }
 
-// Next returns the next event. The error is an OutcomeUnknown failure if the
-// stream was cut: before its end, or by a gap in the offsets.
+// Next returns the next event. The error is an OutcomeUnknown failure if the stream ends
+// before its end event, breaks, or has a gap in the offsets.
 func (s *Stream) Next() (*Event, error) {
 	for s.scanner.Scan() {
 		data, found := bytes.CutPrefix(s.scanner.Bytes(), []byte("data: "))
@@ -49,7 +49,7 @@
 		}
 		event := &Event{}
 		if err := json.Unmarshal(data, event); err != nil {
-			return nil, cut("an event does not parse: %v", err)
+			return nil, streamError("an event does not parse: %v", err)
 		}
 		keep, err := s.Accept(event)
 		if err != nil {
@@ -60,13 +60,13 @@
 		}
 	}
 	if err := s.scanner.Err(); err != nil {
-		return nil, cut("the stream broke: %v", err)
+		return nil, streamError("the stream broke: %v", err)
 	}
-	return nil, cut("the stream ended without its end event")
+	return nil, streamError("the stream ended without its end event")
 }
 
-// Accept reports whether the event is the next one of the attempt; a gap is an
-// OutcomeUnknown failure.
+// Accept reports whether the event is the next one of the attempt; false means that it is to
+// be dropped. A gap in the offsets is an OutcomeUnknown failure.
 func (s *Sequencer) Accept(event *Event) (bool, error) {
 	if event.AttemptID != s.AttemptID {
 		s.Misrouted++
@@ -80,12 +80,12 @@
 		return false, nil
 	}
 	if event.Offset > s.Offset {
-		return false, cut("%d tokens are missing at offset %d", event.Offset-s.Offset, s.Offset)
+		return false, streamError("%d tokens are missing at offset %d", event.Offset-s.Offset, s.Offset)
 	}
 	s.Offset += event.Tokens
 	return true, nil
 }
 
-func cut(format string, arguments ...any) error {
+func streamError(format string, arguments ...any) error {
 	return failure.New(failure.OutcomeUnknown, "resume at the offset reached", format, arguments...)
 }
--- a/internal/engine/stream_test.go
+++ b/internal/engine/stream_test.go
@@ -13,26 +13,26 @@
 	"github.com/sedgemast/sedgemast/internal/proptest"
 )
 
-// TestSequencerProperty mixes repeated events and events of other attempts into a
-// stream: what is accepted is the stream itself, or its beginning before a gap.
+// TestSequencerProperty mixes duplicate events and events of other attempts into a stream:
+// the sequencer must accept exactly the stream itself, or its part before a gap.
 func TestSequencerProperty(t *testing.T) {
 	proptest.Run(t, "only own events, in order, once", func(random *rand.Rand) error {
-		order := Sequencer{AttemptID: "a"}
+		sequencer := Sequencer{AttemptID: "a"}
 		next := 0
 		for offset := 0; offset < 50; offset++ {
 			for random.Intn(3) == 0 {
-				noise := Event{Type: EventTokens, AttemptID: "b", Offset: random.Intn(60), Tokens: 1}
+				dropped := Event{Type: EventTokens, AttemptID: "b", Offset: random.Intn(60), Tokens: 1}
 				if random.Intn(2) == 0 && next > 0 {
-					noise = Event{Type: EventTokens, AttemptID: "a", Offset: random.Intn(next), Tokens: 1}
+					dropped = Event{Type: EventTokens, AttemptID: "a", Offset: random.Intn(next), Tokens: 1}
 				}
-				if keep, err := order.Accept(&noise); keep || err != nil {
-					return errors.Newf("noise %+v at %d: kept %t, %v", noise, next, keep, err)
+				if keep, err := sequencer.Accept(&dropped); keep || err != nil {
+					return errors.Newf("unexpected event %+v at %d: kept %t, %v", dropped, next, keep, err)
 				}
 			}
 			if random.Intn(100) == 0 {
 				continue
 			}
-			keep, err := order.Accept(&Event{Type: EventTokens, AttemptID: "a", Offset: offset, Tokens: 1})
+			keep, err := sequencer.Accept(&Event{Type: EventTokens, AttemptID: "a", Offset: offset, Tokens: 1})
 			if offset != next {
 				if !failure.Is(err, failure.OutcomeUnknown) {
 					return errors.Newf("a gap at %d gave %v", offset, err)
@@ -48,7 +48,7 @@
 	})
 }
 
-// FuzzStream feeds arbitrary bytes to the decoder that faces engines.
+// FuzzStream feeds arbitrary bytes to the decoder of engines' streams.
 func FuzzStream(f *testing.F) {
 	f.Add([]byte("data: {\"type\":\"tokens\",\"attempt_id\":\"a\",\"offset\":0,\"tokens\":1,\"text\":\"x\"}\n\ndata: {\"type\":\"end\",\"attempt_id\":\"a\",\"offset\":1}\n\n"))
 	f.Add([]byte("data: {]\n\n"))
@@ -58,12 +58,12 @@
 			event, err := stream.Next()
 			if err != nil {
 				if !failure.Is(err, failure.OutcomeUnknown) {
-					t.Errorf("an untyped end: %v", err)
+					t.Errorf("the stream ended with an untyped error: %v", err)
 				}
 				return
 			}
 			if event.AttemptID != "a" {
-				t.Errorf("passed on %s", fmt.Sprintf("%+v", event))
+				t.Errorf("returned an event of another attempt: %s", fmt.Sprintf("%+v", event))
 			}
 		}
 	})
