--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -1,6 +1,5 @@
-// Package failure defines the typed errors that cross a process boundary:
-// what kind of failure it was, what the reader can do about it and, where
-// waiting helps, how long to wait.
+// Package failure defines the typed errors that cross a process boundary. An error states the
+// kind of the failure, what the reader can do about it and, if waiting helps, how long to wait.
 package failure
 
 import (
@@ -18,21 +17,21 @@
 const (
 	// Internal is a fault of the system itself.
 	Internal Kind = iota
-	// NotRun means that the request truly did not run and may be sent again.
+	// NotRun means that the request certainly did not run and may be sent again.
 	NotRun
-	// OutcomeUnknown means that the request may have run, wholly or in part.
+	// OutcomeUnknown means that the request may have run, completely or in part.
 	OutcomeUnknown
 	// Conflict means that the request contradicts state accepted earlier.
 	Conflict
 	// OverLimit means that a limit of the tenant was reached.
 	OverLimit
-	// DeadlineExceeded means that the request's own deadline has passed.
+	// DeadlineExceeded means that the request's deadline has passed.
 	DeadlineExceeded
 	// BadRequest means that the request is malformed or out of range.
 	BadRequest
-	// Unauthenticated means that the key is missing or not known.
+	// Unauthenticated means that the key is missing or unknown.
 	Unauthenticated
-	// Forbidden means that the key is known but may not do this.
+	// Forbidden means that the key is valid but does not permit the request.
 	Forbidden
 	// NotFound means that the named object does not exist.
 	NotFound
@@ -83,8 +82,9 @@
 	return Internal
 }
 
-// Error is a typed failure. Message says what happened, Remedy what the
-// reader can do, Field (optional) the path of the offending input field.
+// Error is a typed failure. Message says what happened and Remedy what the reader can do.
+// Field is the path of the invalid input field, empty if none is at fault. RetryAfter is the
+// time to wait before the next attempt, zero if waiting does not help.
 type Error struct {
 	Kind       Kind
 	Message    string
@@ -106,13 +106,13 @@
 	return wrapped
 }
 
-// WithField returns the failure naming the input field at fault.
+// WithField sets the path of the input field at fault and returns the failure.
 func (e *Error) WithField(path string) *Error {
 	e.Field = path
 	return e
 }
 
-// WithRetryAfter returns the failure with the time to wait before a new try.
+// WithRetryAfter sets the time to wait before the next attempt and returns the failure.
 func (e *Error) WithRetryAfter(wait time.Duration) *Error {
 	e.RetryAfter = wait
 	return e
@@ -148,7 +148,7 @@
 	return Wrap(err, Internal, "report this with the request id", "unexpected failure")
 }
 
-// KindOf returns the kind of err; an untyped error is Internal.
+// KindOf returns the kind of err, which must not be nil; an untyped error is Internal.
 func KindOf(err error) Kind { return From(err).Kind }
 
 // Is reports whether err is a typed failure of the given kind.
--- a/internal/failure/http.go
+++ b/internal/failure/http.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Body is the JSON body of an error answer, in the shape that existing client
-// libraries of chat-completion services read.
+// Body is the JSON body of an error response, in the format that existing client libraries
+// of chat-completion services expect.
 type Body struct {
 	Error Detail `json:"error"`
 }
 
-// Detail is the typed failure inside an error answer.
+// Detail is the typed failure inside an error response.
 type Detail struct {
 	Message    string `json:"message"`
 	Type       string `json:"type"`
@@ -39,8 +39,8 @@
 	}}
 }
 
-// WriteHTTP answers an HTTP request with err: status, Retry-After (whole
-// seconds, rounded up) and JSON body.
+// WriteHTTP answers an HTTP request with err: status, Retry-After (in whole seconds, rounded
+// up) and JSON body.
 func WriteHTTP(writer http.ResponseWriter, err error, requestID string) {
 	typed := From(err)
 	writer.Header().Set("Content-Type", "application/json")
@@ -49,7 +49,7 @@
 		writer.Header().Set("Retry-After", strconv.Itoa(seconds))
 	}
 	writer.WriteHeader(typed.Kind.HTTPStatus())
-	// A failed write means that the client has gone; there is nobody to tell.
+	// A failed write means that the client has disconnected, so the error can't be reported.
 	_ = json.NewEncoder(writer).Encode(NewBody(err, requestID))
 }
 
