--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,4 +1,4 @@
-// Package command holds what the programs' command lines have in common.
+// Package command holds the flags, exit codes and startup code that all programs share.
 package command
 
 import (
@@ -20,22 +20,23 @@
 
 // Exit codes of all programs.
 const (
-	// ExitSuccess means that the program did what it was asked.
+	// ExitSuccess means that the program did what was asked.
 	ExitSuccess = 0
-	// ExitFailure means that it tried and failed.
+	// ExitFailure means that the input was valid but the operation failed.
 	ExitFailure = 1
 	// ExitUsage means that flags, settings or documents were not valid.
 	ExitUsage = 2
 )
 
-// Parse reads the command line into target; help and version end the program.
+// Parse parses the command line into target. It exits the program after printing help or the
+// version, and with ExitUsage if the command line is not valid.
 func Parse(name string, target any) *arg.Parser {
-	// The framework says how it loads settings in lines of its own form; a
-	// process logs from its start on.
+	// kratos logs the loading of the settings in its own format; discard these lines until the
+	// process sets its own logger.
 	kratoslog.SetLogger(logging.Kratos(logging.Discard()))
 	parser, err := arg.NewParser(arg.Config{Program: name}, target)
 	if err != nil {
-		// The argument structures are fixed; an error is a mistake in them.
+		// The argument structs are fixed, so an error here is a bug in one of them.
 		panic(err)
 	}
 	err = parser.Parse(os.Args[1:])
@@ -43,7 +44,7 @@
 	case err == nil:
 		return parser
 	case errors.Is(err, arg.ErrHelp):
-		// Parse knows which subcommand the help is for.
+		// After Parse, SubcommandNames returns the subcommand that help was asked for.
 		_ = parser.WriteHelpForSubcommand(os.Stdout, parser.SubcommandNames()...)
 		os.Exit(ExitSuccess)
 	case errors.Is(err, arg.ErrVersion):
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// Exit ends the program with the code for err.
+// Exit prints err, if there is one, and exits the program with the code for it.
 func Exit(err error) {
 	if err == nil {
 		os.Exit(ExitSuccess)
@@ -73,7 +74,7 @@
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
-// ProcessFlags are the flags that all daemons have. They go over the file.
+// ProcessFlags are the flags that all daemons have. They override the settings file.
 type ProcessFlags struct {
 	Settings  string `arg:"--settings" placeholder:"FILE" help:"settings file (YAML); without it the defaults hold"`
 	Name      string `arg:"--name" help:"unique name of the process"`
@@ -92,14 +93,14 @@
 	OverrideString(&process.LogLevel, f.LogLevel)
 }
 
-// OverrideString replaces a setting by a flag that was given.
+// OverrideString replaces a setting with the value of a flag that is not empty.
 func OverrideString(target *string, flag string) {
 	if flag != "" {
 		*target = flag
 	}
 }
 
-// NewDaemon returns the frame of a process with its settings.
+// NewDaemon returns a daemon in the given role with the options from its settings.
 func NewDaemon(role string, process *settings.Process) (*daemon.Daemon, error) {
 	logger := logging.WithProcess(logging.New(os.Stderr, process.LogLevel), role, process.Name)
 	return daemon.New(daemon.Options{
