--- a/internal/jobstate/file.go
+++ b/internal/jobstate/file.go
@@ -6,12 +6,13 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// uploadTimeoutMillis is how long an upload may stand still before it is dropped.
+// uploadTimeoutMillis is the time after its last appended chunk at which an incomplete upload is
+// deleted.
 const uploadTimeoutMillis = 60 * 60 * 1000
 
 func (m *Machine) beginFile(now int64, request *wire.BeginFileRequest) (*wire.FileResponse, error) {
 	record := &wire.FileRecord{
-		ID:            m.nextID(filePart),
+		ID:            m.nextID(fileKind),
 		Tenant:        request.Tenant,
 		Filename:      request.Filename,
 		Purpose:       request.Purpose,
@@ -23,7 +24,7 @@
 }
 
 func (m *Machine) appendFile(now int64, request *wire.AppendFileRequest) (*wire.FileResponse, error) {
-	record, err := m.file(request.Tenant, request.FileID)
+	record, err := m.findFile(request.Tenant, request.FileID)
 	if err != nil {
 		return nil, err
 	}
@@ -32,7 +33,7 @@
 	}
 	end := request.FirstLine + uint32(len(request.Lines))
 	if end <= record.Lines {
-		// A resend whose first answer was lost.
+		// The chunk was stored before: the caller resends it because the answer was lost.
 		return &wire.FileResponse{File: *record}, nil
 	}
 	if request.FirstLine != record.Lines {
@@ -48,7 +49,7 @@
 }
 
 func (m *Machine) completeFile(now int64, request *wire.CompleteFileRequest) (*wire.FileResponse, error) {
-	record, err := m.file(request.Tenant, request.FileID)
+	record, err := m.findFile(request.Tenant, request.FileID)
 	if err != nil {
 		return nil, err
 	}
@@ -67,7 +68,7 @@
 }
 
 func (m *Machine) deleteFile(request *wire.DeleteFileRequest) (*wire.FileResponse, error) {
-	record, err := m.file(request.Tenant, request.FileID)
+	record, err := m.findFile(request.Tenant, request.FileID)
 	if err != nil {
 		return nil, err
 	}
@@ -92,7 +93,7 @@
 	return &wire.FileResponse{File: *record}
 }
 
-func (m *Machine) file(tenant, id string) (*wire.FileRecord, error) {
+func (m *Machine) findFile(tenant, id string) (*wire.FileRecord, error) {
 	record, found := m.files[id]
 	if !found || record.Tenant != tenant {
 		return nil, failure.New(failure.NotFound, "list the tenant's files", "there is no file %q", id)
@@ -102,7 +103,7 @@
 
 // File returns the record of a tenant's file.
 func (m *Machine) File(tenant, id string) (wire.FileRecord, error) {
-	record, err := m.file(tenant, id)
+	record, err := m.findFile(tenant, id)
 	if err != nil {
 		return wire.FileRecord{}, err
 	}
--- a/internal/jobstate/id.go
+++ b/internal/jobstate/id.go
@@ -9,22 +9,22 @@
 	"github.com/sedgemast/sedgemast/internal/failure"
 )
 
-// Kinds of ids. Result files bear the number of their job.
+// Kinds of ids, which are their first part. The id of a result file is that of its job with another
+// kind.
 const (
-	filePart   = "file"
-	jobPart    = "batch"
-	outputPart = "output"
-	errorsPart = "errors"
+	fileKind   = "file"
+	jobKind    = "batch"
+	outputKind = "output"
+	errorsKind = "errors"
 )
 
-// GroupOfTenant returns the job group, from 1 to groups, that keeps a tenant's
-// files and jobs. One tenant has one group, so that an idempotency key is
-// unique over all of the tenant's jobs.
+// GroupOfTenant returns the job group, from 1 to groups, that stores a tenant's files and jobs. All
+// jobs of a tenant are in one group, so that the group can check that an idempotency key is unique.
 func GroupOfTenant(tenant string, groups int) int {
 	return 1 + int(xxhash.Sum64String(tenant)%uint64(groups))
 }
 
-// GroupOf returns the group that an id names.
+// GroupOf returns the job group that is part of an id.
 func GroupOf(id string) (int, error) {
 	parts := strings.Split(id, "-")
 	if len(parts) == 3 && strings.HasPrefix(parts[1], "g") {
@@ -35,20 +35,20 @@
 	return 0, failure.New(failure.NotFound, "use an id as it was answered", "there is no object %q", id)
 }
 
-// OutputFileID and ErrorFile return the ids under which a job's results are read.
-func OutputFileID(jobID string) string { return strings.Replace(jobID, jobPart, outputPart, 1) }
+// OutputFileID returns the id of the file of a job's succeeded items.
+func OutputFileID(jobID string) string { return strings.Replace(jobID, jobKind, outputKind, 1) }
 
 // ErrorFileID returns the id of the file of a job's failed items.
-func ErrorFileID(jobID string) string { return strings.Replace(jobID, jobPart, errorsPart, 1) }
+func ErrorFileID(jobID string) string { return strings.Replace(jobID, jobKind, errorsKind, 1) }
 
-// ParseResultFileID returns the job whose results a file id names, and whether it is
-// the file of failed items.
+// ParseResultFileID returns the job to which a result file belongs, and whether the file is that of
+// the failed items. Found is false if the id is not that of a result file.
 func ParseResultFileID(fileID string) (jobID string, failed, found bool) {
-	if rest, isOutput := strings.CutPrefix(fileID, outputPart+"-"); isOutput {
-		return jobPart + "-" + rest, false, true
+	if rest, isOutput := strings.CutPrefix(fileID, outputKind+"-"); isOutput {
+		return jobKind + "-" + rest, false, true
 	}
-	if rest, isErrors := strings.CutPrefix(fileID, errorsPart+"-"); isErrors {
-		return jobPart + "-" + rest, true, true
+	if rest, isErrors := strings.CutPrefix(fileID, errorsKind+"-"); isErrors {
+		return jobKind + "-" + rest, true, true
 	}
 	return "", false, false
 }
--- a/internal/jobstate/job.go
+++ b/internal/jobstate/job.go
@@ -12,10 +12,10 @@
 )
 
 func (m *Machine) createJob(now int64, request *wire.CreateJobRequest) (*wire.JobResponse, error) {
-	file, err := m.file(request.Tenant, request.FileID)
+	file, err := m.findFile(request.Tenant, request.FileID)
 	key := idempotencyKey{request.Tenant, request.IdempotencyKey}
-	if first, found := m.keys[key]; found {
-		return m.repeatJob(first, file, request)
+	if first, found := m.jobIDs[key]; found {
+		return m.answerRepeat(first, file, request)
 	}
 	if err != nil {
 		return nil, err
@@ -23,11 +23,11 @@
 	if !file.Complete {
 		return nil, failure.New(failure.Conflict, "finish the upload first", "file %s is not complete", file.ID)
 	}
-	if running := m.runningOf(request.Tenant); request.MaxRunning > 0 && running >= request.MaxRunning {
-		return nil, failure.New(failure.OverLimit, "wait until a job ends, or ask for a higher running_jobs", "%d jobs of the tenant are running", running).WithRetryAfter(overLimitRetryAfter)
+	if count := m.runningCount(request.Tenant); request.MaxRunning > 0 && count >= request.MaxRunning {
+		return nil, failure.New(failure.OverLimit, "wait until a job ends, or ask for a higher running_jobs", "%d jobs of the tenant are running", count).WithRetryAfter(overLimitRetryAfter)
 	}
 	created := &job{finished: newBitmap(file.Lines), record: wire.JobRecord{
-		ID:             m.nextID(jobPart),
+		ID:             m.nextID(jobKind),
 		Tenant:         request.Tenant,
 		IdempotencyKey: request.IdempotencyKey,
 		Digest:         jobDigest(file, request),
@@ -43,17 +43,18 @@
 	}}
 	m.jobs[created.record.ID] = created
 	m.running[created.record.ID] = created
-	m.keys[key] = created.record.ID
+	m.jobIDs[key] = created.record.ID
 	if created.record.Items == 0 {
-		m.end(created, now, wire.JobCompleted)
+		m.endJob(created, now, wire.JobCompleted)
 	}
 	return m.storeJob(created), nil
 }
 
-// overLimitRetryAfter is when a job over the tenant's limit may be sent again.
+// overLimitRetryAfter is the time after which the caller may resend a job that was over the tenant's
+// limit of running jobs.
 const overLimitRetryAfter = 30 * time.Second
 
-func (m *Machine) runningOf(tenant string) int {
+func (m *Machine) runningCount(tenant string) int {
 	count := 0
 	for _, candidate := range m.running {
 		if candidate.record.Tenant == tenant {
@@ -63,9 +64,10 @@
 	return count
 }
 
-// repeatJob answers a resend: the same content is the same job, other content
-// under the same key is a conflict. The first job's own file may be gone.
-func (m *Machine) repeatJob(id string, file *wire.FileRecord, request *wire.CreateJobRequest) (*wire.JobResponse, error) {
+// answerRepeat answers a request whose idempotency key was used before: with the existing job if the
+// content is the same, with a conflict otherwise. Where the request names a file that no longer
+// exists (file is nil), it is the same content if the job was created from that file.
+func (m *Machine) answerRepeat(id string, file *wire.FileRecord, request *wire.CreateJobRequest) (*wire.JobResponse, error) {
 	first := m.jobs[id]
 	same := first.record.FileID == request.FileID && file == nil
 	if file != nil {
@@ -77,8 +79,8 @@
 	return &wire.JobResponse{Job: first.record, Repeated: true}, nil
 }
 
-// jobDigest identifies what a job asks for, whatever the file is called and
-// whatever the tenant's defaults are at the time of a resend.
+// jobDigest identifies the content of a job. It leaves out the file's id and the tenant's defaults:
+// a resend may name another upload of the same lines, and the defaults may have changed since.
 func jobDigest(file *wire.FileRecord, request *wire.CreateJobRequest) string {
 	hash := sha256.New()
 	fmt.Fprintf(hash, "%s\n%s\n%d\n%s", file.Digest, request.Endpoint, request.RequestedMillis, request.Metadata)
@@ -86,14 +88,14 @@
 }
 
 func (m *Machine) cancelJob(now int64, request *wire.CancelJobRequest) (*wire.JobResponse, error) {
-	found, err := m.job(request.Tenant, request.JobID)
+	found, err := m.findJob(request.Tenant, request.JobID)
 	if err != nil {
 		return nil, err
 	}
 	if found.record.State != wire.JobRunning {
 		return &wire.JobResponse{Job: found.record, Repeated: true}, nil
 	}
-	m.end(found, now, wire.JobCancelled)
+	m.endJob(found, now, wire.JobCancelled)
 	return m.storeJob(found), nil
 }
 
@@ -133,11 +135,11 @@
 		found.record.Failed++
 	}
 	if found.record.Succeeded+found.record.Failed == found.record.Items {
-		m.end(found, now, wire.JobCompleted)
+		m.endJob(found, now, wire.JobCompleted)
 	}
 }
 
-func (m *Machine) end(ended *job, now int64, state wire.JobState) {
+func (m *Machine) endJob(ended *job, now int64, state wire.JobState) {
 	ended.record.State = state
 	ended.record.EndedMillis = now
 	ended.finished = nil
@@ -148,7 +150,7 @@
 	for _, id := range sortedKeys(m.running) {
 		candidate := m.running[id]
 		if candidate.record.DeadlineMillis <= now {
-			m.end(candidate, now, wire.JobExpired)
+			m.endJob(candidate, now, wire.JobExpired)
 			m.storeJob(candidate)
 		}
 	}
@@ -159,8 +161,7 @@
 	}
 }
 
-// ExpiryDue reports whether an Expire command at the time now would change
-// anything.
+// ExpiryDue reports whether an Expire command at now, in Unix milliseconds, would change anything.
 func (m *Machine) ExpiryDue(now int64) bool {
 	for _, candidate := range m.running {
 		if candidate.record.DeadlineMillis <= now {
@@ -189,7 +190,7 @@
 	return &wire.JobResponse{Job: stored.record}
 }
 
-func (m *Machine) job(tenant, id string) (*job, error) {
+func (m *Machine) findJob(tenant, id string) (*job, error) {
 	found := m.jobs[id]
 	if found == nil || (tenant != "" && found.record.Tenant != tenant) {
 		return nil, failure.New(failure.NotFound, "list the tenant's batches", "there is no batch %q", id)
@@ -197,16 +198,17 @@
 	return found, nil
 }
 
-// Job returns a job's record. An empty tenant, an operator's, sees all jobs.
+// Job returns the record of a tenant's job. An empty tenant, as operators use it, finds the jobs of all
+// tenants.
 func (m *Machine) Job(tenant, id string) (wire.JobRecord, error) {
-	found, err := m.job(tenant, id)
+	found, err := m.findJob(tenant, id)
 	if err != nil {
 		return wire.JobRecord{}, err
 	}
 	return found.record, nil
 }
 
-// Jobs returns at most limit jobs, newest first; an empty tenant means all.
+// Jobs returns at most limit jobs of a tenant, newest first; an empty tenant means all tenants.
 func (m *Machine) Jobs(tenant string, limit int) []wire.JobRecord {
 	var records []wire.JobRecord
 	for _, candidate := range m.jobs {
@@ -221,7 +223,7 @@
 	return records
 }
 
-// SortNewestFirst orders jobs by their time of acceptance, newest first.
+// SortNewestFirst sorts jobs by the time they were created, newest first.
 func SortNewestFirst(records []wire.JobRecord) {
 	sort.Slice(records, func(a, b int) bool {
 		if records[a].CreatedMillis != records[b].CreatedMillis {
--- a/internal/jobstate/keys.go
+++ b/internal/jobstate/keys.go
@@ -14,7 +14,8 @@
 	resultPrefix = []byte("result/")
 )
 
-const itemBytes = 4
+// itemNumberBytes is the length of the item or line number at the end of a key.
+const itemNumberBytes = 4
 
 func fileKey(id string) []byte { return append(append([]byte{}, filePrefix...), id...) }
 
@@ -32,14 +33,14 @@
 	return binary.BigEndian.AppendUint32(lineKeyPrefix(fileID), line)
 }
 
-// ResultKey returns the key, relative to the group, of an item's result.
+// ResultKey returns the key of an item's result in the key space of its group.
 func ResultKey(jobID string, item uint32) []byte {
 	return binary.BigEndian.AppendUint32(resultKeyPrefix(jobID), item)
 }
 
 // itemOfKey returns the item number at the end of a line or result key.
 func itemOfKey(key []byte) uint32 {
-	return binary.BigEndian.Uint32(key[len(key)-itemBytes:])
+	return binary.BigEndian.Uint32(key[len(key)-itemNumberBytes:])
 }
 
 func encodeUint64(value uint64) []byte { return binary.BigEndian.AppendUint64(nil, value) }
--- a/internal/jobstate/leases.go
+++ b/internal/jobstate/leases.go
@@ -8,87 +8,95 @@
 )
 
 const (
-	// grantChunk is how many items one tenant is given before the next is
-	// considered.
+	// grantChunk is the number of items that are granted to one tenant before the next tenant is
+	// chosen.
 	grantChunk = 8
-	// maxUrgency bounds how much a near deadline multiplies a job's weight.
+	// maxUrgency bounds the factor by which a near deadline raises a job's weight.
 	maxUrgency = 4.0
 )
 
-// Leases hands out the waiting items of a group's running jobs. It is soft
-// state of the leader: a new leader begins with none, adopts the items that
-// dispatchers still hold when they renew, and may hand an item out a second
-// time, which is safe because only the first completion counts.
+// Leases leases the unfinished items of a group's running jobs to dispatchers. The leases are not
+// replicated: a new leader begins without any, and adopts the leases that dispatchers still hold when
+// they renew them. It may therefore lease an item a second time, which is safe because only the first
+// completion counts.
 //
-// Tenants share by weighted stride scheduling: the weight is the job's rank
-// times its urgency, so that one tenant's heap can't starve another.
+// Tenants share the grants by weighted stride scheduling. The weight is the job's rank times its
+// urgency, so that the backlog of one tenant can't starve another.
 type Leases struct {
 	machine  *Machine
 	duration time.Duration
-	open     map[string]*openJob
-	held     map[wire.ItemRef]lease
-	holders  map[string]map[wire.ItemRef]bool
-	expiry   time.Time
-	passes   map[string]float64
-	ready    time.Time
+	// queues holds the queues of the running jobs by job id.
+	queues map[string]*itemQueue
+	leases map[wire.ItemRef]lease
+	// byHolder holds the leased items by dispatcher.
+	byHolder map[string]map[wire.ItemRef]bool
+	// nextExpiry is the time of the next check for expired leases.
+	nextExpiry time.Time
+	// passes holds the stride scheduler's pass of each tenant that has queued items.
+	passes map[string]float64
+	// grantsFrom is the time before which nothing is granted.
+	grantsFrom time.Time
 }
 
-// openJob tracks which items of a running job still wait to be handed out.
-type openJob struct {
+// itemQueue tracks which items of a running job are not leased: those whose lease was given up or has
+// expired, and all from next on.
+type itemQueue struct {
 	next     uint32
 	returned []uint32
 }
 
-// lease says who works on an item, and until when.
+// lease is a dispatcher's lease of an item.
 type lease struct {
 	holder      string
 	incarnation uint64
 	expires     time.Time
 }
 
-// NewLeases returns the leases of a leader that begins at now. Nothing is
-// granted for adoption, so that dispatchers can first renew what they hold.
+// NewLeases returns the leases of a leader that begins to lead at now. Grant returns nothing until the
+// adoption time has passed, so that dispatchers can first renew the leases that they hold from the
+// previous leader.
 func NewLeases(machine *Machine, duration, adoption time.Duration, now time.Time) *Leases {
 	return &Leases{
-		machine:  machine,
-		duration: duration,
-		open:     map[string]*openJob{},
-		held:     map[wire.ItemRef]lease{},
-		holders:  map[string]map[wire.ItemRef]bool{},
-		passes:   map[string]float64{},
-		ready:    now.Add(adoption),
+		machine:    machine,
+		duration:   duration,
+		queues:     map[string]*itemQueue{},
+		leases:     map[wire.ItemRef]lease{},
+		byHolder:   map[string]map[wire.ItemRef]bool{},
+		passes:     map[string]float64{},
+		grantsFrom: now.Add(adoption),
 	}
 }
 
-// Duration returns the length of an item's lease.
+// Duration returns the duration of an item's lease.
 func (l *Leases) Duration() time.Duration { return l.duration }
 
-// Count returns the number of items out on lease.
-func (l *Leases) Count() int { return len(l.held) }
+// Count returns the number of leased items.
+func (l *Leases) Count() int { return len(l.leases) }
 
-// Renew extends the holder's leases on held, ends its leases on all other
-// items, and returns those of held whose work must stop.
+// Renew extends the holder's leases on the held items and ends its leases on all other items. It
+// returns the held items that the holder must stop: those that are finished, belong to no running job,
+// or are leased to another holder or incarnation.
 func (l *Leases) Renew(now time.Time, holder string, incarnation uint64, held []wire.ItemRef) []wire.ItemRef {
-	keep := make(map[wire.ItemRef]bool, len(held))
+	renewed := make(map[wire.ItemRef]bool, len(held))
 	var stop []wire.ItemRef
 	for _, ref := range held {
-		if !l.renewOne(now, holder, incarnation, ref) {
+		if !l.renewItem(now, holder, incarnation, ref) {
 			stop = append(stop, ref)
 			continue
 		}
-		keep[ref] = true
+		renewed[ref] = true
 	}
 	var dropped []wire.ItemRef
-	for ref := range l.holders[holder] {
-		if !keep[ref] {
+	for ref := range l.byHolder[holder] {
+		if !renewed[ref] {
 			dropped = append(dropped, ref)
 		}
 	}
-	l.giveBack(dropped)
+	l.requeue(dropped)
 	return stop
 }
 
-func (l *Leases) renewOne(now time.Time, holder string, incarnation uint64, ref wire.ItemRef) bool {
+func (l *Leases) renewItem(now time.Time, holder string, incarnation uint64, ref wire.ItemRef) bool {
 	found := l.machine.jobs[ref.JobID]
 	if found == nil || found.record.State != wire.JobRunning || ref.Item >= found.record.Items {
 		return false
@@ -96,57 +104,58 @@
 	if found.finished.has(ref.Item) {
 		return false
 	}
-	current, leased := l.held[ref]
-	other := current.holder != holder || current.incarnation != incarnation
-	if leased && other && now.Before(current.expires) {
+	current, leased := l.leases[ref]
+	otherHolder := current.holder != holder || current.incarnation != incarnation
+	if leased && otherHolder && now.Before(current.expires) {
 		return false
 	}
-	l.hold(ref, lease{holder: holder, incarnation: incarnation, expires: now.Add(l.duration)})
+	l.add(ref, lease{holder: holder, incarnation: incarnation, expires: now.Add(l.duration)})
 	return true
 }
 
-func (l *Leases) hold(ref wire.ItemRef, granted lease) {
-	l.drop(ref)
-	l.held[ref] = granted
-	if l.holders[granted.holder] == nil {
-		l.holders[granted.holder] = map[wire.ItemRef]bool{}
+func (l *Leases) add(ref wire.ItemRef, granted lease) {
+	l.remove(ref)
+	l.leases[ref] = granted
+	if l.byHolder[granted.holder] == nil {
+		l.byHolder[granted.holder] = map[wire.ItemRef]bool{}
 	}
-	l.holders[granted.holder][ref] = true
+	l.byHolder[granted.holder][ref] = true
 }
 
-// drop forgets who holds the item.
-func (l *Leases) drop(ref wire.ItemRef) {
-	current, leased := l.held[ref]
+// remove removes the lease of an item, if there is one.
+func (l *Leases) remove(ref wire.ItemRef) {
+	current, leased := l.leases[ref]
 	if !leased {
 		return
 	}
-	delete(l.held, ref)
-	delete(l.holders[current.holder], ref)
-	if len(l.holders[current.holder]) == 0 {
-		delete(l.holders, current.holder)
+	delete(l.leases, ref)
+	delete(l.byHolder[current.holder], ref)
+	if len(l.byHolder[current.holder]) == 0 {
+		delete(l.byHolder, current.holder)
 	}
 }
 
-// expiryInterval is the time between looks at all leases.
+// expiryInterval is the shortest time between two scans of all leases for expired ones.
 const expiryInterval = 100 * time.Millisecond
 
-// Expire ends the leases that have run out.
+// Expire ends the leases that have expired and queues their items again.
 func (l *Leases) Expire(now time.Time) {
-	if now.Before(l.expiry) {
+	if now.Before(l.nextExpiry) {
 		return
 	}
-	l.expiry = now.Add(expiryInterval)
+	l.nextExpiry = now.Add(expiryInterval)
 	var expired []wire.ItemRef
-	for ref, current := range l.held {
+	for ref, current := range l.leases {
 		if !now.Before(current.expires) {
 			expired = append(expired, ref)
 		}
 	}
-	l.giveBack(expired)
+	l.requeue(expired)
 }
 
-// giveBack lets the items wait again, in an order that depends on them alone.
-func (l *Leases) giveBack(refs []wire.ItemRef) {
+// requeue ends the leases of the items and queues them again. It sorts the items, so that the order of
+// the queue doesn't depend on that of a map.
+func (l *Leases) requeue(refs []wire.ItemRef) {
 	sort.Slice(refs, func(a, b int) bool {
 		if refs[a].JobID != refs[b].JobID {
 			return refs[a].JobID < refs[b].JobID
@@ -154,32 +163,32 @@
 		return refs[a].Item < refs[b].Item
 	})
 	for _, ref := range refs {
-		l.drop(ref)
-		if waiting := l.open[ref.JobID]; waiting != nil {
-			waiting.returned = append(waiting.returned, ref.Item)
+		l.remove(ref)
+		if queue := l.queues[ref.JobID]; queue != nil {
+			queue.returned = append(queue.returned, ref.Item)
 		}
 	}
 }
 
-// Release forgets the leases of items that have been reported.
+// Release ends the leases of items whose results have been reported.
 func (l *Leases) Release(results []wire.ItemResult) {
 	for i := range results {
-		l.drop(wire.ItemRef{JobID: results[i].JobID, Item: results[i].Item})
+		l.remove(wire.ItemRef{JobID: results[i].JobID, Item: results[i].Item})
 	}
 }
 
-// Grant leases up to want waiting items of jobs that use one of the models.
+// Grant leases up to want queued items of jobs that use one of the models.
 func (l *Leases) Grant(now time.Time, holder string, incarnation uint64, want int, models []string) []wire.ItemRef {
-	if now.Before(l.ready) || want <= 0 {
+	if now.Before(l.grantsFrom) || want <= 0 {
 		return nil
 	}
-	l.refresh()
+	l.updateQueues()
 	candidates := l.candidates(models)
 	var granted []wire.ItemRef
 	for len(granted) < want && len(candidates) > 0 {
 		chosen := l.lowestPass(candidates)
 		chunk := min(grantChunk, want-len(granted))
-		taken := l.take(candidates[chosen][0], chunk)
+		taken := l.dequeue(candidates[chosen][0], chunk)
 		granted = append(granted, taken...)
 		l.charge(now, chosen, candidates[chosen][0], len(taken))
 		if len(taken) < chunk {
@@ -190,45 +199,46 @@
 		}
 	}
 	for _, ref := range granted {
-		l.hold(ref, lease{holder: holder, incarnation: incarnation, expires: now.Add(l.duration)})
+		l.add(ref, lease{holder: holder, incarnation: incarnation, expires: now.Add(l.duration)})
 	}
 	return granted
 }
 
-// refresh opens jobs that have begun and closes those that have ended.
-func (l *Leases) refresh() {
-	for id := range l.open {
+// updateQueues adds queues for new running jobs and removes those of jobs that have ended.
+func (l *Leases) updateQueues() {
+	for id := range l.queues {
 		if found := l.machine.jobs[id]; found == nil || found.record.State != wire.JobRunning {
-			delete(l.open, id)
+			delete(l.queues, id)
 		}
 	}
 	for id := range l.machine.running {
-		if l.open[id] == nil {
-			l.open[id] = &openJob{}
+		if l.queues[id] == nil {
+			l.queues[id] = &itemQueue{}
 		}
 	}
 }
 
-// candidates returns the running jobs by tenant, the nearest deadline first.
+// candidates returns the ids of the running jobs that use one of the models, by tenant and with the
+// nearest deadline first.
 func (l *Leases) candidates(models []string) map[string][]string {
 	served := make(map[string]bool, len(models))
 	for _, model := range models {
 		served[model] = true
 	}
 	byTenant := map[string][]string{}
-	for id := range l.open {
+	for id := range l.queues {
 		if record := &l.machine.jobs[id].record; served[record.Model] {
 			byTenant[record.Tenant] = append(byTenant[record.Tenant], id)
 		}
 	}
 	for _, ids := range byTenant {
-		sort.Slice(ids, func(a, b int) bool { return l.before(ids[a], ids[b]) })
+		sort.Slice(ids, func(a, b int) bool { return l.deadlineBefore(ids[a], ids[b]) })
 	}
-	l.admitTenants(byTenant)
+	l.updatePasses(byTenant)
 	return byTenant
 }
 
-func (l *Leases) before(first, second string) bool {
+func (l *Leases) deadlineBefore(first, second string) bool {
 	a, b := &l.machine.jobs[first].record, &l.machine.jobs[second].record
 	if a.DeadlineMillis != b.DeadlineMillis {
 		return a.DeadlineMillis < b.DeadlineMillis
@@ -236,8 +246,9 @@
 	return a.ID < b.ID
 }
 
-// admitTenants starts new tenants at the lowest pass and forgets idle ones.
-func (l *Leases) admitTenants(byTenant map[string][]string) {
+// updatePasses removes the passes of tenants without candidates and starts new tenants at the lowest
+// pass, so that they neither wait for the others nor get a credit for the time before.
+func (l *Leases) updatePasses(byTenant map[string][]string) {
 	lowest, found := 0.0, false
 	for tenant, pass := range l.passes {
 		if byTenant[tenant] == nil {
@@ -267,48 +278,49 @@
 	return chosen
 }
 
-// charge advances the tenant's pass by the items taken over its weight.
+// charge advances the tenant's pass by the number of granted items divided by the job's weight.
 func (l *Leases) charge(now time.Time, tenant, jobID string, items int) {
 	record := &l.machine.jobs[jobID].record
 	weight := float64(max(record.Rank, 1)) * urgency(now, record)
 	l.passes[tenant] += float64(items) / weight
 }
 
-// urgency grows from 1 to maxUrgency as a job's window runs out faster than
-// its items are finished.
+// urgency returns the share of a job's items that are not finished divided by the share of its time
+// that is left, from 1 (on schedule) to maxUrgency.
 func urgency(now time.Time, record *wire.JobRecord) float64 {
 	window := float64(record.DeadlineMillis - record.CreatedMillis)
-	left := float64(record.DeadlineMillis - now.UnixMilli())
-	remaining := float64(record.Items - record.Succeeded - record.Failed)
+	timeLeft := float64(record.DeadlineMillis - now.UnixMilli())
+	unfinished := float64(record.Items - record.Succeeded - record.Failed)
 	if window <= 0 || record.Items == 0 {
 		return 1
 	}
-	if left <= 0 {
+	if timeLeft <= 0 {
 		return maxUrgency
 	}
-	behind := (remaining / float64(record.Items)) / (left / window)
-	return min(max(behind, 1), maxUrgency)
+	ratio := (unfinished / float64(record.Items)) / (timeLeft / window)
+	return min(max(ratio, 1), maxUrgency)
 }
 
-// take removes up to count waiting items of a job from the queue.
-func (l *Leases) take(jobID string, count int) []wire.ItemRef {
-	waiting, running := l.open[jobID], l.machine.jobs[jobID]
+// dequeue removes up to count items from the queue of a job. Items that are finished or, after a renewal,
+// leased again are skipped.
+func (l *Leases) dequeue(jobID string, count int) []wire.ItemRef {
+	queue, running := l.queues[jobID], l.machine.jobs[jobID]
 	var refs []wire.ItemRef
-	for len(refs) < count && len(waiting.returned) > 0 {
-		item := waiting.returned[0]
-		waiting.returned = waiting.returned[1:]
-		refs = l.appendWaiting(refs, running, wire.ItemRef{JobID: jobID, Item: item})
+	for len(refs) < count && len(queue.returned) > 0 {
+		item := queue.returned[0]
+		queue.returned = queue.returned[1:]
+		refs = l.appendQueued(refs, running, wire.ItemRef{JobID: jobID, Item: item})
 	}
-	for len(refs) < count && waiting.next < running.record.Items {
-		item := waiting.next
-		waiting.next++
-		refs = l.appendWaiting(refs, running, wire.ItemRef{JobID: jobID, Item: item})
+	for len(refs) < count && queue.next < running.record.Items {
+		item := queue.next
+		queue.next++
+		refs = l.appendQueued(refs, running, wire.ItemRef{JobID: jobID, Item: item})
 	}
 	return refs
 }
 
-func (l *Leases) appendWaiting(refs []wire.ItemRef, running *job, ref wire.ItemRef) []wire.ItemRef {
-	if _, leased := l.held[ref]; leased || running.finished.has(ref.Item) {
+func (l *Leases) appendQueued(refs []wire.ItemRef, running *job, ref wire.ItemRef) []wire.ItemRef {
+	if _, leased := l.leases[ref]; leased || running.finished.has(ref.Item) {
 		return refs
 	}
 	return append(refs, ref)
--- a/internal/jobstate/machine.go
+++ b/internal/jobstate/machine.go
@@ -1,12 +1,12 @@
-// Package jobstate is the replicated state machine of a job group: uploaded
-// files, jobs, item results and idempotency keys. It is pure: Apply depends on
-// the command alone, so that every replica reaches the same state.
+// Package jobstate is the replicated state machine of a job group: uploaded files, jobs, item results
+// and idempotency keys. It is deterministic: the result of Apply depends on the state and the command
+// only, so that all replicas reach the same state.
 //
-// Inputs and results live in storage. In memory a running job costs one bit per
-// item; an ended one costs its record only.
+// Input lines and results are kept in storage. In memory a job takes its record and, while it runs, one
+// bit per item.
 //
 // Invariants:
-//   - a job's record and inputs never change once it has been accepted;
+//   - the content of a job and its input lines never change once the job has been accepted;
 //   - an item has at most one result, the first that was committed;
 //   - a job that has ended accepts no result;
 //   - one pair of tenant and idempotency key names at most one job.
@@ -22,42 +22,44 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// Machine is the state of one job group.
+// Machine holds the state of one job group: files and jobs by id.
 type Machine struct {
-	group     int
-	sequence  uint64
-	files     map[string]*wire.FileRecord
-	jobs      map[string]*job
-	running   map[string]*job
-	keys      map[idempotencyKey]string
+	group    int
+	sequence uint64
+	files    map[string]*wire.FileRecord
+	jobs     map[string]*job
+	running  map[string]*job
+	// jobIDs holds the job ids by idempotency key.
+	jobIDs map[idempotencyKey]string
+	// mutations are the storage changes of the command that is being applied.
 	mutations []storage.Mutation
 }
 
-// idempotencyKey names a job as its tenant does.
+// idempotencyKey identifies a job by the key that its tenant chose.
 type idempotencyKey struct {
 	tenant string
 	key    string
 }
 
-// job is a job's record with the items finished so far while it runs.
+// job holds a job's record and, while it runs, the set of its finished items.
 type job struct {
 	record   wire.JobRecord
 	finished bitmap
 }
 
-// New returns the empty state of the group with the given number.
+// New returns an empty state machine for the group with the given number.
 func New(group int) *Machine {
 	return &Machine{
 		group:   group,
 		files:   map[string]*wire.FileRecord{},
 		jobs:    map[string]*job{},
 		running: map[string]*job{},
-		keys:    map[idempotencyKey]string{},
+		jobIDs:  map[idempotencyKey]string{},
 	}
 }
 
-// Apply executes one encoded wire.JobCommand. It returns the encoded
-// wire.JobResult and the changes of stored state that go with it.
+// Apply executes one encoded wire.JobCommand. It returns the encoded wire.JobResult and the mutations
+// that the caller must commit to storage.
 func (m *Machine) Apply(encoded []byte) ([]byte, []storage.Mutation) {
 	m.mutations = nil
 	var command wire.JobCommand
@@ -119,7 +121,7 @@
 	m.put(key, value)
 }
 
-// Restore loads the state from storage, replacing what was there.
+// Restore replaces the state by the one in storage.
 func (m *Machine) Restore(reader storage.Reader) error {
 	*m = *New(m.group)
 	sequence, err := reader.Get(sequenceKey)
@@ -166,7 +168,7 @@
 		if record.State == wire.JobRunning {
 			m.running[record.ID] = restored
 		}
-		m.keys[idempotencyKey{record.Tenant, record.IdempotencyKey}] = record.ID
+		m.jobIDs[idempotencyKey{record.Tenant, record.IdempotencyKey}] = record.ID
 		return true
 	})
 	return errors.CombineErrors(err, decodeErr)
--- a/internal/jobstate/machine_test.go
+++ b/internal/jobstate/machine_test.go
@@ -12,7 +12,7 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// harness applies commands to a machine and its store, as a replica does.
+// harness applies commands to a machine and commits their mutations to a store, as a replica does.
 type harness struct {
 	machine *Machine
 	store   *storage.Memory
@@ -39,7 +39,7 @@
 	return result
 }
 
-func (h *harness) file(tenant, digest string, lines int) string {
+func (h *harness) uploadFile(tenant, digest string, lines int) string {
 	id := h.apply(&wire.JobCommand{BeginFile: &wire.BeginFileRequest{Tenant: tenant}}).File.File.ID
 	batch := make([]wire.BatchLine, lines)
 	for i := range batch {
@@ -50,56 +50,56 @@
 	return id
 }
 
-func (h *harness) create(tenant, key, file string) *wire.JobResult {
+func (h *harness) createJob(tenant, key, file string) *wire.JobResult {
 	return h.apply(&wire.JobCommand{CreateJob: &wire.CreateJobRequest{Tenant: tenant, IdempotencyKey: key, FileID: file, WindowMillis: 1 << 40, Rank: 5}})
 }
 
-func (h *harness) complete(job string, item uint32, text string) *wire.CompleteItemsResponse {
+func (h *harness) completeItem(job string, item uint32, text string) *wire.CompleteItemsResponse {
 	return h.apply(&wire.JobCommand{Complete: &wire.CompleteItemsRequest{Results: []wire.ItemResult{{JobID: job, Item: item, Text: text}}}}).Complete
 }
 
 func TestResentJobIsTheSameJob(t *testing.T) {
 	h := newHarness()
-	first := h.create("t", "k", h.file("t", "same", 3))
-	again := h.create("t", "k", h.file("t", "same", 3))
+	first := h.createJob("t", "k", h.uploadFile("t", "same", 3))
+	again := h.createJob("t", "k", h.uploadFile("t", "same", 3))
 	if again.Failure != nil || again.Job.Job.ID != first.Job.Job.ID || !again.Job.Repeated {
-		t.Errorf("a resend with equal content gave %+v", again)
+		t.Errorf("a resend with equal content returned %+v, want the first job, marked as repeated", again)
 	}
-	other := h.create("t", "k", h.file("t", "other", 3))
+	other := h.createJob("t", "k", h.uploadFile("t", "other", 3))
 	if other.Failure == nil || failure.Kind(other.Failure.Kind) != failure.Conflict {
-		t.Errorf("a resend with other content gave %+v", other)
+		t.Errorf("a resend with other content returned %+v, want a conflict", other)
 	}
-	if foreign := h.create("u", "k", h.file("u", "same", 3)); foreign.Job.Job.ID == first.Job.Job.ID {
-		t.Error("two tenants share a job")
+	if foreign := h.createJob("u", "k", h.uploadFile("u", "same", 3)); foreign.Job.Job.ID == first.Job.Job.ID {
+		t.Error("two tenants with the same key got the same job")
 	}
 }
 
 func TestFirstCompletionWins(t *testing.T) {
 	h := newHarness()
-	job := h.create("t", "k", h.file("t", "d", 2)).Job.Job.ID
-	if got := h.complete(job, 0, "first"); got.Accepted != 1 {
-		t.Fatalf("first completion: %+v", got)
+	job := h.createJob("t", "k", h.uploadFile("t", "d", 2)).Job.Job.ID
+	if got := h.completeItem(job, 0, "first"); got.Accepted != 1 {
+		t.Fatalf("the first completion returned %+v, want it accepted", got)
 	}
-	if got := h.complete(job, 0, "second"); got.Duplicates != 1 {
-		t.Fatalf("second completion: %+v", got)
+	if got := h.completeItem(job, 0, "second"); got.Duplicates != 1 {
+		t.Fatalf("the second completion returned %+v, want a duplicate", got)
 	}
 	page, err := ReadResults(h.store, &wire.ReadResultsRequest{JobID: job, Limit: 10})
 	if err != nil || len(page.Results) != 1 || page.Results[0].Text != "first" {
-		t.Errorf("results are %+v (%v)", page, err)
+		t.Errorf("the results are %+v (%v), want the text of the first completion", page, err)
 	}
 }
 
 func TestCancelledJobTakesNoResult(t *testing.T) {
 	h := newHarness()
-	job := h.create("t", "k", h.file("t", "d", 2)).Job.Job.ID
-	h.complete(job, 0, "kept")
+	job := h.createJob("t", "k", h.uploadFile("t", "d", 2)).Job.Job.ID
+	h.completeItem(job, 0, "kept")
 	h.apply(&wire.JobCommand{CancelJob: &wire.CancelJobRequest{JobID: job, Tenant: "t"}})
-	if got := h.complete(job, 1, "late"); got.Refused != 1 {
-		t.Errorf("a completion after the cancel: %+v", got)
+	if got := h.completeItem(job, 1, "late"); got.Refused != 1 {
+		t.Errorf("a completion after the cancellation returned %+v, want it refused", got)
 	}
 	page, err := ReadResults(h.store, &wire.ReadResultsRequest{JobID: job, Limit: 10})
 	if err != nil || len(page.Results) != 1 {
-		t.Errorf("results after the cancel: %+v (%v)", page, err)
+		t.Errorf("the results after the cancellation are %+v (%v), want one", page, err)
 	}
 }
 
@@ -109,32 +109,32 @@
 	chunk := &wire.AppendFileRequest{FileID: id, Tenant: "t", Lines: make([]wire.BatchLine, 4)}
 	for range 3 {
 		if got := h.apply(&wire.JobCommand{AppendFile: chunk}); got.File.File.Lines != 4 {
-			t.Fatalf("after a resend the file has %d lines", got.File.File.Lines)
+			t.Fatalf("after a resend the file has %d lines, want 4", got.File.File.Lines)
 		}
 	}
 	gap := &wire.AppendFileRequest{FileID: id, Tenant: "t", FirstLine: 9, Lines: make([]wire.BatchLine, 1)}
 	if got := h.apply(&wire.JobCommand{AppendFile: gap}); got.Failure == nil {
-		t.Error("a gap in the lines was accepted")
+		t.Error("a chunk that leaves a gap in the lines was accepted")
 	}
 }
 
 func TestExpiryEndsJobsAndStaleUploads(t *testing.T) {
 	h := newHarness()
-	job := h.create("t", "k", h.file("t", "d", 2)).Job.Job.ID
+	job := h.createJob("t", "k", h.uploadFile("t", "d", 2)).Job.Job.ID
 	h.apply(&wire.JobCommand{BeginFile: &wire.BeginFileRequest{Tenant: "t"}})
 	h.now = 1 << 41
 	if !h.machine.ExpiryDue(h.now) {
-		t.Fatal("nothing is due")
+		t.Fatal("ExpiryDue is false after the deadline of the job")
 	}
 	h.apply(&wire.JobCommand{Expire: true})
 	record, err := h.machine.Job("t", job)
 	if err != nil || record.State != wire.JobExpired || h.machine.ExpiryDue(h.now) {
-		t.Errorf("after expiry: %+v (%v)", record, err)
+		t.Errorf("the job is %+v (%v) after expiry, want it expired and nothing due", record, err)
 	}
 }
 
-// TestRandomCommands compares the machine with a model: a set of finished items
-// per job, the first text of each, and whether the job was cancelled.
+// TestRandomCommands compares the machine, and a copy restored from storage, with a model that holds
+// for each job the first text of each finished item and whether the job was cancelled.
 func TestRandomCommands(t *testing.T) {
 	type model struct {
 		items     int
@@ -148,7 +148,7 @@
 		for step := 0; step < 150; step++ {
 			if len(ids) == 0 || random.Intn(12) == 0 {
 				items := 1 + random.Intn(70)
-				id := h.create("t", fmt.Sprint(step), h.file("t", fmt.Sprint(step), items)).Job.Job.ID
+				id := h.createJob("t", fmt.Sprint(step), h.uploadFile("t", fmt.Sprint(step), items)).Job.Job.ID
 				jobs[id] = &model{items: items, texts: map[uint32]string{}}
 				ids = append(ids, id)
 				continue
@@ -162,7 +162,7 @@
 			}
 			item, text := uint32(random.Intn(job.items)), fmt.Sprint(step)
 			_, known := job.texts[item]
-			accepted := h.complete(id, item, text).Accepted == 1
+			accepted := h.completeItem(id, item, text).Accepted == 1
 			if want := !known && !job.cancelled; accepted != want {
 				return fmt.Errorf("step %d: accepted %t, want %t", step, accepted, want)
 			}
@@ -185,7 +185,7 @@
 					return fmt.Errorf("job %s is %+v", id, record)
 				}
 				if found := machine.jobs[id]; found.finished != nil && int(found.finished.count()) != len(job.texts) {
-					return fmt.Errorf("job %s has %d bits set", id, found.finished.count())
+					return fmt.Errorf("the bitmap of job %s has %d finished items", id, found.finished.count())
 				}
 			}
 			page, err := ReadResults(h.store, &wire.ReadResultsRequest{JobID: id, Limit: 1000})
@@ -194,7 +194,7 @@
 			}
 			for _, result := range page.Results {
 				if job.texts[result.Item] != result.Text {
-					return fmt.Errorf("item %d of %s was overwritten", result.Item, id)
+					return fmt.Errorf("the result of item %d of job %s was overwritten", result.Item, id)
 				}
 			}
 		}
@@ -206,8 +206,8 @@
 
 func TestLeasesHandOutEachItemOnce(t *testing.T) {
 	h := newHarness()
-	h.create("t", "k", h.file("t", "d", 20))
-	h.create("u", "k", h.file("u", "d", 20))
+	h.createJob("t", "k", h.uploadFile("t", "d", 20))
+	h.createJob("u", "k", h.uploadFile("u", "d", 20))
 	now := time.UnixMilli(h.now)
 	leases := NewLeases(h.machine, time.Second, 0, now)
 	first := leases.Grant(now, "a", 1, 16, models)
@@ -217,47 +217,47 @@
 		tenants[record.Tenant]++
 	}
 	if tenants["t"] != 8 || tenants["u"] != 8 {
-		t.Errorf("the tenants got %v of 16 items", tenants)
+		t.Errorf("the tenants got %v of 16 items, want 8 each", tenants)
 	}
 	seen := map[wire.ItemRef]bool{}
 	for _, ref := range append(first, leases.Grant(now, "b", 1, 100, models)...) {
 		if seen[ref] {
-			t.Errorf("item %v was handed out twice", ref)
+			t.Errorf("item %v was granted twice", ref)
 		}
 		seen[ref] = true
 	}
 	if len(seen) != 40 {
-		t.Errorf("%d of 40 items were handed out", len(seen))
+		t.Errorf("%d of 40 items were granted", len(seen))
 	}
 	if other := leases.Grant(now, "c", 1, 10, []string{"other"}); len(other) != 0 {
-		t.Errorf("items of another model were handed out: %v", other)
+		t.Errorf("items of another model were granted: %v", other)
 	}
 }
 
 func TestLeasesReturnAndStop(t *testing.T) {
 	h := newHarness()
-	job := h.create("t", "k", h.file("t", "d", 3)).Job.Job.ID
+	job := h.createJob("t", "k", h.uploadFile("t", "d", 3)).Job.Job.ID
 	now := time.UnixMilli(h.now)
 	leases := NewLeases(h.machine, time.Second, 0, now)
 	held := leases.Grant(now, "a", 1, 3, models)
 	if stop := leases.Renew(now, "a", 1, held); len(stop) != 0 {
-		t.Errorf("renewal stopped %v", stop)
+		t.Errorf("the renewal by the holder stopped %v", stop)
 	}
 	if stop := leases.Renew(now, "b", 1, held); len(stop) != 3 {
-		t.Errorf("another holder could renew: %v", stop)
+		t.Errorf("a renewal by another holder stopped %v, want all 3 items", stop)
 	}
 	leases.Renew(now, "a", 1, held[:1])
 	if again := leases.Grant(now, "b", 1, 3, models); len(again) != 2 {
-		t.Errorf("%d items came back, want 2", len(again))
+		t.Errorf("%d items were granted again after the renewal of one, want 2", len(again))
 	}
 	later := now.Add(2 * time.Second)
 	leases.Expire(later)
 	if again := leases.Grant(later, "c", 1, 3, models); len(again) != 3 {
-		t.Errorf("%d items came back after expiry, want 3", len(again))
+		t.Errorf("%d items were granted again after expiry, want 3", len(again))
 	}
 	h.apply(&wire.JobCommand{CancelJob: &wire.CancelJobRequest{JobID: job, Tenant: "t"}})
 	if stop := leases.Renew(later, "c", 1, held); len(stop) != 3 {
-		t.Errorf("a cancelled job's items go on: %d stopped", len(stop))
+		t.Errorf("%d items of a cancelled job were stopped, want 3", len(stop))
 	}
 }
 
@@ -269,7 +269,7 @@
 	}
 	for _, id := range []string{"", "batch", "batch-3-17", "batch-g0-1", "batch-gx-1", "batch-g1-1-1"} {
 		if _, err := GroupOf(id); err == nil {
-			t.Errorf("GroupOf(%q) is no error", id)
+			t.Errorf("GroupOf(%q) returned no error", id)
 		}
 	}
 }
--- a/internal/jobstate/read.go
+++ b/internal/jobstate/read.go
@@ -7,7 +7,7 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// ReadLine returns one parsed input line.
+// ReadLine returns an input line of a file.
 func ReadLine(reader storage.Reader, fileID string, line uint32) (wire.BatchLine, error) {
 	var parsed wire.BatchLine
 	value, err := reader.Get(lineKey(fileID, line))
@@ -21,7 +21,7 @@
 	return parsed, err
 }
 
-// ReadLines returns up to limit parsed input lines, beginning at from.
+// ReadLines returns up to limit input lines of a file, beginning at line from.
 func ReadLines(reader storage.Reader, fileID string, from uint32, limit int) ([]wire.BatchLine, error) {
 	var lines []wire.BatchLine
 	var decodeErr error
@@ -37,7 +37,8 @@
 	return lines, errors.CombineErrors(err, decodeErr)
 }
 
-// ReadResults returns up to request.Limit results in the order of the items.
+// ReadResults returns up to request.Limit results in the order of the items: the failed ones if
+// request.Failed is set, the succeeded ones otherwise.
 func ReadResults(reader storage.Reader, request *wire.ReadResultsRequest) (*wire.ReadResultsResponse, error) {
 	response := &wire.ReadResultsResponse{Done: true, Next: request.From}
 	var decodeErr error
