--- a/internal/metastate/assignment.go
+++ b/internal/metastate/assignment.go
@@ -5,8 +5,8 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// assign records assignments, each under a new epoch, and forgets workers that
-// are gone. The epoch counter is kept, so that it never falls.
+// assign stores the assignments, each with a new epoch, and removes those of the workers to forget. The
+// epoch counter stays when an assignment is removed, so that a worker's epoch never decreases.
 func (m *Machine) assign(command *wire.AssignCommand) []wire.Assignment {
 	assigned := make([]wire.Assignment, 0, len(command.Assignments))
 	for _, assignment := range command.Assignments {
@@ -24,13 +24,13 @@
 	return assigned
 }
 
-// Assignments returns the assignments by worker. The map must not be changed.
+// Assignments returns the assignments by worker. The caller must not change the map.
 func (m *Machine) Assignments() map[string]wire.Assignment { return m.assignments }
 
-// Epoch returns the highest fencing epoch given out so far.
+// Epoch returns the highest fencing epoch that was assigned.
 func (m *Machine) Epoch() uint64 { return m.epoch }
 
-// AssignmentsOf returns a dispatcher's workers, by name.
+// AssignmentsOf returns the assignments of a dispatcher, sorted by the worker's name.
 func (m *Machine) AssignmentsOf(dispatcher string) []wire.Assignment {
 	var owned []wire.Assignment
 	for _, assignment := range m.SortedAssignments() {
@@ -41,7 +41,7 @@
 	return owned
 }
 
-// SortedAssignments returns all assignments, by the worker's name.
+// SortedAssignments returns all assignments, sorted by the worker's name.
 func (m *Machine) SortedAssignments() []wire.Assignment {
 	assignments := make([]wire.Assignment, 0, len(m.assignments))
 	for _, worker := range sortedNames(m.assignments) {
--- a/internal/metastate/documents.go
+++ b/internal/metastate/documents.go
@@ -13,51 +13,50 @@
 
 // Kinds of configuration documents.
 const (
-	// KindTemplate declares the parameters that tenants made from it have.
+	// KindTemplate is a template: it declares the parameters of the tenants that name it.
 	KindTemplate = "template"
-	// KindTenant is a tenant with its values and its callers' keys.
+	// KindTenant is a tenant with its parameter values and the keys of its callers.
 	KindTenant = "tenant"
 	// KindOperator is an operator with its keys.
 	KindOperator = "operator"
-	// KindDrain names a daemon or worker that takes no new work.
+	// KindDrain marks a daemon or worker that gets no new work.
 	KindDrain = "drain"
 )
 
-// Key is a caller's or operator's key as it is kept: only its digest.
+// Key is the stored form of a caller's or operator's key. The key itself is not stored.
 type Key struct {
 	ID string `json:"id"`
-	// SHA256 is the digest of the whole key in hexadecimal.
+	// SHA256 is the digest of the key in hexadecimal.
 	SHA256 string `json:"sha256"`
 }
 
-// Template declares parameters by name. The names and types are those of
-// TenantSpec; a parameter that the template leaves out has the system's default
-// and can't be set by a tenant.
+// Template declares parameters by name. The names and types are those of TenantSpec. A parameter that
+// the template doesn't declare has the value of DefaultTenantSpec and can't be set by a tenant.
 type Template struct {
 	Description string               `json:"description,omitempty"`
 	Parameters  map[string]Parameter `json:"parameters"`
 }
 
-// Parameter declares the default of one parameter and what a tenant may set.
+// Parameter declares the default of a parameter and the values that a tenant may set.
 type Parameter struct {
 	Default json.RawMessage `json:"default,omitempty"`
-	// Required makes every tenant give a value.
+	// Required means that every tenant must set a value.
 	Required bool `json:"required,omitempty"`
-	// Fixed forbids tenants to give a value.
+	// Fixed means that no tenant may set a value.
 	Fixed bool `json:"fixed,omitempty"`
-	// Minimum and Maximum bound integers, and durations in their unit.
+	// Minimum and Maximum bound integers and durations; for a duration they are durations too.
 	Minimum json.RawMessage `json:"minimum,omitempty"`
 	Maximum json.RawMessage `json:"maximum,omitempty"`
-	// Allowed lists what string lists may hold; empty allows everything.
+	// Allowed lists the strings that a string list may contain; empty allows all.
 	Allowed []string `json:"allowed,omitempty"`
 }
 
-// Tenant is a tenant made from a template.
+// Tenant holds a tenant's template, parameter values and keys.
 type Tenant struct {
 	Template string                     `json:"template"`
 	Values   map[string]json.RawMessage `json:"values,omitempty"`
 	Keys     []Key                      `json:"keys"`
-	// Disabled refuses all work of the tenant.
+	// Disabled means that all requests and jobs of the tenant are rejected.
 	Disabled bool `json:"disabled,omitempty"`
 }
 
@@ -66,7 +65,7 @@
 	Keys []Key `json:"keys"`
 }
 
-// Drain marks the daemon or worker that bears the document's name.
+// Drain marks the daemon or worker with the document's name as draining.
 type Drain struct {
 	Reason string `json:"reason,omitempty"`
 }
@@ -75,8 +74,8 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
 
-// CheckDocument checks one document by itself and returns its canonical body.
-// Deleted documents carry no body.
+// CheckDocument validates a document without regard to others and returns its canonical body, which is
+// nil for a deleted document.
 func CheckDocument(document wire.Document) ([]byte, error) {
 	path := document.Kind + "/" + document.Name
 	if !namePattern.MatchString(document.Name) {
@@ -95,10 +94,10 @@
 	return json.Marshal(target)
 }
 
-// body is the typed content of a document.
-type body interface{ check(path string) error }
+// documentBody is the decoded documentBody of a document.
+type documentBody interface{ check(path string) error }
 
-func newBody(kind, path string) (body, error) {
+func newBody(kind, path string) (documentBody, error) {
 	switch kind {
 	case KindTemplate:
 		return &Template{}, nil
@@ -128,7 +127,7 @@
 			return err
 		}
 	}
-	// A template whose defaults contradict one another could make no tenant.
+	// A template whose defaults aren't valid can't be resolved for any tenant.
 	_, err := resolve(path, t, nil, true)
 	return err
 }
@@ -180,7 +179,7 @@
 	return nil
 }
 
-// ParseDuration parses a duration of a document or settings file.
+// ParseDuration parses the JSON form of a duration in a document or settings file, such as "250ms".
 func ParseDuration(raw json.RawMessage) (settings.Duration, error) {
 	var duration settings.Duration
 	err := json.Unmarshal(raw, &duration)
--- a/internal/metastate/machine.go
+++ b/internal/metastate/machine.go
@@ -1,12 +1,12 @@
-// Package metastate is the replicated state machine of the meta group: the
-// configuration with its revisions and history, and the assignment of workers
-// to dispatchers with fencing epochs. It is pure.
+// Package metastate is the replicated state machine of the meta group: the configuration with its
+// revisions and history, and the assignment of workers to dispatchers with fencing epochs. It is
+// deterministic: the result of Apply depends on the state and the command only.
 //
 // Invariants:
-//   - revisions grow by one with every accepted change and never repeat;
-//   - a change id is accepted at most once, and a resend gets the first answer;
-//   - a worker's epoch never falls, and no two assignments share one;
-//   - every tenant in force resolves against its template.
+//   - every accepted change increases the revision by one;
+//   - a change id is accepted at most once, and a resend is answered with the revision of the first;
+//   - a worker's epoch never decreases, and no two assignments have the same epoch;
+//   - every tenant that is not deleted can be resolved with its template.
 package metastate
 
 import (
@@ -22,11 +22,11 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// historyLimit is the number of changes whose ids and digests are kept; at the
-// target's 1,700 changes a day that is more than five days.
+// historyLimit is the number of changes whose ids and digests are kept. At the target of 1,700 changes
+// a day, this is more than five days in which a change may be resent.
 const historyLimit = 10_000
 
-// documentKey names a document.
+// documentKey identifies a document.
 type documentKey struct {
 	kind string
 	name string
@@ -34,19 +34,20 @@
 
 func (k documentKey) String() string { return k.kind + "/" + k.name }
 
-// Machine is the state of the meta group.
+// Machine holds the state of the meta group.
 type Machine struct {
 	revision    uint64
 	documents   map[documentKey]wire.Document
 	changes     map[string]*wire.Change
 	history     []*wire.Change
 	assignments map[string]wire.Assignment
-	// epoch is the highest fencing epoch given out so far.
-	epoch     uint64
+	// epoch is the highest fencing epoch that was assigned.
+	epoch uint64
+	// mutations are the storage changes of the command that is being applied.
 	mutations []storage.Mutation
 }
 
-// New returns the empty state.
+// New returns an empty state machine.
 func New() *Machine {
 	return &Machine{
 		documents:   map[documentKey]wire.Document{},
@@ -55,8 +56,8 @@
 	}
 }
 
-// Apply executes one encoded wire.MetaCommand. It returns the encoded
-// wire.MetaResult and the changes of stored state that go with it.
+// Apply executes one encoded wire.MetaCommand. It returns the encoded wire.MetaResult and the
+// mutations that the caller must commit to storage.
 func (m *Machine) Apply(encoded []byte) ([]byte, []storage.Mutation) {
 	m.mutations = nil
 	var command wire.MetaCommand
@@ -99,7 +100,7 @@
 	if request.ExpectedRevision != m.revision {
 		return nil, failure.New(failure.Conflict, "read the current revision, look at what changed, and apply again", "the change is based on revision %d, the current one is %d", request.ExpectedRevision, m.revision)
 	}
-	next, err := m.checkDocuments(request.Documents)
+	canonical, err := m.checkDocuments(request.Documents)
 	if err != nil {
 		return nil, err
 	}
@@ -111,17 +112,17 @@
 		Operator: request.Operator,
 		AtMillis: now,
 	}
-	for _, document := range next {
+	for _, document := range canonical {
 		document.Revision = m.revision
 		m.putDocument(document)
 		change.Documents = append(change.Documents, document.Kind+"/"+document.Name)
 	}
-	m.remember(change)
+	m.recordChange(change)
 	return &wire.ApplyResponse{Revision: m.revision}, nil
 }
 
-// changeDigest identifies a change's content. The revision it is based on is
-// part of it: the same documents on another base are another change.
+// changeDigest identifies the content of a change. The expected revision is part of it: the same
+// documents based on another revision are another change.
 func changeDigest(request *wire.ApplyRequest) string {
 	hash := sha256.New()
 	fmt.Fprintf(hash, "%d\n", request.ExpectedRevision)
@@ -131,37 +132,37 @@
 	return hex.EncodeToString(hash.Sum(nil))
 }
 
-// checkDocuments returns the documents in canonical form if the configuration
-// with them is valid as a whole.
+// checkDocuments returns the documents in canonical form, or an error if one of them or the
+// configuration with them is not valid.
 func (m *Machine) checkDocuments(documents []wire.Document) ([]wire.Document, error) {
 	if len(documents) == 0 {
 		return nil, failure.New(failure.BadRequest, "send at least one document", "the change is empty").WithField("documents")
 	}
-	next := make([]wire.Document, 0, len(documents))
+	checked := make([]wire.Document, 0, len(documents))
 	overlay := map[documentKey]wire.Document{}
 	for _, document := range documents {
 		key := documentKey{document.Kind, document.Name}
-		if _, twice := overlay[key]; twice {
+		if _, repeated := overlay[key]; repeated {
 			return nil, failure.New(failure.BadRequest, "send each document once", "%s stands twice in the change", key).WithField(key.String())
 		}
-		canonical, err := CheckDocument(document)
+		body, err := CheckDocument(document)
 		if err != nil {
 			return nil, err
 		}
 		if current := m.documents[key]; document.Deleted && (current.Body == nil) {
 			return nil, failure.New(failure.NotFound, "check the name", "there is no %s", key).WithField(key.String())
 		}
-		document.Body = canonical
+		document.Body = body
 		overlay[key] = document
-		next = append(next, document)
+		checked = append(checked, document)
 	}
-	return next, m.checkReferences(overlay)
+	return checked, m.checkReferences(overlay)
 }
 
-// checkReferences resolves every tenant that the overlay touches, by itself or
-// through its template.
+// checkReferences checks that every tenant affected by the overlay can be resolved: those in the
+// overlay and, if a template is in the overlay, all others.
 func (m *Machine) checkReferences(overlay map[documentKey]wire.Document) error {
-	for _, key := range m.tenantsTouched(overlay) {
+	for _, key := range m.affectedTenants(overlay) {
 		document := m.lookup(overlay, key)
 		var tenant Tenant
 		if err := json.Unmarshal(document.Body, &tenant); err != nil {
@@ -183,25 +184,25 @@
 	return nil
 }
 
-func (m *Machine) tenantsTouched(overlay map[documentKey]wire.Document) []documentKey {
-	templateTouched := false
-	touched := map[string]bool{}
+func (m *Machine) affectedTenants(overlay map[documentKey]wire.Document) []documentKey {
+	templateChanged := false
+	affected := map[string]bool{}
 	for key, document := range overlay {
-		templateTouched = templateTouched || key.kind == KindTemplate
+		templateChanged = templateChanged || key.kind == KindTemplate
 		if key.kind == KindTenant && !document.Deleted {
-			touched[key.name] = true
+			affected[key.name] = true
 		}
 	}
-	if templateTouched {
+	if templateChanged {
 		for key, document := range m.documents {
 			_, replaced := overlay[key]
 			if key.kind == KindTenant && !document.Deleted && !replaced {
-				touched[key.name] = true
+				affected[key.name] = true
 			}
 		}
 	}
 	var keys []documentKey
-	for _, name := range sortedNames(touched) {
+	for _, name := range sortedNames(affected) {
 		keys = append(keys, documentKey{KindTenant, name})
 	}
 	return keys
@@ -214,7 +215,7 @@
 	return m.documents[key]
 }
 
-func (m *Machine) remember(change *wire.Change) {
+func (m *Machine) recordChange(change *wire.Change) {
 	m.changes[change.ChangeID] = change
 	m.history = append(m.history, change)
 	m.putMessage(changeKey(change.Revision), change)
--- a/internal/metastate/machine_test.go
+++ b/internal/metastate/machine_test.go
@@ -13,7 +13,7 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// apply runs a command as a replica does.
+// apply applies a command and commits its mutations, as a replica does.
 func apply(t interface{ Fatal(...any) }, machine *Machine, store *storage.Memory, command *wire.MetaCommand) *wire.MetaResult {
 	encoded, err := command.MarshalMsg(nil)
 	if err != nil {
@@ -41,20 +41,20 @@
 func TestOperatorsRaceWithEqualRevisions(t *testing.T) {
 	machine, store := New(), storage.NewMemory()
 	if first := apply(t, machine, store, drain("a", 0, "x")); first.Failure != nil || first.Apply.Revision != 1 {
-		t.Fatalf("the first change gave %+v", first)
+		t.Fatalf("the first change returned %+v, want revision 1", first)
 	}
 	if second := apply(t, machine, store, drain("b", 0, "y")); second.Failure == nil || failure.Kind(second.Failure.Kind) != failure.Conflict {
-		t.Errorf("the second change on one revision gave %+v", second)
+		t.Errorf("a second change based on the same revision returned %+v, want a conflict", second)
 	}
 	apply(t, machine, store, drain("c", 1, "z"))
 	if resent := apply(t, machine, store, drain("a", 0, "x")); resent.Failure != nil || resent.Apply.Revision != 1 || !resent.Apply.Repeated {
-		t.Errorf("a resend gave %+v", resent)
+		t.Errorf("a resend returned %+v, want revision 1, marked as repeated", resent)
 	}
 	if other := apply(t, machine, store, drain("a", 2, "other")); other.Failure == nil || failure.Kind(other.Failure.Kind) != failure.Conflict {
-		t.Errorf("an equal id with other content gave %+v", other)
+		t.Errorf("a change with a used id and other content returned %+v, want a conflict", other)
 	}
 	if machine.Revision() != 2 {
-		t.Errorf("the revision is %d", machine.Revision())
+		t.Errorf("the revision is %d, want 2", machine.Revision())
 	}
 }
 
@@ -73,11 +73,11 @@
 		return apply(t, machine, store, &wire.MetaCommand{Apply: &wire.ApplyRequest{ChangeID: id, ExpectedRevision: revision, Documents: documents}})
 	}
 	if got := change("a", 0, document(KindTenant, "t", tenant), document(KindTemplate, "school", template)); got.Failure != nil {
-		t.Fatalf("template and tenant in one change: %v", got.Failure.Err())
+		t.Fatalf("a change with a template and its tenant was rejected: %v", got.Failure.Err())
 	}
 	template.Parameters["online_rank"] = Parameter{Maximum: json.RawMessage(`7`)}
 	if got := change("b", 1, document(KindTemplate, "school", template)); got.Failure == nil {
-		t.Error("a template was tightened below a tenant's value")
+		t.Error("a template whose maximum is below the value of a tenant was accepted")
 	}
 }
 
@@ -92,7 +92,7 @@
 				result := apply(t, machine, store, &wire.MetaCommand{Assign: &wire.AssignCommand{Assignments: []wire.Assignment{{Worker: worker, Dispatcher: "d"}}}})
 				epoch := result.Assignments[0].Epoch
 				if epochs[epoch] || epoch != machine.Epoch() {
-					return fmt.Errorf("epoch %d was given twice", epoch)
+					return fmt.Errorf("epoch %d was assigned twice or is not the highest", epoch)
 				}
 				epochs[epoch] = true
 				continue
@@ -105,7 +105,7 @@
 			result := apply(t, machine, store, drain(id, revision, fmt.Sprint("n", number)))
 			switch {
 			case result.Failure != nil && machine.Revision() != before:
-				return fmt.Errorf("a refused change moved the revision")
+				return fmt.Errorf("a rejected change altered the revision")
 			case result.Failure != nil:
 			case known && result.Apply.Revision != first:
 				return fmt.Errorf("change %s has revisions %d and %d", id, first, result.Apply.Revision)
--- a/internal/metastate/read.go
+++ b/internal/metastate/read.go
@@ -6,11 +6,12 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// Revision returns the number of the latest accepted change.
+// Revision returns the revision of the latest accepted change.
 func (m *Machine) Revision() uint64 { return m.revision }
 
-// ChangedSince returns the documents changed after the revision known, deleted ones
-// included, or nil if there are none.
+// ChangedSince returns the documents that were changed after the known revision, with the deleted ones,
+// or nil if there are none. For revision zero it returns the full configuration without the deleted
+// documents.
 func (m *Machine) ChangedSince(known uint64) *wire.ConfigDelta {
 	if known >= m.revision {
 		return nil
@@ -26,7 +27,7 @@
 	return delta
 }
 
-// Documents returns the documents in force; empty kind or name means all.
+// Documents returns the current documents of the kind and name; an empty kind or name matches all.
 func (m *Machine) Documents(kind, name string) []wire.Document {
 	var found []wire.Document
 	for key, document := range m.documents {
--- a/internal/metastate/store.go
+++ b/internal/metastate/store.go
@@ -39,15 +39,15 @@
 	m.put(key, value)
 }
 
-// putDocument keeps a deleted document as a marker, so that a daemon that knew
-// it learns of the deletion however many revisions it has missed.
+// putDocument stores a document. A deleted document stays as a tombstone, so that a daemon that has it
+// gets the deletion, however many revisions it has missed.
 func (m *Machine) putDocument(document wire.Document) {
 	key := documentKey{document.Kind, document.Name}
 	m.documents[key] = document
 	m.putMessage(append(append([]byte{}, documentPrefix...), key.String()...), &document)
 }
 
-// Restore loads the state from storage, replacing what was there.
+// Restore replaces the state by the one in storage.
 func (m *Machine) Restore(reader storage.Reader) error {
 	*m = *New()
 	epoch, err := reader.Get(epochKey)
@@ -76,7 +76,7 @@
 	})
 }
 
-// restoreEach decodes every value under the prefix, in the order of the keys.
+// restoreEach decodes every value whose key begins with prefix and calls accept, in the order of keys.
 func restoreEach[Message any, Pointer interface {
 	*Message
 	msgp.Unmarshaler
--- a/internal/metastate/tenant.go
+++ b/internal/metastate/tenant.go
@@ -10,27 +10,28 @@
 	"github.com/sedgemast/sedgemast/internal/settings"
 )
 
-// TenantSpec is what a tenant may do, worked out from its template and values.
+// TenantSpec holds a tenant's limits and defaults, resolved from its template and values.
 type TenantSpec struct {
 	// Models and Adapters are the names that requests may use.
 	Models   []string `json:"models"`
 	Adapters []string `json:"adapters"`
-	// OnlineRank and BatchRank order tenants' work within its class, 1 to 10.
+	// OnlineRank and BatchRank order the tenant's online and batch work relative to other work of the
+	// same class, from 1 to 10.
 	OnlineRank int `json:"online_rank"`
 	BatchRank  int `json:"batch_rank"`
-	// OnlineDeadline bounds an online request that names no deadline.
+	// OnlineDeadline is the time limit of online requests that set none.
 	OnlineDeadline settings.Duration `json:"online_deadline"`
-	// BatchWindow is the deadline of jobs that name none.
+	// BatchWindow is the time limit of jobs that set none.
 	BatchWindow settings.Duration `json:"batch_window"`
-	// RequestsPerSecond and Concurrency limit online requests over the fleet.
+	// RequestsPerSecond and Concurrency limit the tenant's online requests in the whole fleet.
 	RequestsPerSecond int `json:"requests_per_second"`
 	Concurrency       int `json:"concurrency"`
-	// MaxTokens bounds the answer to one request.
+	// MaxTokens bounds the number of generated tokens of a request.
 	MaxTokens int `json:"max_tokens"`
-	// RunningJobs bounds the tenant's jobs that have not ended.
+	// RunningJobs bounds the number of the tenant's running jobs.
 	RunningJobs int `json:"running_jobs"`
-	// ReservePercent is the share of a worker's slots that batch work leaves
-	// free for bursts: more protects the online tail, less raises throughput.
+	// ReservePercent is the share of a worker's slots that batch work leaves free for bursts of online
+	// requests. A higher share lowers their tail latency, a lower one raises batch throughput.
 	ReservePercent int `json:"reserve_percent"`
 }
 
@@ -54,7 +55,8 @@
 	"reserve_percent":     typeInteger,
 }
 
-// DefaultTenantSpec returns the values of parameters that no template sets.
+// DefaultTenantSpec returns the values of parameters for which neither the template nor the tenant sets
+// one.
 func DefaultTenantSpec() TenantSpec {
 	return TenantSpec{
 		OnlineRank:        5,
@@ -69,13 +71,14 @@
 	}
 }
 
-// Resolve works out the specification of a tenant.
+// Resolve returns the specification of a tenant. Errors name the fields below path.
 func Resolve(path string, template *Template, tenant *Tenant) (TenantSpec, error) {
 	return resolve(path, template, tenant.Values, false)
 }
 
-// resolve merges defaults and values; with draft set, required values may lack.
-func resolve(path string, template *Template, values map[string]json.RawMessage, draft bool) (TenantSpec, error) {
+// resolve merges the template's defaults with values. With allowMissing set, required values may be missing,
+// as when a template is checked by itself.
+func resolve(path string, template *Template, values map[string]json.RawMessage, allowMissing bool) (TenantSpec, error) {
 	for _, name := range sortedNames(values) {
 		parameter, declared := template.Parameters[name]
 		valuePath := path + ".values." + name
@@ -92,7 +95,7 @@
 		switch {
 		case given:
 			merged[name] = value
-		case parameter.Required && !draft:
+		case parameter.Required && !allowMissing:
 			return TenantSpec{}, invalid(path+".values."+name, "give it a value", "the template requires %q", name)
 		case parameter.Default != nil:
 			merged[name] = parameter.Default
@@ -109,16 +112,16 @@
 	return spec, spec.check(path)
 }
 
-// integerBounds are the system's own bounds, whatever a template says.
+// integerBounds bound a parameter's value for all templates.
 type integerBounds struct{ minimum, maximum int }
 
 const (
-	maxRank        = 10
-	maxRate        = 100_000
-	maxConcurrency = 100_000
-	maxAnswer      = 1 << 20
-	maxJobs        = 10_000
-	maxReserve     = 90
+	maxRank              = 10
+	maxRequestsPerSecond = 100_000
+	maxConcurrency       = 100_000
+	maxAnswerTokens      = 1 << 20
+	maxRunningJobs       = 10_000
+	maxReservePercent    = 90
 )
 
 func (s *TenantSpec) check(path string) error {
@@ -129,11 +132,11 @@
 	}{
 		{"online_rank", s.OnlineRank, integerBounds{1, maxRank}},
 		{"batch_rank", s.BatchRank, integerBounds{1, maxRank}},
-		{"requests_per_second", s.RequestsPerSecond, integerBounds{1, maxRate}},
+		{"requests_per_second", s.RequestsPerSecond, integerBounds{1, maxRequestsPerSecond}},
 		{"concurrency", s.Concurrency, integerBounds{1, maxConcurrency}},
-		{"max_tokens", s.MaxTokens, integerBounds{1, maxAnswer}},
-		{"running_jobs", s.RunningJobs, integerBounds{0, maxJobs}},
-		{"reserve_percent", s.ReservePercent, integerBounds{0, maxReserve}},
+		{"max_tokens", s.MaxTokens, integerBounds{1, maxAnswerTokens}},
+		{"running_jobs", s.RunningJobs, integerBounds{0, maxRunningJobs}},
+		{"reserve_percent", s.ReservePercent, integerBounds{0, maxReservePercent}},
 	}
 	for _, check := range checks {
 		if check.value < check.bounds.minimum || check.value > check.bounds.maximum {
@@ -176,10 +179,10 @@
 	return nil
 }
 
-func checkBounds(path string, value, minimum, maximum json.RawMessage, shape string, parse func(json.RawMessage) (float64, error)) error {
+func checkBounds(path string, value, minimum, maximum json.RawMessage, expected string, parse func(json.RawMessage) (float64, error)) error {
 	parsed, err := parse(value)
 	if err != nil {
-		return invalid(path, "give "+shape, "%s is not %s", value, shape)
+		return invalid(path, "give "+expected, "%s is not %s", value, expected)
 	}
 	for _, bound := range []struct {
 		raw  json.RawMessage
@@ -191,7 +194,7 @@
 		}
 		limit, err := parse(bound.raw)
 		if err != nil {
-			return invalid(path, "give "+shape, "the %s %s is not %s", bound.word, bound.raw, shape)
+			return invalid(path, "give "+expected, "the %s %s is not %s", bound.word, bound.raw, expected)
 		}
 		if (parsed-limit)*bound.sign < 0 {
 			return invalid(path, "choose a value in the range", "%s is beyond the %s %s", value, bound.word, bound.raw)
