--- a/internal/storage/memory.go
+++ b/internal/storage/memory.go
@@ -7,17 +7,19 @@
 	"github.com/tidwall/btree"
 )
 
-// Memory is a Store in memory that loses, when it crashes, what was not synced.
-// It serves simulations and tests.
+// Memory is an in-memory Store for simulations and tests. Crash simulates the loss of commits that were
+// not synced.
 type Memory struct {
-	mutex    sync.Mutex
-	live     keySpace
-	durable  keySpace
+	mutex sync.Mutex
+	// live holds all commits, durable only the synced ones.
+	live    keySpace
+	durable keySpace
+	// unsynced holds the commits since the last synced one, in order.
 	unsynced [][]Mutation
 	syncs    uint64
 }
 
-// keySpace is an ordered map that is copied when it is written to after a clone.
+// keySpace is an ordered map. A clone shares its nodes until one of the two is written to.
 type keySpace struct {
 	tree *btree.Map[string, []byte]
 }
@@ -29,15 +31,15 @@
 	return &Memory{live: newKeySpace(), durable: newKeySpace()}
 }
 
-// Syncs returns how many synced commits there have been.
+// Syncs returns the number of synced commits.
 func (m *Memory) Syncs() uint64 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.syncs
 }
 
-// Crash returns the store as it is after a loss of power: the first keep of
-// the unsynced batches survive, the rest are gone.
+// Crash returns the store as a restart after a power loss finds it: with the synced batches and the
+// first keep of the unsynced ones.
 func (m *Memory) Crash(keep int) *Memory {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -47,7 +49,7 @@
 	return &Memory{live: m.durable.clone(), durable: m.durable.clone()}
 }
 
-// Unsynced returns the number of batches that a crash could lose.
+// Unsynced returns the number of batches that are not synced.
 func (m *Memory) Unsynced() int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -64,9 +66,9 @@
 // Scan implements Reader.
 func (m *Memory) Scan(lower, upper []byte, visit func(key, value []byte) bool) error {
 	m.mutex.Lock()
-	now := m.live.clone()
+	snapshot := m.live.clone()
 	m.mutex.Unlock()
-	now.scan(lower, upper, visit)
+	snapshot.scan(lower, upper, visit)
 	return nil
 }
 
@@ -74,9 +76,9 @@
 func (m *Memory) Commit(mutations []Mutation, sync bool) error {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	kept := cloneMutations(mutations)
-	m.live.apply(kept)
-	m.unsynced = append(m.unsynced, kept)
+	cloned := cloneMutations(mutations)
+	m.live.apply(cloned)
+	m.unsynced = append(m.unsynced, cloned)
 	if !sync {
 		return nil
 	}
@@ -99,14 +101,14 @@
 func (m *Memory) Close() error { return nil }
 
 func cloneMutations(mutations []Mutation) []Mutation {
-	kept := make([]Mutation, len(mutations))
+	cloned := make([]Mutation, len(mutations))
 	for i, mutation := range mutations {
-		kept[i] = mutation
-		kept[i].Key = bytes.Clone(mutation.Key)
-		kept[i].Value = bytes.Clone(mutation.Value)
-		kept[i].DeleteTo = bytes.Clone(mutation.DeleteTo)
+		cloned[i] = mutation
+		cloned[i].Key = bytes.Clone(mutation.Key)
+		cloned[i].Value = bytes.Clone(mutation.Value)
+		cloned[i].DeleteTo = bytes.Clone(mutation.DeleteTo)
 	}
-	return kept
+	return cloned
 }
 
 func (k *keySpace) clone() keySpace { return keySpace{tree: k.tree.Copy()} }
@@ -119,7 +121,7 @@
 	return append([]byte{}, value...)
 }
 
-// scan visits the pairs from lower to upper; a nil upper is the end.
+// scan visits the pairs from lower (inclusive) to upper (exclusive); a nil upper means no upper bound.
 func (k *keySpace) scan(lower, upper []byte, visit func(key, value []byte) bool) {
 	k.tree.Ascend(string(lower), func(key string, value []byte) bool {
 		if upper != nil && key >= string(upper) {
@@ -146,12 +148,12 @@
 }
 
 func (k *keySpace) remove(lower, upper []byte) {
-	var doomed []string
+	var keys []string
 	k.scan(lower, upper, func(key, _ []byte) bool {
-		doomed = append(doomed, string(key))
+		keys = append(keys, string(key))
 		return true
 	})
-	for _, key := range doomed {
+	for _, key := range keys {
 		k.tree.Delete(key)
 	}
 }
--- a/internal/storage/pebble.go
+++ b/internal/storage/pebble.go
@@ -9,52 +9,52 @@
 	"github.com/sedgemast/sedgemast/internal/failure"
 )
 
-// Disks may be small: what a store holds beside its data is bounded by these. A
-// logged write stands in the write-ahead log until its memtable is flushed, in two
-// memtables at most and in one log more that is kept for reuse; then in level 0,
-// and twice for the length of a compaction, of which one runs at a time.
+// These sizes bound the disk space that a store needs in addition to its data, because disks may be
+// small. A write stays in the write-ahead log until its memtable is flushed: there are at most two
+// memtables with their logs, and one more log file that is kept for reuse. Then the write is in level 0,
+// and it is stored twice during a compaction, of which one runs at a time.
 const (
 	cacheBytes    = 8 << 20
 	memtableBytes = 1 << 20
-	// baseBytes is the size of the first level below level 0, fileBytes that of
-	// its files; both grow from level to level.
-	baseBytes = 4 << 20
-	fileBytes = 512 << 10
-	// flushedTables is how many tables of level 0 start a compaction.
-	flushedTables = 2
-	// openFiles bounds the descriptors.
-	openFiles = 500
+	// baseLevelBytes is the size of the first level below level 0, fileBytes that of its files. Both
+	// sizes increase with each further level.
+	baseLevelBytes = 4 << 20
+	baseFileBytes  = 512 << 10
+	// level0Tables is the number of tables in level 0 at which a compaction starts.
+	level0Tables = 2
+	// maxOpenFiles bounds the number of file descriptors.
+	maxOpenFiles = 500
 )
 
-// Pebble is a Store on disk.
+// Pebble is a Store on disk, kept by a pebble database.
 type Pebble struct {
 	database *pebble.DB
 	cache    *pebble.Cache
 }
 
-// quietLogger keeps pebble's own messages out of the process's log.
-type quietLogger struct{}
+// discardLogger discards pebble's messages, except for fatal errors, at which it panics.
+type discardLogger struct{}
 
-func (quietLogger) Infof(string, ...any)  {}
-func (quietLogger) Errorf(string, ...any) {}
-func (quietLogger) Fatalf(format string, arguments ...any) {
+func (discardLogger) Infof(string, ...any)  {}
+func (discardLogger) Errorf(string, ...any) {}
+func (discardLogger) Fatalf(format string, arguments ...any) {
 	panic(errors.Newf(format, arguments...))
 }
 
-// OpenPebble opens the store in folder, which it makes if it is not there.
+// OpenPebble opens the store in folder, which is created if it does not exist.
 func OpenPebble(folder string, files vfs.FS) (*Pebble, error) {
 	cache := pebble.NewCache(cacheBytes)
 	options := &pebble.Options{
 		FS:           files,
 		Cache:        cache,
 		MemTableSize: memtableBytes,
-		Logger:       quietLogger{},
+		Logger:       discardLogger{},
 
-		L0CompactionThreshold: flushedTables,
-		LBaseMaxBytes:         baseBytes,
-		MaxOpenFiles:          openFiles,
+		L0CompactionThreshold: level0Tables,
+		LBaseMaxBytes:         baseLevelBytes,
+		MaxOpenFiles:          maxOpenFiles,
 	}
-	options.TargetFileSizes[0] = fileBytes
+	options.TargetFileSizes[0] = baseFileBytes
 	for i := range options.Levels {
 		options.Levels[i].Compression = func() *sstable.CompressionProfile { return sstable.ZstdCompression }
 	}
@@ -75,21 +75,21 @@
 }
 
 // Snapshot implements Store.
-func (p *Pebble) Snapshot() Snapshot { return pebbleView{snapshot: p.database.NewSnapshot()} }
+func (p *Pebble) Snapshot() Snapshot { return pebbleSnapshot{snapshot: p.database.NewSnapshot()} }
 
-// pebbleView is a View of a Pebble store.
-type pebbleView struct{ snapshot *pebble.Snapshot }
+// pebbleSnapshot is a Snapshot of a Pebble store.
+type pebbleSnapshot struct{ snapshot *pebble.Snapshot }
 
 // Get implements Reader.
-func (v pebbleView) Get(key []byte) ([]byte, error) { return get(v.snapshot, key) }
+func (v pebbleSnapshot) Get(key []byte) ([]byte, error) { return get(v.snapshot, key) }
 
 // Scan implements Reader.
-func (v pebbleView) Scan(lower, upper []byte, visit func(key, value []byte) bool) error {
+func (v pebbleSnapshot) Scan(lower, upper []byte, visit func(key, value []byte) bool) error {
 	return scan(v.snapshot, lower, upper, visit)
 }
 
-// Close implements View.
-func (v pebbleView) Close() error { return v.snapshot.Close() }
+// Close implements Snapshot.
+func (v pebbleSnapshot) Close() error { return v.snapshot.Close() }
 
 func get(from pebble.Reader, key []byte) ([]byte, error) {
 	value, closer, err := from.Get(key)
@@ -121,7 +121,7 @@
 	batch := p.database.NewBatch()
 	defer batch.Close()
 	for _, mutation := range mutations {
-		if err := stage(batch, mutation); err != nil {
+		if err := addToBatch(batch, mutation); err != nil {
 			return err
 		}
 	}
@@ -132,7 +132,7 @@
 	return batch.Commit(options)
 }
 
-func stage(batch *pebble.Batch, mutation Mutation) error {
+func addToBatch(batch *pebble.Batch, mutation Mutation) error {
 	switch {
 	case mutation.DeleteTo != nil:
 		return batch.DeleteRange(mutation.Key, mutation.DeleteTo, nil)
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -1,9 +1,8 @@
-// Package storage keeps the log and the state of replicated groups in one
-// ordered key space. A write whose Sync is set has returned only once it
-// survives the loss of the process and of power.
+// Package storage stores the logs and the state of replicated groups in one ordered key space. A synced
+// commit returns only when it will survive a crash of the process and a power loss.
 package storage
 
-// Mutation is one change of the key space.
+// Mutation is one change of the key space: it sets Key to Value or deletes keys.
 type Mutation struct {
 	Key   []byte
 	Value []byte
@@ -11,8 +10,7 @@
 	Delete bool
 	// DeletePrefix removes every key that begins with Key.
 	DeletePrefix bool
-	// DeleteTo, where it is set, removes the keys from Key (inclusive) to
-	// DeleteTo (exclusive).
+	// DeleteTo, if not nil, removes the keys from Key (inclusive) to DeleteTo (exclusive).
 	DeleteTo []byte
 }
 
@@ -20,8 +18,8 @@
 type Reader interface {
 	// Get returns a copy of the value under key, or nil if there is none.
 	Get(key []byte) ([]byte, error)
-	// Scan visits keys from lower (inclusive) to upper (exclusive) in order
-	// until visit returns false. The slices are valid during the visit only.
+	// Scan visits the keys from lower (inclusive) to upper (exclusive) in order, until visit
+	// returns false. The slices are valid only until visit returns.
 	Scan(lower, upper []byte, visit func(key, value []byte) bool) error
 }
 
@@ -29,22 +27,21 @@
 // the order in which they were committed.
 type Store interface {
 	Reader
-	// Commit applies the mutations, all or none. With sync set it returns once
-	// they, and all committed before them, are durable.
+	// Commit applies the mutations atomically. With sync set it returns when they, and all commits
+	// before them, are durable.
 	Commit(mutations []Mutation, sync bool) error
-	// Snapshot returns the key space as it is now, unmoved by later commits.
+	// Snapshot returns the current key space. Later commits don't change it.
 	Snapshot() Snapshot
 	Close() error
 }
 
-// Snapshot is a consistent copy of the key space; it must be closed.
+// Snapshot is a consistent, read-only copy of the key space. It must be closed after use.
 type Snapshot interface {
 	Reader
 	Close() error
 }
 
-// PrefixEnd returns the first key after all keys that begin with prefix, or
-// nil where there is none.
+// PrefixEnd returns the lowest key above all keys that begin with prefix, or nil if there is none.
 func PrefixEnd(prefix []byte) []byte {
 	end := append([]byte(nil), prefix...)
 	for i := len(end) - 1; i >= 0; i-- {
@@ -56,32 +53,32 @@
 	return nil
 }
 
-// WithPrefix returns a reader of the keys that begin with prefix, named without it.
+// WithPrefix returns a reader of the keys that begin with prefix. Its keys don't contain the prefix.
 func WithPrefix(reader Reader, prefix []byte) Reader {
-	return scopedReader{reader: reader, prefix: prefix}
+	return prefixReader{reader: reader, prefix: prefix}
 }
 
-type scopedReader struct {
+type prefixReader struct {
 	reader Reader
 	prefix []byte
 }
 
 // Get implements Reader.
-func (s scopedReader) Get(key []byte) ([]byte, error) {
-	return s.reader.Get(s.join(key))
+func (s prefixReader) Get(key []byte) ([]byte, error) {
+	return s.reader.Get(s.withPrefix(key))
 }
 
 // Scan implements Reader.
-func (s scopedReader) Scan(lower, upper []byte, visit func(key, value []byte) bool) error {
+func (s prefixReader) Scan(lower, upper []byte, visit func(key, value []byte) bool) error {
 	end := PrefixEnd(s.prefix)
 	if upper != nil {
-		end = s.join(upper)
+		end = s.withPrefix(upper)
 	}
-	return s.reader.Scan(s.join(lower), end, func(key, value []byte) bool {
+	return s.reader.Scan(s.withPrefix(lower), end, func(key, value []byte) bool {
 		return visit(key[len(s.prefix):], value)
 	})
 }
 
-func (s scopedReader) join(key []byte) []byte {
+func (s prefixReader) withPrefix(key []byte) []byte {
 	return append(append([]byte(nil), s.prefix...), key...)
 }
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -12,8 +12,8 @@
 	"github.com/sedgemast/sedgemast/internal/proptest"
 )
 
-// TestPebbleKeepsWhatWasSynced crashes the file system at a random moment and
-// checks that every synced commit is there and that batches are whole.
+// TestPebbleKeepsWhatWasSynced simulates a power loss after random commits. It checks that no synced
+// commit is lost, that no batch survives in part, and that no batch survives the loss of an earlier one.
 func TestPebbleKeepsWhatWasSynced(t *testing.T) {
 	proptest.Run(t, "synced commits survive", func(random *rand.Rand) error {
 		files := vfs.NewCrashableMem()
@@ -37,23 +37,23 @@
 		if err := store.Close(); err != nil {
 			return err
 		}
-		survivor, err := OpenPebble("data", crashed)
+		recovered, err := OpenPebble("data", crashed)
 		if err != nil {
 			return err
 		}
-		defer survivor.Close()
-		return checkSurvivor(survivor, synced, commits)
+		defer recovered.Close()
+		return checkRecovered(recovered, synced, commits)
 	})
 }
 
-func checkSurvivor(survivor Store, synced, commits int) error {
-	gone := false
+func checkRecovered(recovered Store, synced, commits int) error {
+	lost := false
 	for i := 0; i < commits; i++ {
-		first, err := survivor.Get(fmt.Appendf(nil, "a%04d", i))
+		first, err := recovered.Get(fmt.Appendf(nil, "a%04d", i))
 		if err != nil {
 			return err
 		}
-		second, err := survivor.Get(fmt.Appendf(nil, "b%04d", i))
+		second, err := recovered.Get(fmt.Appendf(nil, "b%04d", i))
 		if err != nil {
 			return err
 		}
@@ -61,17 +61,17 @@
 			return errors.Newf("commit %d survived in part", i)
 		}
 		if first == nil && i <= synced {
-			return errors.Newf("commit %d was lost, though %d was synced", i, synced)
+			return errors.Newf("commit %d was lost, but commit %d was synced", i, synced)
 		}
-		if first != nil && gone {
-			return errors.Newf("commit %d survived, though an earlier one was lost", i)
+		if first != nil && lost {
+			return errors.Newf("commit %d survived, but an earlier one was lost", i)
 		}
-		gone = gone || first == nil
+		lost = lost || first == nil
 	}
 	return nil
 }
 
-// TestMemoryMatchesPebble runs random commits on both stores.
+// TestMemoryMatchesPebble applies random commits to both stores and compares their contents.
 func TestMemoryMatchesPebble(t *testing.T) {
 	proptest.Run(t, "the stores agree", func(random *rand.Rand) error {
 		onDisk, err := OpenPebble("data", vfs.NewMem())
@@ -122,17 +122,16 @@
 	put("a", true)
 	put("b", false)
 	put("c", false)
-	survivor := store.Crash(1)
+	recovered := store.Crash(1)
 	for key, want := range map[string]bool{"a": true, "b": true, "c": false} {
-		value, err := survivor.Get([]byte(key))
+		value, err := recovered.Get([]byte(key))
 		if err != nil || (value != nil) != want {
 			t.Errorf("%s: survived %t, want %t (%v)", key, value != nil, want, err)
 		}
 	}
 }
 
-// crashRandom turns the property's source into the one that the file system
-// takes.
+// crashRandom returns a random source, of the type that the file system needs, seeded by random.
 func crashRandom(random *rand.Rand) *randv2.Rand {
 	return randv2.New(randv2.NewPCG(random.Uint64(), 1))
 }
