--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,6 +1,6 @@
-// Package record reads the logs of a real run and checks the promises that they
-// show: it says which was broken, and by which events. The logs are the record;
-// nothing is asked of the processes.
+// Package record reads the logs of a real run and checks the system's promises against them. It reports
+// which promises were broken, and by which events. The logs are its only input; it sends no requests to
+// the processes.
 package record
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// Event is one line of a log.
+// Event is a log line: the event's name, the time, the process with its role, and further fields.
 type Event struct {
 	At      time.Time
 	Process string
@@ -26,17 +26,17 @@
 	fields  map[string]string
 }
 
-// Field returns a field; empty if the event lacks it.
+// Field returns a field of the event, or an empty string if there is none.
 func (e *Event) Field(field string) string { return e.fields[field] }
 
-// Each calls visit with every field, in no order.
+// Each calls visit with every field, in no particular order.
 func (e *Event) Each(visit func(field, value string)) {
 	for field, value := range e.fields {
 		visit(field, value)
 	}
 }
 
-// Uint returns a field as a number; zero if the event lacks it.
+// Uint returns a field as a number, or zero if there is none or it is not a number.
 func (e *Event) Uint(field string) uint64 {
 	value, err := strconv.ParseUint(e.fields[field], 10, 64)
 	if err != nil {
@@ -45,18 +45,18 @@
 	return value
 }
 
-// maxLineBytes bounds one line of a log.
+// maxLineBytes bounds the length of a log line.
 const maxLineBytes = 1 << 20
 
-// ReadFolder reads all files of a folder whose names end in .log, and returns
-// their events in the order of time.
+// ReadFolder reads all files of a folder whose names end in .log and returns their events, sorted by
+// time.
 func ReadFolder(folder string) ([]Event, error) {
 	paths, err := filepath.Glob(filepath.Join(folder, "*.log"))
 	if err != nil {
 		return nil, err
 	}
 	if len(paths) == 0 {
-		return nil, errors.Newf("there is no log in %s", folder)
+		return nil, errors.Newf("folder %s has no files that end in .log", folder)
 	}
 	var events []Event
 	for _, path := range paths {
@@ -74,14 +74,14 @@
 	return events, nil
 }
 
-// Read reads one log. Lines that are no events are passed over: a process that
-// was killed may have left half of one.
+// Read reads the events of one log. Lines that are not events are skipped, because a process that was
+// killed may leave a truncated line.
 func Read(from io.Reader) ([]Event, error) {
 	scanner := bufio.NewScanner(from)
 	scanner.Buffer(nil, maxLineBytes)
 	var events []Event
 	for scanner.Scan() {
-		if event, whole := parse(scanner.Bytes()); whole {
+		if event, valid := parse(scanner.Bytes()); valid {
 			events = append(events, event)
 		}
 	}
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// sound is a record without a violation. Each case below changes one line of it.
-const sound = `
+// validLog is a log without violations. TestBrokenPromises changes one line of it in each case.
+const validLog = `
 level=info time=2026-12-02T08:00:00Z role=control process=control-1 event=leading group=0 term=1
 level=info time=2026-12-02T08:00:01Z role=control process=control-1 event=worker_assigned worker=engine-1 dispatcher=dispatcher-1 epoch=1 leaving=false
 level=info time=2026-12-02T08:00:02Z role=control process=control-1 event=configuration_accepted revision=1 change=a operator=x repeated=false
@@ -36,21 +36,21 @@
 	return Check(events)
 }
 
-func TestSoundRecord(t *testing.T) {
-	report := check(t, sound)
+func TestValidLog(t *testing.T) {
+	report := check(t, validLog)
 	if len(report.Violations) > 0 {
 		t.Errorf("violations: %+v", report.Violations)
 	}
 	if len(report.Counts) != 8 {
-		t.Errorf("only these checks saw something: %v", report.Counts)
+		t.Errorf("%v facts were checked, want some for each of the 8 promises", report.Counts)
 	}
 }
 
-// TestBrokenRecords changes one line for each check.
-func TestBrokenRecords(t *testing.T) {
+// TestBrokenPromises breaks each promise by one changed line, and checks that the violation is reported.
+func TestBrokenPromises(t *testing.T) {
 	cases := []struct{ promise, before, after string }{
 		{promiseRevisions, "revision=2 change=b operator=x repeated=true", "revision=2 change=c operator=x repeated=false"},
-		{promiseForward, "event=configuration_in_force revision=2", "event=configuration_in_force revision=0"},
+		{promiseMonotonic, "event=configuration_in_force revision=2", "event=configuration_in_force revision=0"},
 		{promiseLeader, "process=control-2 event=leading group=0 term=2", "process=control-2 event=leading group=0 term=1"},
 		{promiseOwner, "dispatcher=dispatcher-2 epoch=2", "dispatcher=dispatcher-2 epoch=1"},
 		{promiseAtMostOnce, "request=gateway-1-8 tenant=t at_most_once=false", "request=batch-g1-1-3 tenant=t at_most_once=true"},
@@ -60,13 +60,13 @@
 	}
 	for _, test := range cases {
 		t.Run(test.promise, func(t *testing.T) {
-			broken := strings.Replace(sound, test.before, test.after, 1)
+			broken := strings.Replace(validLog, test.before, test.after, 1)
 			if test.promise == promiseAtMostOnce {
 				broken += "level=info time=2026-12-02T08:00:14Z role=engine process=engine-1 event=attempt_started attempt=batch-g1-1-3-100.0\n"
 			}
 			report := check(t, broken)
-			if report.broken(test.promise) == 0 {
-				t.Errorf("not noticed; violations: %+v", report.Violations)
+			if report.violationCount(test.promise) == 0 {
+				t.Errorf("the broken promise was not reported; violations: %+v", report.Violations)
 			}
 		})
 	}
