--- a/internal/runlog/runlog.go
+++ b/internal/runlog/runlog.go
@@ -1,7 +1,7 @@
-// Package runlog reads what happened in a run from the lines of its processes: by
-// second, how many requests came, how long they took and how many items ran; and which
-// kinds of message took which bytes. It says what binds, where a report only says what
-// was lost.
+// Package runlog summarizes a run from the logs of its processes: for each second the number of
+// requests, their times to the first byte and the number of batch items, and for each kind of message
+// the bytes that were exchanged. It helps to find what limited a run, while the report of a run shows
+// only what was lost.
 package runlog
 
 import (
@@ -20,28 +20,29 @@
 	"github.com/sedgemast/sedgemast/internal/traffic"
 )
 
-// Second is what happened in one second of a run.
+// Second holds the counts of one second of a run.
 type Second struct {
-	// At is the second, counted from the first event.
+	// At is the number of the second since the first event.
 	At int
-	// Arrived counts requests that came, Refused and SentBack those that were not run:
-	// the latter for want of room, as they came or while they waited.
+	// Arrived counts requests by their arrival. Rejected and Overloaded count those that were not
+	// run: Overloaded those rejected for lack of capacity, on arrival or while queued.
 	Arrived    int
 	Rejected   int
 	Overloaded int
-	// InFlight is the mean number of requests under way.
+	// InFlight is the mean number of requests in flight.
 	InFlight float64
-	// FirstByteMillis are the times to the first byte of those that came.
+	// FirstByteMillis holds the times to the first byte of the requests that arrived.
 	FirstByteMillis []int
-	// Submitted counts items of jobs that were accepted, Finished those that ended,
-	// Stopped runs of items that were stopped. Running is the mean number of runs.
+	// Submitted counts the items of accepted jobs, Finished the items that finished and Stopped the
+	// attempts at items that were stopped. Running is the mean number of attempts in progress.
 	Submitted int
 	Finished  int
 	Stopped   int
 	Running   float64
 }
 
-// Flow is what one kind of message took.
+// Flow holds the number and the bytes of exchanges of one kind of message. Role is the role of the
+// process that logged them.
 type Flow struct {
 	Role      string
 	Kind      traffic.Kind
@@ -50,128 +51,128 @@
 	Bytes     uint64
 }
 
-// Locality says where the other process of an exchange stood.
+// Locality says in which zone the other process of an exchange is.
 type Locality string
 
-// Places of the other process.
+// Localities of the other process.
 const (
 	SameZone    Locality = "same zone"
 	OtherZone   Locality = "other zone"
 	UnknownZone Locality = "not known"
 )
 
-// Run is a run's summary.
+// Run is the summary of a run.
 type Run struct {
 	Seconds []*Second
 	Flows   []Flow
 }
 
-// Read sums a run up. zoneOf names the zone of a process by its name, empty where that
-// is not known.
+// Read summarizes the events of a run. zoneOf returns the zone of the process with the given name, empty
+// if unknown.
 func Read(events []record.Event, zoneOf func(process string) string) *Run {
-	r := &reader{seconds: map[int]*Second{}, traffic: map[string]*record.Event{}}
+	s := &summarizer{seconds: map[int]*Second{}, traffic: map[string]*record.Event{}}
 	for i := range events {
-		if i == 0 || events[i].At.Before(r.began) {
-			r.began = events[i].At
+		if i == 0 || events[i].At.Before(s.start) {
+			s.start = events[i].At
 		}
 	}
 	for i := range events {
-		r.take(&events[i])
+		s.observe(&events[i])
 	}
-	run := &Run{Flows: r.flows(zoneOf)}
-	for _, at := range slices.Sorted(maps.Keys(r.seconds)) {
-		second := r.seconds[at]
+	run := &Run{Flows: s.flows(zoneOf)}
+	for _, at := range slices.Sorted(maps.Keys(s.seconds)) {
+		second := s.seconds[at]
 		slices.Sort(second.FirstByteMillis)
 		run.Seconds = append(run.Seconds, second)
 	}
 	return run
 }
 
-// reader gathers a run.
-type reader struct {
-	began   time.Time
+// summarizer builds the summary of a run.
+type summarizer struct {
+	start   time.Time
 	seconds map[int]*Second
-	// traffic holds each process's last line on its traffic, which counts from its
-	// start.
+	// traffic holds the last traffic event of each process. Its counts are totals since the start of
+	// the process.
 	traffic map[string]*record.Event
 }
 
-func (r *reader) second(at time.Time) *Second {
-	number := int(at.Sub(r.began) / time.Second)
-	if r.seconds[number] == nil {
-		r.seconds[number] = &Second{At: number}
+func (s *summarizer) second(at time.Time) *Second {
+	number := int(at.Sub(s.start) / time.Second)
+	if s.seconds[number] == nil {
+		s.seconds[number] = &Second{At: number}
 	}
-	return r.seconds[number]
+	return s.seconds[number]
 }
 
-func (r *reader) take(event *record.Event) {
-	took := time.Duration(event.Uint("ms")) * time.Millisecond
+func (s *summarizer) observe(event *record.Event) {
+	duration := time.Duration(event.Uint("ms")) * time.Millisecond
 	switch event.Name {
 	case "request_done":
-		began := event.At.Add(-took)
-		r.second(began).Arrived++
+		arrived := event.At.Add(-duration)
+		s.second(arrived).Arrived++
 		if first, err := strconv.Atoi(event.Field("first_ms")); err == nil && first >= 0 {
-			r.second(began).FirstByteMillis = append(r.second(began).FirstByteMillis, first)
+			s.second(arrived).FirstByteMillis = append(s.second(arrived).FirstByteMillis, first)
 		}
-		r.spread(began, event.At, func(second *Second, part float64) { second.InFlight += part })
+		s.addPerSecond(arrived, event.At, func(second *Second, part float64) { second.InFlight += part })
 	case "request_refused":
-		r.second(event.At).Rejected++
+		s.second(event.At).Rejected++
 	case "request_sent_back", "queue_refused":
-		r.second(event.At).Overloaded++
+		s.second(event.At).Overloaded++
 	case "queue_decided":
-		if result := event.Field("result"); result == hopeless || result == crowded {
-			r.second(event.At).Overloaded++
+		if result := event.Field("result"); result == deadlineTooSoon || result == queueFull {
+			s.second(event.At).Overloaded++
 		}
 	case "job_submitted":
 		if event.Field("error") == "null" && event.Field("repeated") == "false" {
-			r.second(event.At).Submitted += int(event.Uint("items"))
+			s.second(event.At).Submitted += int(event.Uint("items"))
 		}
 	case "item_attempt":
-		r.spread(event.At.Add(-took), event.At, func(second *Second, part float64) { second.Running += part })
+		s.addPerSecond(event.At.Add(-duration), event.At, func(second *Second, part float64) { second.Running += part })
 		if event.Field("state") == "waiting" {
-			r.second(event.At).Stopped++
+			s.second(event.At).Stopped++
 		} else {
-			r.second(event.At).Finished++
+			s.second(event.At).Finished++
 		}
 	case "traffic":
-		r.traffic[event.Process] = event
+		s.traffic[event.Process] = event
 	}
 }
 
-// spread calls add with the part of each second between two moments.
-func (r *reader) spread(from, to time.Time, add func(second *Second, part float64)) {
-	if from.Before(r.began) {
-		from = r.began
+// addPerSecond calls add for each second between from and to, with the fraction of it that is in between.
+func (s *summarizer) addPerSecond(from, to time.Time, add func(second *Second, part float64)) {
+	if from.Before(s.start) {
+		from = s.start
 	}
 	for from.Before(to) {
-		next := r.began.Add((from.Sub(r.began)/time.Second + 1) * time.Second)
+		next := s.start.Add((from.Sub(s.start)/time.Second + 1) * time.Second)
 		if next.After(to) {
 			next = to
 		}
-		add(r.second(from), next.Sub(from).Seconds())
+		add(s.second(from), next.Sub(from).Seconds())
 		from = next
 	}
 }
 
-// flowKey names a flow.
+// flowKey identifies a flow.
 type flowKey struct {
-	role  string
-	kind  traffic.Kind
-	place Locality
+	role     string
+	kind     traffic.Kind
+	locality Locality
 }
 
-func (r *reader) flows(zoneOf func(process string) string) []Flow {
+func (s *summarizer) flows(zoneOf func(process string) string) []Flow {
 	sums := map[flowKey]*Flow{}
-	for process, event := range r.traffic {
+	for process, event := range s.traffic {
 		event.Each(func(field, value string) {
 			kind, zone, isFlow := strings.Cut(field, "@")
-			exchanges, sent, received, whole := counts(value)
-			if !isFlow || !whole {
+			exchanges, sent, received, valid := parseCounts(value)
+			if !isFlow || !valid {
 				return
 			}
-			key := flowKey{event.Role, traffic.Kind(kind), placeOf(zone, zoneOf(process))}
+			key := flowKey{event.Role, traffic.Kind(kind), localityOf(zone, zoneOf(process))}
 			if sums[key] == nil {
-				sums[key] = &Flow{Role: key.role, Kind: key.kind, Locality: key.place}
+				sums[key] = &Flow{Role: key.role, Kind: key.kind, Locality: key.locality}
 			}
 			sums[key].Exchanges += exchanges
 			sums[key].Bytes += sent + received
@@ -187,36 +188,36 @@
 	return flows
 }
 
-func placeOf(zone, own string) Locality {
+func localityOf(zone, ownZone string) Locality {
 	switch {
-	case zone == traffic.Unknown || own == "":
+	case zone == traffic.Unknown || ownZone == "":
 		return UnknownZone
-	case zone == own:
+	case zone == ownZone:
 		return SameZone
 	}
 	return OtherZone
 }
 
-// counts reads EXCHANGES:SENT:RECEIVED, as the daemon writes it.
-func counts(value string) (exchanges, sent, received uint64, whole bool) {
+// parseCounts parses EXCHANGES:SENT:RECEIVED, as daemons log it.
+func parseCounts(value string) (exchanges, sent, received uint64, valid bool) {
 	_, err := fmt.Sscanf(value, "%d:%d:%d", &exchanges, &sent, &received)
 	return exchanges, sent, received, err == nil
 }
 
-// hopeless and crowded are the results of requests that an edge's queue refuses as they come.
+// deadlineTooSoon and queueFull are the logged results of requests that an edge's queue rejects on arrival.
 var (
-	hopeless = admission.DeadlineTooSoon.String()
-	crowded  = admission.QueueFull.String()
+	deadlineTooSoon = admission.DeadlineTooSoon.String()
+	queueFull       = admission.QueueFull.String()
 )
 
-const hundredths = 100
+const hundredPercent = 100
 
-// quantile returns the value below which so many hundredths of the sorted values lie.
-func quantile(sorted []int, part int) int {
+// quantile returns the given percentile of the sorted values, or zero if there are none.
+func quantile(sorted []int, percentile int) int {
 	if len(sorted) == 0 {
 		return 0
 	}
-	return sorted[len(sorted)*part/hundredths]
+	return sorted[len(sorted)*percentile/hundredPercent]
 }
 
 // Print writes the run as two tables.
--- a/internal/runlog/runlog_test.go
+++ b/internal/runlog/runlog_test.go
@@ -11,12 +11,12 @@
 	"github.com/sedgemast/sedgemast/internal/record"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// TestRunIsSummedUp compares the tables of a small recorded run with testdata/run.txt.
-// The record has lines that are cut off and a prefix before each line, as a run that
-// prints many processes into one file has.
-func TestRunIsSummedUp(t *testing.T) {
+// TestRunSummary compares the tables of a small recorded run with testdata/run.txt. Like a log into
+// which a run writes the output of many processes, the record has a prefix before each line and
+// truncated lines.
+func TestRunSummary(t *testing.T) {
 	lines, err := os.ReadFile(filepath.Join("testdata", "run.log"))
 	if err != nil {
 		t.Fatal(err)
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestNothingIsNoRun checks that a log without events gives an empty summary.
-func TestNothingIsNoRun(t *testing.T) {
+// TestEmptyLog checks that a log without events gives an empty summary.
+func TestEmptyLog(t *testing.T) {
 	if run := Read(nil, func(string) string { return "" }); len(run.Seconds) != 0 || len(run.Flows) != 0 {
 		t.Errorf("%+v", run)
 	}
