--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -9,14 +9,15 @@
 	"github.com/sedgemast/sedgemast/internal/failure"
 )
 
-// Checker gathers the faults of a settings structure.
+// Checker collects the invalid fields of a settings structure.
 type Checker struct {
-	faults []string
+	problems []string
 }
 
-// AddError records that the field at path has a bad value.
+// AddError records that the value of the field at path is not valid. The remedy says what to write
+// instead.
 func (c *Checker) AddError(path string, value any, remedy string) {
-	c.faults = append(c.faults, fmt.Sprintf("%s: %v is not valid: %s", path, quote(value), remedy))
+	c.problems = append(c.problems, fmt.Sprintf("%s: %v is not valid: %s", path, quote(value), remedy))
 }
 
 func quote(value any) any {
@@ -26,15 +27,15 @@
 	return value
 }
 
-// Err returns all faults as one typed failure, or nil.
+// Err returns all recorded errors as one typed failure, or nil if there are none.
 func (c *Checker) Err() error {
-	if len(c.faults) == 0 {
+	if len(c.problems) == 0 {
 		return nil
 	}
-	return failure.New(failure.BadRequest, "correct the settings file or the flags", "%s", strings.Join(c.faults, "; "))
+	return failure.New(failure.BadRequest, "correct the settings file or the flags", "%s", strings.Join(c.problems, "; "))
 }
 
-// Name checks the name of a process, zone or worker.
+// Name checks the name of a process, zone or worker: 1 to 63 lower-case letters, digits, dots and hyphens.
 func (c *Checker) Name(path, value string) {
 	const remedy = "use 1 to 63 lower-case letters, digits, dots and hyphens"
 	if value == "" || len(value) > 63 {
@@ -50,7 +51,7 @@
 	}
 }
 
-// Address checks an address that others can reach: an IP number and a port.
+// Address checks an address at which other processes are reached: an IP address and a port, no host name.
 func (c *Checker) Address(path, value string) {
 	address, err := netip.ParseAddrPort(value)
 	if err != nil {
@@ -62,7 +63,7 @@
 	}
 }
 
-// Listen checks an address to listen on, where port 0 takes any free port.
+// Listen checks an address to listen on. Port 0 is allowed and means any free port.
 func (c *Checker) Listen(path, value string) {
 	address, err := netip.ParseAddrPort(value)
 	if err != nil || address.Addr().IsUnspecified() {
@@ -70,7 +71,7 @@
 	}
 }
 
-// Addresses checks a list of addresses that must not be empty.
+// Addresses checks a list of addresses, which must not be empty.
 func (c *Checker) Addresses(path string, values []string) {
 	if len(values) == 0 {
 		c.AddError(path, "[]", "name at least one address")
@@ -80,21 +81,21 @@
 	}
 }
 
-// Range checks a number.
+// Range checks that a number is from minimum to maximum.
 func (c *Checker) Range(path string, value, minimum, maximum int) {
 	if value < minimum || value > maximum {
 		c.AddError(path, value, fmt.Sprintf("choose from %d to %d", minimum, maximum))
 	}
 }
 
-// Between checks a duration.
+// Between checks that a duration is from minimum to maximum.
 func (c *Checker) Between(path string, value Duration, minimum, maximum time.Duration) {
 	if value.Std() < minimum || value.Std() > maximum {
 		c.AddError(path, value, fmt.Sprintf("choose from %s to %s", minimum, maximum))
 	}
 }
 
-// OneOf checks a word.
+// OneOf checks that a string is one of the allowed ones.
 func (c *Checker) OneOf(path, value string, allowed ...string) {
 	for _, candidate := range allowed {
 		if value == candidate {
--- a/internal/settings/duration.go
+++ b/internal/settings/duration.go
@@ -1,6 +1,6 @@
-// Package settings reads and checks the settings file of a process. Every
-// field is checked when the process starts; an error names the field's path,
-// the bad value and the remedy. Unknown fields are refused.
+// Package settings reads and checks the settings file of a process. Every field is checked when the
+// process starts. An error names the field's path, the invalid value and the remedy. Unknown fields are
+// errors.
 package settings
 
 import (
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Duration is a length of time that is written as text, such as "250ms".
+// Duration is a time.Duration that is written as text, such as "250ms".
 type Duration time.Duration
 
-// Std returns the duration as the standard library's type.
+// Std returns d as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// String returns the duration as it is written in settings.
+// String returns d in the form used in settings files.
 func (d Duration) String() string { return time.Duration(d).String() }
 
 // MarshalJSON implements json.Marshaler.
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// UnmarshalText lets durations be command-line flags.
+// UnmarshalText implements encoding.TextUnmarshaler, for durations in command-line flags.
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	*d = Duration(parsed)
--- a/internal/settings/fleet.go
+++ b/internal/settings/fleet.go
@@ -7,61 +7,58 @@
 	"github.com/sedgemast/sedgemast/internal/ratelimit"
 )
 
-// Coordinator holds the settings of a coordinator, which keeps the
-// configuration of routes and the view of the fleet.
+// Coordinator holds the settings of a coordinator, which keeps the configuration of routes and the view
+// of the fleet.
 type Coordinator struct {
 	Process
 	Replication
-	// Seeds are the addresses of a few coordinators. At the first start they
-	// are the same everywhere, and those at them form the group.
+	// Seeds are the addresses of a few coordinators. At the first start all coordinators must have
+	// the same seeds, and the coordinators at these addresses form the group.
 	Seeds []string `json:"seeds"`
-	// Bootstrap is set at the first start of the whole system only.
+	// Bootstrap must be set at the first start of the whole system, and only then.
 	Bootstrap bool `json:"bootstrap"`
-	// Operators is the IP:port at which operators are served, empty for none.
+	// Operators is the IP:port on which the operators' API is served, empty for none.
 	Operators string `json:"operators"`
-	// Platform is the address of the platform's list of workers.
+	// Platform is the address of the platform's list of workers, empty for none.
 	Platform string `json:"platform"`
-	// PollInterval is the time between readings of that list.
+	// PollInterval is the time between two readings of the list.
 	PollInterval Duration `json:"poll_interval"`
-	// PlatformRate is how many calls a second the platform takes from all who read the
-	// list, zero for unknown. Readings keep to a part of it.
+	// PlatformRate is the number of calls per second that the platform accepts from all readers of
+	// the list together, zero if unknown. A coordinator uses only a part of it.
 	PlatformRate float64 `json:"platform_rate"`
-	// Zones names the zones that workers may be in, where that is known: a long list is
-	// read by zones.
+	// Zones names the zones in which workers may be, if known. A long list is then read by zone.
 	Zones []string `json:"zones"`
 }
 
-// Replication holds what the processes with disks have in common.
+// Replication holds the settings of coordinators and stores for their replicated data on disk.
 type Replication struct {
-	// DataFolder holds the log and the state.
+	// DataFolder is the folder of the log and the state.
 	DataFolder string `json:"data_folder"`
-	// Tolerate is how many disks may be lost at once.
+	// Tolerate is the number of disks that may be lost at the same time.
 	Tolerate int `json:"tolerate"`
-	// ElectionTimeout is the shortest time without a leader after which
-	// another is elected.
+	// ElectionTimeout is the shortest time without a leader after which a new one is elected.
 	ElectionTimeout Duration `json:"election_timeout"`
-	// ReplaceAfter is how long a voter may be silent before a spare takes its
-	// place.
+	// ReplaceAfter is how long a voter may be unresponsive before a spare replaces it.
 	ReplaceAfter Duration `json:"replace_after"`
-	// LogBytes is how much of the log is kept for slow replicas, at most.
+	// LogBytes bounds the size of the log that is retained for slow replicas.
 	LogBytes int `json:"log_bytes"`
-	// DiskMB is the size of the disk, zero where it is not known.
+	// DiskMB is the size of the disk in MiB, zero if unknown.
 	DiskMB int `json:"disk_mb"`
 }
 
 const (
 	bytesPerMB = 1 << 20
-	// logParts is the part of a disk that the log may take: one in so many. It
-	// grows to twice that before its oldest part goes.
-	logParts = 32
+	// logDiskDivisor bounds the retained log to 1/32 of the disk. The log may grow to twice the retained
+	// size before its oldest part is removed.
+	logDiskDivisor = 32
 )
 
-// RetainedLogBytes returns how much of the log is kept on this disk.
+// RetainedLogBytes returns the size of the log that is retained: LogBytes, or less on a small disk.
 func (r *Replication) RetainedLogBytes() int {
 	if r.DiskMB == 0 {
 		return r.LogBytes
 	}
-	return min(r.LogBytes, r.DiskMB*bytesPerMB/logParts)
+	return min(r.LogBytes, r.DiskMB*bytesPerMB/logDiskDivisor)
 }
 
 func defaultReplication() Replication {
@@ -85,7 +82,7 @@
 	checker.Range("disk_mb", r.DiskMB, 0, 1<<30)
 }
 
-// DefaultCoordinator returns a coordinator's defaults.
+// DefaultCoordinator returns the default settings of a coordinator.
 func DefaultCoordinator() *Coordinator {
 	return &Coordinator{
 		Process:      defaultProcess("coordinator-1", "127.0.0.1:7600"),
@@ -112,23 +109,21 @@
 	}
 }
 
-// Store holds the settings of a store, which keeps batch jobs and runs their
-// items.
+// Store holds the settings of a store, which keeps batch jobs and runs their items.
 type Store struct {
 	Process
 	Replication
 	// Seeds are the addresses of a few coordinators.
 	Seeds []string `json:"seeds"`
-	// ForgetAfter is how long an ended job is kept.
+	// ForgetAfter is the time after its end at which a job is deleted.
 	ForgetAfter Duration `json:"forget_after"`
-	// BatchShare is the part of a worker's slots that batch items may take, in
-	// hundredths.
+	// BatchShare is the percentage of a worker's slots that batch items may use.
 	BatchShare int `json:"batch_share"`
-	// RateTolerance is by how much tenants' limits of requests may be exceeded.
+	// RateTolerance is the amount by which tenants' request limits may be exceeded.
 	RateTolerance RateTolerance `json:"rate_tolerance"`
 }
 
-// DefaultStore returns a store's defaults.
+// DefaultStore returns the default settings of a store.
 func DefaultStore() *Store {
 	return &Store{
 		Process:     defaultProcess("store-1", "127.0.0.1:7700"),
@@ -151,12 +146,12 @@
 	s.RateTolerance.check(checker)
 }
 
-// RateTolerance is by how much the sum of a tenant's requests over the whole fleet may
-// exceed its limit in each span of time. It is the same at all edges and stores.
+// RateTolerance is the amount by which a tenant's requests in the whole fleet may exceed its limit in
+// any window. All edges and stores have the same tolerance.
 type RateTolerance struct {
 	Window Duration `json:"window"`
-	// ExcessPercent is in hundredths of what the limit allows in a window, Slack in
-	// requests.
+	// ExcessPercent is a percentage of the requests that the limit allows in a window; Slack is a
+	// number of requests.
 	ExcessPercent int `json:"excess_percent"`
 	Slack         int `json:"slack"`
 }
@@ -165,7 +160,7 @@
 	return RateTolerance{Window: Duration(5 * time.Second), ExcessPercent: 10, Slack: 20}
 }
 
-// Limits returns the tolerance as the limiter takes it.
+// Limits returns the tolerance in the form that the rate limiter uses.
 func (r *RateTolerance) Limits() ratelimit.Tolerance {
 	const hundredths = 100
 	return ratelimit.Tolerance{Window: r.Window.Std(), Excess: float64(r.ExcessPercent) / hundredths, Slack: float64(r.Slack)}
@@ -177,25 +172,24 @@
 	checker.Range("rate_tolerance.slack", r.Slack, 0, 1_000_000)
 }
 
-// Edge holds the settings of an edge, which takes requests from callers
-// straight to the workers.
+// Edge holds the settings of an edge, which forwards the requests of callers directly to workers.
 type Edge struct {
 	Process
 	// Seeds are the addresses of a few coordinators.
 	Seeds []string `json:"seeds"`
-	// Callers is the IP:port at which callers are served, empty for none.
+	// Callers is the IP:port on which callers are served, empty for none.
 	Callers string `json:"callers"`
-	// FreezeTime is how long an edge goes on with the configuration that it has
-	// while it reaches no coordinator; zero means without end.
+	// FreezeTime is how long an edge serves requests by its last configuration while it reaches no
+	// coordinator; zero means without limit.
 	FreezeTime Duration `json:"freeze_time"`
-	// UnreadyTime is how long an edge that is told to stop goes on taking
-	// requests, so that callers can be led elsewhere.
+	// UnreadyTime is how long a stopping edge still accepts requests after it has become unready, so
+	// that callers can be directed to other edges.
 	UnreadyTime Duration `json:"unready_time"`
-	// RateTolerance is by how much tenants' limits of requests may be exceeded.
+	// RateTolerance is the amount by which tenants' request limits may be exceeded.
 	RateTolerance RateTolerance `json:"rate_tolerance"`
 }
 
-// DefaultEdge returns an edge's defaults.
+// DefaultEdge returns the default settings of an edge.
 func DefaultEdge() *Edge {
 	return &Edge{
 		Process:     defaultProcess("edge-1", "127.0.0.1:7800"),
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -15,14 +15,14 @@
 	"github.com/sedgemast/sedgemast/internal/failure"
 )
 
-// Checked is a settings structure that checks itself.
+// Checked is a settings structure that can check itself.
 type Checked interface {
 	Check(checker *Checker)
 }
 
-// Load reads the YAML file at path over the defaults already in target, applies
-// the overrides of the command line, and checks the result. An empty path means
-// that there is no file. The error lists every fault found.
+// Load reads the YAML file at path into target, which holds the defaults, calls override to apply the
+// flags of the command line, and checks the result. An empty path means that there is no file; override
+// may be nil. The error lists all invalid fields.
 func Load(path string, target Checked, override func()) error {
 	if path != "" {
 		if err := readFile(path, target); err != nil {
@@ -40,7 +40,7 @@
 func readFile(path string, target any) error {
 	source := config.New(
 		config.WithSource(file.NewSource(path)),
-		// The file is taken as it stands: no environment variables in it.
+		// The default resolver would expand placeholders such as ${NAME}; the file is used as written.
 		config.WithResolver(func(map[string]any) error { return nil }),
 	)
 	defer source.Close()
@@ -84,7 +84,7 @@
 	return wanted.Kind().String()
 }
 
-// unknownFields returns the paths in values that the type does not have.
+// unknownFields returns the paths of the fields in values that the target type does not have.
 func unknownFields(values map[string]any, target reflect.Type, prefix string) []string {
 	for target.Kind() == reflect.Pointer {
 		target = target.Elem()
@@ -98,13 +98,13 @@
 			unknown = append(unknown, path)
 			continue
 		}
-		unknown = append(unknown, unknownWithin(value, fieldType, path)...)
+		unknown = append(unknown, unknownNestedFields(value, fieldType, path)...)
 	}
 	sort.Strings(unknown)
 	return unknown
 }
 
-func unknownWithin(value any, fieldType reflect.Type, path string) []string {
+func unknownNestedFields(value any, fieldType reflect.Type, path string) []string {
 	if nested, isMapping := value.(map[string]any); isMapping && fieldType.Kind() == reflect.Struct {
 		return unknownFields(nested, fieldType, path+".")
 	}
--- a/internal/settings/roles.go
+++ b/internal/settings/roles.go
@@ -8,18 +8,17 @@
 	"time"
 )
 
-// Process is what the settings of all roles have in common.
+// Process holds the settings that all roles have in common.
 type Process struct {
-	// Name is the process's name in logs, tables and leases; it is unique.
+	// Name is the name of the process in logs, tables and leases. It must be unique.
 	Name string `json:"name"`
 	Zone string `json:"zone"`
 	// Listen is the IP:port that the process listens on.
 	Listen string `json:"listen"`
-	// Advertise is the IP:port at which others reach the process, where that
-	// is not Listen.
+	// Advertise is the IP:port at which others reach the process, if it differs from Listen.
 	Advertise string `json:"advertise"`
 	LogLevel  string `json:"log_level"`
-	// StopTimeout bounds a planned stop.
+	// StopTimeout bounds the time that a planned stop takes.
 	StopTimeout Duration `json:"stop_timeout"`
 }
 
@@ -58,7 +57,7 @@
 	checker.Between("stop_timeout", p.StopTimeout, time.Second, maxStopTimeout)
 }
 
-// Heartbeat says how a daemon keeps its lease with control.
+// Heartbeat holds the settings of the heartbeats by which a daemon renews its lease with control.
 type Heartbeat struct {
 	// Interval is the time between heartbeats.
 	Interval Duration `json:"interval"`
@@ -81,24 +80,24 @@
 	// Control lists the addresses of the control processes.
 	Control   []string  `json:"control"`
 	Heartbeat Heartbeat `json:"heartbeat"`
-	// OperatorKeySHA256 is the digest of a key that may change the
-	// configuration before there is any operator document.
+	// OperatorKeySHA256 is the digest of a key that may change the configuration as long as there is
+	// no operator document.
 	OperatorKeySHA256 string `json:"operator_key_sha256"`
 	// MaxRequests bounds the online requests in flight.
 	MaxRequests int `json:"max_requests"`
-	// MaxBodyBytes bounds the body of one online request.
+	// MaxBodyBytes bounds the body of an online request.
 	MaxBodyBytes int `json:"max_body_bytes"`
-	// MaxLineBytes bounds one line of a job's file.
+	// MaxLineBytes bounds the length of a line of a job's file.
 	MaxLineBytes int `json:"max_line_bytes"`
-	// MaxFileLines bounds the lines of a job's file.
+	// MaxFileLines bounds the number of lines of a job's file.
 	MaxFileLines int `json:"max_file_lines"`
-	// MaxUploads bounds the uploads in progress; each holds one chunk of lines.
+	// MaxUploads bounds the uploads in progress; each buffers one chunk of lines.
 	MaxUploads int `json:"max_uploads"`
-	// RetryPercent is how many retries the gateway makes per 100 requests.
+	// RetryPercent is the number of retries that the gateway may make per 100 requests.
 	RetryPercent int `json:"retry_percent"`
 }
 
-// DefaultGateway returns a gateway's defaults.
+// DefaultGateway returns the default settings of a gateway.
 func DefaultGateway() *Gateway {
 	return &Gateway{
 		Process:      defaultProcess("gateway-1", "127.0.0.1:7400"),
@@ -137,24 +136,25 @@
 	Process
 	Control   []string  `json:"control"`
 	Heartbeat Heartbeat `json:"heartbeat"`
-	// MaxQueue bounds the online requests that wait for a worker.
+	// MaxQueue bounds the queue of online requests that wait for a worker.
 	MaxQueue int `json:"max_queue"`
-	// LoadInterval is the time between readings of a worker's load report.
+	// LoadInterval is the time between two polls of a worker's load report.
 	LoadInterval Duration `json:"load_interval"`
-	// WorkerTimeout is how long a worker may give no report before its
-	// attempts are moved elsewhere.
+	// WorkerTimeout is the time without a load report after which a worker's attempts are moved to
+	// other workers.
 	WorkerTimeout Duration `json:"worker_timeout"`
-	// ItemInterval is the time between requests for batch items.
+	// ItemInterval is the time between two requests for batch items.
 	ItemInterval Duration `json:"item_interval"`
-	// ReportInterval is how long finished items wait to be reported together.
+	// ReportInterval is how long a finished item waits to be reported together with others.
 	ReportInterval Duration `json:"report_interval"`
-	// ItemBacklog is how many items beyond the free slots are held in reserve.
+	// ItemBacklog is the number of items that are held in reserve in addition to those for the free
+	// slots.
 	ItemBacklog int `json:"item_backlog"`
-	// MaxItemAttempts bounds the failed attempts at one batch item.
+	// MaxItemAttempts bounds the number of failed attempts at a batch item.
 	MaxItemAttempts int `json:"max_item_attempts"`
 }
 
-// DefaultDispatcher returns a dispatcher's defaults.
+// DefaultDispatcher returns the default settings of a dispatcher.
 func DefaultDispatcher() *Dispatcher {
 	return &Dispatcher{
 		Process:         defaultProcess("dispatcher-1", "127.0.0.1:7500"),
@@ -187,38 +187,36 @@
 // Control holds the settings of a control process.
 type Control struct {
 	Process
-	// DataFolder holds the log and the state.
+	// DataFolder is the folder of the log and the state.
 	DataFolder string `json:"data_folder"`
-	// Platform is the address of the platform's list; empty means none.
+	// Platform is the address of the platform's list of workers, empty for none.
 	Platform         string   `json:"platform"`
 	PlatformInterval Duration `json:"platform_interval"`
-	// JobGroups is the number of job groups. It can't change once set.
+	// JobGroups is the number of job groups. It can't be changed once it has been set.
 	JobGroups int `json:"job_groups"`
-	// Peers are the addresses of all control processes, this one's included,
-	// in the same order everywhere; empty means that there is only this one.
-	// The first Voters of them form the cluster; the others are spares.
+	// Peers are the addresses of all control processes, with this one, and in the same order at all
+	// of them; empty means that this is the only one. The first Voters of them form the cluster, the
+	// others are spares.
 	Peers  []string `json:"peers"`
 	Voters int      `json:"voters"`
-	// ElectionTimeout is the shortest time without a leader after which
-	// another is elected.
+	// ElectionTimeout is the shortest time without a leader after which a new one is elected.
 	ElectionTimeout Duration `json:"election_timeout"`
-	// ReplaceAfter is how long a voter may be silent before a spare takes its
-	// place.
+	// ReplaceAfter is how long a voter may be unresponsive before a spare replaces it.
 	ReplaceAfter Duration `json:"replace_after"`
-	// LogBytes is how much of each group's log is kept for slow replicas.
+	// LogBytes is the size of each group's log that is retained for slow replicas.
 	LogBytes int `json:"log_bytes"`
-	// DaemonLease is the length of the leases of daemons.
+	// DaemonLease is the duration of the leases of daemons.
 	DaemonLease Duration `json:"daemon_lease"`
-	// ConfigLease is how long a daemon may act on a configuration that
-	// control has not confirmed.
+	// ConfigLease is how long a daemon may use its configuration without confirmation by control.
 	ConfigLease Duration `json:"config_lease"`
-	// ItemLease is the length of the leases of batch items.
+	// ItemLease is the duration of the leases of batch items.
 	ItemLease Duration `json:"item_lease"`
-	// ForgetWorkers is how long a worker may be missing from the list.
+	// ForgetWorkers is the time after which a worker that is missing from the platform's list is
+	// removed.
 	ForgetWorkers Duration `json:"forget_workers"`
 }
 
-// DefaultControl returns a control process's defaults.
+// DefaultControl returns the default settings of a control process.
 func DefaultControl() *Control {
 	return &Control{
 		Process:          defaultProcess("control-1", "127.0.0.1:7300"),
@@ -273,7 +271,7 @@
 	Slots       int      `json:"slots"`
 	KVTokens    int      `json:"kv_tokens"`
 	CacheBlocks int      `json:"cache_blocks"`
-	// StepBase and StepPerSequence make up the time between tokens.
+	// StepBase, plus StepPerSequence for each running sequence, is the time between two tokens.
 	StepBase        Duration `json:"step_base"`
 	StepPerSequence Duration `json:"step_per_sequence"`
 	LoadLag         Duration `json:"load_lag"`
@@ -282,7 +280,7 @@
 	WeightStore     string   `json:"weight_store"`
 }
 
-// DefaultEngine returns an emulated engine's defaults.
+// DefaultEngine returns the default settings of an emulated engine.
 func DefaultEngine() *Engine {
 	return &Engine{
 		Process:         defaultProcess("engine-1", "127.0.0.1:7600"),
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// TestLoadProperty writes random fields with random values: a file is loaded, or
-// refused with a typed failure that names the field; never half.
+// TestLoadProperty loads files with random fields and values. Load must return either settings that pass
+// all checks or a BadRequest failure with a remedy.
 func TestLoadProperty(t *testing.T) {
 	folder := t.TempDir()
 	fields := []string{"name", "zone", "listen", "log_level", "stop_timeout", "control", "max_requests", "retry_percent", "heartbeat", "unknown_field", "max_body_bytes"}
@@ -42,10 +42,10 @@
 		if err == nil {
 			checker := &Checker{}
 			target.Check(checker)
-			return errors.Wrapf(checker.Err(), "accepted\n%s", text.String())
+			return errors.Wrapf(checker.Err(), "Load accepted settings that are not valid:\n%s", text.String())
 		}
 		if !failure.Is(err, failure.BadRequest) || failure.From(err).Remedy == "" {
-			return errors.Newf("refused without kind or remedy:\n%s%v", text.String(), err)
+			return errors.Newf("Load returned an error without the kind BadRequest or without a remedy:\n%s%v", text.String(), err)
 		}
 		return nil
 	})
