--- a/internal/configuration/store.go
+++ b/internal/configuration/store.go
@@ -1,5 +1,4 @@
-// Package configuration is a daemon's copy of the configuration in force. It
-// only ever moves to a higher revision.
+// Package configuration holds a daemon's copy of the configuration. Its revision never decreases.
 package configuration
 
 import (
@@ -14,50 +13,51 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// Tenant is a tenant as requests see it.
+// Tenant holds a tenant's resolved specification, by which its requests are checked.
 type Tenant struct {
 	Name     string
 	Spec     metastate.TenantSpec
 	Disabled bool
 }
 
-// Identity is whom a key belongs to. Exactly one of the names is set.
+// Identity is the owner of a key. Either Tenant or Operator is set.
 type Identity struct {
 	Tenant   string
 	Operator string
 	KeyID    string
 }
 
-// Snapshot is the configuration at one revision. It is never changed.
+// Snapshot is the configuration at one revision. It is immutable.
 type Snapshot struct {
 	Revision uint64
 	Tenants  map[string]*Tenant
 	Draining map[string]bool
-	keys     map[string]Identity
-	// ReservePercent is the highest reserve that a tenant asks for, in percent.
+	// keys holds the owners of keys by the keys' digests.
+	keys map[string]Identity
+	// ReservePercent is the highest reserve percentage of all tenants.
 	ReservePercent int
 }
 
-// Identify returns whom a key belongs to.
+// Identify returns the owner of a key, and whether the key is known.
 func (s *Snapshot) Identify(secret string) (Identity, bool) {
 	identity, found := s.keys[Digest(secret)]
 	return identity, found
 }
 
-// Digest returns the digest under which a key is kept.
+// Digest returns the digest of a key in hexadecimal, as it is stored in documents.
 func Digest(secret string) string {
 	sum := sha256.Sum256([]byte(secret))
 	return hex.EncodeToString(sum[:])
 }
 
-// documentKey names a document.
+// documentKey identifies a document.
 type documentKey struct {
 	kind string
 	name string
 }
 
-// Store holds the current snapshot. Apply is called by one goroutine only;
-// Current by any.
+// Store holds the current snapshot. Apply must be called by one goroutine only; Current may be
+// called by any.
 type Store struct {
 	documents map[documentKey]wire.Document
 	current   atomic.Pointer[Snapshot]
@@ -79,11 +79,11 @@
 	}
 }
 
-// Current returns the configuration in force.
+// Current returns the current configuration.
 func (s *Store) Current() *Snapshot { return s.current.Load() }
 
-// Apply moves to the delta's revision and reports whether anything changed. A
-// delta that is not newer than the current revision is ignored.
+// Apply applies a delta and reports whether the configuration changed. A delta that is nil or not
+// newer than the current revision is ignored. On an error the configuration stays as it was.
 func (s *Store) Apply(delta *wire.ConfigDelta) (bool, error) {
 	if delta == nil || delta.Revision <= s.Current().Revision {
 		return false, nil
@@ -111,8 +111,8 @@
 	return true, nil
 }
 
-// build resolves every tenant. Control has checked the documents already, so an
-// error here means that control and this daemon differ in version.
+// build returns the snapshot of the documents, with all tenants resolved. Control has already checked
+// the documents, so an error means that control and this daemon run different versions.
 func build(revision uint64, documents map[documentKey]wire.Document) (*Snapshot, error) {
 	snapshot := newSnapshot(revision)
 	templates := map[string]*metastate.Template{}
@@ -126,14 +126,14 @@
 		}
 	}
 	for key, document := range documents {
-		if err := snapshot.add(key, document, templates); err != nil {
+		if err := snapshot.addDocument(key, document, templates); err != nil {
 			return nil, errors.Wrapf(err, "%s %s", key.kind, key.name)
 		}
 	}
 	return snapshot, nil
 }
 
-func (s *Snapshot) add(key documentKey, document wire.Document, templates map[string]*metastate.Template) error {
+func (s *Snapshot) addDocument(key documentKey, document wire.Document, templates map[string]*metastate.Template) error {
 	switch key.kind {
 	case metastate.KindTenant:
 		return s.addTenant(key.name, document, templates)
