--- a/internal/logging/async.go
+++ b/internal/logging/async.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// maxQueuedBytes bounds the lines that wait for the output.
+	// maxQueuedBytes bounds the lines that are queued for the output.
 	maxQueuedBytes = 1 << 20
-	// gatherTime is how long lines wait for others to share a write.
-	gatherTime = 20 * time.Millisecond
+	// batchDelay is how long a queued line waits for more lines, to write them together.
+	batchDelay = 20 * time.Millisecond
 )
 
-// asyncWriter hands lines to a goroutine that writes them.
+// asyncWriter queues lines for a goroutine that writes them.
 type asyncWriter struct {
 	output  io.Writer
 	wake    chan struct{}
@@ -29,7 +29,8 @@
 	return w
 }
 
-// Write implements io.Writer. It never waits and never fails.
+// Write implements io.Writer. It never blocks and never fails: lines that exceed maxQueuedBytes are
+// dropped and counted.
 func (w *asyncWriter) Write(line []byte) (int, error) {
 	w.mutex.Lock()
 	if len(w.queued)+len(line) > maxQueuedBytes {
@@ -47,14 +48,15 @@
 
 func (w *asyncWriter) run() {
 	for range w.wake {
-		time.Sleep(gatherTime)
-		// A line that can't be written has no better place to be reported.
-		_, _ = w.output.Write(w.take())
+		time.Sleep(batchDelay)
+		// The error is ignored: the only place to report it would be this log.
+		_, _ = w.output.Write(w.takeQueued())
 	}
 }
 
-// take returns the lines that wait, with the count of those left out before.
-func (w *asyncWriter) take() []byte {
+// takeQueued removes and returns the queued lines. If lines were dropped, it appends a line with
+// their number.
+func (w *asyncWriter) takeQueued() []byte {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	lines := w.queued
@@ -66,5 +68,5 @@
 	return lines
 }
 
-// Flush writes what waits, for the end of a process.
-func (w *asyncWriter) Flush() { _, _ = w.output.Write(w.take()) }
+// Flush writes the queued lines. It is called before the process exits.
+func (w *asyncWriter) Flush() { _, _ = w.output.Write(w.takeQueued()) }
--- a/internal/logging/async_test.go
+++ b/internal/logging/async_test.go
@@ -5,23 +5,23 @@
 	"testing"
 )
 
-// stuckOutput takes nothing until it is released.
-type stuckOutput struct {
+// blockedOutput blocks all writes until release is closed.
+type blockedOutput struct {
 	release chan struct{}
 	written chan string
 }
 
 // Write implements io.Writer.
-func (s *stuckOutput) Write(lines []byte) (int, error) {
+func (s *blockedOutput) Write(lines []byte) (int, error) {
 	<-s.release
 	s.written <- string(lines)
 	return len(lines), nil
 }
 
-// TestStuckOutputHoldsNobodyUp writes far more lines than are kept while the
-// output takes none: no call waits, and what was left out is counted.
-func TestStuckOutputHoldsNobodyUp(t *testing.T) {
-	output := &stuckOutput{release: make(chan struct{}), written: make(chan string, 100)}
+// TestBlockedOutputBlocksNoCaller writes three times as many lines as the queue holds while the
+// output blocks. No call may block, and the number of dropped lines must be logged.
+func TestBlockedOutputBlocksNoCaller(t *testing.T) {
+	output := &blockedOutput{release: make(chan struct{}), written: make(chan string, 100)}
 	writer := newAsyncWriter(output)
 	line := []byte(strings.Repeat("x", 1023) + "\n")
 	const lines = 3 * maxQueuedBytes / 1024
@@ -37,7 +37,7 @@
 		seen += strings.Count(text, "\n")
 		leftOut = strings.Contains(text, "event=log_lines_left_out count=")
 		if !leftOut && seen > lines {
-			t.Fatal("nothing was left out")
+			t.Fatal("no dropped lines were logged")
 		}
 	}
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging writes one line of key=value pairs per event, by go-kit/log,
-// and adapts that logger to the interface kratos expects.
+// Package logging writes one line of key=value pairs per event with go-kit/log, and adapts that
+// logger to the interface that kratos expects.
 package logging
 
 import (
@@ -10,27 +10,27 @@
 	kratoslog "github.com/go-kratos/kratos/v2/log"
 )
 
-// Logger is the logger every package takes.
+// Logger is the type of logger that all packages use.
 type Logger = log.Logger
 
-// New returns a logfmt logger. Levels are debug, info, warn
-// and error; an unknown level means info. Writes are serialized.
+// New returns a logger that writes events from the minimum level on to output in logfmt. Levels are
+// debug, info, warn and error; an unknown level means info. Writes are serialized.
 func New(output io.Writer, minimum string) Logger {
 	logger := log.NewLogfmtLogger(log.NewSyncWriter(output))
 	logger = level.NewFilter(logger, level.Allow(level.ParseDefault(minimum, level.InfoValue())))
 	return log.With(logger, "time", log.DefaultTimestampUTC)
 }
 
-// NewAsync returns a logger like New's whose lines are written by a goroutine of
-// their own, so that no caller ever waits for the output. Lines that the output
-// can't take in time are left out, and counted in a line of their own. The
-// function returned writes what waits, for the end of the process.
+// NewAsync returns a logger like that of New, but a separate goroutine writes the lines, so that a
+// slow output never blocks a caller. If too many lines are queued for the output, further lines are
+// dropped, and an extra line reports their number. Flush writes the queued lines; call it before
+// the process exits.
 func NewAsync(output io.Writer, minimum string) (logger Logger, flush func()) {
 	writer := newAsyncWriter(output)
 	return New(writer, minimum), writer.Flush
 }
 
-// Discard returns a logger that writes nothing.
+// Discard returns a logger that discards all events.
 func Discard() Logger { return log.NewNopLogger() }
 
 // Debug logs one event at debug level.
@@ -46,14 +46,14 @@
 func Error(logger Logger, event string, pairs ...any) { write(level.Error(logger), event, pairs) }
 
 func write(logger Logger, event string, pairs []any) {
-	// A log line that cannot be written has no better place to be reported.
+	// The error is ignored: the only place to report it would be this log.
 	_ = logger.Log(append([]any{"event", event}, pairs...)...)
 }
 
-// kratosAdapter lets kratos log through go-kit.
+// kratosAdapter implements kratos' Logger with a go-kit logger.
 type kratosAdapter struct{ logger Logger }
 
-// Kratos returns logger as the interface that kratos expects.
+// Kratos adapts logger to the interface that kratos expects.
 func Kratos(logger Logger) kratoslog.Logger { return kratosAdapter{logger: logger} }
 
 // Log implements kratos' Logger.
@@ -70,7 +70,7 @@
 	return leveled.Log(append([]any{"event", "framework"}, pairs...)...)
 }
 
-// WithProcess returns the logger of one process, marked with its role and name.
+// WithProcess returns a logger that adds the role and the name of a process to each line.
 func WithProcess(logger Logger, role, name string) Logger {
 	return log.With(logger, "role", role, "process", name)
 }
