--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -18,43 +18,44 @@
 	maxReplyBytes = 64 << 20
 )
 
-// Client speaks to a gateway as an operator.
+// Client calls the operators' API of a gateway.
 type Client struct {
 	address string
 	key     string
 	client  *http.Client
 }
 
-// NewClient returns a client of the gateway at address (IP:port).
+// NewClient returns a client of the gateway at address (IP:port) that authenticates with an
+// operator's key.
 func NewClient(address, key string) *Client {
 	return &Client{address: address, key: key, client: &http.Client{Timeout: callTimeout}}
 }
 
-// Apply sends a change. It may be sent again with the same id.
+// Apply sends a change. It is idempotent: the same change may be sent again with the same id.
 func (c *Client) Apply(ctx context.Context, change *Change) (*Applied, error) {
 	applied := &Applied{}
 	return applied, c.call(ctx, http.MethodPost, PathChanges, nil, change, applied)
 }
 
-// Documents reads documents; empty kind or name means all.
+// Documents returns the documents of the kind and name; an empty kind or name matches all.
 func (c *Client) Documents(ctx context.Context, kind, name string) (*Documents, error) {
 	list := &Documents{}
 	return list, c.call(ctx, http.MethodGet, PathDocuments, url.Values{"kind": {kind}, "name": {name}}, nil, list)
 }
 
-// History reads the latest changes.
+// History returns at most limit changes, newest first.
 func (c *Client) History(ctx context.Context, limit int) (*Changes, error) {
 	changes := &Changes{}
 	return changes, c.call(ctx, http.MethodGet, PathChanges, url.Values{"limit": {strconv.Itoa(limit)}}, nil, changes)
 }
 
-// Status reads the state of the fleet.
+// Status returns the state of the fleet.
 func (c *Client) Status(ctx context.Context) (*Status, error) {
 	status := &Status{}
 	return status, c.call(ctx, http.MethodGet, PathStatus, nil, nil, status)
 }
 
-// Jobs reads the newest jobs of a tenant, or of all.
+// Jobs returns at most limit jobs of a tenant, newest first; an empty tenant means all tenants.
 func (c *Client) Jobs(ctx context.Context, tenant string, limit int) (*Jobs, error) {
 	jobs := &Jobs{}
 	return jobs, c.call(ctx, http.MethodGet, PathJobs, url.Values{"tenant": {tenant}, "limit": {strconv.Itoa(limit)}}, nil, jobs)
@@ -82,33 +83,33 @@
 	defer response.Body.Close()
 	decoder := json.NewDecoder(io.LimitReader(response.Body, maxReplyBytes))
 	if response.StatusCode != http.StatusOK {
-		var told failure.Body
-		if err := decoder.Decode(&told); err != nil {
+		var failed failure.Body
+		if err := decoder.Decode(&failed); err != nil {
 			return failure.New(failure.Internal, "check the address", "the gateway answered with status %d", response.StatusCode)
 		}
-		return told.Error.Failure()
+		return failed.Error.Failure()
 	}
 	return decoder.Decode(reply)
 }
 
 const (
-	applyTries   = 10
-	applyBackoff = 200 * time.Millisecond
+	maxApplyAttempts   = 10
+	applyRetryInterval = 200 * time.Millisecond
 )
 
-// ApplyWithRetry sends a change again, under its id, while the answer is
-// lost or control can't take it.
+// ApplyWithRetry sends a change, and sends it again with the same id while the answer is lost or
+// control can't execute it, up to maxApplyAttempts times.
 func ApplyWithRetry(ctx context.Context, client *Client, change *Change) (*Applied, error) {
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		applied, err := client.Apply(ctx, change)
-		lost := failure.Is(err, failure.OutcomeUnknown) || failure.Is(err, failure.NotRun)
-		if !lost || try == applyTries {
+		retryable := failure.Is(err, failure.OutcomeUnknown) || failure.Is(err, failure.NotRun)
+		if !retryable || attempt == maxApplyAttempts {
 			return applied, err
 		}
 		select {
 		case <-ctx.Done():
 			return nil, err
-		case <-time.After(applyBackoff):
+		case <-time.After(applyRetryInterval):
 		}
 	}
 }
--- a/internal/operator/parse.go
+++ b/internal/operator/parse.go
@@ -12,7 +12,7 @@
 	"github.com/sedgemast/sedgemast/internal/failure"
 )
 
-// yamlDocument is a document as it stands in a file.
+// yamlDocument is a document in the form of a YAML file.
 type yamlDocument struct {
 	Kind   string         `yaml:"kind"`
 	Name   string         `yaml:"name"`
@@ -20,8 +20,7 @@
 	Spec   map[string]any `yaml:"spec"`
 }
 
-// ParseDocuments reads the documents of a YAML file, which are separated by
-// lines of three hyphens.
+// ParseDocuments parses the documents of a YAML file, which are separated by lines of three hyphens.
 func ParseDocuments(data []byte) ([]Document, error) {
 	decoder := yaml.NewDecoder(bytes.NewReader(data))
 	decoder.KnownFields(true)
--- a/internal/operator/types.go
+++ b/internal/operator/types.go
@@ -1,5 +1,5 @@
-// Package operator holds the operators' API: the JSON bodies that gateways
-// answer and a client for the command line and automation.
+// Package operator defines the operators' API: the JSON bodies of requests to gateways and of their
+// answers, and a client for the command line and automation.
 package operator
 
 import (
@@ -21,19 +21,19 @@
 type Document struct {
 	Kind string `json:"kind"`
 	Name string `json:"name"`
-	// Delete removes the document; it then has no spec.
+	// Delete means that the change deletes the document. Spec is then empty.
 	Delete   bool            `json:"delete,omitempty"`
 	Revision uint64          `json:"revision,omitempty"`
 	Spec     json.RawMessage `json:"spec,omitempty"`
 }
 
-// Documents is a list of documents with the revision it was read at.
+// Documents is a list of documents and the revision at which it was read.
 type Documents struct {
 	Revision  uint64     `json:"revision"`
 	Documents []Document `json:"documents"`
 }
 
-// Change is a change of several documents, all or none.
+// Change is a change of one or more documents. It is applied atomically.
 type Change struct {
 	ChangeID         string     `json:"change_id"`
 	ExpectedRevision *uint64    `json:"expected_revision"`
@@ -46,7 +46,8 @@
 	Repeated bool   `json:"repeated"`
 }
 
-// Status is the state of the fleet.
+// Status is the state of the fleet. InForce is the number of daemons that use the configuration at
+// ConfigRevision.
 type Status struct {
 	ConfigRevision uint64              `json:"config_revision"`
 	InForce        int                 `json:"in_force"`
@@ -56,7 +57,7 @@
 	Control []wire.ReplicaStatus `json:"control"`
 }
 
-// Worker is a worker with its owner.
+// Worker is a worker with the dispatcher that owns it and the fencing epoch of that assignment.
 type Worker struct {
 	Name       string `json:"name"`
 	Zone       string `json:"zone"`
@@ -66,7 +67,7 @@
 	Leaving    bool   `json:"leaving"`
 }
 
-// NewStatus returns the status that control answered.
+// NewStatus converts a status response of control.
 func NewStatus(response *wire.StatusResponse) Status {
 	status := Status{
 		ConfigRevision: response.ConfigRevision,
@@ -88,7 +89,7 @@
 	return status
 }
 
-// Job is a batch job as operators see it.
+// Job is a batch job in the operators' API.
 type Job struct {
 	ID             string `json:"id"`
 	Tenant         string `json:"tenant"`
@@ -101,7 +102,7 @@
 	DeadlineMillis int64  `json:"deadline_ms"`
 }
 
-// NewJob returns a job that control answered.
+// NewJob converts a job record of control.
 func NewJob(record *wire.JobRecord) Job {
 	return Job{
 		ID:             record.ID,
@@ -116,12 +117,12 @@
 	}
 }
 
-// Jobs lists jobs, newest first.
+// Jobs is a list of jobs, newest first.
 type Jobs struct {
 	Jobs []Job `json:"jobs"`
 }
 
-// Trim keeps the newest jobs, at most limit.
+// Trim sorts the jobs, newest first, and removes all after the first limit.
 func (j *Jobs) Trim(limit int) {
 	sort.Slice(j.Jobs, func(a, b int) bool { return j.Jobs[a].CreatedMillis > j.Jobs[b].CreatedMillis })
 	if len(j.Jobs) > limit {
@@ -129,7 +130,7 @@
 	}
 }
 
-// Changes lists accepted changes, newest first.
+// Changes is a list of accepted changes, newest first.
 type Changes struct {
 	Changes []wire.Change `json:"changes"`
 }
--- a/internal/operator/wait.go
+++ b/internal/operator/wait.go
@@ -7,9 +7,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-const inForcePoll = 20 * time.Millisecond
+const pollInterval = 20 * time.Millisecond
 
-// WaitInForce waits until every daemon acts on the revision or a later one.
+// WaitInForce polls a gateway until all daemons use the revision or a later one. It returns an
+// error when ctx is done or a poll fails.
 func WaitInForce(ctx context.Context, client *Client, revision uint64) error {
 	for {
 		status, err := client.Status(ctx)
@@ -22,7 +23,7 @@
 		select {
 		case <-ctx.Done():
 			return errors.Wrapf(ctx.Err(), "revision %d is in force at %d of %d daemons", revision, status.InForce, len(status.Daemons))
-		case <-time.After(inForcePoll):
+		case <-time.After(pollInterval):
 		}
 	}
 }
