--- a/internal/jobstate/job.go
+++ b/internal/jobstate/job.go
@@ -198,8 +198,8 @@
 	return found, nil
 }
 
-// Job returns the record of a tenant's job. An empty tenant, as operators use it, finds the jobs of all
-// tenants.
+// Job returns the record of a tenant's job. An empty tenant, as operators use it, finds the jobs of
+// all tenants.
 func (m *Machine) Job(tenant, id string) (wire.JobRecord, error) {
 	found, err := m.findJob(tenant, id)
 	if err != nil {
--- a/internal/jobstate/leases.go
+++ b/internal/jobstate/leases.go
@@ -38,8 +38,8 @@
 	grantsFrom time.Time
 }
 
-// itemQueue tracks which items of a running job are not leased: those whose lease was given up or has
-// expired, and all from next on.
+// itemQueue holds the items of a running job that are not leased: the returned ones, whose lease was
+// given up or has expired, and all from next on. After a renewal it may also contain leased items.
 type itemQueue struct {
 	next     uint32
 	returned []uint32
@@ -52,9 +52,9 @@
 	expires     time.Time
 }
 
-// NewLeases returns the leases of a leader that begins to lead at now. Grant returns nothing until the
-// adoption time has passed, so that dispatchers can first renew the leases that they hold from the
-// previous leader.
+// NewLeases returns the leases of a leader that begins to lead at now. Grant returns nothing until
+// the adoption time has passed, so that dispatchers can first renew the leases that they hold from
+// the previous leader.
 func NewLeases(machine *Machine, duration, adoption time.Duration, now time.Time) *Leases {
 	return &Leases{
 		machine:    machine,
@@ -74,8 +74,8 @@
 func (l *Leases) Count() int { return len(l.leases) }
 
 // Renew extends the holder's leases on the held items and ends its leases on all other items. It
-// returns the held items that the holder must stop: those that are finished, belong to no running job,
-// or are leased to another holder or incarnation.
+// returns the held items that the holder must stop: those that are finished, belong to no running
+// job, or are leased to another holder or incarnation.
 func (l *Leases) Renew(now time.Time, holder string, incarnation uint64, held []wire.ItemRef) []wire.ItemRef {
 	renewed := make(map[wire.ItemRef]bool, len(held))
 	var stop []wire.ItemRef
@@ -153,8 +153,8 @@
 	l.requeue(expired)
 }
 
-// requeue ends the leases of the items and queues them again. It sorts the items, so that the order of
-// the queue doesn't depend on that of a map.
+// requeue ends the leases of the items and queues them again. It sorts the items, so that the order
+// of the queue doesn't depend on that of a map.
 func (l *Leases) requeue(refs []wire.ItemRef) {
 	sort.Slice(refs, func(a, b int) bool {
 		if refs[a].JobID != refs[b].JobID {
@@ -177,7 +177,8 @@
 	}
 }
 
-// Grant leases up to want queued items of jobs that use one of the models.
+// Grant leases at most want queued items, of jobs that use one of the models, to the holder and
+// returns them.
 func (l *Leases) Grant(now time.Time, holder string, incarnation uint64, want int, models []string) []wire.ItemRef {
 	if now.Before(l.grantsFrom) || want <= 0 {
 		return nil
@@ -247,7 +248,7 @@
 }
 
 // updatePasses removes the passes of tenants without candidates and starts new tenants at the lowest
-// pass, so that they neither wait for the others nor get a credit for the time before.
+// pass, so that a tenant gets no credit for the time in which it had no work.
 func (l *Leases) updatePasses(byTenant map[string][]string) {
 	lowest, found := 0.0, false
 	for tenant, pass := range l.passes {
@@ -301,8 +302,8 @@
 	return min(max(ratio, 1), maxUrgency)
 }
 
-// dequeue removes up to count items from the queue of a job. Items that are finished or, after a renewal,
-// leased again are skipped.
+// dequeue removes up to count items from the queue of a job and returns them. It skips items that are
+// finished or were leased again by a renewal.
 func (l *Leases) dequeue(jobID string, count int) []wire.ItemRef {
 	queue, running := l.queues[jobID], l.machine.jobs[jobID]
 	var refs []wire.ItemRef
--- a/internal/jobstate/machine.go
+++ b/internal/jobstate/machine.go
@@ -2,8 +2,8 @@
 // and idempotency keys. It is deterministic: the result of Apply depends on the state and the command
 // only, so that all replicas reach the same state.
 //
-// Input lines and results are kept in storage. In memory a job takes its record and, while it runs, one
-// bit per item.
+// Input lines and results are kept in storage. In memory a job takes its record and, while it runs,
+// one bit per item.
 //
 // Invariants:
 //   - the content of a job and its input lines never change once the job has been accepted;
--- a/internal/metastate/assignment.go
+++ b/internal/metastate/assignment.go
@@ -5,8 +5,8 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// assign stores the assignments, each with a new epoch, and removes those of the workers to forget. The
-// epoch counter stays when an assignment is removed, so that a worker's epoch never decreases.
+// assign stores the assignments, each with a new epoch, and removes those of the workers to forget.
+// The epoch counter stays when an assignment is removed, so that a worker's epoch never decreases.
 func (m *Machine) assign(command *wire.AssignCommand) []wire.Assignment {
 	assigned := make([]wire.Assignment, 0, len(command.Assignments))
 	for _, assignment := range command.Assignments {
--- a/internal/metastate/documents.go
+++ b/internal/metastate/documents.go
@@ -74,8 +74,8 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
 
-// CheckDocument validates a document without regard to others and returns its canonical body, which is
-// nil for a deleted document.
+// CheckDocument validates a document without regard to others and returns its canonical body, which
+// is nil for a deleted document.
 func CheckDocument(document wire.Document) ([]byte, error) {
 	path := document.Kind + "/" + document.Name
 	if !namePattern.MatchString(document.Name) {
@@ -94,7 +94,7 @@
 	return json.Marshal(target)
 }
 
-// documentBody is the decoded documentBody of a document.
+// documentBody is the decoded body of a document.
 type documentBody interface{ check(path string) error }
 
 func newBody(kind, path string) (documentBody, error) {
--- a/internal/metastate/machine.go
+++ b/internal/metastate/machine.go
@@ -22,8 +22,8 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// historyLimit is the number of changes whose ids and digests are kept. At the target of 1,700 changes
-// a day, this is more than five days in which a change may be resent.
+// historyLimit is the number of changes whose ids and digests are kept. At the target of 1,700
+// changes a day, this is more than five days in which a change may be resent.
 const historyLimit = 10_000
 
 // documentKey identifies a document.
--- a/internal/metastate/store.go
+++ b/internal/metastate/store.go
@@ -39,8 +39,8 @@
 	m.put(key, value)
 }
 
-// putDocument stores a document. A deleted document stays as a tombstone, so that a daemon that has it
-// gets the deletion, however many revisions it has missed.
+// putDocument stores a document. A deleted document stays as a tombstone, so that a daemon that has
+// it gets the deletion, however many revisions it has missed.
 func (m *Machine) putDocument(document wire.Document) {
 	key := documentKey{document.Kind, document.Name}
 	m.documents[key] = document
@@ -76,7 +76,8 @@
 	})
 }
 
-// restoreEach decodes every value whose key begins with prefix and calls accept, in the order of keys.
+// restoreEach decodes every value whose key begins with prefix and calls accept, in the order of
+// keys.
 func restoreEach[Message any, Pointer interface {
 	*Message
 	msgp.Unmarshaler
--- a/internal/metastate/tenant.go
+++ b/internal/metastate/tenant.go
@@ -30,8 +30,9 @@
 	MaxTokens int `json:"max_tokens"`
 	// RunningJobs bounds the number of the tenant's running jobs.
 	RunningJobs int `json:"running_jobs"`
-	// ReservePercent is the share of a worker's slots that batch work leaves free for bursts of online
-	// requests. A higher share lowers their tail latency, a lower one raises batch throughput.
+	// ReservePercent is the share of a worker's slots that batch work leaves free for bursts of
+	// online requests. A higher share lowers their tail latency, a lower one raises batch
+	// throughput.
 	ReservePercent int `json:"reserve_percent"`
 }
 
@@ -55,8 +56,8 @@
 	"reserve_percent":     typeInteger,
 }
 
-// DefaultTenantSpec returns the values of parameters for which neither the template nor the tenant sets
-// one.
+// DefaultTenantSpec returns the values of parameters for which neither the template nor the tenant
+// sets one.
 func DefaultTenantSpec() TenantSpec {
 	return TenantSpec{
 		OnlineRank:        5,
@@ -76,8 +77,8 @@
 	return resolve(path, template, tenant.Values, false)
 }
 
-// resolve merges the template's defaults with values. With allowMissing set, required values may be missing,
-// as when a template is checked by itself.
+// resolve merges the template's defaults with values. With allowMissing set, required values may be
+// missing, as when a template is checked by itself.
 func resolve(path string, template *Template, values map[string]json.RawMessage, allowMissing bool) (TenantSpec, error) {
 	for _, name := range sortedNames(values) {
 		parameter, declared := template.Parameters[name]
--- a/internal/record/check.go
+++ b/internal/record/check.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// maxStartAfterCancel is the time after the cancellation of a job in which its items may still be started. It
-// covers the lease of an item, one call and a margin.
+// maxStartAfterCancel is the time after the cancellation of a job in which its items may still be
+// started. It covers the lease of an item, one call and a margin.
 const maxStartAfterCancel = 8 * time.Second
 
 // Violation is a broken promise, found at the event at time At.
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,6 +1,6 @@
-// Package record reads the logs of a real run and checks the system's promises against them. It reports
-// which promises were broken, and by which events. The logs are its only input; it sends no requests to
-// the processes.
+// Package record reads the logs of a real run and checks the system's promises against them. It
+// reports which promises were broken, and by which events. The logs are its only input; it sends no
+// requests to the processes.
 package record
 
 import (
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -46,7 +46,8 @@
 	}
 }
 
-// TestBrokenPromises breaks each promise by one changed line, and checks that the violation is reported.
+// TestBrokenPromises breaks each promise by one changed line, and checks that the violation is
+// reported.
 func TestBrokenPromises(t *testing.T) {
 	cases := []struct{ promise, before, after string }{
 		{promiseRevisions, "revision=2 change=b operator=x repeated=true", "revision=2 change=c operator=x repeated=false"},
--- a/internal/runlog/runlog.go
+++ b/internal/runlog/runlog.go
@@ -67,8 +67,8 @@
 	Flows   []Flow
 }
 
-// Read summarizes the events of a run. zoneOf returns the zone of the process with the given name, empty
-// if unknown.
+// Read summarizes the events of a run. zoneOf returns the zone of the process with the given name,
+// empty if unknown.
 func Read(events []record.Event, zoneOf func(process string) string) *Run {
 	s := &summarizer{seconds: map[int]*Second{}, traffic: map[string]*record.Event{}}
 	for i := range events {
@@ -139,7 +139,8 @@
 	}
 }
 
-// addPerSecond calls add for each second between from and to, with the fraction of it that is in between.
+// addPerSecond calls add for each second between from and to, with the fraction of it that is in
+// between.
 func (s *summarizer) addPerSecond(from, to time.Time, add func(second *Second, part float64)) {
 	if from.Before(s.start) {
 		from = s.start
@@ -204,7 +205,8 @@
 	return exchanges, sent, received, err == nil
 }
 
-// deadlineTooSoon and queueFull are the logged results of requests that an edge's queue rejects on arrival.
+// deadlineTooSoon and queueFull are the logged results of requests that an edge's queue rejects on
+// arrival.
 var (
 	deadlineTooSoon = admission.DeadlineTooSoon.String()
 	queueFull       = admission.QueueFull.String()
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -35,7 +35,8 @@
 	return failure.New(failure.BadRequest, "correct the settings file or the flags", "%s", strings.Join(c.problems, "; "))
 }
 
-// Name checks the name of a process, zone or worker: 1 to 63 lower-case letters, digits, dots and hyphens.
+// Name checks the name of a process, zone or worker: 1 to 63 lower-case letters, digits, dots and
+// hyphens.
 func (c *Checker) Name(path, value string) {
 	const remedy = "use 1 to 63 lower-case letters, digits, dots and hyphens"
 	if value == "" || len(value) > 63 {
@@ -51,7 +52,8 @@
 	}
 }
 
-// Address checks an address at which other processes are reached: an IP address and a port, no host name.
+// Address checks an address at which other processes are reached: an IP address and a port, no host
+// name.
 func (c *Checker) Address(path, value string) {
 	address, err := netip.ParseAddrPort(value)
 	if err != nil {
--- a/internal/settings/duration.go
+++ b/internal/settings/duration.go
@@ -1,6 +1,6 @@
 // Package settings reads and checks the settings file of a process. Every field is checked when the
-// process starts. An error names the field's path, the invalid value and the remedy. Unknown fields are
-// errors.
+// process starts. An error names the field's path, the invalid value and the remedy. Unknown fields
+// are errors.
 package settings
 
 import (
--- a/internal/settings/fleet.go
+++ b/internal/settings/fleet.go
@@ -7,8 +7,8 @@
 	"github.com/sedgemast/sedgemast/internal/ratelimit"
 )
 
-// Coordinator holds the settings of a coordinator, which keeps the configuration of routes and the view
-// of the fleet.
+// Coordinator holds the settings of a coordinator, which keeps the configuration of routes and the
+// view of the fleet.
 type Coordinator struct {
 	Process
 	Replication
@@ -48,8 +48,8 @@
 
 const (
 	bytesPerMB = 1 << 20
-	// logDiskDivisor bounds the retained log to 1/32 of the disk. The log may grow to twice the retained
-	// size before its oldest part is removed.
+	// logDiskDivisor bounds the retained log to 1/32 of the disk. The log may grow to twice the
+	// retained size before its oldest part is removed.
 	logDiskDivisor = 32
 )
 
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -20,9 +20,9 @@
 	Check(checker *Checker)
 }
 
-// Load reads the YAML file at path into target, which holds the defaults, calls override to apply the
-// flags of the command line, and checks the result. An empty path means that there is no file; override
-// may be nil. The error lists all invalid fields.
+// Load reads the YAML file at path into target, which holds the defaults, calls override to apply
+// the flags of the command line, and checks the result. An empty path means that there is no file;
+// override may be nil. The error lists all invalid fields.
 func Load(path string, target Checked, override func()) error {
 	if path != "" {
 		if err := readFile(path, target); err != nil {
@@ -40,7 +40,8 @@
 func readFile(path string, target any) error {
 	source := config.New(
 		config.WithSource(file.NewSource(path)),
-		// The default resolver would expand placeholders such as ${NAME}; the file is used as written.
+		// The default resolver would expand placeholders such as ${NAME}; the file is used as
+		// written.
 		config.WithResolver(func(map[string]any) error { return nil }),
 	)
 	defer source.Close()
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// TestLoadProperty loads files with random fields and values. Load must return either settings that pass
-// all checks or a BadRequest failure with a remedy.
+// TestLoadProperty loads files with random fields and values. Load must return either settings that
+// pass all checks or a BadRequest failure with a remedy.
 func TestLoadProperty(t *testing.T) {
 	folder := t.TempDir()
 	fields := []string{"name", "zone", "listen", "log_level", "stop_timeout", "control", "max_requests", "retry_percent", "heartbeat", "unknown_field", "max_body_bytes"}
--- a/internal/storage/memory.go
+++ b/internal/storage/memory.go
@@ -7,8 +7,8 @@
 	"github.com/tidwall/btree"
 )
 
-// Memory is an in-memory Store for simulations and tests. Crash simulates the loss of commits that were
-// not synced.
+// Memory is an in-memory Store for simulations and tests. Crash simulates the loss of commits that
+// were not synced.
 type Memory struct {
 	mutex sync.Mutex
 	// live holds all commits, durable only the synced ones.
@@ -121,7 +121,8 @@
 	return append([]byte{}, value...)
 }
 
-// scan visits the pairs from lower (inclusive) to upper (exclusive); a nil upper means no upper bound.
+// scan visits the pairs from lower (inclusive) to upper (exclusive); a nil upper means no upper
+// bound.
 func (k *keySpace) scan(lower, upper []byte, visit func(key, value []byte) bool) {
 	k.tree.Ascend(string(lower), func(key string, value []byte) bool {
 		if upper != nil && key >= string(upper) {
--- a/internal/storage/pebble.go
+++ b/internal/storage/pebble.go
@@ -11,13 +11,13 @@
 
 // These sizes bound the disk space that a store needs in addition to its data, because disks may be
 // small. A write stays in the write-ahead log until its memtable is flushed: there are at most two
-// memtables with their logs, and one more log file that is kept for reuse. Then the write is in level 0,
-// and it is stored twice during a compaction, of which one runs at a time.
+// memtables with their logs, and one more log file that is kept for reuse. Then the write is in
+// level 0, and it is stored twice during a compaction, of which one runs at a time.
 const (
 	cacheBytes    = 8 << 20
 	memtableBytes = 1 << 20
-	// baseLevelBytes is the size of the first level below level 0, fileBytes that of its files. Both
-	// sizes increase with each further level.
+	// baseLevelBytes is the size of the first level below level 0, baseFileBytes that of its files.
+	// Both sizes increase with each further level.
 	baseLevelBytes = 4 << 20
 	baseFileBytes  = 512 << 10
 	// level0Tables is the number of tables in level 0 at which a compaction starts.
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -1,5 +1,5 @@
-// Package storage stores the logs and the state of replicated groups in one ordered key space. A synced
-// commit returns only when it will survive a crash of the process and a power loss.
+// Package storage stores the logs and the state of replicated groups in one ordered key space. A
+// synced commit returns only when it will survive a crash of the process and a power loss.
 package storage
 
 // Mutation is one change of the key space: it sets Key to Value or deletes keys.
