--- a/cmd/sedgemast-lab/experiment.go
+++ b/cmd/sedgemast-lab/experiment.go
@@ -8,7 +8,7 @@
 	"github.com/sedgemast/sedgemast/internal/simulation"
 )
 
-// experimentCommand measures ways of sharing the fleet side by side.
+// experimentCommand compares policies for sharing the fleet, in virtual time.
 type experimentCommand struct {
 	Profile string            `arg:"--profile" default:"stundir" help:"stundir or kotare"`
 	Seeds   string            `arg:"--seeds" default:"1..3" placeholder:"A..B" help:"seeds to run each variant with"`
--- a/cmd/sedgemast-lab/load.go
+++ b/cmd/sedgemast-lab/load.go
@@ -45,12 +45,12 @@
 	for _, address := range flags.Gateways {
 		clients = append(clients, loadgen.NewClient(address, flags.Key))
 	}
-	finished := make(chan error, 1)
-	go func() { finished <- runLoadJob(ctx, clients, flags) }()
+	jobResult := make(chan error, 1)
+	go func() { jobResult <- runLoadJob(ctx, clients, flags) }()
 	if err := runLoadOnline(ctx, clients, flags); err != nil {
 		return err
 	}
-	return <-finished
+	return <-jobResult
 }
 
 func runLoadOnline(ctx context.Context, clients []*loadgen.Client, flags *loadCommand) error {
@@ -69,7 +69,7 @@
 	summary := online.Run(ctx, clients)
 	fmt.Printf("online: %s\n", summary)
 	if summary.Incorrect > 0 || (summary.Failed() > 0 && !flags.AllowErrors) {
-		return errors.Wrapf(summary.FirstError, "%d requests have no whole answer; the first", summary.Failed())
+		return errors.Wrapf(summary.FirstError, "%d requests got no complete and correct answer; the first error", summary.Failed())
 	}
 	return nil
 }
@@ -93,11 +93,11 @@
 	if err := job.Check(ctx, clients[0], batch); err != nil {
 		return err
 	}
-	fmt.Printf("batch: %d items complete, each once and whole, after %s\n", batch.RequestCounts.Completed, time.Since(started).Round(time.Millisecond))
+	fmt.Printf("batch: %d items completed, each exactly once and with the correct answer, after %s\n", batch.RequestCounts.Completed, time.Since(started).Round(time.Millisecond))
 	return nil
 }
 
-// jobFileCommand writes a job's file, for use with other clients.
+// jobFileCommand writes the input file of a batch job, for use with other clients.
 type jobFileCommand struct {
 	Output    string `arg:"positional,required" help:"file to write"`
 	Items     int    `arg:"--items" default:"1000"`
--- a/cmd/sedgemast-lab/main.go
+++ b/cmd/sedgemast-lab/main.go
@@ -1,7 +1,7 @@
-// Sedgemast-lab is the developers' and capacity planners' program: stand-ins
-// for the systems that sedgemast serves, load, and experiments.
+// Sedgemast-lab is the command line tool of developers and capacity planners. It emulates engines
+// and the platform, generates load, and runs simulations and experiments.
 //
-// Exit codes: 0 done, 1 failed, 2 wrong flags or settings.
+// Exit codes: 0 success, 1 failed, 2 invalid flags or settings.
 package main
 
 import (
--- a/cmd/sedgemast-lab/record.go
+++ b/cmd/sedgemast-lab/record.go
@@ -7,7 +7,7 @@
 	"github.com/sedgemast/sedgemast/internal/record"
 )
 
-// checkRecordCommand checks the logs of a real run.
+// checkRecordCommand checks the promises against the logs of a real run.
 type checkRecordCommand struct {
 	Folder string `arg:"positional,required" help:"folder with the processes' logs, in files whose names end in .log"`
 }
--- a/cmd/sedgemast-lab/scale.go
+++ b/cmd/sedgemast-lab/scale.go
@@ -15,7 +15,8 @@
 	"github.com/sedgemast/sedgemast/internal/workerlist"
 )
 
-// hollowWorkersCommand serves hollow workers and the platform's list of them.
+// hollowWorkersCommand serves hollow workers, which report no slots and run nothing, and the
+// platform's list of them.
 type hollowWorkersCommand struct {
 	command.ProcessFlags
 	Count int    `arg:"--count" default:"600" help:"hollow workers"`
@@ -38,15 +39,16 @@
 	if err != nil {
 		return err
 	}
-	listed := emulator.NewPlatform(time.Second, 1, 1)
-	listed.SetWorkers(rows)
-	listed.Register(d.Server)
+	platform := emulator.NewPlatform(time.Second, 1, 1)
+	platform.SetWorkers(rows)
+	platform.Register(d.Server)
 	d.SetReady(true)
 	fmt.Printf("platform: %d hollow workers listed at http://%s%s\n", len(rows), d.Address(), workerlist.PathWorkers)
 	return d.Run()
 }
 
-// scaleCommand measures a fleet of hollow daemons beside real processes.
+// scaleCommand measures real processes in fleets with different numbers of hollow daemons, which
+// speak the control protocol and serve no requests.
 type scaleCommand struct {
 	Control   []string          `arg:"--control,required" placeholder:"IP:PORT" help:"addresses of the control processes"`
 	Gateway   string            `arg:"--gateway,required" placeholder:"IP:PORT" help:"address of a real gateway"`
@@ -98,11 +100,11 @@
 func parseProcesses(texts []string) ([]scale.Process, error) {
 	var processes []scale.Process
 	for _, text := range texts {
-		parts := strings.Split(text, "=")
-		if len(parts) != 3 {
+		fields := strings.Split(text, "=")
+		if len(fields) != 3 {
 			return nil, failure.New(failure.BadRequest, "write ROLE=NAME=IP:PORT", "%q is not a process", text).WithField("--process")
 		}
-		processes = append(processes, scale.Process{Role: parts[0], Name: parts[1], Address: parts[2]})
+		processes = append(processes, scale.Process{Role: fields[0], Name: fields[1], Address: fields[2]})
 	}
 	return processes, nil
 }
--- a/cmd/sedgemast-lab/simulate.go
+++ b/cmd/sedgemast-lab/simulate.go
@@ -12,7 +12,7 @@
 	"github.com/sedgemast/sedgemast/internal/simulation"
 )
 
-// simulateCommand runs the fleet in virtual time by seed.
+// simulateCommand simulates the fleet in virtual time, with the faults that follow from each seed.
 type simulateCommand struct {
 	Seeds    string `arg:"--seeds" default:"1..100" placeholder:"A..B" help:"seeds to run"`
 	Profile  string `arg:"--profile" default:"all" help:"stundir, kotare, both (all), or target: 330 daemons and 600 workers"`
@@ -110,7 +110,8 @@
 	return kinds, nil
 }
 
-// proveCommand prints the table of promises and mutations.
+// proveCommand checks each promise under its faults, and that its check fails under the mutation
+// that disables its mechanism. It prints the results as a table.
 type proveCommand struct {
 	Seeds string `arg:"--seeds" default:"1..10" placeholder:"A..B" help:"seeds to run for each promise and mutation"`
 }
--- a/cmd/sedgemast-lab/simulate_fleet.go
+++ b/cmd/sedgemast-lab/simulate_fleet.go
@@ -11,7 +11,8 @@
 	"github.com/sedgemast/sedgemast/internal/fleetsim"
 )
 
-// simulateFleetCommand runs coordinators and stores in virtual time by seed.
+// simulateFleetCommand simulates coordinators and stores in virtual time, with the faults that
+// follow from each seed.
 type simulateFleetCommand struct {
 	Seeds    string `arg:"--seeds" default:"1..100" placeholder:"A..B" help:"seeds to run"`
 	Mutation string `arg:"--mutation" help:"take a mechanism away, to see a check turn red; by its name in docs/PROMISES.md"`
@@ -40,17 +41,17 @@
 	return nil
 }
 
-// runFleetSeeds runs the seeds, prints those that broke a promise with their
-// faults, and returns how many did.
+// runFleetSeeds runs a simulation for each seed, prints the log and the violations of those that
+// broke a promise, and returns their number.
 func runFleetSeeds(first, last uint64, mutation fleetsim.Mutation, parallel int) int {
 	var mutex sync.Mutex
-	var running sync.WaitGroup
+	var group sync.WaitGroup
 	failed := 0
 	seeds := make(chan uint64)
 	for worker := 0; worker < parallel; worker++ {
-		running.Add(1)
+		group.Add(1)
 		go func() {
-			defer running.Done()
+			defer group.Done()
 			for seed := range seeds {
 				world, violations := fleetsim.Run(seed, mutation)
 				if len(violations) == 0 {
@@ -70,6 +71,6 @@
 		seeds <- seed
 	}
 	close(seeds)
-	running.Wait()
+	group.Wait()
 	return failed
 }
--- a/cmd/sedgemast-lab/standins.go
+++ b/cmd/sedgemast-lab/standins.go
@@ -26,7 +26,8 @@
 	Cut      float64           `arg:"--cut" help:"share of events at which the connection breaks"`
 }
 
-// resumeGrace is how long an attempt goes on without a reader.
+// resumeGrace is how long an attempt continues without a reader, and how long a finished one can
+// still be read.
 const resumeGrace = 5 * time.Second
 
 func runEngine(flags *engineCommand) error {
@@ -53,9 +54,9 @@
 	if err != nil {
 		return err
 	}
-	emulated := emulator.NewEngine(engineOptions(config, flags, d.Logger))
-	emulated.Register(d.Server)
-	d.Go(emulated.Run)
+	engine := emulator.NewEngine(engineOptions(config, flags, d.Logger))
+	engine.Register(d.Server)
+	d.Go(engine.Run)
 	d.SetReady(true)
 	return d.Run()
 }
@@ -92,7 +93,7 @@
 	WeightSize int               `arg:"--weight-size" default:"67108864" help:"size of one set of weights, in bytes"`
 }
 
-const workerParts = 3
+const workerFields = 3
 
 func runPlatform(flags *platformCommand) error {
 	config := settings.DefaultEngine()
@@ -102,19 +103,19 @@
 	}
 	var workers []workerlist.Worker
 	for _, text := range flags.Workers {
-		parts := strings.Split(text, "=")
-		if len(parts) != workerParts {
+		fields := strings.Split(text, "=")
+		if len(fields) != workerFields {
 			return failure.New(failure.BadRequest, "write NAME=IP:PORT=ZONE", "%q is not a worker", text).WithField("--worker")
 		}
-		workers = append(workers, workerlist.Worker{ID: parts[0], Address: parts[1], Zone: parts[2], Incarnation: 1})
+		workers = append(workers, workerlist.Worker{ID: fields[0], Address: fields[1], Zone: fields[2], Incarnation: 1})
 	}
 	d, err := command.NewDaemon("platform", &config.Process)
 	if err != nil {
 		return err
 	}
-	emulated := emulator.NewPlatform(flags.Lag.Std(), flags.WeightRate, flags.WeightSize)
-	emulated.SetWorkers(workers)
-	emulated.Register(d.Server)
+	platform := emulator.NewPlatform(flags.Lag.Std(), flags.WeightRate, flags.WeightSize)
+	platform.SetWorkers(workers)
+	platform.Register(d.Server)
 	d.SetReady(true)
 	fmt.Printf("platform: %d workers listed at http://%s%s\n", len(workers), d.Address(), workerlist.PathWorkers)
 	return d.Run()
--- a/cmd/sedgemast-lab/summarize.go
+++ b/cmd/sedgemast-lab/summarize.go
@@ -9,7 +9,7 @@
 	"github.com/sedgemast/sedgemast/internal/runlog"
 )
 
-// summarizeCommand shows what happened in a real run.
+// summarizeCommand summarizes the logs of a real run.
 type summarizeCommand struct {
 	File string `arg:"positional,required" help:"file with the lines of all processes"`
 }
@@ -24,16 +24,16 @@
 	if err != nil {
 		return failure.Wrap(err, failure.BadRequest, "name a file with logs of key=value lines", "the log can't be read")
 	}
-	return runlog.Read(events, zoneByName).Print(os.Stdout)
+	return runlog.Read(events, zoneFromName).Print(os.Stdout)
 }
 
-// zoneByName returns the zone in a process's name where that has the form
-// CLASS-ZONE-NUMBER, and nothing otherwise.
-func zoneByName(process string) string {
+// zoneFromName returns the zone in a process name of the form CLASS-ZONE-NUMBER, or an empty
+// string for other names.
+func zoneFromName(process string) string {
 	_, rest, found := strings.Cut(process, "-")
-	at := strings.LastIndex(rest, "-")
-	if !found || at < 0 {
+	dash := strings.LastIndex(rest, "-")
+	if !found || dash < 0 {
 		return ""
 	}
-	return rest[:at]
+	return rest[:dash]
 }
--- a/cmd/sedgemast/dev.go
+++ b/cmd/sedgemast/dev.go
@@ -74,7 +74,8 @@
 	return nil
 }
 
-// configureDev applies a template and a tenant and returns the tenant's key.
+// configureDev applies a template and a tenant, waits until they are in force, and returns the
+// tenant's key.
 func configureDev(ctx context.Context, gateway, operatorKey string) (string, error) {
 	tenantKey, err := keys.New("tenant", devTenant)
 	if err != nil {
@@ -98,8 +99,7 @@
 	return tenantKey, nil
 }
 
-// demonstrate sends online requests and a batch job together and checks every
-// answer.
+// demonstrate runs a batch job and online requests at the same time and checks every answer.
 func demonstrate(ctx context.Context, started *fleet.Fleet, tenantKey string, flags *devCommand) error {
 	ctx, cancel := context.WithTimeout(ctx, devTimeout)
 	defer cancel()
@@ -107,12 +107,12 @@
 	for _, gateway := range started.Gateways {
 		client := loadgen.NewClient(gateway.Address(), tenantKey)
 		if err := loadgen.WaitServing(ctx, client, devModel); err != nil {
-			return errors.Wrap(err, "the fleet does not serve")
+			return errors.Wrap(err, "the fleet does not answer requests")
 		}
 		clients = append(clients, client)
 	}
 	job := &loadgen.BatchJob{Model: devModel, Items: flags.Items, MaxTokens: 64, Words: 64, Name: "demo"}
-	begun := time.Now()
+	start := time.Now()
 	batch, err := job.Submit(ctx, clients[0])
 	if err != nil {
 		return err
@@ -122,15 +122,15 @@
 	summary := online.Run(ctx, clients)
 	fmt.Printf("online: %s\n", summary)
 	if summary.Failed() > 0 {
-		return errors.Wrapf(summary.FirstError, "%d online requests have no whole answer; the first", summary.Failed())
+		return errors.Wrapf(summary.FirstError, "%d online requests got no complete and correct answer; the first error", summary.Failed())
 	}
 	batch, err = loadgen.WaitBatch(ctx, clients[len(clients)-1], batch.ID)
 	if err != nil {
-		return errors.Wrap(err, "the batch job did not end")
+		return errors.Wrap(err, "the batch job did not finish")
 	}
 	if err := job.Check(ctx, clients[0], batch); err != nil {
 		return err
 	}
-	fmt.Printf("batch job: %d items complete, each once and whole, after %s\n", batch.RequestCounts.Completed, time.Since(begun).Round(time.Millisecond))
+	fmt.Printf("batch job: %d items completed, each exactly once and with the correct answer, after %s\n", batch.RequestCounts.Completed, time.Since(start).Round(time.Millisecond))
 	return nil
 }
--- a/cmd/sedgemast/fleet.go
+++ b/cmd/sedgemast/fleet.go
@@ -16,7 +16,7 @@
 	"github.com/sedgemast/sedgemast/internal/workerlist"
 )
 
-// fleetFlags are those that edge, coordinator and store have in common.
+// fleetFlags are the flags that edge, coordinator and store have in common.
 type fleetFlags struct {
 	command.ProcessFlags
 	Seeds []string `arg:"--seeds" placeholder:"IP:PORT" help:"addresses of a few coordinators [default: 127.0.0.1:7600]"`
@@ -132,15 +132,15 @@
 // poolList reads the workers of pools from the platform's list.
 type poolList struct{ client *workerlist.Client }
 
-// Page implements listreader.Pages: the list comes in one. A machine that was replaced
-// under its id is another worker.
+// Page implements listreader.Pager. The whole list is one page. A machine that was replaced under
+// its id is a different worker, so the worker's id includes the incarnation.
 func (l poolList) Page(ctx context.Context, _, _ string) (listreader.Page, error) {
 	page := listreader.Page{}
-	listed, err := l.client.Workers(ctx)
+	workers, err := l.client.Workers(ctx)
 	if err != nil {
 		return page, err
 	}
-	for _, row := range listed {
+	for _, row := range workers {
 		if row.Pool == "" {
 			continue
 		}
--- a/cmd/sedgemast/main.go
+++ b/cmd/sedgemast/main.go
@@ -1,7 +1,7 @@
-// Sedgemast is the program of every daemon: gateway, dispatcher and control; edge,
-// coordinator and store; and of the embedded fleet for newcomers.
+// Sedgemast runs one of the daemons: gateway, dispatcher or control; edge, coordinator or store.
+// Its dev command runs a whole fleet with emulated engines in one process, as a demonstration.
 //
-// Exit codes: 0 done or stopped as planned, 1 failed, 2 wrong flags or settings.
+// Exit codes: 0 finished or shut down as planned, 1 failed, 2 invalid flags or settings.
 package main
 
 import (
--- a/cmd/sedgemastctl/commands.go
+++ b/cmd/sedgemastctl/commands.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	// maxDrainTries bounds the tries of a drain that other changes overtake.
-	maxDrainTries = 20
+	// maxDrainAttempts bounds the attempts at a drain that conflicts with other changes.
+	maxDrainAttempts = 20
 )
 
 func runApply(ctx context.Context, flags *applyCommand) error {
@@ -63,7 +63,7 @@
 	}
 	fmt.Printf("change %s accepted as revision %d", change.ChangeID, applied.Revision)
 	if applied.Repeated {
-		fmt.Print(" (it had been accepted before)")
+		fmt.Print(" (it was already accepted before)")
 	}
 	fmt.Println()
 	return nil
@@ -99,7 +99,7 @@
 	}
 	changes, err := client.History(ctx, flags.Limit)
 	if err != nil || flags.JSON {
-		return orPrintJSON(err, changes)
+		return printJSONUnlessErr(err, changes)
 	}
 	return printTable("REVISION\tAT\tOPERATOR\tCHANGE\tDOCUMENTS", func(table io.Writer) {
 		for _, change := range changes.Changes {
@@ -115,7 +115,7 @@
 	}
 	status, err := client.Status(ctx)
 	if err != nil || flags.JSON {
-		return orPrintJSON(err, status)
+		return printJSONUnlessErr(err, status)
 	}
 	fmt.Printf("configuration revision %d, in force at %d of %d daemons\n\n", status.ConfigRevision, status.InForce, len(status.Daemons))
 	err = printTable("DAEMON\tROLE\tZONE\tADDRESS\tREVISION\tWORKERS\tDRAINING\tLEASE LEFT", func(table io.Writer) {
@@ -150,7 +150,7 @@
 	}
 	list, err := client.Jobs(ctx, flags.Tenant, flags.Limit)
 	if err != nil || flags.JSON {
-		return orPrintJSON(err, list)
+		return printJSONUnlessErr(err, list)
 	}
 	return printTable("JOB\tTENANT\tSTATE\tMODEL\tITEMS\tSUCCEEDED\tFAILED\tDEADLINE", func(table io.Writer) {
 		for _, job := range list.Jobs {
@@ -159,8 +159,8 @@
 	})
 }
 
-// runDrain applies a drain document. Another operator's change may come between
-// the reading of the revision and the change: then it is tried again.
+// runDrain applies a drain document. The change conflicts if another operator has changed the
+// configuration since its revision was read; it is then sent again with the new revision.
 func runDrain(ctx context.Context, flags *drainCommand) error {
 	client, err := flags.client()
 	if err != nil {
@@ -172,7 +172,7 @@
 			return err
 		}
 	}
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		current, err := client.Documents(ctx, metastate.KindDrain, "")
 		if err != nil {
 			return err
@@ -183,7 +183,7 @@
 			fmt.Printf("%s: drain=%t accepted as revision %d\n", flags.Name, !flags.Cancel, applied.Revision)
 			return nil
 		}
-		if !failure.Is(err, failure.Conflict) || try == maxDrainTries {
+		if !failure.Is(err, failure.Conflict) || attempt == maxDrainAttempts {
 			return err
 		}
 	}
@@ -247,7 +247,7 @@
 	return nil
 }
 
-func orPrintJSON(err error, value any) error {
+func printJSONUnlessErr(err error, value any) error {
 	if err != nil {
 		return err
 	}
--- a/cmd/sedgemastctl/main.go
+++ b/cmd/sedgemastctl/main.go
@@ -1,8 +1,8 @@
-// Sedgemastctl is the operators' program: it changes and reads the
-// configuration, shows the state of the fleet and its jobs, drains daemons and
-// workers, makes keys, and checks settings and documents offline.
+// Sedgemastctl is the operators' command line tool. It changes and shows the configuration, shows
+// the state of the fleet and its jobs, drains daemons and workers, generates keys, and checks
+// settings and documents offline.
 //
-// Exit codes: 0 done, 1 failed, 2 wrong flags, settings or documents.
+// Exit codes: 0 success, 1 failed, 2 invalid flags, settings or documents.
 package main
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/sedgemast/sedgemast/internal/operator"
 )
 
-// connection says where and as whom the program acts.
+// connection holds the flags of all commands that call a gateway.
 type connection struct {
 	Gateway string `arg:"--gateway,env:SEDGEMAST_GATEWAY" placeholder:"IP:PORT" default:"127.0.0.1:7400" help:"address of a gateway"`
 	Key     string `arg:"--key,env:SEDGEMAST_OPERATOR_KEY" help:"operator's key; better given in the environment than on the command line"`
