--- a/internal/batchstate/machine.go
+++ b/internal/batchstate/machine.go
@@ -65,7 +65,8 @@
 	Events    int
 	LastEvent int64
 	Text      string
-	// Chain is the chain of runs that the text comes from.
+	// Chain identifies the chain of runs that the text comes from: runs at one store of which
+	// each continued from the one before.
 	Chain uint64
 }
 
@@ -203,7 +204,7 @@
 }
 
 // record applies the record of one item and reports whether it was accepted. Records that come
-// too late, or that don't follow on the item's state, are dropped.
+// too late, or that don't continue from the item's state, are dropped.
 func (m *Machine) record(record *wire.ItemRecord) bool {
 	job := m.jobs[record.Job]
 	if job == nil || job.Ended || record.Item < 0 || record.Item >= len(job.Items) {
--- a/internal/batchstore/loads.go
+++ b/internal/batchstore/loads.go
@@ -195,7 +195,7 @@
 		answer.Probes = s.loads.zoneHub.OnlineProbes(now, s.loads.inZone)
 		s.logHealthChanges(s.loads.zoneHub)
 	}
-	// An edge of wire.GenerationFirst would take workers that are not named for idle.
+	// An edge of wire.GenerationFirst would assume that workers missing from a sample are idle.
 	if loadshare.Large(&s.loads.zoneWorkers) && !report.First {
 		answer.Drawn = true
 		if report.Choosing {
@@ -289,8 +289,8 @@
 	s.workers.SetOrders(s.planOrders(now, ownSource, s.waitingItemCount(), s.workers.Items()))
 }
 
-// ownPlanInterval returns the time to the next plan of the top hub for its own items. It is
-// longer than the minimum where zone hubs and other runners report less often than usual.
+// ownPlanInterval returns the time to the next plan of the top hub for its own items. If zone hubs
+// and other runners report less often than usual, it is as long as the interval of their reports.
 func (s *Store) ownPlanInterval() time.Duration {
 	interval := loadshare.HubReportInterval(s.workers.RequestRate(), s.loads.workers.Len())
 	if interval <= loadshare.Interval {
--- a/internal/batchstore/loads_test.go
+++ b/internal/batchstore/loads_test.go
@@ -107,8 +107,8 @@
 }
 
 // TestFirstGenerationIsToldOfTheZone sends reports of edges of both generations to a hub in a
-// large zone. An edge of the first generation takes a worker that is not named for idle, so it
-// must never get a sample of the workers.
+// large zone. An edge of the first generation assumes that a worker missing from the answer is
+// idle, so it must never get a sample of the workers.
 func TestFirstGenerationIsToldOfTheZone(t *testing.T) {
 	s := &Store{loads: newLoads(ratelimit.Tolerance{})}
 	var rows []wire.PoolWorker
--- a/internal/batchstore/outlook_test.go
+++ b/internal/batchstore/outlook_test.go
@@ -139,7 +139,7 @@
 	}
 	r.store.workers.Update(workerset.Of(rows), nil)
 	table := tenantTable()
-	planAt := func(at time.Duration) (stops, most int) {
+	planAt := func(at time.Duration) (stops, maxAtOneWorker int) {
 		count := low
 		if at%cycle >= cycle-wave {
 			count = high
@@ -152,19 +152,19 @@
 		r.store.workers.SetPeerLoads(now, loads, balance.ScopeAll)
 		for _, order := range r.store.planOrdersWith(now, table, ownSource, 0, running) {
 			stops += order.Stop
-			most = max(most, order.Stop)
+			maxAtOneWorker = max(maxAtOneWorker, order.Stop)
 		}
-		return stops, most
+		return stops, maxAtOneWorker
 	}
 	onset := 5*cycle - wave
 	for at := time.Duration(0); at < onset; at += leaderPollInterval {
-		stops, most := planAt(at)
+		stops, maxAtOneWorker := planAt(at)
 		switch {
 		case at >= 4*cycle+time.Second && at < onset-time.Second/2 && stops > 0:
 			t.Fatalf("%s: %d stops in the valley", at, stops)
 		case at < onset-stopWindow:
-		case stops < workers*(high+items-slots) || most > high+items-slots+1:
-			t.Errorf("%s before the wave: %d stops, %d at one worker", onset-at, stops, most)
+		case stops < workers*(high+items-slots) || maxAtOneWorker > high+items-slots+1:
+			t.Errorf("%s before the wave: %d stops, %d at one worker", onset-at, stops, maxAtOneWorker)
 		}
 	}
 }
--- a/internal/batchstore/reads.go
+++ b/internal/batchstore/reads.go
@@ -14,10 +14,9 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// Every replica answers reads. What a replica has is committed, and a result stays at its
-// position, so a result that is present is right however old the replica's state is. If the
-// replica finds no result, that proves nothing: before it answers so, it asks the leader for the
-// index to reach, and catches up to it.
+// Every replica answers reads. A result that a replica has is committed and keeps its position, so
+// it is right even if the replica lags. A missing result may only mean that the replica lags, so
+// before it answers that there is none, it asks the leader for the newest index and catches up.
 
 // catchUpTimeout bounds the call to the leader and the wait for the index.
 const catchUpTimeout = 400 * time.Millisecond
--- a/internal/batchstore/runner.go
+++ b/internal/batchstore/runner.go
@@ -186,13 +186,13 @@
 type recordOutcome struct {
 	key   itemKey
 	chain uint64
-	// final is set for a result, failed if the log did not take the record.
+	// final is set for a result, failed if the record was not committed or was dropped.
 	final  bool
 	failed bool
 }
 
-// handleRecorded handles the outcome of a record. After a failure, no later record of the same
-// chain follows on the log, so the run and its saved progress are dropped.
+// handleRecorded handles the outcome of a record. After a failure the log accepts no later record
+// of the same chain, so the run is canceled and its saved progress dropped.
 func (r *runner) handleRecorded(outcome recordOutcome) {
 	if outcome.final {
 		delete(r.pending, outcome.key)
--- a/internal/batchstore/runner_test.go
+++ b/internal/batchstore/runner_test.go
@@ -131,7 +131,7 @@
 	}
 }
 
-// TestDroppedRecordsCancelTheirRun checks that a record that the log did not take cancels the run
+// TestDroppedRecordsCancelTheirRun checks that a record that the log did not accept cancels the run
 // that it came from, and no other.
 func TestDroppedRecordsCancelTheirRun(t *testing.T) {
 	r := testRunner(t, 2)
@@ -152,12 +152,12 @@
 	}
 	r.handleRecorded(recordOutcome{key: saved, chain: 3, failed: true})
 	if _, kept := r.savedProgress[saved]; kept {
-		t.Error("saved progress that does not follow on the log was kept")
+		t.Error("saved progress that does not continue from the log was kept")
 	}
 }
 
 // TestPendingResultsAreNotRunAgain checks that an item whose result is being written does not
-// run again, and is planned anew if the log did not take the result.
+// run again, and is planned anew if the log did not accept the result.
 func TestPendingResultsAreNotRunAgain(t *testing.T) {
 	r := testRunner(t, 1)
 	key := itemKey{"j", 0}
--- a/internal/batchstore/task.go
+++ b/internal/batchstore/task.go
@@ -88,7 +88,7 @@
 	// lastEventsAt is when the last events arrived.
 	lastEventsAt time.Time
 	// preempted is set by the runner if the item stops for online requests, unusable if its
-	// progress does not follow on the log.
+	// progress does not continue from the state in the log.
 	preempted bool
 	unusable  bool
 	// receivedEvent is set once this run has received an event.
@@ -154,8 +154,8 @@
 	return !failure.Is(err, failure.NotRun) && !failure.Is(err, failure.BadRequest)
 }
 
-// isPermanentFailure reports whether the item can never complete: the worker said so, or it has failed
-// as often as its route allows.
+// isPermanentFailure reports whether the item can never complete: the worker said so, or the item
+// has failed as often as its route allows.
 func (t *task) isPermanentFailure(err error) bool {
 	if failure.Is(err, failure.BadRequest) {
 		return true
@@ -318,8 +318,8 @@
 	}
 }
 
-// recordDisconnect records that the worker ended its answer too early. After the first event
-// that says nothing about the worker: the probe has shown what it can.
+// recordDisconnect records that the worker ended its answer too early. A disconnect after the
+// first event is not recorded: by then the worker has shown that it serves requests.
 func (t *task) recordDisconnect() {
 	if !t.receivedEvent && t.context.Err() == nil {
 		t.lease.RecordDisconnect()
--- a/internal/coordinator/api.go
+++ b/internal/coordinator/api.go
@@ -21,7 +21,7 @@
 //	    stores would remain
 //	GET PathStores NAME /retirement: the state as RetirementState
 //	GET PathQuarantine: the requests under which workers exited, as a list of Quarantined
-//	DELETE PathQuarantine/REQUEST: accept a rejected request again; 404 if it is unknown
+//	DELETE PathQuarantine/REQUEST: readmit a refused request; 404 if it is unknown
 const (
 	PathRoutes       = "/sedgemast/v1/routes"
 	PathStores       = "/sedgemast/v1/stores/"
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -164,8 +164,8 @@
 	})
 }
 
-// refreshLoop keeps the leader's view up to date, forms the store groups when the view allows it,
-// and maintains the quarantine.
+// refreshLoop keeps the leader's view up to date, bootstraps the store groups once the view names
+// their initial voters, and maintains the quarantine.
 func (c *Coordinator) refreshLoop(ctx context.Context) {
 	daemon.Every(ctx, refreshInterval, func() {
 		processes, err := c.host.Processes(ctx)
--- a/internal/coordinator/quarantine.go
+++ b/internal/coordinator/quarantine.go
@@ -29,14 +29,14 @@
 func (c *Coordinator) handleReportLocal(ctx context.Context, request *wire.QuarantineReport) (*wire.QuarantineAnswer, error) {
 	answer := &wire.QuarantineAnswer{}
 	command := &wire.QuarantineCommand{Runs: request.Runs}
-	rejectedBefore := map[uint64]bool{}
+	refusedBefore := map[uint64]bool{}
 	if err := c.checkQuarantineSupport(); err != nil {
 		return nil, err
 	}
 	err := c.readLeader(func(now time.Time, _ *fleetview.View) {
 		command.AtMillis = now.UnixMilli()
 		for _, run := range request.Runs {
-			rejectedBefore[run.Request] = c.isRejected(run.Request)
+			refusedBefore[run.Request] = c.isRefused(run.Request)
 		}
 		if request.Trial != 0 {
 			c.decideTrial(now, quarantine.Fingerprint(request.Trial), command, answer)
@@ -50,22 +50,22 @@
 	}
 	err = c.readLeader(func(time.Time, *fleetview.View) {
 		answer.News = c.machine.Quarantine().Since(request.Known)
-		for id, before := range rejectedBefore {
-			c.logRejectionChange(id, before)
+		for id, before := range refusedBefore {
+			c.logRefusalChange(id, before)
 		}
 	})
 	return answer, err
 }
 
-// isRejected reports whether the quarantine rejects a request now.
-func (c *Coordinator) isRejected(request uint64) bool {
+// isRefused reports whether the quarantine refuses a request now.
+func (c *Coordinator) isRefused(request uint64) bool {
 	entry := c.machine.Quarantine().Entry(quarantine.Fingerprint(request))
 	return entry != nil && entry.Refused
 }
 
-// logRejectionChange logs a line if a report has changed whether a request is rejected.
-func (c *Coordinator) logRejectionChange(request uint64, before bool) {
-	if c.isRejected(request) == before {
+// logRefusalChange logs a line if a report has changed whether a request is refused.
+func (c *Coordinator) logRefusalChange(request uint64, before bool) {
+	if c.isRefused(request) == before {
 		return
 	}
 	var workers []uint32
@@ -86,7 +86,7 @@
 	Trials  int    `json:"trials"`
 }
 
-// Quarantine lists the requests under which workers exited; rejected requests come first.
+// Quarantine lists the requests under which workers exited; refused requests come first.
 func (c *Coordinator) Quarantine(ctx context.Context) ([]Quarantined, error) {
 	answer, err := runAtLeader[wire.QuarantineList](ctx, c, methodQuarantineList, &wire.Empty{}, c.quarantineLocal)
 	if err != nil {
@@ -106,7 +106,7 @@
 	return list, err
 }
 
-// Release makes a rejected request acceptable again and forgets the worker exits under it. It
+// Release readmits a refused request and forgets the worker exits under it. It
 // fails with NotFound if the request is not in the quarantine.
 func (c *Coordinator) Release(ctx context.Context, request quarantine.Fingerprint) error {
 	release := &wire.QuarantineRelease{Request: uint64(request)}
@@ -132,7 +132,7 @@
 	return result, nil
 }
 
-// decideTrial decides whether a rejected request may be tried on a worker, and fills in the command
+// decideTrial decides whether a refused request may be tried on a worker, and fills in the command
 // and the answer.
 func (c *Coordinator) decideTrial(now time.Time, request quarantine.Fingerprint, command *wire.QuarantineCommand, answer *wire.QuarantineAnswer) {
 	granted, wait := c.timers.GrantTrial(now, c.machine.Quarantine(), request)
--- a/internal/coordinator/quarantine_test.go
+++ b/internal/coordinator/quarantine_test.go
@@ -7,10 +7,10 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// TestOnlyRejectionChangesWakeWatches applies commands: reports that only add suspicion wake no
-// watch, the start and end of a rejection and every other command do, and a process that knows
+// TestOnlyRefusalChangesWakeWatches applies commands: reports that only add suspicion wake no
+// watch, the start and end of a refusal and every other command do, and a process that knows
 // the newest revision needs no urgent update.
-func TestOnlyRejectionChangesWakeWatches(t *testing.T) {
+func TestOnlyRefusalChangesWakeWatches(t *testing.T) {
 	c := &Coordinator{machine: fleetstate.New(), changed: make(chan struct{})}
 	exit := func(worker uint32) *wire.FleetCommand {
 		return &wire.FleetCommand{Quarantine: &wire.QuarantineCommand{Runs: []wire.RunReport{{Request: 1, Worker: worker}}}}
--- a/internal/coordinator/relay.go
+++ b/internal/coordinator/relay.go
@@ -15,7 +15,8 @@
 
 // maxRelayAge bounds the time since a relay last heard from the leader. It is the time that a call
 // of the relay to the leader may take. A relay that exceeds it rejects the watches of its
-// edges, which then call the next relay. The age is measured with the clock that includes suspensions.
+// edges, which then call the next relay. The age is measured with the clock that includes
+// suspensions.
 const maxRelayAge = 1100 * time.Millisecond
 
 // relay answers the watches of edges with the state that this process got from the leader. All
--- a/internal/fleetview/view.go
+++ b/internal/fleetview/view.go
@@ -74,18 +74,20 @@
 }
 
 // stores returns the live stores in the order of their names.
-func (v *View) stores(now time.Time) []*wire.ProcessReport { return v.living(now, wire.ProcessStore) }
+func (v *View) stores(now time.Time) []*wire.ProcessReport {
+	return v.liveProcesses(now, wire.ProcessStore)
+}
 
-// living returns the live processes of a kind in the order of their names.
-func (v *View) living(now time.Time, kind wire.ProcessKind) []*wire.ProcessReport {
-	var living []*wire.ProcessReport
+// liveProcesses returns the live processes of a kind in the order of their names.
+func (v *View) liveProcesses(now time.Time, kind wire.ProcessKind) []*wire.ProcessReport {
+	var live []*wire.ProcessReport
 	for _, known := range v.processes {
 		if known.report.Kind == kind && now.Sub(known.lastSeenAt) <= ProcessTTL {
-			living = append(living, &known.report)
+			live = append(live, &known.report)
 		}
 	}
-	sort.Slice(living, func(a, b int) bool { return living[a].Name < living[b].Name })
-	return living
+	sort.Slice(live, func(a, b int) bool { return live[a].Name < live[b].Name })
+	return live
 }
 
 // Refresh rebuilds Current and reports whether it changed.
@@ -100,7 +102,7 @@
 	for _, store := range v.stores(now) {
 		next.Stores = append(next.Stores, wire.ProcessAddress{Address: store.Replica.Address, Zone: store.Zone})
 	}
-	for _, relay := range v.living(now, wire.ProcessRelay) {
+	for _, relay := range v.liveProcesses(now, wire.ProcessRelay) {
 		next.Relays = append(next.Relays, wire.ProcessAddress{Address: relay.Replica.Address, Zone: relay.Zone})
 	}
 	next.Groups = v.groupPlaces(now)
@@ -138,7 +140,7 @@
 			edges++
 		}
 	}
-	for _, relay := range v.living(now, wire.ProcessRelay) {
+	for _, relay := range v.liveProcesses(now, wire.ProcessRelay) {
 		edges += relay.Edges
 	}
 	current := v.Current.Edges
--- a/internal/fleetwatch/quarantine.go
+++ b/internal/fleetwatch/quarantine.go
@@ -17,7 +17,8 @@
 	reportTimeout = time.Second
 	// trialTimeout bounds the request for a trial, for which a caller waits.
 	trialTimeout = 150 * time.Millisecond
-	// unreachableRetryAfter is the retry time of a refused request while no coordinator answers.
+	// unreachableRetryAfter is the time after which a caller may retry a refused request while no
+	// coordinator answers.
 	unreachableRetryAfter = time.Second
 )
 
--- a/internal/fleetwatch/release_test.go
+++ b/internal/fleetwatch/release_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// releasedAnswer is the answer to a watch in the encoding of the released build. It has the
-// document of a configuration of version 7 instead of the sample's.
+// releasedAnswer returns the answer to a watch that the released build encoded as a sample, with
+// the document and version 7 of a configuration put in place of the sample's.
 func releasedAnswer(t *testing.T, document []byte) []byte {
 	t.Helper()
 	content, err := os.ReadFile("../wire/testdata/releases/8cf60d7/written.json")
--- a/internal/fleetwatch/targets_test.go
+++ b/internal/fleetwatch/targets_test.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// TestOthersFollowTheLeader checks that a process that needs the leader goes to the one that is
+// TestNamedLeaderIsFollowed checks that a process that needs the leader goes to the one that is
 // named, stays there, and tries all addresses once it fails.
-func TestOthersFollowTheLeader(t *testing.T) {
+func TestNamedLeaderIsFollowed(t *testing.T) {
 	store := targets{}
 	addresses := []string{"a:1", "b:1", "c:1"}
 	if target := store.pick(now, addresses, relaysIn(1, 2)); target != "a:1" {
--- a/internal/fleetwatch/watcher.go
+++ b/internal/fleetwatch/watcher.go
@@ -227,7 +227,7 @@
 	case update == nil:
 	case fleet.Partial && before.Fleet.Listed:
 		// A partial list of the leader says nothing of the other workers. The list known here is
-		// compared by digests once the leader has read the whole.
+		// compared by digests once the leader has read the whole list.
 		w.viewSource = ""
 	default:
 		rows, removed = len(update.Rows), len(update.Gone)
--- a/internal/membership/plan.go
+++ b/internal/membership/plan.go
@@ -6,8 +6,8 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// maxMovesPerPlan bounds the workers that one plan moves between living owners only for balance.
-// Assignments of workers without a living owner are not limited.
+// maxMovesPerPlan bounds the workers that one plan moves between live owners only for balance.
+// Assignments of workers without a live owner are not limited.
 const maxMovesPerPlan = 4
 
 // Owner is a dispatcher that may own workers.
@@ -16,7 +16,7 @@
 	Zone string
 }
 
-// Plan returns the changes after which every worker has a living owner, in the worker's own zone
+// Plan returns the changes after which every worker has a live owner, in the worker's own zone
 // if that keeps the owners' shares even, and workers that are no longer known have none. The
 // meta group verifies and commits the result.
 func Plan(workers *Workers, owners []Owner, current map[string]wire.Assignment, drained func(string) bool) wire.AssignCommand {
@@ -39,12 +39,12 @@
 
 func newPlanner(workers *Workers, owners []Owner, current map[string]wire.Assignment, drained func(string) bool) *planner {
 	p := &planner{workers: workers, owners: owners, current: current, drained: drained, owned: map[string][]string{}}
-	living := map[string]bool{}
+	live := map[string]bool{}
 	for _, owner := range owners {
-		living[owner.Name] = true
+		live[owner.Name] = true
 	}
 	for _, id := range sortedNames(current) {
-		if _, known := workers.known[id]; known && living[current[id].Dispatcher] {
+		if _, known := workers.known[id]; known && live[current[id].Dispatcher] {
 			p.owned[current[id].Dispatcher] = append(p.owned[current[id].Dispatcher], id)
 		}
 	}
@@ -60,7 +60,7 @@
 	}
 }
 
-// assignOrphans assigns workers that are new or whose owner is no longer living, and updates the
+// assignOrphans assigns workers that are new or whose owner is no longer live, and updates the
 // assignments of workers whose description has changed.
 func (p *planner) assignOrphans() {
 	if len(p.owners) == 0 {
@@ -70,7 +70,7 @@
 		wanted := p.describe(id)
 		assigned, found := p.current[id]
 		owner := assigned.Dispatcher
-		if !found || !p.isLiving(owner) {
+		if !found || !p.isLive(owner) {
 			owner = p.leastLoaded(wanted.Zone)
 			p.owned[owner] = append(p.owned[owner], id)
 		}
@@ -93,7 +93,7 @@
 	}
 }
 
-func (p *planner) isLiving(name string) bool {
+func (p *planner) isLive(name string) bool {
 	for _, owner := range p.owners {
 		if owner.Name == name {
 			return true
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -204,7 +204,7 @@
 	return names
 }
 
-// Count returns the number of living daemons of the role, or zero before the table is ready,
+// Count returns the number of live daemons of the role, or zero before the table is ready,
 // because not all daemons may have reported to a new leader by then.
 func (t *LeaseTable) Count(now time.Time, role wire.Role) int {
 	if !t.Ready(now) {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -16,7 +16,7 @@
 )
 
 // GroupOf returns the index of the group that stores the job, or -1 if there are no groups. The
-// number of groups can't change after the groups have formed, because the group of every job
+// number of groups can't change after the groups are bootstrapped, because the group of every job
 // depends on it.
 func GroupOf(job string, groups int) int {
 	if groups <= 0 {
--- a/internal/placement/voters.go
+++ b/internal/placement/voters.go
@@ -16,7 +16,7 @@
 	MaxGroups = 9
 )
 
-// GroupCount returns the number of store groups that a fleet is formed with: stores divided by
+// GroupCount returns the number of store groups that a fleet is bootstrapped with: stores divided by
 // voters per group, within minGroups and MaxGroups.
 func GroupCount(stores, voters int) int {
 	return min(max(stores/max(voters, 1), minGroups), MaxGroups)
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -285,8 +285,8 @@
 
 func (c *Cache) updateInUse() { c.inUse.Store(len(c.rows)+len(c.ownRuns) > 0) }
 
-// reportRetryAfter is the retry time of a request with an exit that this process has observed
-// and the coordinators have not acknowledged yet.
+// reportRetryAfter is the time after which a caller may retry a request while the coordinators
+// have not acknowledged the exits that this process observed under it.
 const reportRetryAfter = 150 * time.Millisecond
 
 // TrialDelay returns how long to wait before requesting a trial of a refused request, zero for
--- a/internal/replication/formation.go
+++ b/internal/replication/formation.go
@@ -89,9 +89,9 @@
 	}
 }
 
-// clusterExists reports whether any known process belongs to a cluster. A cluster that is
-// bootstrapped later either does not have this process as an initial voter or needs a hello
-// from it first.
+// clusterExists reports whether any known process belongs to a cluster. No cluster that has this
+// process as an initial voter can be bootstrapped unnoticed after this check, because that takes
+// a hello from this process.
 func (n *Node) clusterExists() bool {
 	for _, received := range n.receivedHellos {
 		if received.hello.Formed {
--- a/internal/workerset/log.go
+++ b/internal/workerset/log.go
@@ -111,16 +111,16 @@
 	if update.Whole {
 		return s.Replaced(update.Rows)
 	}
-	rows, gone := update.Rows, update.Gone
+	rows, removed := update.Rows, update.Gone
 	for i := range update.Buckets {
 		bucket := &update.Buckets[i]
 		rows = append(rows, bucket.Rows...)
 		if int(bucket.Number) < Buckets {
-			eachRemoved(s.bucket(int(bucket.Number)).allRows(), bucket.Rows, func(row *wire.PoolWorker) { gone = append(gone, row.ID) })
+			eachRemoved(s.bucket(int(bucket.Number)).allRows(), bucket.Rows, func(row *wire.PoolWorker) { removed = append(removed, row.ID) })
 		}
 	}
-	if len(rows)+len(gone) == 0 {
+	if len(rows)+len(removed) == 0 {
 		return s
 	}
-	return s.With(rows, gone)
+	return s.With(rows, removed)
 }
--- a/internal/workerset/set.go
+++ b/internal/workerset/set.go
@@ -139,8 +139,8 @@
 	return builder.finish(s)
 }
 
-// With returns the set with rows added or replaced, and then the ids in gone removed.
-func (s *Set) With(rows []wire.PoolWorker, gone []string) *Set {
+// With returns the set with rows added or replaced, and then the rows with the removed ids dropped.
+func (s *Set) With(rows []wire.PoolWorker, removed []string) *Set {
 	changedRows := map[int][]wire.PoolWorker{}
 	rowsOf := func(number int) []wire.PoolWorker {
 		if _, copied := changedRows[number]; !copied {
@@ -152,7 +152,7 @@
 		number := bucketOf(rows[i].ID)
 		changedRows[number] = upsert(rowsOf(number), rows[i])
 	}
-	for _, id := range gone {
+	for _, id := range removed {
 		number := bucketOf(id)
 		before := rowsOf(number)
 		if at, found := find(before, id); found {
--- a/internal/workerset/set_test.go
+++ b/internal/workerset/set_test.go
@@ -64,7 +64,7 @@
 	next := 0
 	for number := uint64(1); number <= 2000; number++ {
 		var rows []wire.PoolWorker
-		var gone []string
+		var removed []string
 		for range random.IntN(8) {
 			rows = append(rows, row(next))
 			next++
@@ -75,9 +75,9 @@
 			rows = append(rows, leaving)
 		}
 		for range random.IntN(7) {
-			gone = append(gone, row(random.IntN(next+1)).ID)
+			removed = append(removed, row(random.IntN(next+1)).ID)
 		}
-		log.Put(number, log.Set().With(rows, gone))
+		log.Put(number, log.Set().With(rows, removed))
 		r := &readers[random.IntN(len(readers))]
 		var digests []byte
 		switch random.IntN(20) {
@@ -119,8 +119,8 @@
 }
 
 // TestAChangeCostsTheSame counts the bytes sent and the buckets copied when one worker joins,
-// one changes and one leaves, at two lengths of the list. The bytes must not grow with the list,
-// where the whole list takes 56 bytes a row.
+// one changes and one leaves, at two lengths of the list. The bytes must not grow with the list.
+// An update with the whole list would take 56 bytes a row.
 func TestAChangeCostsTheSame(t *testing.T) {
 	cost := func(count int) (bytes, buckets int) {
 		rows := rowsOf(count)
