--- a/internal/batchstore/store.go
+++ b/internal/batchstore/store.go
@@ -160,7 +160,7 @@
 	return s.status
 }
 
-// SetSeeds replaces the coordinators that are asked first.
+// SetSeeds replaces the coordinators that are polled first.
 func (s *Store) SetSeeds(seeds []string) { s.watcher.SetSeeds(seeds) }
 
 // applySnapshot applies a new snapshot of the fleet.
--- a/internal/batchstore/task.go
+++ b/internal/batchstore/task.go
@@ -34,8 +34,8 @@
 	readInterval = 80 * time.Millisecond
 	// failedBackoff is how long an item waits after a failed attempt.
 	failedBackoff = 50 * time.Millisecond
-	// The first event of a probe may take probeGoalMultiple times the tightest goal of the pool,
-	// and at least minProbeTimeout.
+	// The timeout for the first event of a probe is at least probeGoalMultiple times the tightest
+	// goal of the pool, and at least minProbeTimeout.
 	probeGoalMultiple = 3
 	minProbeTimeout   = 400 * time.Millisecond
 )
--- a/internal/coordinator/handlers.go
+++ b/internal/coordinator/handlers.go
@@ -127,7 +127,7 @@
 // leaderWaitTimeout bounds the time that a watch waits for a leader to be known, and
 // leaderPollInterval is the time between checks. Without the wait, all processes of a fleet
 // would repeat their calls while the coordinators elect a leader. The timeout is short because
-// a partitioned coordinator delays callers that would find the leader through the next one.
+// a partitioned coordinator delays callers that would find the leader at the next one.
 const (
 	leaderWaitTimeout  = 100 * time.Millisecond
 	leaderPollInterval = 25 * time.Millisecond
--- a/internal/fleetwatch/quarantine.go
+++ b/internal/fleetwatch/quarantine.go
@@ -67,7 +67,7 @@
 // one. Each coordinator forwards the call to the leader.
 func (w *Watcher) callQuarantine(ctx context.Context, attempt int, report *wire.QuarantineReport) (*wire.QuarantineAnswer, error) {
 	lastAnswered := ""
-	if leader := w.leader.Load(); leader != nil {
+	if leader := w.lastAnswered.Load(); leader != nil {
 		lastAnswered = *leader
 	}
 	target := reportTarget(attempt, lastAnswered, w.addresses())
--- a/internal/fleetwatch/targets.go
+++ b/internal/fleetwatch/targets.go
@@ -82,7 +82,7 @@
 	if t.relays && t.failures < leaderAfterFailures {
 		// After a cold start all processes look for the leader among the same few addresses.
 		// Each of these becomes a relay as soon as it has found the leader itself, so keep
-		// trying them instead of following to the leader.
+		// trying them instead of polling the leader that was named.
 		t.current = ""
 	}
 }
--- a/internal/fleetwatch/watcher.go
+++ b/internal/fleetwatch/watcher.go
@@ -61,8 +61,8 @@
 	meter   *traffic.Meter
 	report  func() wire.ProcessReport
 	current atomic.Pointer[Snapshot]
-	// leader is the coordinator that answered last, nil before the first answer.
-	leader atomic.Pointer[string]
+	// lastAnswered is the coordinator that answered last, nil before the first answer.
+	lastAnswered atomic.Pointer[string]
 	// reached is set while a coordinator answers.
 	reached bool
 	targets targets
@@ -130,8 +130,8 @@
 
 // recordAnswer records which coordinator answered.
 func (w *Watcher) recordAnswer(target string) {
-	if before := w.leader.Load(); before == nil || *before != target {
-		w.leader.Store(&target)
+	if before := w.lastAnswered.Load(); before == nil || *before != target {
+		w.lastAnswered.Store(&target)
 	}
 }
 
--- a/internal/listreader/reader.go
+++ b/internal/listreader/reader.go
@@ -46,9 +46,9 @@
 }
 
 // AddInvalid counts an entry that can't be used, for the given reason.
-func (p *Page) AddInvalid(why error) {
+func (p *Page) AddInvalid(reason error) {
 	p.Invalid++
-	p.InvalidErr = why
+	p.InvalidErr = reason
 }
 
 // Pager reads one page of the list of a zone, or of all zones if the zone is empty. The name
@@ -79,8 +79,8 @@
 	OnPage func(rows []wire.PoolWorker)
 	// byZones is set once the list was long enough to read its zones separately.
 	byZones bool
-	// known holds the rows of the last reading by zone, or all of them under allZones. missed
-	// holds, by worker id, the number of consecutive readings without a known row.
+	// known holds the rows of the last reading by zone, or all of them under allZones. misses
+	// holds, by worker id, the number of consecutive readings that lacked a known row.
 	known  map[string]rowsByID
 	misses map[string]int
 	// contradictions holds, by worker id, the number of consecutive readings in which the list
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -138,9 +138,9 @@
 	return true
 }
 
-// hasExit reports whether the row already has the worker's exit that is reported at the time at:
-// an exit close to at that can have broken off a run started at startedAt. Times are in Unix
-// milliseconds.
+// hasExit reports whether the row already holds the exit that a report received at time at is
+// about: an exit of the same worker, close to that time, that can have broken off a run started at
+// startedAt. Times are in Unix milliseconds.
 func (t *Table) hasExit(row *wire.QuarantineEntry, worker uint32, at, startedAt int64) bool {
 	if row == nil {
 		return false
--- a/internal/replication/repair.go
+++ b/internal/replication/repair.go
@@ -77,8 +77,8 @@
 	}
 	policy.minVoters = n.options.MinVoters
 	if n.options.BootstrapMode == BootstrapManual {
-		// In the other modes learners become voters soon, so that the number of losses doesn't
-		// limit them.
+		// Only in this mode do learners stay learners for long. In the others they become voters
+		// soon, so their number need not follow the number of losses.
 		policy.learnerLimit = min(max((n.options.MinVoters-1)/2, 1), maxLearners)
 	}
 	return policy
