--- a/internal/fleetwatch/quarantine.go
+++ b/internal/fleetwatch/quarantine.go
@@ -17,7 +17,8 @@
 	reportTimeout = time.Second
 	// trialTimeout bounds the request for a trial, for which a caller waits.
 	trialTimeout = 150 * time.Millisecond
-	// unreachableRetryAfter is the retry time of a refused request while no coordinator answers.
+	// unreachableRetryAfter is the time after which a caller may retry a refused request while no
+	// coordinator answers.
 	unreachableRetryAfter = time.Second
 )
 
@@ -66,7 +67,7 @@
 // one. Each coordinator forwards the call to the leader.
 func (w *Watcher) callQuarantine(ctx context.Context, attempt int, report *wire.QuarantineReport) (*wire.QuarantineAnswer, error) {
 	lastAnswered := ""
-	if leader := w.leader.Load(); leader != nil {
+	if leader := w.lastAnswered.Load(); leader != nil {
 		lastAnswered = *leader
 	}
 	target := reportTarget(attempt, lastAnswered, w.addresses())
