--- a/internal/fleetsim/builds.go
+++ b/internal/fleetsim/builds.go
@@ -11,46 +11,47 @@
 )
 
 const (
-	// replaceBuildEvery is the time between two coordinators that are replaced by the newer
-	// build, replaceDown how long each is down.
-	replaceBuildEvery = 3 * time.Second
-	replaceDown       = 200 * time.Millisecond
-	// backAt is when one goes back to the older build, until againAt.
-	backAt  = faultsFrom + (coordinators+1)*replaceBuildEvery
-	againAt = backAt + 4*time.Second
+	// upgradeInterval is the time between the upgrades of two coordinators to the newer build,
+	// upgradeDowntime how long each of them is down.
+	upgradeInterval = 3 * time.Second
+	upgradeDowntime = 200 * time.Millisecond
+	// From downgradeAt to secondUpgradeAt, one coordinator runs the older build again.
+	downgradeAt     = faultsFrom + (coordinators+1)*upgradeInterval
+	secondUpgradeAt = downgradeAt + 4*time.Second
 )
 
-// passing is a state machine as a build of the first generation has it: it passes over
-// commands that it does not know.
-type passing struct{ replication.StateMachine }
+// firstGenerationMachine is a state machine as in a build of the first generation: it skips the
+// commands that such a build does not know.
+type firstGenerationMachine struct{ replication.StateMachine }
 
 // Apply implements replication.StateMachine.
-func (p passing) Apply(command []byte) ([]byte, []storage.Mutation) {
+func (f firstGenerationMachine) Apply(command []byte) ([]byte, []storage.Mutation) {
 	if isQuarantine(command) {
 		command = encode(&wire.FleetCommand{})
 	}
-	return p.StateMachine.Apply(command)
+	return f.StateMachine.Apply(command)
 }
 
-// builtAs returns the state machine as the machine's build has it.
-func (m *machine) builtAs(whole replication.StateMachine) replication.StateMachine {
-	if m.older {
-		return passing{whole}
+// stateMachineOfBuild returns the state machine as the machine's build executes it.
+func (m *machine) stateMachineOfBuild(current replication.StateMachine) replication.StateMachine {
+	if m.firstGeneration {
+		return firstGenerationMachine{current}
 	}
-	return whole
+	return current
 }
 
-// hello is how the machine introduces itself.
+// hello returns the hello message of the machine's build.
 func (m *machine) hello() wire.Hello {
 	hello := m.node.Hello()
-	if m.older {
+	if m.firstGeneration {
 		hello.WrittenBy(wire.GenerationFirst)
 	}
 	return hello
 }
 
-// noteGenerations is what the daemon does with the processes that it knows.
-func (m *machine) noteGenerations() {
+// updateGate updates the quarantine's gate from the processes that the node knows, as the daemon
+// does. MutationNoGate keeps the gate open.
+func (m *machine) updateGate() {
 	if m.world.mutation == MutationNoGate {
 		m.gate = quarantine.Gate{}
 		return
@@ -58,55 +59,57 @@
 	m.gate.ApplyProcesses(m.node.Processes(m.clock()))
 }
 
-// beginBuilds plans the replacement of the coordinators, which begin on the older build.
-func (w *World) beginBuilds() {
+// startUpgrades schedules the upgrades of the coordinators, which start on the older build.
+func (w *World) startUpgrades() {
 	if !w.twoBuilds {
 		return
 	}
-	cores := w.of(kindCoordinator)
-	for i, core := range cores {
-		w.after(faultsFrom+time.Duration(i+1)*replaceBuildEvery, func() { core.rebuild(false) })
+	coordinators := w.machinesOf(kindCoordinator)
+	for i, coordinator := range coordinators {
+		w.after(faultsFrom+time.Duration(i+1)*upgradeInterval, func() { coordinator.switchBuild(false) })
 	}
-	back := cores[w.luck.IntN(len(cores))]
-	w.after(backAt, func() { back.rebuild(true) })
-	w.after(againAt, func() { back.rebuild(false) })
+	downgraded := coordinators[w.extraRandom.IntN(len(coordinators))]
+	w.after(downgradeAt, func() { downgraded.switchBuild(true) })
+	w.after(secondUpgradeAt, func() { downgraded.switchBuild(false) })
 }
 
-// rebuild starts the machine on a build. One that is down then starts on it later.
-func (m *machine) rebuild(older bool) {
+// switchBuild restarts the machine on the given build. A machine that is down gets the build at
+// its next start.
+func (m *machine) switchBuild(firstGeneration bool) {
 	w := m.world
-	if m.gone || m.older == older {
+	if m.removed || m.firstGeneration == firstGeneration {
 		return
 	}
 	if m.alive && m.frozen {
-		w.after(replaceDown, func() { m.rebuild(older) })
+		w.after(upgradeDowntime, func() { m.switchBuild(firstGeneration) })
 		return
 	}
-	w.log("%s on the older build: %v", m.name, older)
-	m.older = older
+	w.log("%s switches builds, first generation: %v", m.name, firstGeneration)
+	m.firstGeneration = firstGeneration
 	if m.alive {
-		m.die()
-		w.after(replaceDown, func() { m.comeBack(false) })
+		m.kill()
+		w.after(upgradeDowntime, func() { m.restart(false) })
 	}
 }
 
-// checkAlike checks that coordinators which have executed the same log have the same state.
-func (w *World) checkAlike() {
+// checkSameState checks that coordinators that have executed the same log entries have the same
+// quarantine state.
+func (w *World) checkSameState() {
 	type state struct {
-		name  string
-		known *wire.QuarantineState
+		name       string
+		quarantine *wire.QuarantineState
 	}
 	states := map[uint64]state{}
-	for _, core := range w.of(kindCoordinator) {
-		if !core.alive || core.frozen {
+	for _, coordinator := range w.machinesOf(kindCoordinator) {
+		if !coordinator.alive || coordinator.frozen {
 			continue
 		}
-		statuses := core.node.Statuses(core.clock())
-		applied, known := statuses[0].AppliedIndex, core.fleet.Quarantine().State()
+		statuses := coordinator.node.Statuses(coordinator.clock())
+		applied, table := statuses[0].AppliedIndex, coordinator.fleet.Quarantine().State()
 		other, found := states[applied]
-		if found && !reflect.DeepEqual(other.known, known) {
-			w.ledger.violate("%s and %s differ at entry %d: %+v, %+v", core.name, other.name, applied, known, other.known)
+		if found && !reflect.DeepEqual(other.quarantine, table) {
+			w.ledger.violate("%s and %s have different quarantine states at log index %d: %+v, %+v", coordinator.name, other.name, applied, table, other.quarantine)
 		}
-		states[applied] = state{core.name, known}
+		states[applied] = state{coordinator.name, table}
 	}
 }
--- a/internal/fleetsim/chains.go
+++ b/internal/fleetsim/chains.go
@@ -8,48 +8,50 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// chain is a series of runs of one item, one after another in one place.
+// chain is a sequence of runs of one item at one store, each of which continues where the
+// previous one stopped.
 type chain struct {
 	id uint64
-	// began is the event after which it was asked to go on, events how far it
-	// has come.
-	began  int
-	events int
+	// startEvent is the number of the event after which the chain started, events the number of
+	// the last event that it reported.
+	startEvent int
+	events     int
 }
 
-// chains plays the runners of leaders: each item has a chain or two, of which one
-// may be that of a leader that has lost its lease and still has news on their way.
+// chains simulates the batch runners of leaders. An item has one or two chains. One of them may
+// belong to a leader that has lost its lease while records of its runs are still in flight.
 type chains struct {
-	last    uint64
+	lastID  uint64
 	running map[string][]*chain
-	// begun holds, for every chain ever, the event after which it began.
-	begun map[uint64]int
+	// startEvents holds, for every chain ever started, the event after which it started.
+	startEvents map[uint64]int
 }
 
 func newChains() *chains {
-	return &chains{running: map[string][]*chain{}, begun: map[uint64]int{}}
+	return &chains{running: map[string][]*chain{}, startEvents: map[uint64]int{}}
 }
 
-// maxChains bounds the chains of an item that have news on their way.
-const maxChains = 2
+// maxChainsPerItem limits the chains of an item that still send records.
+const maxChainsPerItem = 2
 
-// pick returns the chain that has the next news of the item: one that goes on, or,
-// where begin is set, one that begins at what the log has.
-func (c *chains) pick(item *batchstate.Item, begin bool, choose int) *chain {
+// pick returns the chain that sends the next record of the item: a running one, selected by
+// choice, or a new one that starts at the item's progress in the log. It starts a new one if
+// startNew is set or none is running.
+func (c *chains) pick(item *batchstate.Item, startNew bool, choice int) *chain {
 	running := c.running[item.ID]
-	if !begin && len(running) > 0 {
-		return running[choose%len(running)]
+	if !startNew && len(running) > 0 {
+		return running[choice%len(running)]
 	}
-	c.last++
-	started := &chain{id: c.last, began: item.Events, events: item.Events}
-	c.begun[started.id] = item.Events
+	c.lastID++
+	started := &chain{id: c.lastID, startEvent: item.Events, events: item.Events}
+	c.startEvents[started.id] = item.Events
 	running = append(running, started)
-	c.running[item.ID] = running[max(0, len(running)-maxChains):]
+	c.running[item.ID] = running[max(0, len(running)-maxChainsPerItem):]
 	return started
 }
 
-// next returns the chain's next event as news of the item. What becomes of it the
-// chain does not know.
+// next returns a record of the item with the chain's next event. The chain does not learn whether
+// the record is committed.
 func (c *chain) next(job string, number int, id string) wire.ItemRecord {
 	c.events++
 	return wire.ItemRecord{
@@ -60,14 +62,13 @@
 		LastEvent: int64(c.events),
 		Text:      fmt.Sprintf("[%s.%d@%d]", id, c.events, c.id),
 		Chain:     c.id,
-		Opens:     c.events == c.began+1,
+		Opens:     c.events == c.startEvent+1,
 	}
 }
 
-// fault returns what is wrong with an item's whole text: an event that is missing
-// or stands twice, or one of a chain that was not asked to go on there. It is empty
-// for a text as it should be.
-func (c *chains) fault(id, text string) string {
+// textFault describes what is wrong with an item's complete text: a missing or repeated event, or
+// an event of a chain that did not start there. It returns an empty string for a correct text.
+func (c *chains) textFault(id, text string) string {
 	previous := uint64(0)
 	number := 0
 	for _, part := range strings.SplitAfter(text, "]") {
@@ -76,17 +77,17 @@
 		}
 		number++
 		var event int
-		var from uint64
-		if _, err := fmt.Sscanf(strings.TrimPrefix(part, "["+id+"."), "%d@%d]", &event, &from); err != nil || event != number {
-			return fmt.Sprintf("event %d is %q", number, part)
+		var chainID uint64
+		if _, err := fmt.Sscanf(strings.TrimPrefix(part, "["+id+"."), "%d@%d]", &event, &chainID); err != nil || event != number {
+			return fmt.Sprintf("event %d reads %q", number, part)
 		}
-		if from != previous && c.begun[from] != number-1 {
-			return fmt.Sprintf("event %d is of chain %d, which began after event %d", number, from, c.begun[from])
+		if chainID != previous && c.startEvents[chainID] != number-1 {
+			return fmt.Sprintf("event %d is of chain %d, which started after event %d", number, chainID, c.startEvents[chainID])
 		}
-		previous = from
+		previous = chainID
 	}
 	if number == 0 {
-		return "there is no event"
+		return "the text holds no event"
 	}
 	return ""
 }
--- a/internal/fleetsim/edges.go
+++ b/internal/fleetsim/edges.go
@@ -12,203 +12,204 @@
 
 const (
 	edges = 4
-	// A worker that ended is back after backAfter, and up to backWithin more.
-	backAfter  = time.Second
-	backWithin = time.Second
-	// In a world of few workers, sameWorkers, each keeps its id over its lives and may be
-	// back soonBack after an end.
-	sameWorkers = 2
-	soonBack    = 100 * time.Millisecond
-	simWorkers  = 6
-	// maxTries is how many workers one arrival may go to.
-	maxTries = 2
-	// reportEvery is the time between two looks for runs to report, and reportTimeout when
-	// a report without an answer is sent again.
-	reportEvery   = 20 * time.Millisecond
-	reportTimeout = 300 * time.Millisecond
-	// contact is how long an edge and the coordinators must have been undisturbed for the
-	// bound on what the edge sends to hold, and mostLate that bound.
-	contact  = 3 * time.Second
-	mostLate = 3
-	// coresOffAt is when all coordinators lose power once more.
-	coresOffAt = healAt + 4*time.Second
-	// calmFrom and calmUntil is the time, after all was mended, in which a harmless request
-	// must be served.
-	calmFrom  = coresOffAt + contact
-	calmUntil = endAt - time.Second
+	// An exited worker restarts after restartDelay plus a random time below restartJitter.
+	restartDelay  = time.Second
+	restartJitter = time.Second
+	// In a world with fixed ids there are only fixedIDWorkers workers. Each keeps its id over
+	// restarts and restarts after fixedIDRestartDelay plus the jitter.
+	fixedIDWorkers      = 2
+	fixedIDRestartDelay = 100 * time.Millisecond
+	workerCount         = 6
+	// maxAttempts limits the workers to which an edge sends one request.
+	maxAttempts = 2
+	// reportInterval is the time between two checks for runs to report. A report without an answer
+	// is sent again after reportTimeout.
+	reportInterval = 20 * time.Millisecond
+	reportTimeout  = 300 * time.Millisecond
+	// maxLateSends limits how often the edges of a run may send the crashing request too late. A
+	// send is too late if it comes more than settleTime after the exit that reaches
+	// quarantine.Threshold, and the edge and the coordinators have been undisturbed for settleTime.
+	settleTime   = 3 * time.Second
+	maxLateSends = 3
+	// coordinatorsOffAt is when all coordinators lose power once more, after the heal.
+	coordinatorsOffAt = healAt + 4*time.Second
+	// Between serveCheckFrom and serveCheckUntil, after all faults were repaired, the harmless
+	// request must not be rejected.
+	serveCheckFrom  = coordinatorsOffAt + settleTime
+	serveCheckUntil = endAt - time.Second
 )
 
-// deadly ends each worker that begins it, frequent none.
+// Every worker that runs crashingRequest exits; harmlessRequest makes no worker exit.
 const (
-	deadly   = quarantine.Fingerprint(1)
-	frequent = quarantine.Fingerprint(2)
+	crashingRequest = quarantine.Fingerprint(1)
+	harmlessRequest = quarantine.Fingerprint(2)
 )
 
-// simWorker is a worker. It runs what it gets at once.
+// simWorker is a simulated worker. It starts each request at once, without a queue.
 type simWorker struct {
-	number  int
-	lives   int
-	keepsID bool
-	up      bool
-	running map[*simRun]bool
+	number      int
+	incarnation int
+	fixedID     bool
+	up          bool
+	running     map[*simRun]bool
 }
 
-// id is the worker's in its present life.
+// id returns the worker's id in its current incarnation.
 func (s *simWorker) id() string {
-	if s.keepsID {
+	if s.fixedID {
 		return fmt.Sprintf("w-%d", s.number)
 	}
-	return fmt.Sprintf("w-%d.%d", s.number, s.lives)
+	return fmt.Sprintf("w-%d.%d", s.number, s.incarnation)
 }
 
-// simRun is a run of a request.
+// simRun is one request with its attempts.
 type simRun struct {
-	edge    *edge
-	life    int
-	request quarantine.Fingerprint
-	tries   int
-	trial   bool
-	// began is when its edge sent it, by the edge's clock.
-	began time.Time
+	edge        *edge
+	incarnation int
+	request     quarantine.Fingerprint
+	attempts    int
+	trial       bool
+	// startedAt is when the edge sent the last attempt, by the edge's clock.
+	startedAt time.Time
 }
 
-// edge is a process that serves callers. It keeps nothing on disk.
+// edge is a process that serves callers. It stores nothing on disk.
 type edge struct {
 	*machine
-	book *quarantine.Cache
-	// reporting is the number of the report on its way, zero for none.
-	reporting int
-	reports   int
-	// disturbed is when anything befell it last.
-	disturbed time.Time
+	cache *quarantine.Cache
+	// pendingReport is the number of the report that waits for an answer, zero for none.
+	pendingReport int
+	reportCount   int
+	// undisturbedSince is when the edge's last fault ends, at first the start of its process.
+	undisturbedSince time.Time
 }
 
-// beginEdges starts edges, workers and the callers of both requests.
-func (w *World) beginEdges() {
-	count := simWorkers
-	if w.sameIDs {
-		count = sameWorkers
+// startEdges starts the edges, the workers and the callers of both requests.
+func (w *World) startEdges() {
+	count := workerCount
+	if w.fixedIDs {
+		count = fixedIDWorkers
 	}
 	for number := 1; number <= count; number++ {
-		w.workers = append(w.workers, &simWorker{number: number, keepsID: w.sameIDs, up: true, running: map[*simRun]bool{}})
+		w.workers = append(w.workers, &simWorker{number: number, fixedID: w.fixedIDs, up: true, running: map[*simRun]bool{}})
 	}
 	for number := 1; number <= edges; number++ {
-		e := &edge{machine: &machine{world: w, name: fmt.Sprintf("edge-%d", number), cut: map[string]bool{}}}
+		e := &edge{machine: &machine{world: w, name: fmt.Sprintf("edge-%d", number), blocked: map[string]bool{}}}
 		w.edges = append(w.edges, e)
-		e.begin()
+		e.startProcess()
 	}
-	w.every(50*time.Millisecond, func() bool { w.arrive(frequent); return true })
+	w.every(50*time.Millisecond, func() bool { w.arrive(harmlessRequest); return true })
 	w.after(faultsFrom, func() {
-		w.every(270*time.Millisecond, func() bool { w.arrive(deadly); return true })
+		w.every(270*time.Millisecond, func() bool { w.arrive(crashingRequest); return true })
 	})
 	w.after(faultsFrom, w.nextEdgeFault)
-	w.after(coresOffAt, w.losePowerOfCores)
+	w.after(coordinatorsOffAt, w.powerOffCoordinators)
 }
 
-// losePowerOfCores takes the power of all coordinators once more, when all else is calm:
-// what they knew of the deadly request must be on their disks. The bound on late sends is
-// not lifted for it.
-func (w *World) losePowerOfCores() {
+// powerOffCoordinators takes the power of all coordinators once more while there is no other
+// fault: what they knew about the crashing request must be on their disks. The bound on late
+// sends holds during this fault, too.
+func (w *World) powerOffCoordinators() {
 	w.log("power off all coordinators")
-	for _, core := range w.of(kindCoordinator) {
-		core.losePower()
-		w.after(300*time.Millisecond, func() { core.comeBack(false) })
+	for _, coordinator := range w.machinesOf(kindCoordinator) {
+		coordinator.powerOff()
+		w.after(300*time.Millisecond, func() { coordinator.restart(false) })
 	}
 }
 
-// begin begins a life of the process.
-func (e *edge) begin() {
-	e.life++
+// startProcess starts the process with empty state.
+func (e *edge) startProcess() {
+	e.incarnation++
 	e.alive, e.frozen, e.backlog = true, false, nil
-	e.book, e.reporting, e.disturbed = quarantine.NewCache(), 0, e.world.now
-	life := e.life
+	e.cache, e.pendingReport, e.undisturbedSince = quarantine.NewCache(), 0, e.world.now
+	incarnation := e.incarnation
 	running := func(action func()) func() bool {
 		return func() bool {
-			if e.life == life && e.alive && !e.frozen {
+			if e.incarnation == incarnation && e.alive && !e.frozen {
 				action()
 			}
-			return e.life == life && e.alive
+			return e.incarnation == incarnation && e.alive
 		}
 	}
-	e.world.every(watchInterval, running(e.watchQuarantine))
-	e.world.every(reportEvery, running(e.report))
+	e.world.every(pollInterval, running(e.pollQuarantine))
+	e.world.every(reportInterval, running(e.report))
 }
 
-// nextEdgeFault brings one fault of an edge after another.
+// nextEdgeFault injects a fault into a random edge and schedules the next one.
 func (w *World) nextEdgeFault() {
-	if w.now.Sub(began) > faultsUntil {
+	if w.now.Sub(startTime) > faultsUntil {
 		return
 	}
-	e := w.edges[w.luck.IntN(len(w.edges))]
-	down := 100*time.Millisecond + time.Duration(w.luck.Int64N(int64(3*time.Second)))
+	e := w.edges[w.extraRandom.IntN(len(w.edges))]
+	down := 100*time.Millisecond + time.Duration(w.extraRandom.Int64N(int64(3*time.Second)))
 	if e.alive && !e.frozen {
-		e.disturb(w.luck.IntN(4), down)
+		e.injectFault(w.extraRandom.IntN(4), down)
 	}
-	w.after(200*time.Millisecond+time.Duration(w.luck.Int64N(int64(2*time.Second))), w.nextEdgeFault)
+	w.after(200*time.Millisecond+time.Duration(w.extraRandom.Int64N(int64(2*time.Second))), w.nextEdgeFault)
 }
 
-func (e *edge) disturb(kind int, down time.Duration) {
+func (e *edge) injectFault(kind int, down time.Duration) {
 	w := e.world
-	e.disturbed = w.now.Add(down)
+	e.undisturbedSince = w.now.Add(down)
 	switch kind {
 	case 0:
 		w.log("kill %s for %s", e.name, down)
-		e.die()
-		w.after(down, e.begin)
+		e.kill()
+		w.after(down, e.startProcess)
 	case 1:
 		w.freeze(e.machine, down)
 	case 2:
 		w.suspend(e.machine, down)
 	case 3:
 		w.log("cut %s off for %s", e.name, down)
-		for _, core := range w.of(kindCoordinator) {
-			e.cut[core.name], core.cut[e.name] = true, true
+		for _, coordinator := range w.machinesOf(kindCoordinator) {
+			e.blocked[coordinator.name], coordinator.blocked[e.name] = true, true
 		}
 		w.after(down, func() {
-			clear(e.cut)
-			for _, core := range w.machines {
-				delete(core.cut, e.name)
+			clear(e.blocked)
+			for _, m := range w.machines {
+				delete(m.blocked, e.name)
 			}
 		})
 	}
 }
 
-// inTouch reports whether the edge and the coordinators have been undisturbed for contact.
-// After the last fault was mended that is taken to be so; before, coordinators hardly rest
-// for so long.
-func (e *edge) inTouch() bool {
+// isUndisturbed reports whether the edge and the coordinators have been undisturbed for
+// settleTime. For the coordinators this is assumed to hold from settleTime after healAt on, and
+// never earlier, because their faults seldom leave them undisturbed for that long.
+func (e *edge) isUndisturbed() bool {
 	w := e.world
-	return e.alive && !e.frozen && w.now.Sub(e.disturbed) > contact && w.now.Sub(began) > healAt+contact
+	return e.alive && !e.frozen && w.now.Sub(e.undisturbedSince) > settleTime && w.now.Sub(startTime) > healAt+settleTime
 }
 
-// arrive lets a request come to some edge.
+// arrive sends a request of a caller to a random edge.
 func (w *World) arrive(request quarantine.Fingerprint) {
-	e := w.edges[w.luck.IntN(len(w.edges))]
+	e := w.edges[w.extraRandom.IntN(len(w.edges))]
 	if !e.alive || e.frozen {
 		return
 	}
-	run := &simRun{edge: e, life: e.life, request: request}
-	if !e.book.InUse() || e.book.Standing(e.clock(), request) != quarantine.Refused {
-		e.try(run)
+	run := &simRun{edge: e, incarnation: e.incarnation, request: request}
+	if !e.cache.InUse() || e.cache.Standing(e.clock(), request) != quarantine.Refused {
+		e.sendToWorker(run)
 		return
 	}
-	if e.book.TrialDelay(e.clock(), request) > 0 {
-		e.refuse(request)
+	if e.cache.TrialDelay(e.clock(), request) > 0 {
+		e.reject(request)
 		return
 	}
-	e.askTrial(run)
+	e.requestTrial(run)
 }
 
-// refuse answers a request that goes to no worker.
-func (e *edge) refuse(request quarantine.Fingerprint) {
-	at := e.world.now.Sub(began)
-	if request == frequent && at > calmFrom && at < calmUntil {
-		e.world.ledger.violate("%s refuses the harmless request", e.name)
+// reject answers a request without running it.
+func (e *edge) reject(request quarantine.Fingerprint) {
+	at := e.world.now.Sub(startTime)
+	if request == harmlessRequest && at > serveCheckFrom && at < serveCheckUntil {
+		e.world.ledger.violate("%s rejects the harmless request", e.name)
 	}
 }
 
-// try sends a request to a worker that is up.
-func (e *edge) try(run *simRun) {
+// sendToWorker sends a request to a random worker that is up.
+func (e *edge) sendToWorker(run *simRun) {
 	w := e.world
 	var up []*simWorker
 	for _, worker := range w.workers {
@@ -219,66 +220,67 @@
 	if len(up) == 0 {
 		return
 	}
-	worker := up[w.luck.IntN(len(up))]
-	run.tries++
-	run.began = e.clock()
+	worker := up[w.extraRandom.IntN(len(up))]
+	run.attempts++
+	run.startedAt = e.clock()
 	worker.running[run] = true
-	if run.request == deadly {
-		w.sentDeadly(e)
-		w.after(20*time.Millisecond, func() { w.endWorker(worker, run) })
+	if run.request == crashingRequest {
+		w.recordCrashingSend(e)
+		w.after(20*time.Millisecond, func() { w.exitWorker(worker, run) })
 		return
 	}
-	w.after(30*time.Millisecond+time.Duration(w.luck.Int64N(int64(70*time.Millisecond))), func() {
+	w.after(30*time.Millisecond+time.Duration(w.extraRandom.Int64N(int64(70*time.Millisecond))), func() {
 		if !worker.running[run] {
 			return
 		}
 		delete(worker.running, run)
-		if e.life == run.life {
-			e.book.RecordSuccess(e.clock(), run.request)
+		if e.incarnation == run.incarnation {
+			e.cache.RecordSuccess(e.clock(), run.request)
 		}
 	})
 }
 
-// sentDeadly counts what goes to workers after three have ended under it.
-func (w *World) sentDeadly(e *edge) {
-	w.deadlySent++
-	if w.deadlyEnds < quarantine.Threshold || !e.inTouch() || w.now.Sub(w.thirdEnd) <= contact {
+// recordCrashingSend counts the sends of the crashing request and checks the bound on those that
+// come too late after the exit that reached quarantine.Threshold.
+func (w *World) recordCrashingSend(e *edge) {
+	w.crashingSent++
+	if w.crashExits < quarantine.Threshold || !e.isUndisturbed() || w.now.Sub(w.thresholdExitAt) <= settleTime {
 		return
 	}
-	if w.deadlyLate++; w.deadlyLate > mostLate {
-		w.ledger.violate("a request that ended %d workers goes to another from %s, %d times so late", w.deadlyEnds, e.name, w.deadlyLate)
+	if w.crashingSentLate++; w.crashingSentLate > maxLateSends {
+		w.ledger.violate("after %d worker exits, %s sends the crashing request to another worker; late sends: %d", w.crashExits, e.name, w.crashingSentLate)
 	}
 }
 
-// endWorker ends a worker under a run, with all that it runs.
-func (w *World) endWorker(worker *simWorker, cause *simRun) {
+// exitWorker makes a worker exit during a run, which aborts everything that it runs.
+func (w *World) exitWorker(worker *simWorker, cause *simRun) {
 	if !worker.running[cause] {
 		return
 	}
-	w.deadlyEnds++
-	if w.deadlyEnds == quarantine.Threshold {
-		w.thirdEnd = w.now
+	w.crashExits++
+	if w.crashExits == quarantine.Threshold {
+		w.thresholdExitAt = w.now
 	}
-	ended, broken := worker.id(), worker.running
+	exited, aborted := worker.id(), worker.running
 	worker.up, worker.running = false, map[*simRun]bool{}
-	for _, run := range w.inOrder(broken) {
-		run.broke(ended)
+	for _, run := range w.sortRuns(aborted) {
+		run.handleWorkerExit(exited)
 	}
-	back := backAfter
-	if worker.keepsID {
-		back = soonBack
+	delay := restartDelay
+	if worker.fixedID {
+		delay = fixedIDRestartDelay
 	}
-	w.after(back+time.Duration(w.luck.Int64N(int64(backWithin))), func() {
-		worker.lives++
+	w.after(delay+time.Duration(w.extraRandom.Int64N(int64(restartJitter))), func() {
+		worker.incarnation++
 		worker.up = true
 	})
 }
 
-// inOrder returns runs in an order that a seed repeats.
-func (w *World) inOrder(runs map[*simRun]bool) []*simRun {
+// sortRuns returns the runs by edge and request, so that a seed always gives the same order.
+func (w *World) sortRuns(runs map[*simRun]bool) []*simRun {
 	var ordered []*simRun
 	for _, e := range w.edges {
-		for _, request := range []quarantine.Fingerprint{frequent, deadly} {
+		for _, request := range []quarantine.Fingerprint{harmlessRequest, crashingRequest} {
 			for run := range runs {
 				if run.edge == e && run.request == request {
 					ordered = append(ordered, run)
@@ -289,21 +291,23 @@
 	return ordered
 }
 
-// broke is what the edge of a run does once its worker has ended.
-func (r *simRun) broke(worker string) {
+// handleWorkerExit records at the run's edge that the worker exited, and tries another worker if
+// that is allowed.
+func (r *simRun) handleWorkerExit(worker string) {
 	e := r.edge
-	e.whenAwake(r.life, func() {
-		e.book.RecordExit(e.clock(), r.request, worker, r.began)
-		if !r.trial && r.tries < maxTries && e.book.Standing(e.clock(), r.request) != quarantine.Refused {
-			e.try(r)
+	e.runWhenAwake(r.incarnation, func() {
+		e.cache.RecordExit(e.clock(), r.request, worker, r.startedAt)
+		if !r.trial && r.attempts < maxAttempts && e.cache.Standing(e.clock(), r.request) != quarantine.Refused {
+			e.sendToWorker(r)
 		}
 	})
 }
 
-// whenAwake runs something in a life of the process, after a freeze if there is one.
-func (e *edge) whenAwake(life int, action func()) {
+// runWhenAwake runs an action in the given incarnation of the process. If the process is frozen,
+// the action runs after the freeze.
+func (e *edge) runWhenAwake(incarnation int, action func()) {
 	switch {
-	case e.life != life || !e.alive:
+	case e.incarnation != incarnation || !e.alive:
 	case e.frozen:
 		e.backlog = append(e.backlog, action)
 	default:
@@ -311,94 +315,95 @@
 	}
 }
 
-// watchQuarantine asks the coordinators for what is new.
-func (e *edge) watchQuarantine() {
-	known, life := e.book.Revision(), e.life
-	for _, core := range e.world.of(kindCoordinator) {
-		e.transmit(core, func() {
-			if core.older {
+// pollQuarantine asks the coordinators for updates of the quarantine table.
+func (e *edge) pollQuarantine() {
+	known, incarnation := e.cache.Revision(), e.incarnation
+	for _, coordinator := range e.world.machinesOf(kindCoordinator) {
+		e.transmit(coordinator, func() {
+			if coordinator.firstGeneration {
 				return
 			}
-			core.lead(func(*fleetview.View) {
-				news := core.fleet.Quarantine().Since(known)
-				if news.Revision != known {
-					core.transmit(e.machine, func() { e.whenAwake(life, func() { e.book.Apply(&news) }) })
+			coordinator.readAsLeader(func(*fleetview.View) {
+				update := coordinator.fleet.Quarantine().Since(known)
+				if update.Revision != known {
+					coordinator.transmit(e.machine, func() { e.runWhenAwake(incarnation, func() { e.cache.Apply(&update) }) })
 				}
 			})
 		})
 	}
 }
 
-// report tells the coordinators of runs, one report at a time.
+// report sends the coordinators a report about runs, one report at a time.
 func (e *edge) report() {
-	if e.reporting != 0 || e.world.mutation == MutationLocalExits {
+	if e.pendingReport != 0 || e.world.mutation == MutationLocalExits {
 		return
 	}
-	report := e.book.Report(e.clock())
+	report := e.cache.Report(e.clock())
 	if report == nil {
 		return
 	}
-	e.reports++
-	number, life := e.reports, e.life
-	e.reporting = number
+	e.reportCount++
+	number, incarnation := e.reportCount, e.incarnation
+	e.pendingReport = number
 	e.world.after(reportTimeout, func() {
-		if e.life == life && e.reporting == number {
-			e.reporting = 0
-			e.book.RecordAnswer(nil)
+		if e.incarnation == incarnation && e.pendingReport == number {
+			e.pendingReport = 0
+			e.cache.RecordAnswer(nil)
 		}
 	})
 	e.callQuarantine(report, func(answer *wire.QuarantineAnswer) {
-		if e.life == life && e.reporting == number {
-			e.reporting = 0
-			e.book.RecordAnswer(&answer.News)
+		if e.incarnation == incarnation && e.pendingReport == number {
+			e.pendingReport = 0
+			e.cache.RecordAnswer(&answer.News)
 		}
 	})
 }
 
-// askTrial asks for a trial of a refused request; without an answer it is refused.
-func (e *edge) askTrial(run *simRun) {
-	asked := false
-	report := &wire.QuarantineReport{Trial: uint64(run.request), Known: e.book.Revision()}
+// requestTrial asks the coordinators for a trial run of a refused request. The request is only
+// sent to a worker if they grant it.
+func (e *edge) requestTrial(run *simRun) {
+	answered := false
+	report := &wire.QuarantineReport{Trial: uint64(run.request), Known: e.cache.Revision()}
 	e.callQuarantine(report, func(answer *wire.QuarantineAnswer) {
-		if asked || e.life != run.life {
+		if answered || e.incarnation != run.incarnation {
 			return
 		}
-		asked = true
-		e.book.Apply(&answer.News)
+		answered = true
+		e.cache.Apply(&answer.News)
 		if !answer.Granted {
-			e.book.DenyTrial(e.clock(), run.request, time.Duration(answer.WaitMillis)*time.Millisecond)
-			e.refuse(run.request)
+			e.cache.DenyTrial(e.clock(), run.request, time.Duration(answer.WaitMillis)*time.Millisecond)
+			e.reject(run.request)
 			return
 		}
 		run.trial = true
-		e.try(run)
+		e.sendToWorker(run)
 	})
 }
 
-// callQuarantine sends a report to all coordinators, of which the leader answers.
-func (e *edge) callQuarantine(report *wire.QuarantineReport, done func(answer *wire.QuarantineAnswer)) {
-	life := e.life
-	for _, core := range e.world.of(kindCoordinator) {
-		e.transmit(core, func() {
-			core.takeReport(report, func(answer *wire.QuarantineAnswer) {
-				core.transmit(e.machine, func() { e.whenAwake(life, func() { done(answer) }) })
+// callQuarantine sends a report to all coordinators. Only the leader answers.
+func (e *edge) callQuarantine(report *wire.QuarantineReport, onAnswer func(answer *wire.QuarantineAnswer)) {
+	incarnation := e.incarnation
+	for _, coordinator := range e.world.machinesOf(kindCoordinator) {
+		e.transmit(coordinator, func() {
+			coordinator.handleQuarantineReport(report, func(answer *wire.QuarantineAnswer) {
+				coordinator.transmit(e.machine, func() { e.runWhenAwake(incarnation, func() { onAnswer(answer) }) })
 			})
 		})
 	}
 }
 
-// takeReport is what the daemon does with a report: a leader commits it, then answers.
-func (m *machine) takeReport(report *wire.QuarantineReport, done func(answer *wire.QuarantineAnswer)) {
+// handleQuarantineReport handles a report as the daemon does: the leader commits it, then answers.
+func (m *machine) handleQuarantineReport(report *wire.QuarantineReport, onAnswer func(answer *wire.QuarantineAnswer)) {
 	answer := &wire.QuarantineAnswer{}
 	command := &wire.QuarantineCommand{Runs: report.Runs, AtMillis: m.clock().UnixMilli()}
 	leads := false
-	m.lead(func(*fleetview.View) {
-		leads = !m.older && m.gate.Err() == nil
+	m.readAsLeader(func(*fleetview.View) {
+		leads = !m.firstGeneration && m.gate.Err() == nil
 		if report.Trial == 0 {
 			return
 		}
 		request := quarantine.Fingerprint(report.Trial)
-		granted, wait := m.warden.GrantTrial(m.clock(), m.fleet.Quarantine(), request)
+		granted, wait := m.quarantineTimers.GrantTrial(m.clock(), m.fleet.Quarantine(), request)
 		answer.Granted, answer.WaitMillis = granted, wait.Milliseconds()
 		if granted && m.fleet.Quarantine().Entry(request) != nil {
 			command.Trial = report.Trial
@@ -413,21 +418,22 @@
 		}
 		_ = m.node.Read(m.clock(), 0, func(uint64, storage.Reader) error {
 			answer.News = m.fleet.Quarantine().Since(report.Known)
-			done(answer)
+			onAnswer(answer)
 			return nil
 		})
 	})
 }
 
-// keepQuarantine carries out what follows from the time that has passed.
-func (m *machine) keepQuarantine() {
-	if m.older {
+// tickQuarantine proposes the quarantine command that is due at the current time, if this
+// coordinator leads.
+func (m *machine) tickQuarantine() {
+	if m.firstGeneration {
 		return
 	}
-	m.noteGenerations()
+	m.updateGate()
 	var command *wire.QuarantineCommand
-	m.lead(func(*fleetview.View) {
-		command = m.gate.Command(m.warden.Tick(m.clock(), m.fleet.Quarantine()), m.fleet.Quarantine())
+	m.readAsLeader(func(*fleetview.View) {
+		command = m.gate.Command(m.quarantineTimers.Tick(m.clock(), m.fleet.Quarantine()), m.fleet.Quarantine())
 	})
 	if command == nil {
 		return
--- a/internal/fleetsim/edges_test.go
+++ b/internal/fleetsim/edges_test.go
@@ -2,20 +2,20 @@
 
 import "testing"
 
-// TestDeadlyRequests counts over many seeds what a deadly request does while coordinators
-// and edges are killed, cut off, frozen and suspended, and checks that there was something
-// to find.
-func TestDeadlyRequests(t *testing.T) {
+// TestCrashingRequests runs a request under which workers exit while coordinators and edges are
+// killed, cut off, frozen and suspended. It checks that enough workers exit for the checks to mean
+// something, and logs how often the request was sent.
+func TestCrashingRequests(t *testing.T) {
 	sent, late, runs := 0, 0, 0
 	for seed := uint64(2*seeds + 1); seed <= 3*seeds; seed++ {
 		world, violations := Run(seed, MutationNone)
 		if len(violations) > 0 {
 			t.Fatalf("seed %d: %v\n%v", seed, violations, world.Log)
 		}
-		sent, late, runs = sent+world.deadlySent, late+world.deadlyLate, runs+1
-		if world.deadlyEnds < 3 {
-			t.Errorf("seed %d: only %d workers ended", seed, world.deadlyEnds)
+		sent, late, runs = sent+world.crashingSent, late+world.crashingSentLate, runs+1
+		if world.crashExits < 3 {
+			t.Errorf("seed %d: only %d workers exited", seed, world.crashExits)
 		}
 	}
-	t.Logf("%d runs: sent to %d workers, %d of them late", runs, sent, late)
+	t.Logf("%d runs: crashing request sent to %d workers, %d of them late", runs, sent, late)
 }
--- a/internal/fleetsim/faults.go
+++ b/internal/fleetsim/faults.go
@@ -7,130 +7,134 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// catchUp is how long a lost disk counts as lost after its machine is back.
-const catchUp = 5 * time.Second
+// repairTime is how long the groups get to replace a lost disk after its machine has restarted.
+const repairTime = 5 * time.Second
 
-// beginFaults brings one fault after another.
-func (w *World) beginFaults() {
+// startFaults schedules the faults of machines.
+func (w *World) startFaults() {
 	w.after(faultsFrom, w.nextFault)
 	w.after(faultsFrom, w.nextSuspension)
 }
 
-// nextSuspension suspends one machine after another, beside the other faults: as a rule
-// the coordinator that leads, whose lease a steady clock would prolong.
+// nextSuspension suspends a machine, beside the other faults, and schedules the next suspension.
+// It prefers the leading coordinator, whose lease a clock that stops would prolong.
 func (w *World) nextSuspension() {
-	if w.now.Sub(began) > faultsUntil {
+	if w.now.Sub(startTime) > faultsUntil {
 		return
 	}
-	m := w.machines[w.luck.IntN(len(w.machines))]
-	for _, core := range w.of(kindCoordinator) {
-		if core.alive && !core.frozen && core.node.Statuses(core.clock())[0].Role == consensus.Leader && w.luck.IntN(3) > 0 {
-			m = core
+	m := w.machines[w.extraRandom.IntN(len(w.machines))]
+	for _, coordinator := range w.machinesOf(kindCoordinator) {
+		if coordinator.alive && !coordinator.frozen && coordinator.node.Statuses(coordinator.clock())[0].Role == consensus.Leader && w.extraRandom.IntN(3) > 0 {
+			m = coordinator
 		}
 	}
-	w.suspend(m, time.Second+time.Duration(w.luck.Int64N(int64(3*time.Second))))
-	w.after(time.Second+time.Duration(w.luck.Int64N(int64(5*time.Second))), w.nextSuspension)
+	w.suspend(m, time.Second+time.Duration(w.extraRandom.Int64N(int64(3*time.Second))))
+	w.after(time.Second+time.Duration(w.extraRandom.Int64N(int64(5*time.Second))), w.nextSuspension)
 }
 
-// suspend makes a machine stand still with its steady clock. What comes for it meanwhile
-// is lost, because its link is down, too.
+// suspend stops a machine together with its steady clock. Messages to it are lost meanwhile,
+// because its network link is down, too.
 func (w *World) suspend(m *machine, down time.Duration) {
 	if !m.alive || m.frozen {
 		return
 	}
 	w.log("suspend %s for %s", m.name, down)
-	m.frozen, m.suspended = true, w.now
-	life := m.life
+	m.frozen, m.suspendedAt = true, w.now
+	incarnation := m.incarnation
 	w.after(down, func() {
-		m.stood, m.suspended = m.stood+down, time.Time{}
-		if m.life == life {
+		m.suspendedTotal, m.suspendedAt = m.suspendedTotal+down, time.Time{}
+		if m.incarnation == incarnation {
 			m.frozen, m.backlog = false, nil
 		}
 	})
 }
 
+// nextFault injects a fault and schedules the next one.
 func (w *World) nextFault() {
-	if w.now.Sub(began) > faultsUntil {
+	if w.now.Sub(startTime) > faultsUntil {
 		return
 	}
 	w.fault()
-	w.after(w.between(300*time.Millisecond, 2500*time.Millisecond), w.nextFault)
+	w.after(w.randomDuration(300*time.Millisecond, 2500*time.Millisecond), w.nextFault)
 }
 
+// fault injects a random fault into a random machine.
 func (w *World) fault() {
 	m := w.machines[w.random.IntN(len(w.machines))]
-	if m.gone {
+	if m.removed {
 		return
 	}
-	down := w.between(100*time.Millisecond, 3*time.Second)
+	down := w.randomDuration(100*time.Millisecond, 3*time.Second)
 	switch w.random.IntN(14) {
 	case 0, 1:
 		w.log("kill %s for %s", m.name, down)
-		m.die()
-		w.after(down, func() { m.comeBack(false) })
+		m.kill()
+		w.after(down, func() { m.restart(false) })
 	case 2, 3:
 		w.log("power off %s for %s", m.name, down)
-		m.losePower()
-		w.after(down, func() { m.comeBack(false) })
+		m.powerOff()
+		w.after(down, func() { m.restart(false) })
 	case 4:
-		w.losePowerAll(down)
+		w.powerOffAll(down)
 	case 5:
 		w.freeze(m, down)
 	case 6, 7:
-		w.cut(m, down)
+		w.partition(m, down)
 	case 8:
-		w.wipe(m, down)
+		w.wipeDisk(m, down)
 	case 9:
 		w.replace(m)
 	case 10:
-		if len(w.of(kindStore)) < stores+2 {
+		if len(w.machinesOf(kindStore)) < stores+2 {
 			w.log("add a store")
 			w.add(kindStore, false)
 		}
 	case 11:
 		w.retire(m)
 	case 12, 13:
-		w.behind(m)
+		w.lagThenLoseDisk(m)
 	}
 }
 
-// die ends the process; what it wrote stays.
-func (m *machine) die() {
+// kill ends the process. What it wrote stays on the disk.
+func (m *machine) kill() {
 	m.alive = false
-	m.life++
+	m.incarnation++
 }
 
-// losePower ends the process and loses some of what was not synced.
-func (m *machine) losePower() {
-	m.die()
+// powerOff ends the process and loses a random part of the unsynced writes.
+func (m *machine) powerOff() {
+	m.kill()
 	m.disk = m.disk.Crash(m.world.random.IntN(m.disk.Unsynced() + 1))
 }
 
-func (m *machine) comeBack(bootstrap bool) {
-	if !m.alive && !m.gone {
+func (m *machine) restart(bootstrap bool) {
+	if !m.alive && !m.removed {
 		m.start(bootstrap)
 	}
 }
 
-func (w *World) losePowerAll(down time.Duration) {
+func (w *World) powerOffAll(down time.Duration) {
 	w.log("power off all for %s", down)
 	for _, m := range w.machines {
-		if !m.gone {
-			m.losePower()
-			w.after(down+w.between(0, 300*time.Millisecond), func() { m.comeBack(false) })
+		if !m.removed {
+			m.powerOff()
+			w.after(down+w.randomDuration(0, 300*time.Millisecond), func() { m.restart(false) })
 		}
 	}
 }
 
+// freeze stops the process of a machine whose clocks go on. The process handles the messages that
+// arrive meanwhile after the freeze.
 func (w *World) freeze(m *machine, down time.Duration) {
 	if !m.alive {
 		return
 	}
 	w.log("freeze %s for %s", m.name, down)
 	m.frozen = true
-	life := m.life
+	incarnation := m.incarnation
 	w.after(down, func() {
-		if m.life != life {
+		if m.incarnation != incarnation {
 			return
 		}
 		m.frozen = false
@@ -142,34 +146,34 @@
 	})
 }
 
-// cut parts a machine from some others, at times one way only.
-func (w *World) cut(m *machine, down time.Duration) {
+// partition cuts a machine off from most others, at times in one direction only.
+func (w *World) partition(m *machine, down time.Duration) {
 	oneWay := w.random.IntN(3) == 0
 	w.log("cut %s for %s, one way %t", m.name, down, oneWay)
 	for _, other := range w.machines {
 		if other == m || w.random.IntN(4) == 0 {
 			continue
 		}
-		m.cut[other.name] = true
-		other.cut[m.name] = !oneWay
+		m.blocked[other.name] = true
+		other.blocked[m.name] = !oneWay
 	}
 	w.after(down, func() {
 		for _, other := range w.machines {
-			delete(m.cut, other.name)
-			delete(other.cut, m.name)
+			delete(m.blocked, other.name)
+			delete(other.blocked, m.name)
 		}
 	})
 }
 
-// mayLose reports whether one more disk may go: the one before has been made good.
-// Where other faults kept a majority from meeting since, time alone does not do
-// that, and a further loss would be one more than is to be borne.
-func (w *World) mayLose() bool {
-	return !w.now.Before(w.lossSafeAt) && w.repaired(kindCoordinator) && w.repaired(kindStore)
+// mayLoseDisk reports whether another disk may be lost, which requires that the previous loss has
+// been repaired. To wait until nextLossAt is not enough: other faults may have prevented a
+// majority since, and a further loss would then exceed what the groups tolerate.
+func (w *World) mayLoseDisk() bool {
+	return !w.now.Before(w.nextLossAt) && w.repaired(kindCoordinator) && w.repaired(kindStore)
 }
 
-// repaired reports whether the groups of the kind have settled on voters whose
-// disks are all there.
+// repaired reports whether each group of the kind has a leader and stable voters whose disks are
+// all present.
 func (w *World) repaired(kind kind) bool {
 	if kind == kindCoordinator {
 		return w.groupRepaired(kind, 0)
@@ -183,140 +187,140 @@
 }
 
 func (w *World) groupRepaired(kind kind, group int) bool {
-	identities := map[uint64]bool{}
-	for _, m := range w.of(kind) {
-		identities[m.node.ID()] = true
+	ids := map[uint64]bool{}
+	for _, m := range w.machinesOf(kind) {
+		ids[m.node.ID()] = true
 	}
-	for _, m := range w.of(kind) {
+	for _, m := range w.machinesOf(kind) {
 		status := m.node.Statuses(m.clock())[group]
-		if m.alive && status.Role == consensus.Leader && status.MembershipStable && allThere(status.Membership.Voters, identities) {
+		if m.alive && status.Role == consensus.Leader && status.MembershipStable && allPresent(status.Membership.Voters, ids) {
 			return true
 		}
 	}
 	return false
 }
 
-func allThere(voters []wire.Replica, identities map[uint64]bool) bool {
+func allPresent(voters []wire.Replica, ids map[uint64]bool) bool {
 	for _, voter := range voters {
-		if !identities[voter.ID] {
+		if !ids[voter.ID] {
 			return false
 		}
 	}
 	return len(voters) > 0
 }
 
-// wipe loses a disk; the machine comes back at its address. At times all others
-// lose power with it.
-func (w *World) wipe(m *machine, down time.Duration) {
-	if !w.mayLose() {
+// wipeDisk loses the disk of a machine, which restarts at its address. At times all other machines
+// lose power as well.
+func (w *World) wipeDisk(m *machine, down time.Duration) {
+	if !w.mayLoseDisk() {
 		return
 	}
-	w.lossSafeAt = w.now.Add(down + catchUp)
+	w.nextLossAt = w.now.Add(down + repairTime)
 	if w.random.IntN(3) == 0 {
-		w.losePowerAll(down)
-		w.lossSafeAt = w.lossSafeAt.Add(catchUp)
+		w.powerOffAll(down)
+		w.nextLossAt = w.nextLossAt.Add(repairTime)
 	}
 	w.log("wipe %s for %s", m.name, down)
-	m.die()
+	m.kill()
 	m.disk = newMemory()
-	w.after(down, func() { m.comeBack(false) })
+	w.after(down, func() { m.restart(false) })
 }
 
-// behind lets a machine miss what the others acknowledge; then one of those loses
-// its disk, the rest are dark for a while, and the cut heals.
-func (w *World) behind(m *machine) {
-	if !w.mayLose() {
+// lagThenLoseDisk cuts a machine off while the others of its kind acknowledge writes. Then one of
+// those loses its disk, the rest lose power for a while, and the partition heals.
+func (w *World) lagThenLoseDisk(m *machine) {
+	if !w.mayLoseDisk() {
 		return
 	}
 	var others []*machine
-	for _, other := range w.of(m.kind) {
+	for _, other := range w.machinesOf(m.kind) {
 		if other != m && other.alive {
 			others = append(others, other)
 		}
 	}
-	if len(others) < 2*tolerate {
+	if len(others) < 2*toleratedFailures {
 		return
 	}
-	missing := w.between(500*time.Millisecond, 2500*time.Millisecond)
-	dark := w.between(time.Second, 3*time.Second)
-	w.lossSafeAt = w.now.Add(missing + dark + 2*catchUp)
-	w.log("%s misses what others do for %s, then one is wiped and the rest are dark for %s", m.name, missing, dark)
+	lag := w.randomDuration(500*time.Millisecond, 2500*time.Millisecond)
+	outage := w.randomDuration(time.Second, 3*time.Second)
+	w.nextLossAt = w.now.Add(lag + outage + 2*repairTime)
+	w.log("cut %s off from its kind for %s, then wipe one of the others and power off the rest for %s", m.name, lag, outage)
 	for _, other := range others {
-		m.cut[other.name], other.cut[m.name] = true, true
+		m.blocked[other.name], other.blocked[m.name] = true, true
 	}
-	w.after(missing, func() {
+	w.after(lag, func() {
 		for i, other := range others {
-			if other.gone {
+			if other.removed {
 				continue
 			}
 			if i == 0 {
-				other.die()
+				other.kill()
 				other.disk = newMemory()
-				w.after(100*time.Millisecond, func() { other.comeBack(false) })
+				w.after(100*time.Millisecond, func() { other.restart(false) })
 				continue
 			}
-			other.losePower()
-			w.after(dark, func() { other.comeBack(false) })
+			other.powerOff()
+			w.after(outage, func() { other.restart(false) })
 		}
 		for _, other := range others {
-			delete(m.cut, other.name)
-			delete(other.cut, m.name)
+			delete(m.blocked, other.name)
+			delete(other.blocked, m.name)
 		}
 	})
 }
 
-// replace loses a machine for good; another comes at a new address.
+// replace removes a machine for good and adds another one at a new address.
 func (w *World) replace(m *machine) {
-	if !w.mayLose() {
+	if !w.mayLoseDisk() {
 		return
 	}
-	wait := w.between(200*time.Millisecond, 2*time.Second)
+	wait := w.randomDuration(200*time.Millisecond, 2*time.Second)
 	w.log("replace %s after %s", m.name, wait)
-	w.lossSafeAt = w.now.Add(wait + catchUp)
-	m.die()
-	m.gone = true
+	w.nextLossAt = w.now.Add(wait + repairTime)
+	m.kill()
+	m.removed = true
 	w.after(wait, func() { w.add(m.kind, false) })
 }
 
-// retire empties a store; once it is, it goes with its disk.
+// retire has a store drained. Once it is drained, the machine is removed with its disk.
 func (w *World) retire(m *machine) {
-	if m.kind != kindStore || len(w.of(kindStore)) <= 2*tolerate+1 {
+	if m.kind != kindStore || len(w.machinesOf(kindStore)) <= 2*toleratedFailures+1 {
 		return
 	}
 	w.log("retire %s", m.name)
-	w.every(watchInterval, func() bool {
-		if m.gone || w.healed {
+	w.every(pollInterval, func() bool {
+		if m.removed || w.healed {
 			return false
 		}
-		for _, core := range w.of(kindCoordinator) {
-			if !core.alive || core.frozen {
+		for _, coordinator := range w.machinesOf(kindCoordinator) {
+			if !coordinator.alive || coordinator.frozen {
 				continue
 			}
-			done := false
-			core.lead(func(*viewOfFleet) {
-				_, done = core.fleet.Retirement(m.name)
+			drained := false
+			coordinator.readAsLeader(func(*viewOfFleet) {
+				_, drained = coordinator.fleet.Retirement(m.name)
 			})
-			if done {
-				w.log("%s is emptied and goes", m.name)
-				m.die()
-				m.gone = true
+			if drained {
+				w.log("remove %s, which is drained", m.name)
+				m.kill()
+				m.removed = true
 				return false
 			}
-			core.proposeRetire(m.name)
+			coordinator.proposeRetire(m.name)
 		}
 		return true
 	})
 }
 
-// heal mends everything.
+// heal ends all faults.
 func (w *World) heal() {
 	w.log("heal")
 	w.healed = true
 	for _, m := range w.machines {
-		m.cut = map[string]bool{}
+		m.blocked = map[string]bool{}
 		if m.frozen {
-			m.die()
+			m.kill()
 		}
-		m.comeBack(false)
+		m.restart(false)
 	}
 }
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// seeds is how many seeds CI runs; `sedgemast-lab simulate-fleet` runs others.
+// seeds is the number of seeds that CI runs; `sedgemast-lab simulate-fleet` runs others.
 const seeds = 40
 
 func TestSeeds(t *testing.T) {
@@ -15,23 +15,24 @@
 	}
 }
 
-// TestSameSeedSameRun checks that a seed can be replayed.
+// TestSameSeedSameRun checks that a seed gives the same run each time, so that a failure can be
+// replayed.
 func TestSameSeedSameRun(t *testing.T) {
 	first, _ := Run(3, MutationNone)
 	second, _ := Run(3, MutationNone)
-	if first.sequence != second.sequence || first.ledger.acknowledged != second.ledger.acknowledged || len(first.ledger.names) != len(second.ledger.names) {
-		t.Errorf("%d and %d events", first.sequence, second.sequence)
+	if first.sequence != second.sequence || first.ledger.acknowledged != second.ledger.acknowledged || len(first.ledger.jobIDs) != len(second.ledger.jobIDs) {
+		t.Errorf("the runs differ: %d and %d events", first.sequence, second.sequence)
 	}
 }
 
-// TestSeedsOnceRed runs the seeds that found a fault, with what it was.
+// TestSeedsOnceRed runs seeds that once failed; each text names the fault that the seed found.
 func TestSeedsOnceRed(t *testing.T) {
 	for seed, was := range map[uint64]string{
-		10184: "two stores were asked to be emptied at the same time, each as if it were alone",
-		40821: "a store lost 2 s ago counted as remaining when another was asked to be emptied",
-		61519: "a store that was to be replaced let another one be emptied though it was gone",
-		81574: "a harmless request, refused with a deadly one, was tried beside it, and rested for a minute",
-		90375: "two stores handed a group to each other for ever, one of which was to be emptied (the simulator's fault)",
+		10184: "two stores were asked to drain at the same time, each as if it were the only one",
+		40821: "a store lost 2 s before counted as remaining when another one was asked to drain",
+		61519: "a store that was being replaced counted as remaining when another one was asked to drain, though it was gone",
+		81574: "a harmless request, refused together with the crashing one, had its trial beside that one, and was then refused for a minute",
+		90375: "two stores, one of them retiring, transferred the leadership of a group to each other forever (a fault of the simulator)",
 	} {
 		if world, violations := Run(seed, MutationNone); len(violations) > 0 {
 			t.Errorf("seed %d (%s): %v\n%v", seed, was, violations, world.Log)
@@ -39,7 +40,8 @@
 	}
 }
 
-// TestSomethingHappens checks that runs do what they are for.
+// TestSomethingHappens checks that a run changes configurations, accepts jobs, returns results and
+// injects faults, since the promises hold trivially in a run that does nothing.
 func TestSomethingHappens(t *testing.T) {
 	world, _ := Run(1, MutationNone)
 	accepted, listed := 0, 0
@@ -50,11 +52,11 @@
 		listed += len(known.results)
 	}
 	if world.ledger.acknowledged < 10 || accepted < 10 || listed < 20 || len(world.Log) < 10 {
-		t.Errorf("version %d, %d jobs accepted, %d results, %d faults", world.ledger.acknowledged, accepted, listed, len(world.Log))
+		t.Errorf("too little happened: version %d acknowledged, %d jobs accepted, %d results, %d log lines", world.ledger.acknowledged, accepted, listed, len(world.Log))
 	}
 }
 
-// TestMutationsAreSeen takes each mechanism away: some seed must turn red.
+// TestMutationsAreSeen checks that for each mutation some seed reports a violation.
 func TestMutationsAreSeen(t *testing.T) {
 	for _, mutation := range Mutations {
 		t.Run(string(mutation), func(t *testing.T) {
@@ -64,16 +66,16 @@
 					return
 				}
 			}
-			t.Errorf("no seed shows it")
+			t.Errorf("no seed reports a violation")
 		})
 	}
 }
 
-// TestLostVoterWithinAChange replays a seed in which a store group had no leader for good. A
-// leader appends the change that lets a learner take a voter's place, and tells nobody; the
-// next one tells its first entry to that learner alone, and loses its disk. The one voter
-// that knows of the change needs the learner's vote, whose log is more complete, and the
-// learner, which does not know that it is to be a voter, never stood.
+// TestLostVoterWithinAChange replays a seed in which a store group lost its leader for good. A
+// leader appends a membership change in which a learner replaces a voter, and sends it to no other
+// replica. The next leader sends its first entry to that learner alone and loses its disk. The only
+// remaining voter that knows of the change needs the learner's vote, but the learner's log is more
+// complete. The learner did not know that it was to be a voter and never started an election.
 func TestLostVoterWithinAChange(t *testing.T) {
 	if world, violations := Run(101603, MutationNone); len(violations) > 0 {
 		t.Errorf("%v\n%v", violations, world.Log)
--- a/internal/fleetsim/ledger.go
+++ b/internal/fleetsim/ledger.go
@@ -13,70 +13,73 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// viewOfFleet shortens the signatures of readers.
+// viewOfFleet shortens the signatures of functions that read as the leader.
 type viewOfFleet = fleetview.View
 
 func newMemory() *storage.Memory { return storage.NewMemory() }
 
 const (
-	actInterval = 60 * time.Millisecond
-	readCheck   = 90 * time.Millisecond
-	itemsPerJob = 3
-	// maxTokens is the quota of each tenant: few jobs fit at a time.
+	// actInterval is the time between two rounds of item records. Submissions, configuration changes
+	// and requests to end a job come at multiples of it.
+	actInterval  = 60 * time.Millisecond
+	readInterval = 90 * time.Millisecond
+	itemsPerJob  = 3
+	// maxTokens is the token quota of each tenant, small enough that only a few jobs fit at a time.
 	maxTokens = 6
 )
 
-// tenants are the owners of jobs; some belong to nobody.
+// tenants are the owners of jobs. The empty name stands for jobs without an owner.
 var tenants = []tenancy.Name{"a", "b", ""}
 
-// ledger plays callers, operators and readers, and keeps what they were promised.
+// ledger acts as callers, operators and readers, and records what they were promised.
 type ledger struct {
 	world      *World
 	violations []string
 	version    uint64
-	// acknowledged is the highest version that an operator was told of.
+	// acknowledged is the highest configuration version acknowledged to an operator.
 	acknowledged uint64
-	jobs         map[string]*promised
+	jobs         map[string]*jobRecord
 	chains       *chains
-	names        []string
+	jobIDs       []string
 }
 
-// promised is what callers know of a job.
-type promised struct {
-	owner    tenancy.Name
-	accepted bool
-	ended    bool
-	endAsked bool
-	results  []wire.BatchResultRow
+// jobRecord holds what callers know about a job.
+type jobRecord struct {
+	owner        tenancy.Name
+	accepted     bool
+	ended        bool
+	endRequested bool
+	results      []wire.BatchResultRow
 }
 
 func newLedger(w *World) *ledger {
-	return &ledger{world: w, jobs: map[string]*promised{}, chains: newChains()}
+	return &ledger{world: w, jobs: map[string]*jobRecord{}, chains: newChains()}
 }
 
+// violate records a violation with its time in the run. Only the first five are kept.
 func (l *ledger) violate(format string, arguments ...any) {
 	if len(l.violations) < 5 {
-		l.violations = append(l.violations, fmt.Sprintf("%.3f s: ", l.world.now.Sub(began).Seconds())+fmt.Sprintf(format, arguments...))
+		l.violations = append(l.violations, fmt.Sprintf("%.3f s: ", l.world.now.Sub(startTime).Seconds())+fmt.Sprintf(format, arguments...))
 	}
 }
 
-// begin starts all who use the fleet.
-func (l *ledger) begin() {
+// start schedules the actions of callers, operators and readers.
+func (l *ledger) start() {
 	w := l.world
 	repeat := func(interval time.Duration, action func()) {
 		w.every(interval, func() bool { action(); return true })
 	}
 	repeat(5*actInterval, l.changeConfiguration)
-	repeat(4*actInterval, l.submit)
-	repeat(actInterval, l.work)
-	repeat(20*actInterval, l.end)
-	repeat(readCheck, l.readConfiguration)
-	repeat(readCheck, l.readJobs)
+	repeat(4*actInterval, l.submitJob)
+	repeat(actInterval, l.recordProgress)
+	repeat(20*actInterval, l.endJob)
+	repeat(readInterval, l.readConfiguration)
+	repeat(readInterval, l.readJobs)
 }
 
-// reachable returns a random living machine of the kind.
-func (l *ledger) reachable(kind kind) *machine {
-	machines := l.world.of(kind)
+// randomMachine returns a random machine of the kind, nil if that machine is down or frozen.
+func (l *ledger) randomMachine(kind kind) *machine {
+	machines := l.world.machinesOf(kind)
 	if len(machines) == 0 {
 		return nil
 	}
@@ -88,14 +91,14 @@
 }
 
 func (l *ledger) changeConfiguration() {
-	m := l.reachable(kindCoordinator)
+	m := l.randomMachine(kindCoordinator)
 	if m == nil {
 		return
 	}
 	l.version += uint64(1 + l.world.random.IntN(3))
 	version := l.version
 	if l.world.random.IntN(5) == 0 {
-		// An older change comes once more.
+		// Send an older change once more.
 		version -= min(version, uint64(l.world.random.IntN(4)))
 	}
 	source := []byte(fmt.Sprintf("source %d", version))
@@ -106,11 +109,11 @@
 	})
 }
 
-// readConfiguration reads at any coordinator: what is answered must not be older
-// than what was acknowledged before.
+// readConfiguration reads at a random coordinator. The answer must not be older than what was
+// acknowledged before.
 func (l *ledger) readConfiguration() {
-	if m := l.reachable(kindCoordinator); m != nil {
-		m.lead(func(*viewOfFleet) { l.checkConfiguration(m) })
+	if m := l.randomMachine(kindCoordinator); m != nil {
+		m.readAsLeader(func(*viewOfFleet) { l.checkConfiguration(m) })
 	}
 }
 
@@ -124,21 +127,21 @@
 	}
 }
 
-func (l *ledger) submit() {
-	m := l.reachable(kindStore)
+func (l *ledger) submitJob() {
+	m := l.randomMachine(kindStore)
 	if m == nil {
 		return
 	}
-	owner := tenants[len(l.names)%len(tenants)]
-	id := tenancy.ScopedName(owner, fmt.Sprintf("job-%d", len(l.names)))
-	if len(l.names) > 0 && l.world.random.IntN(4) == 0 {
-		id = l.names[l.world.random.IntN(len(l.names))]
+	owner := tenants[len(l.jobIDs)%len(tenants)]
+	id := tenancy.ScopedName(owner, fmt.Sprintf("job-%d", len(l.jobIDs)))
+	if len(l.jobIDs) > 0 && l.world.random.IntN(4) == 0 {
+		id = l.jobIDs[l.world.random.IntN(len(l.jobIDs))]
 	}
 	known := l.jobs[id]
 	if known == nil {
-		known = &promised{owner: owner}
+		known = &jobRecord{owner: owner}
 		l.jobs[id] = known
-		l.names = append(l.names, id)
+		l.jobIDs = append(l.jobIDs, id)
 	}
 	submit := &wire.SubmitBatch{ID: id, Route: "r", Host: "h", Owner: string(known.owner), Limit: maxTokens}
 	for i := 0; i < itemsPerJob; i++ {
@@ -150,29 +153,30 @@
 			return
 		}
 		if _, err := result.UnmarshalMsg(answer); err != nil {
-			l.violate("an answer does not decode: %v", err)
+			l.violate("the answer to a submission can't be decoded: %v", err)
 			return
 		}
 		if result.Failure == nil {
 			known.accepted = true
-		} else if known.accepted && !known.endAsked {
-			l.violate("%s was accepted and is refused: %s", id, result.Failure.Message)
+		} else if known.accepted && !known.endRequested {
+			l.violate("%s was accepted before and is now rejected: %s", id, result.Failure.Message)
 		}
 	})
 }
 
-// work records progress and results at the leader, as its runner would.
-func (l *ledger) work() {
-	m := l.reachable(kindStore)
+// recordProgress records progress and results of items at the leaders of groups, as their batch
+// runners do.
+func (l *ledger) recordProgress() {
+	m := l.randomMachine(kindStore)
 	if m == nil {
 		return
 	}
 	for group := range groups {
 		var records []wire.ItemRecord
 		_ = m.node.Read(m.clock(), group, func(uint64, storage.Reader) error {
-			for _, id := range l.names {
+			for _, id := range l.jobIDs {
 				if job, err := m.batch[group].Job(id); err == nil && job.Open() && l.world.random.IntN(3) == 0 {
-					records = append(records, l.recordOf(job))
+					records = append(records, l.nextRecord(job))
 				}
 			}
 			return nil
@@ -183,11 +187,11 @@
 	}
 }
 
-func (l *ledger) recordOf(job *batchstate.Job) wire.ItemRecord {
+func (l *ledger) nextRecord(job *batchstate.Job) wire.ItemRecord {
 	number := l.world.random.IntN(len(job.Items))
 	item := &job.Items[number]
 	random := l.world.random
-	record := l.chains.pick(item, random.IntN(4) == 0, random.IntN(maxChains)).next(job.ID, number, item.ID)
+	record := l.chains.pick(item, random.IntN(4) == 0, random.IntN(maxChainsPerItem)).next(job.ID, number, item.ID)
 	switch l.world.random.IntN(4) {
 	case 0:
 		record.State = wire.ItemCompleted
@@ -199,14 +203,15 @@
 	return record
 }
 
-func (l *ledger) end() {
-	m := l.reachable(kindStore)
-	if m == nil || len(l.names) == 0 {
+// endJob asks a random store to end a random job.
+func (l *ledger) endJob() {
+	m := l.randomMachine(kindStore)
+	if m == nil || len(l.jobIDs) == 0 {
 		return
 	}
-	id := l.names[l.world.random.IntN(len(l.names))]
+	id := l.jobIDs[l.world.random.IntN(len(l.jobIDs))]
 	known := l.jobs[id]
-	known.endAsked = true
+	known.endRequested = true
 	m.propose(groupOf(id), &wire.BatchCommand{End: &wire.BatchName{ID: id}}, func(answer []byte, err error) {
 		var result wire.BatchResult
 		if err != nil {
@@ -218,9 +223,9 @@
 	})
 }
 
-// readJobs reads all jobs at any store that answers reads.
+// readJobs reads all jobs at a random store, for each group whose reads it answers.
 func (l *ledger) readJobs() {
-	if m := l.reachable(kindStore); m != nil {
+	if m := l.randomMachine(kindStore); m != nil {
 		for group := range groups {
 			_ = m.node.Read(m.clock(), group, func(_ uint64, reader storage.Reader) error {
 				l.checkJobs(m, group, reader)
@@ -230,11 +235,11 @@
 	}
 }
 
-// groupOf returns the group that keeps a job.
+// groupOf returns the group that stores a job.
 func groupOf(id string) int { return placement.GroupOf(id, groups) }
 
 func (l *ledger) checkJobs(m *machine, group int, reader storage.Reader) {
-	for _, id := range l.names {
+	for _, id := range l.jobIDs {
 		if groupOf(id) != group {
 			continue
 		}
@@ -242,7 +247,7 @@
 		read, err := m.batch[group].Read(reader, id, 0, 1<<20)
 		if failure.Is(err, failure.NotFound) {
 			if known.accepted || len(known.results) > 0 {
-				l.violate("%s has lost %s", m.name, id)
+				l.violate("%s has lost job %s", m.name, id)
 			}
 			continue
 		}
@@ -257,14 +262,14 @@
 	l.checkQuota(m, group)
 }
 
-// checkOwner checks that a job belongs to whom handed it in.
-func (l *ledger) checkOwner(m *machine, id string, known *promised) {
+// checkOwner checks that a job belongs to the tenant that submitted it.
+func (l *ledger) checkOwner(m *machine, id string, known *jobRecord) {
 	if job, err := m.batch[groupOf(id)].Job(id); err == nil && job.Owner != known.owner {
 		l.violate("%s says that %q belongs to %q, not to %q", m.name, id, job.Owner, known.owner)
 	}
 }
 
-// checkQuota checks that no tenant has more tokens waiting in a group than it may.
+// checkQuota checks that no tenant has more waiting tokens in a group than its quota.
 func (l *ledger) checkQuota(m *machine, group int) {
 	waiting := map[tenancy.Name]int64{}
 	m.batch[group].EachJob(func(job *batchstate.Job) {
@@ -279,28 +284,30 @@
 	})
 	for owner, tokens := range waiting {
 		if tokens > maxTokens {
-			l.violate("%s has %d tokens of %q waiting, %d may", m.name, tokens, owner, maxTokens)
+			l.violate("%s has %d waiting tokens of tenant %q, more than the quota of %d", m.name, tokens, owner, maxTokens)
 		}
 	}
 }
 
-func (l *ledger) checkResults(m *machine, id string, known *promised, results []wire.BatchResultRow) {
+// checkResults checks that results that were read before are still there and unchanged, and that no
+// item has two results.
+func (l *ledger) checkResults(m *machine, id string, known *jobRecord, results []wire.BatchResultRow) {
 	if len(results) < len(known.results) {
 		l.violate("%s lists %d results of %s, %d were read before", m.name, len(results), id, len(known.results))
 		return
 	}
 	if known.ended && len(results) > len(known.results) && len(known.results) > 0 && l.jobs[id].ended {
-		// What was committed before the end may be read after it for the first
-		// time; it must not grow again later, which the next read shows.
+		// Results that were committed before the job ended may be read for the first time after
+		// its end.
 		known.results = results
 	}
 	items := map[string]bool{}
 	for position, row := range results {
 		if position < len(known.results) && known.results[position] != row {
-			l.violate("position %d of %s was %+v, is %+v", position, id, known.results[position], row)
+			l.violate("result %d of %s changed from %+v to %+v", position, id, known.results[position], row)
 		}
 		if items[row.ID] {
-			l.violate("%s stands twice in %s", row.ID, id)
+			l.violate("item %s has two results in %s", row.ID, id)
 		}
 		items[row.ID] = true
 		if row.State == wire.ItemCompleted {
@@ -310,10 +317,10 @@
 	known.results = results
 }
 
-// checkText checks that no event is missing or stands twice, and that each run
-// began where the one before it in the text ends.
+// checkText checks that no event is missing or repeated, and that each chain started where the
+// text of the previous one ends.
 func (l *ledger) checkText(row wire.BatchResultRow) {
-	if fault := l.chains.fault(row.ID, row.Text); fault != "" {
+	if fault := l.chains.textFault(row.ID, row.Text); fault != "" {
 		l.violate("%s has the text %q: %s", row.ID, row.Text, fault)
 	}
 }
@@ -334,27 +341,29 @@
 	}
 }
 
-// finish checks that after everything was mended all groups answer, hold what was
-// promised, and have replaced every disk that was lost.
-func (l *ledger) finish() {
+// checkFinalState checks that after the heal all groups answer reads, hold what was promised, and
+// have replaced every lost disk.
+func (l *ledger) checkFinalState() {
 	for _, kind := range []kind{kindCoordinator, kindStore} {
 		if !l.world.repaired(kind) {
-			l.violate("a group still counts on a disk that is gone")
+			l.violate("at the end, a group lacks a leader or stable voters whose disks are all present")
 		}
 	}
-	if !l.answers(kindCoordinator, 0, func(m *machine, _ storage.Reader) { l.checkConfiguration(m) }) {
+	if !l.checkReads(kindCoordinator, 0, func(m *machine, _ storage.Reader) { l.checkConfiguration(m) }) {
 		l.violate("no coordinator answers reads at the end")
 	}
 	for group := range groups {
-		if !l.answers(kindStore, group, func(m *machine, reader storage.Reader) { l.checkJobs(m, group, reader) }) {
+		if !l.checkReads(kindStore, group, func(m *machine, reader storage.Reader) { l.checkJobs(m, group, reader) }) {
 			l.violate("no store answers reads of group %d at the end", group)
 		}
 	}
 }
 
-func (l *ledger) answers(kind kind, group int, check func(m *machine, reader storage.Reader)) bool {
+// checkReads runs a check at every machine of the kind that answers reads of the group, and reports
+// whether any does.
+func (l *ledger) checkReads(kind kind, group int, check func(m *machine, reader storage.Reader)) bool {
 	answered := false
-	for _, m := range l.world.of(kind) {
+	for _, m := range l.world.machinesOf(kind) {
 		if !m.alive {
 			continue
 		}
--- a/internal/fleetsim/machine.go
+++ b/internal/fleetsim/machine.go
@@ -24,68 +24,68 @@
 )
 
 const (
-	tickInterval    = 10 * time.Millisecond
-	helloInterval   = 200 * time.Millisecond
-	watchInterval   = 150 * time.Millisecond
-	electionTimeout = 500 * time.Millisecond
-	replaceAfter    = 1500 * time.Millisecond
-	spreadInterval  = 700 * time.Millisecond
-	// groups is how many store groups there are, as placement.GroupsFor has it for so
-	// few stores.
+	tickInterval      = 10 * time.Millisecond
+	helloInterval     = 200 * time.Millisecond
+	pollInterval      = 150 * time.Millisecond
+	electionTimeout   = 500 * time.Millisecond
+	replaceAfter      = 1500 * time.Millisecond
+	rebalanceInterval = 700 * time.Millisecond
+	// groups is the number of store groups that placement.GroupsFor returns for this number of
+	// stores.
 	groups = 3
-	// logBytes is small, so that replicas that were away need snapshots.
+	// logBytes is small, so that replicas that were down need snapshots.
 	logBytes = 8 << 10
 )
 
-// machine is a machine with one process and one disk.
+// machine is a simulated machine with one process and one disk.
 type machine struct {
 	world *World
 	name  string
 	kind  kind
 	disk  *storage.Memory
-	// life counts the starts of the process: what belongs to an earlier life is
-	// dropped.
-	life  int
-	alive bool
-	// startedAt is when that life began, by the machine's clock.
+	// incarnation changes whenever the process starts or ends. Actions scheduled in an earlier
+	// incarnation are dropped.
+	incarnation int
+	alive       bool
+	// startedAt is when the current incarnation started, by the machine's clock.
 	startedAt time.Time
-	gone      bool
+	removed   bool
 	frozen    bool
 	backlog   []func()
-	// stood is for how long in all the machine was suspended before, suspended since when
-	// it is, if it is.
-	stood     time.Duration
-	suspended time.Time
-	// cut names the machines to which nothing goes from here.
-	cut map[string]bool
+	// suspendedTotal is the total time of past suspensions. suspendedAt is when the current
+	// suspension started, zero if the machine is not suspended.
+	suspendedTotal time.Duration
+	suspendedAt    time.Time
+	// blocked names the machines that messages from this one do not reach.
+	blocked map[string]bool
 
-	node   *replication.Node
-	fleet  *fleetstate.Machine
-	batch  []*batchstate.Machine
-	view   *fleetview.View
-	warden *quarantine.Timers
-	gate   quarantine.Gate
-	// older is set while the machine runs a build of the first generation.
-	older bool
-	// known is what a store knows of the fleet.
+	node             *replication.Node
+	fleet            *fleetstate.Machine
+	batch            []*batchstate.Machine
+	view             *fleetview.View
+	quarantineTimers *quarantine.Timers
+	gate             quarantine.Gate
+	// firstGeneration is set while the machine runs a build of the first generation.
+	firstGeneration bool
+	// knownTerm, knownView and fleetView are the last view of the fleet that a store received.
 	knownTerm, knownView uint64
 	fleetView            wire.FleetView
 }
 
-// add starts a new machine.
+// add adds a machine and starts it.
 func (w *World) add(kind kind, bootstrap bool) *machine {
 	prefix := map[bool]string{true: "core", false: "store"}[kind == kindCoordinator]
-	m := &machine{world: w, kind: kind, name: fmt.Sprintf("%s-%d", prefix, len(w.machines)+1), disk: storage.NewMemory(), cut: map[string]bool{}}
+	m := &machine{world: w, kind: kind, name: fmt.Sprintf("%s-%d", prefix, len(w.machines)+1), disk: storage.NewMemory(), blocked: map[string]bool{}}
 	w.machines = append(w.machines, m)
-	m.older = w.twoBuilds && kind == kindCoordinator && w.now.Equal(began)
+	m.firstGeneration = w.twoBuilds && kind == kindCoordinator && w.now.Equal(startTime)
 	m.start(bootstrap)
 	return m
 }
 
-func (w *World) of(kind kind) []*machine {
+func (w *World) machinesOf(kind kind) []*machine {
 	var found []*machine
 	for _, m := range w.machines {
-		if m.kind == kind && !m.gone {
+		if m.kind == kind && !m.removed {
 			found = append(found, m)
 		}
 	}
@@ -111,10 +111,10 @@
 	return seeds
 }
 
-// start begins a life of the process on its disk.
+// start starts the process on the machine's disk.
 func (m *machine) start(bootstrap bool) {
 	w := m.world
-	m.life++
+	m.incarnation++
 	m.alive, m.frozen, m.backlog = true, false, nil
 	m.startedAt = m.clock()
 	m.knownTerm, m.knownView, m.view = 0, 0, nil
@@ -124,18 +124,18 @@
 		Store:             m.storeOfBuild(m.mutatedStore()),
 		Name:              m.name,
 		Address:           m.name,
-		NewID:             m.newIdentity,
+		NewID:             m.newID,
 		ElectionTimeout:   electionTimeout,
 		HeartbeatInterval: electionTimeout / 5,
 		ReplaceAfter:      replaceAfter,
-		MinVoters:         2*tolerate + 1,
+		MinVoters:         2*toleratedFailures + 1,
 		RetainedLogBytes:  logBytes,
 		Random:            w.random,
 		Send:              m.send,
 	}
 	if m.kind == kindCoordinator {
 		m.fleet = fleetstate.New()
-		options.Machines = []replication.StateMachine{m.builtAs(w.mutation.machine(m.fleet))}
+		options.Machines = []replication.StateMachine{m.stateMachineOfBuild(w.mutation.mutate(m.fleet))}
 		options.BootstrapMode, options.Bootstrap = replication.BootstrapFromSeeds, bootstrap
 		options.Peers, options.Voters = w.seeds(), 9
 		if len(options.Peers) < 3 {
@@ -145,22 +145,22 @@
 		m.batch = nil
 		for range groups {
 			m.batch = append(m.batch, batchstate.New())
-			options.Machines = append(options.Machines, w.mutation.machine(m.batch[len(m.batch)-1]))
+			options.Machines = append(options.Machines, w.mutation.mutate(m.batch[len(m.batch)-1]))
 		}
-		options.BootstrapMode, options.Voters = replication.BootstrapManual, 2*tolerate+1
-		options.FullMeshLimit = w.greetAll
+		options.BootstrapMode, options.Voters = replication.BootstrapManual, 2*toleratedFailures+1
+		options.FullMeshLimit = w.fullMeshLimit
 	}
 	node, err := replication.Open(options, m.clock())
 	if err != nil {
-		w.ledger.violate("%s does not start on its disk: %v", m.name, err)
+		w.ledger.violate("%s can't open its disk: %v", m.name, err)
 		m.alive = false
 		return
 	}
 	m.node = node
-	life := m.life
+	incarnation := m.incarnation
 	running := func(action func()) func() bool {
 		return func() bool {
-			if m.life != life || !m.alive {
+			if m.incarnation != incarnation || !m.alive {
 				return false
 			}
 			if !m.frozen {
@@ -169,16 +169,17 @@
 			return true
 		}
 	}
-	w.every(tickInterval, running(func() { m.drive(func() { m.node.Tick(m.clock()) }) }))
-	w.every(helloInterval, running(m.introduce))
-	w.every(watchInterval, running(m.watch))
+	w.every(tickInterval, running(func() { m.runOnNode(func() { m.node.Tick(m.clock()) }) }))
+	w.every(helloInterval, running(m.sendHellos))
+	w.every(pollInterval, running(m.poll))
 	if m.kind == kindStore {
-		w.every(spreadInterval, running(m.spread))
+		w.every(rebalanceInterval, running(m.rebalanceLeaders))
 	}
 }
 
-// spread hands a group over to a store that leads fewer, as the daemon does.
-func (m *machine) spread() {
+// rebalanceLeaders transfers the leadership of a group to a store that leads fewer groups, as the
+// daemon does.
+func (m *machine) rebalanceLeaders() {
 	statuses := m.node.Statuses(m.clock())
 	leaders := map[int]uint64{}
 	for number := range statuses {
@@ -188,60 +189,62 @@
 	}
 	move, found := placement.RebalanceLeaders(m.node.ID(), leaders, func(number int) (ready []uint64) {
 		for _, peer := range statuses[number].Peers {
-			leaves := slices.Contains(m.fleetView.Retiring, peer.Replica.Name)
-			if peer.Replicating && !leaves && consensus.Contains(statuses[number].Membership.Voters, peer.Replica.ID) {
+			retiring := slices.Contains(m.fleetView.Retiring, peer.Replica.Name)
+			if peer.Replicating && !retiring && consensus.Contains(statuses[number].Membership.Voters, peer.Replica.ID) {
 				ready = append(ready, peer.Replica.ID)
 			}
 		}
 		return ready
 	})
 	if found {
-		m.drive(func() { m.node.TransferLeadership(m.clock(), move.Group, move.To) })
+		m.runOnNode(func() { m.node.TransferLeadership(m.clock(), move.Group, move.To) })
 	}
 }
 
-func (m *machine) newIdentity() uint64 {
+func (m *machine) newID() uint64 {
 	if m.world.mutation == MutationKeepIdentity {
 		return uint64(slices.Index(m.world.machines, m)) + 1
 	}
-	m.world.identity++
-	return 1000 + m.world.identity
+	m.world.lastID++
+	return 1000 + m.world.lastID
 }
 
-// clock returns the time by which the processes of the machine go: like package clock it
-// counts the times in which the machine was suspended.
+// clock returns the time that the machine's processes use. Like package clock, it includes the time
+// for which the machine was suspended.
 func (m *machine) clock() time.Time {
 	if m.world.mutation == MutationSteadyClock {
-		return m.steady()
+		return m.steadyClock()
 	}
 	return m.world.now
 }
 
-// steady returns the time by a clock that stands still while the machine is suspended.
-func (m *machine) steady() time.Time {
+// steadyClock returns the time of a clock that stops while the machine is suspended.
+func (m *machine) steadyClock() time.Time {
 	now := m.world.now
-	if !m.suspended.IsZero() {
-		now = m.suspended
+	if !m.suspendedAt.IsZero() {
+		now = m.suspendedAt
 	}
-	return now.Add(-m.stood)
+	return now.Add(-m.suspendedTotal)
 }
 
-// drive runs something on the node and carries out what follows.
-func (m *machine) drive(action func()) {
+// runOnNode runs an action on the node and flushes the node's output.
+func (m *machine) runOnNode(action func()) {
 	action()
 	m.node.Flush(m.clock())
 }
 
-// transmit hands something to another machine after a while, unless a cut, a
-// death or bad luck is in the way. A frozen machine gets it when it wakes.
+// transmit runs an action at another machine after a random network delay. The action is lost if
+// this machine is down, if a partition blocks the direction at either end of the delay, if the
+// receiver is down or restarts meanwhile, and with a probability of 1/500. A frozen receiver runs
+// it after the freeze.
 func (m *machine) transmit(to *machine, action func()) {
 	w := m.world
-	if to == nil || !m.alive || m.cut[to.name] || w.random.IntN(500) == 0 {
+	if to == nil || !m.alive || m.blocked[to.name] || w.random.IntN(500) == 0 {
 		return
 	}
-	life := to.life
-	w.after(w.between(200*time.Microsecond, 3*time.Millisecond), func() {
-		if to.life != life || !to.alive || m.cut[to.name] {
+	incarnation := to.incarnation
+	w.after(w.randomDuration(200*time.Microsecond, 3*time.Millisecond), func() {
+		if to.incarnation != incarnation || !to.alive || m.blocked[to.name] {
 			return
 		}
 		if to.frozen {
@@ -254,11 +257,11 @@
 
 func (m *machine) send(address string, message wire.PeerMessage) {
 	to := m.world.machineAt(address)
-	m.transmit(to, func() { to.drive(func() { to.receive(&message) }) })
+	m.transmit(to, func() { to.runOnNode(func() { to.receive(&message) }) })
 }
 
-// introduce says hello to all processes that this one knows of.
-func (m *machine) introduce() {
+// sendHellos exchanges hello messages with all peers that this process knows.
+func (m *machine) sendHellos() {
 	for _, address := range m.node.Peers(m.clock()) {
 		to := m.world.machineAt(address)
 		if to == nil || to == m || to.kind != m.kind {
@@ -266,18 +269,18 @@
 		}
 		hello := m.hello()
 		m.transmit(to, func() {
-			to.drive(func() { to.node.HandleHello(to.clock(), &hello) })
+			to.runOnNode(func() { to.node.HandleHello(to.clock(), &hello) })
 			answer := to.hello()
-			to.transmit(m, func() { m.drive(func() { m.node.HandleHello(m.clock(), &answer) }) })
+			to.transmit(m, func() { m.runOnNode(func() { m.node.HandleHello(m.clock(), &answer) }) })
 		})
 	}
 }
 
-// lead calls read with the view, if this coordinator leads.
-func (m *machine) lead(read func(v *fleetview.View)) {
+// readAsLeader calls read with the view of the fleet if this coordinator leads.
+func (m *machine) readAsLeader(read func(v *fleetview.View)) {
 	_ = m.node.Read(m.clock(), 0, func(term uint64, _ storage.Reader) error {
 		if m.view == nil || m.view.Term != term {
-			m.view, m.warden = fleetview.New(term), quarantine.NewTimers()
+			m.view, m.quarantineTimers = fleetview.New(term), quarantine.NewTimers()
 			m.gate.StartTerm(m.fleet.Quarantine())
 		}
 		read(m.view)
@@ -285,9 +288,9 @@
 	})
 }
 
-// watch is a store's question to the coordinators, or a leading coordinator's
-// look at its view.
-func (m *machine) watch() {
+// poll asks the coordinators for a newer view of the fleet if this is a store; a coordinator
+// refreshes its own view.
+func (m *machine) poll() {
 	if m.kind == kindCoordinator {
 		m.refresh()
 		return
@@ -307,16 +310,16 @@
 		}
 		request.Process.Led = append(request.Process.Led, report)
 	}
-	for _, core := range m.world.of(kindCoordinator) {
-		m.transmit(core, func() { core.answerWatch(m, request) })
+	for _, coordinator := range m.world.machinesOf(kindCoordinator) {
+		m.transmit(coordinator, func() { coordinator.answerPoll(m, request) })
 	}
 }
 
-func (m *machine) answerWatch(store *machine, request *wire.WatchRequest) {
-	var emptied []string
+func (m *machine) answerPoll(store *machine, request *wire.WatchRequest) {
+	var drained []string
 	var answer *wire.FleetView
 	var term, number uint64
-	m.lead(func(v *fleetview.View) {
+	m.readAsLeader(func(v *fleetview.View) {
 		v.ApplyReport(m.clock(), &request.Process)
 		var pending []string
 		for _, name := range m.fleet.Retiring() {
@@ -324,7 +327,7 @@
 				pending = append(pending, name)
 			}
 		}
-		emptied = v.DrainedStores(m.clock(), request, pending, groups)
+		drained = v.DrainedStores(m.clock(), request, pending, groups)
 		if v.Number > 0 && (request.Term != v.Term || request.View != v.Number) {
 			known := request.View
 			if request.Term != v.Term {
@@ -333,7 +336,7 @@
 			answer, term, number = v.Since(known, nil), v.Term, v.Number
 		}
 	})
-	for _, name := range emptied {
+	for _, name := range drained {
 		m.propose(0, &wire.FleetCommand{Retired: &wire.RetireStore{Name: name}}, nil)
 	}
 	if answer == nil {
@@ -341,13 +344,13 @@
 	}
 	m.transmit(store, func() {
 		if request.Term != store.knownTerm || request.View != store.knownView {
-			// It tells what differs from a view that the store has replaced since.
+			// The answer is a difference from a view that the store has replaced since.
 			return
 		}
 		store.knownTerm, store.knownView = term, number
 		store.fleetView = answer.Upon(&store.fleetView)
 		fleet := store.fleetView
-		store.drive(func() {
+		store.runOnNode(func() {
 			store.node.SetPeers(store.clock(), fleet.StoreAddresses())
 			store.node.SetRetiring(fleet.Retiring)
 			store.node.Bootstrap(store.clock(), fleet.Initial)
@@ -356,21 +359,21 @@
 }
 
 func (m *machine) refresh() {
-	var form [][]wire.Replica
-	m.lead(func(v *fleetview.View) {
+	var voters [][]wire.Replica
+	m.readAsLeader(func(v *fleetview.View) {
 		v.Refresh(m.clock(), nil, m.fleet.InitialVoters(), m.fleet.Retiring())
 		if len(m.fleet.InitialVoters()) == 0 {
-			form = v.InitialVoters(m.clock(), tolerate)
+			voters = v.InitialVoters(m.clock(), toleratedFailures)
 		}
 	})
-	m.keepQuarantine()
-	if len(form) > 0 {
-		m.propose(0, &wire.FleetCommand{Form: &wire.FormStores{Groups: form}}, nil)
+	m.tickQuarantine()
+	if len(voters) > 0 {
+		m.propose(0, &wire.FleetCommand{Form: &wire.FormStores{Groups: voters}}, nil)
 	}
 }
 
-// propose commits a command of a group here, if this machine leads it; done is called
-// once unless the machine dies first.
+// propose commits a command of a group if this machine leads the group. done is called once, unless
+// the process ends before.
 func (m *machine) propose(group int, command interface {
 	MarshalMsg([]byte) ([]byte, error)
 }, done replication.Done) {
@@ -381,12 +384,12 @@
 	if done == nil {
 		done = func([]byte, error) {}
 	}
-	life := m.life
-	// What follows must not enter the node while it flushes.
-	m.drive(func() {
+	incarnation := m.incarnation
+	// done runs as a separate event, because it must not call the node while the node flushes.
+	m.runOnNode(func() {
 		m.node.Propose(group, encoded, func(answer []byte, err error) {
 			m.world.after(0, func() {
-				if m.life == life {
+				if m.incarnation == incarnation {
 					done(answer, err)
 				}
 			})
--- a/internal/fleetsim/mutation.go
+++ b/internal/fleetsim/mutation.go
@@ -9,91 +9,91 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// Mutation takes one mechanism away, so that a test can see the checks turn red.
+// Mutation disables or breaks one mechanism, so that a test can check that violations are found.
 type Mutation string
 
 const (
-	// MutationNone takes nothing away.
+	// MutationNone changes nothing.
 	MutationNone Mutation = ""
-	// MutationForgetSync makes disks claim to sync and not do it.
+	// MutationForgetSync makes disks report writes as synced without syncing them.
 	MutationForgetSync Mutation = "forget_sync"
-	// MutationKeepIdentity lets an emptied disk answer as the one before.
+	// MutationKeepIdentity gives a replica on an emptied disk the id that it had before.
 	MutationKeepIdentity Mutation = "keep_identity"
-	// MutationAnyVersion puts older configurations in force.
+	// MutationAnyVersion accepts configurations with an older version.
 	MutationAnyVersion Mutation = "any_version"
-	// MutationGaps joins an item's parts whatever came before.
+	// MutationGaps drops the first part of an item's text, so that later parts are joined with a
+	// gap.
 	MutationGaps Mutation = "join_with_gaps"
-	// MutationMixChains joins the parts of different chains of runs where their
-	// events fit.
+	// MutationMixChains joins parts of different chains of runs if their event numbers fit.
 	MutationMixChains Mutation = "mix_chains"
-	// MutationLoseBodies forgets the requests of accepted items.
+	// MutationLoseBodies does not store the request bodies of accepted items.
 	MutationLoseBodies Mutation = "lose_bodies"
-	// MutationLoseOwner takes jobs in as nobody's.
+	// MutationLoseOwner accepts jobs without their owner.
 	MutationLoseOwner Mutation = "lose_owner"
-	// MutationNoQuota takes jobs in whatever waits.
+	// MutationNoQuota accepts jobs regardless of the tokens that wait.
 	MutationNoQuota Mutation = "no_quota"
-	// MutationSteadyClock lets leases and ages go by a clock that stands still while a
-	// machine is suspended.
+	// MutationSteadyClock measures leases and ages with a clock that stops while a machine is
+	// suspended.
 	MutationSteadyClock Mutation = "steady_clock"
-	// MutationLocalExits keeps what an edge sees of workers' ends to itself.
+	// MutationLocalExits keeps an edge from reporting the exits of workers that it observes.
 	MutationLocalExits Mutation = "own_ends"
-	// MutationForgetExits keeps the coordinators' knowledge of ends off their disks.
+	// MutationForgetExits keeps the coordinators from storing quarantine commands on disk.
 	MutationForgetExits Mutation = "forget_ends"
-	// MutationIgnoreSuccess lets good ends count for nothing.
+	// MutationIgnoreSuccess drops reports of successful runs.
 	MutationIgnoreSuccess Mutation = "no_acquittal"
-	// MutationOneIncarnation keeps over a worker's lives that it ended under a request: a further
-	// end under its id is none.
+	// MutationOneIncarnation counts only one exit for each worker id and request, over all
+	// incarnations of the worker.
 	MutationOneIncarnation Mutation = "one_life"
-	// MutationNoGate writes commands of the quarantine whatever builds are there, and
-	// restates nothing.
+	// MutationNoGate writes quarantine commands whatever builds are running, and never restates
+	// the table.
 	MutationNoGate Mutation = "no_gate"
-	// MutationEarlyVotes lets replicas that began anew vote for anybody at once, and stand
-	// for election.
+	// MutationEarlyVotes lets restarted replicas vote for any candidate and stand for election
+	// at once, without waiting for leases that they may have helped to grant.
 	MutationEarlyVotes Mutation = "early_votes"
 )
 
-// Mutations lists all that take something away.
+// Mutations lists all mutations except MutationNone.
 var Mutations = []Mutation{MutationForgetSync, MutationKeepIdentity, MutationAnyVersion, MutationGaps, MutationMixChains, MutationLoseBodies, MutationLoseOwner, MutationNoQuota, MutationSteadyClock, MutationLocalExits, MutationForgetExits, MutationIgnoreSuccess, MutationOneIncarnation, MutationNoGate, MutationEarlyVotes}
 
-// mutatedStore returns the machine's disk, or one that lies.
+// mutatedStore returns the machine's disk, or one that never syncs with MutationForgetSync.
 func (m *machine) mutatedStore() storage.Store {
 	if m.world.mutation == MutationForgetSync {
-		return lyingStore{m.disk}
+		return unsyncedStore{m.disk}
 	}
 	return m.disk
 }
 
-// lyingStore never syncs.
-type lyingStore struct{ *storage.Memory }
+// unsyncedStore is a store that ignores requests to sync.
+type unsyncedStore struct{ *storage.Memory }
 
 // Commit implements storage.Store.
-func (l lyingStore) Commit(mutations []storage.Mutation, _ bool) error {
+func (l unsyncedStore) Commit(mutations []storage.Mutation, _ bool) error {
 	return l.Memory.Commit(mutations, false)
 }
 
-// machine returns the state machine, or a mutated one.
-func (m Mutation) machine(whole replication.StateMachine) replication.StateMachine {
+// mutate returns the state machine, wrapped in a mutatedMachine if the mutation concerns commands.
+func (m Mutation) mutate(machine replication.StateMachine) replication.StateMachine {
 	switch m {
 	case MutationAnyVersion, MutationGaps, MutationMixChains, MutationLoseBodies, MutationLoseOwner, MutationNoQuota, MutationForgetExits, MutationIgnoreSuccess, MutationOneIncarnation:
-		return &mutated{StateMachine: whole, mutation: m}
+		return &mutatedMachine{StateMachine: machine, mutation: m}
 	}
-	return whole
+	return machine
 }
 
-// mutated changes the commands of a state machine or what it stores.
-type mutated struct {
+// mutatedMachine changes the commands that a state machine executes, or what it stores for them.
+type mutatedMachine struct {
 	replication.StateMachine
-	mutation Mutation
-	highest  uint64
-	// ends holds the ends reported so far, for MutationOneLife.
-	ends map[wire.RunReport]bool
+	mutation       Mutation
+	highestVersion uint64
+	// exits holds the exits reported so far, for MutationOneIncarnation.
+	exits map[wire.RunReport]bool
 }
 
 // Apply implements replication.StateMachine.
-func (m *mutated) Apply(command []byte) ([]byte, []storage.Mutation) {
+func (m *mutatedMachine) Apply(command []byte) ([]byte, []storage.Mutation) {
 	switch m.mutation {
 	case MutationAnyVersion:
-		return m.StateMachine.Apply(m.anyVersion(command))
+		return m.StateMachine.Apply(m.raiseVersion(command))
 	case MutationGaps:
 		return m.StateMachine.Apply(withRecords(command, func(record *wire.ItemRecord) {
 			if record.From == 0 && record.State == wire.ItemWaiting {
@@ -105,7 +105,7 @@
 	case MutationIgnoreSuccess:
 		return m.StateMachine.Apply(withoutRuns(command, func(run *wire.RunReport) bool { return run.Worker == 0 }))
 	case MutationOneIncarnation:
-		return m.StateMachine.Apply(withoutRuns(command, m.repeated))
+		return m.StateMachine.Apply(withoutRuns(command, m.isRepeatedExit))
 	case MutationForgetExits:
 		answer, mutations := m.StateMachine.Apply(command)
 		if isQuarantine(command) {
@@ -125,32 +125,32 @@
 	return answer, mutations[min(1, len(mutations)):]
 }
 
-// anyVersion gives every configuration a version above the last one.
-func (m *mutated) anyVersion(command []byte) []byte {
+// raiseVersion gives every configuration a version above the previous one.
+func (m *mutatedMachine) raiseVersion(command []byte) []byte {
 	var fleet wire.FleetCommand
 	if _, err := fleet.UnmarshalMsg(command); err != nil || fleet.Apply == nil {
 		return command
 	}
-	m.highest = max(m.highest+1, fleet.Apply.Version)
-	fleet.Apply.Version = m.highest
+	m.highestVersion = max(m.highestVersion+1, fleet.Apply.Version)
+	fleet.Apply.Version = m.highestVersion
 	return encode(&fleet)
 }
 
-// repeated reports whether an end of the worker under the request has been reported before.
-func (m *mutated) repeated(run *wire.RunReport) bool {
+// isRepeatedExit reports whether an exit of this worker under this request was reported before.
+func (m *mutatedMachine) isRepeatedExit(run *wire.RunReport) bool {
 	if run.Worker == 0 {
 		return false
 	}
-	if m.ends == nil {
-		m.ends = map[wire.RunReport]bool{}
+	if m.exits == nil {
+		m.exits = map[wire.RunReport]bool{}
 	}
-	known := wire.RunReport{Request: run.Request, Worker: run.Worker}
-	before := m.ends[known]
-	m.ends[known] = true
-	return before
+	exit := wire.RunReport{Request: run.Request, Worker: run.Worker}
+	reported := m.exits[exit]
+	m.exits[exit] = true
+	return reported
 }
 
-// withoutRuns takes runs off a report.
+// withoutRuns removes the unwanted runs from a quarantine command.
 func withoutRuns(command []byte, unwanted func(run *wire.RunReport) bool) []byte {
 	var fleet wire.FleetCommand
 	if _, err := fleet.UnmarshalMsg(command); err != nil || fleet.Quarantine == nil {
@@ -166,7 +166,7 @@
 	return err == nil && fleet.Quarantine != nil
 }
 
-// withRecords changes the news of items in a command.
+// withRecords changes the item records of a command.
 func withRecords(command []byte, change func(record *wire.ItemRecord)) []byte {
 	var batch wire.BatchCommand
 	if _, err := batch.UnmarshalMsg(command); err != nil || batch.Record == nil {
@@ -178,7 +178,7 @@
 	return encode(&batch)
 }
 
-// withSubmit changes the job that a command hands in.
+// withSubmit changes the job that a command submits.
 func withSubmit(command []byte, change func(submit *wire.SubmitBatch)) []byte {
 	var batch wire.BatchCommand
 	if _, err := batch.UnmarshalMsg(command); err != nil || batch.Submit == nil {
@@ -198,17 +198,17 @@
 	return data
 }
 
-// proposeRetire asks this coordinator for a store to be emptied, as the daemon
-// does: only where enough are left.
+// proposeRetire asks this coordinator to drain a store. Like the daemon, it does so only if enough
+// other stores remain.
 func (m *machine) proposeRetire(name string) {
-	refused := true
+	rejected := true
 	command := &wire.RetireStore{Name: name}
-	m.lead(func(v *fleetview.View) {
+	m.readAsLeader(func(v *fleetview.View) {
 		command.Counted = len(m.fleet.Retiring())
-		asked, _ := m.fleet.Retirement(name)
-		refused = asked || !v.HasStore(name) || v.RemainingStoreCount(m.clock(), name, m.fleet.Retiring()) < 2*tolerate+1
+		retiring, _ := m.fleet.Retirement(name)
+		rejected = retiring || !v.HasStore(name) || v.RemainingStoreCount(m.clock(), name, m.fleet.Retiring()) < 2*toleratedFailures+1
 	})
-	if !refused {
+	if !rejected {
 		m.propose(0, &wire.FleetCommand{Retire: command}, nil)
 	}
 }
--- a/internal/fleetsim/restarts.go
+++ b/internal/fleetsim/restarts.go
@@ -9,82 +9,85 @@
 )
 
 const (
-	// restartDown bounds how long processes are away that begin anew at once: within a
-	// lease granted before.
-	restartDown = electionTimeout / 5
-	// restartApart bounds for how long the leader is cut off from them, some leases long.
-	restartApart = 2 * electionTimeout
-	restartPause = 2 * time.Second
+	// maxRestartDowntime limits how long restarted coordinators are down. It is shorter than a
+	// lease, so that a lease granted before a restart may still be in force after it.
+	maxRestartDowntime = electionTimeout / 5
+	// leaderIsolation is how long the leader is cut off from the restarted coordinators, a few
+	// times the length of a lease.
+	leaderIsolation = 2 * electionTimeout
+	restartInterval = 2 * time.Second
 )
 
-// beginRestarts lets coordinators begin anew at once, in each fifth seed.
-func (w *World) beginRestarts() {
-	if w.manyRestarts {
+// startRestarts schedules simultaneous restarts of the coordinators, in every fifth seed.
+func (w *World) startRestarts() {
+	if w.fastRestarts {
 		w.after(faultsFrom, w.nextRestart)
 	}
 }
 
 func (w *World) nextRestart() {
-	if w.now.Sub(began) > faultsUntil {
+	if w.now.Sub(startTime) > faultsUntil {
 		return
 	}
 	w.restartCoordinators()
-	w.after(restartPause/2+time.Duration(w.restarts.Int64N(int64(restartPause))), w.nextRestart)
+	w.after(restartInterval/2+time.Duration(w.restartRandom.Int64N(int64(restartInterval))), w.nextRestart)
 }
 
-// restartCoordinators kills all coordinators that run. At times the leader goes on, cut off
-// from all others: its lease is in force, and they have forgotten it.
+// restartCoordinators kills all running coordinators, which restart soon. At times the leader keeps
+// running but is cut off from all others: its lease is still in force, and those that helped to
+// grant it have lost their memory of it.
 func (w *World) restartCoordinators() {
-	spared := w.leadingCoordinator()
-	if w.restarts.IntN(3) == 0 {
-		spared = nil
+	isolated := w.leader()
+	if w.restartRandom.IntN(3) == 0 {
+		isolated = nil
 	}
-	for _, core := range w.of(kindCoordinator) {
-		if !core.alive || core.frozen {
+	for _, coordinator := range w.machinesOf(kindCoordinator) {
+		if !coordinator.alive || coordinator.frozen {
 			continue
 		}
-		if core == spared {
-			w.log("%s is cut off, all others begin anew", core.name)
-			w.isolate(core, restartApart)
+		if coordinator == isolated {
+			w.log("isolate %s, restart all other coordinators", coordinator.name)
+			w.isolate(coordinator, leaderIsolation)
 			continue
 		}
-		w.log("%s begins anew", core.name)
-		core.die()
-		w.after(time.Duration(w.restarts.Int64N(int64(restartDown))), func() { core.comeBack(false) })
+		w.log("restart %s", coordinator.name)
+		coordinator.kill()
+		w.after(time.Duration(w.restartRandom.Int64N(int64(maxRestartDowntime))), func() { coordinator.restart(false) })
 	}
 }
 
-func (w *World) leadingCoordinator() *machine {
-	for _, core := range w.of(kindCoordinator) {
-		if core.alive && !core.frozen && core.node.Statuses(core.clock())[0].Role == consensus.Leader {
-			return core
+// leader returns a running coordinator that considers itself the leader, nil if there is none.
+func (w *World) leader() *machine {
+	for _, coordinator := range w.machinesOf(kindCoordinator) {
+		if coordinator.alive && !coordinator.frozen && coordinator.node.Statuses(coordinator.clock())[0].Role == consensus.Leader {
+			return coordinator
 		}
 	}
 	return nil
 }
 
-// isolate cuts a machine off from all others for a while.
+// isolate cuts a machine off from all others for the given time.
 func (w *World) isolate(m *machine, down time.Duration) {
 	for _, other := range w.machines {
 		if other != m {
-			m.cut[other.name], other.cut[m.name] = true, true
+			m.blocked[other.name], other.blocked[m.name] = true, true
 		}
 	}
 	w.after(down, func() {
 		for _, other := range w.machines {
-			delete(m.cut, other.name)
-			delete(other.cut, m.name)
+			delete(m.blocked, other.name)
+			delete(other.blocked, m.name)
 		}
 	})
 }
 
-// hardStateStore changes hard states on their way to the disk and back.
+// hardStateStore changes hard states when they are written to the disk and when they are read.
 type hardStateStore struct {
 	storage.Store
-	stored, read func(hard *wire.HardState)
+	onWrite, onRead func(hard *wire.HardState)
 }
 
-// isHardState reports whether a key is that of a group's hard state.
+// isHardState reports whether a key belongs to the hard state of a group.
 func isHardState(key []byte) bool { return len(key) == 4 && key[0] == 'g' && key[3] == 'h' }
 
 // Get implements storage.Reader.
@@ -93,7 +96,7 @@
 	if err != nil || value == nil || !isHardState(key) {
 		return value, err
 	}
-	return changed(value, s.read), nil
+	return rewriteHardState(value, s.onRead), nil
 }
 
 // Commit implements storage.Store.
@@ -101,13 +104,14 @@
 	written := append([]storage.Mutation(nil), mutations...)
 	for i := range written {
 		if isHardState(written[i].Key) {
-			written[i].Value = changed(written[i].Value, s.stored)
+			written[i].Value = rewriteHardState(written[i].Value, s.onWrite)
 		}
 	}
 	return s.Store.Commit(written, sync)
 }
 
-func changed(value []byte, change func(hard *wire.HardState)) []byte {
+// rewriteHardState applies a change to an encoded hard state.
+func rewriteHardState(value []byte, change func(hard *wire.HardState)) []byte {
 	var hard wire.HardState
 	if _, err := hard.UnmarshalMsg(value); err != nil {
 		panic(err)
@@ -116,21 +120,21 @@
 	return encode(&hard)
 }
 
-// storeOfBuild returns the machine's store as its build uses it: the first generation knows
-// nobody whose lease it may have granted.
+// storeOfBuild returns the machine's store as its build uses it. The first generation does not
+// store the leader whose lease it may have helped to grant.
 func (m *machine) storeOfBuild(store storage.Store) storage.Store {
 	forget := func(hard *wire.HardState) { hard.Leader = 0 }
 	switch {
-	case m.older:
-		return hardStateStore{Store: store, stored: forget, read: forget}
+	case m.firstGeneration:
+		return hardStateStore{Store: store, onWrite: forget, onRead: forget}
 	case m.world.mutation == MutationEarlyVotes && m.node != nil:
 		id := m.node.ID()
-		return hardStateStore{Store: store, stored: func(*wire.HardState) {}, read: func(hard *wire.HardState) { hard.Leader = id }}
+		return hardStateStore{Store: store, onWrite: func(*wire.HardState) {}, onRead: func(hard *wire.HardState) { hard.Leader = id }}
 	}
 	return store
 }
 
-// receive takes in a message of another machine's replica.
+// receive passes a message from another machine's replica to the node.
 func (m *machine) receive(message *wire.PeerMessage) {
 	asksVote := message.Kind == wire.MessagePreVote || message.Kind == wire.MessageVote
 	if m.world.mutation == MutationEarlyVotes && asksVote && m.clock().Sub(m.startedAt) < electionTimeout {
--- a/internal/fleetsim/suspend_test.go
+++ b/internal/fleetsim/suspend_test.go
@@ -2,19 +2,13 @@
 
 import "testing"
 
-// What would be seen: a coordinator that had been suspended answered an operator's read
-// with the configuration before the one acknowledged a second ago, and a process took news
-// of before the suspension for fresh.
-//
-// The order of events: the leader is suspended; the others elect one of them, which commits
-// a change; the first wakes up, and answers reads until it hears of the new term.
-//
-// The cause: leases and ages go by a steady clock that stands still while the machine does,
-// so that a lease of 0.4 s, granted before, is still in force seconds later. The evidence:
-// with a clock that counts the suspension no read is old, with the same seeds.
-
-// TestSuspendedMachines suspends machines, mostly the coordinator that leads: no read is
-// older than what was acknowledged, and nothing else that was promised is lost.
+// TestSuspendedMachines suspends machines, mostly the leading coordinator, and checks that no read
+// is older than what was acknowledged and that no other promise is broken. It guards against leases
+// and ages measured with a clock that stops during a suspension: a lease of 0.4 s, granted before
+// the suspension, was then still in force seconds later. Meanwhile the others had elected a new
+// leader, which had committed a change. The resumed leader answered reads with the configuration
+// before that change until it learned of the new term, and a process took updates from before its
+// suspension for current.
 func TestSuspendedMachines(t *testing.T) {
 	for seed := uint64(seeds + 1); seed <= 2*seeds; seed++ {
 		if world, violations := Run(seed, MutationNone); len(violations) > 0 {
--- a/internal/fleetsim/world.go
+++ b/internal/fleetsim/world.go
@@ -1,8 +1,7 @@
-// Package fleetsim runs coordinators and stores in virtual time, by seed, with the
-// cores that the daemons run: replication over storage that loses what was not
-// synced, fleetstate, fleetview and batchstate. Machines are killed, lose power or
-// their disks, freeze, are cut off, replaced and added; callers, operators and
-// readers check what was promised to them.
+// Package fleetsim simulates coordinators and stores in virtual time, driven by a seed. It runs the
+// same code as the daemons: replication over storage that loses unsynced writes, fleetstate,
+// fleetview and batchstate. Machines are killed, lose power or their disks, freeze, are cut off,
+// replaced and added. Simulated callers, operators and readers check what they were promised.
 package fleetsim
 
 import (
@@ -12,45 +11,46 @@
 	"time"
 )
 
-// World is one run.
+// World is the state of one simulation run.
 type World struct {
 	random *rand.Rand
-	// luck draws what random did not draw from the start, so that a seed's other faults
-	// come at the same moments.
-	luck *rand.Rand
-	// restarts draws when coordinators begin anew at once, which happens in each fifth seed.
-	restarts     *rand.Rand
-	manyRestarts bool
-	mutation     Mutation
-	now          time.Time
-	events       eventQueue
-	sequence     uint64
-	machines     []*machine
-	ledger       *ledger
-	identity     uint64
-	// lossSafeAt is when a further disk may be lost.
-	lossSafeAt time.Time
+	// extraRandom draws for suspensions, edges and builds. It is separate from random, so that the
+	// other faults of a seed come at the same moments with and without these.
+	extraRandom *rand.Rand
+	// restartRandom draws when all coordinators restart at once, in seeds with fastRestarts.
+	restartRandom *rand.Rand
+	fastRestarts  bool
+	mutation      Mutation
+	now           time.Time
+	events        eventQueue
+	sequence      uint64
+	machines      []*machine
+	ledger        *ledger
+	lastID        uint64
+	// nextLossAt is the earliest time at which another disk may be lost.
+	nextLossAt time.Time
 	healed     bool
-	// greetAll is the stores' replication.Options.GreetAll: in every other seed they
-	// say hello as few do in a large fleet.
-	greetAll int
-	edges    []*edge
-	workers  []*simWorker
-	// sameIDs is set in each fourth seed: few workers, which start again under their ids.
-	sameIDs bool
-	// twoBuilds is set in each fourth seed, too: the coordinators begin on a build of the
-	// first generation and are replaced one after the other; one goes back for a while.
+	// fullMeshLimit is the replication.Options.FullMeshLimit of the stores. In every other seed it
+	// is 1, so that they exchange hellos with few peers, as in a large fleet.
+	fullMeshLimit int
+	edges         []*edge
+	workers       []*simWorker
+	// fixedIDs is set in every fourth seed: there are few workers, which restart under their ids.
+	fixedIDs bool
+	// twoBuilds is set in two of eight seeds: the coordinators start on a build of the first
+	// generation and are upgraded one after the other. One is downgraded again for a while.
 	twoBuilds bool
-	// deadlySent, deadlyEnds and deadlyLate count how often the deadly request was sent to
-	// workers, those that ended under it, and what edges in touch sent later than contact
-	// after thirdEnd.
-	deadlySent, deadlyEnds, deadlyLate int
-	thirdEnd                           time.Time
-	// Log holds the faults and what was done, for a failing seed.
+	// crashingSent counts how often the crashing request was sent to a worker, crashExits the
+	// workers that exited under it, and crashingSentLate the sends of undisturbed edges later than
+	// settleTime after thresholdExitAt, the time of the exit that reached quarantine.Threshold.
+	crashingSent, crashExits, crashingSentLate int
+	thresholdExitAt                            time.Time
+	// Log holds the injected faults with their times, to be printed with the violations of a
+	// seed.
 	Log []string
 }
 
-// event is something that happens at a moment.
+// event is an action that runs at a point in virtual time.
 type event struct {
 	at       time.Time
 	sequence uint64
@@ -81,6 +81,7 @@
 	return popped
 }
 
+// after schedules an action after the given virtual time.
 func (w *World) after(wait time.Duration, action func()) {
 	w.sequence++
 	heap.Push(&w.events, &event{at: w.now.Add(wait), sequence: w.sequence, action: action})
@@ -95,34 +96,34 @@
 	})
 }
 
-// between returns a random time.
-func (w *World) between(least, most time.Duration) time.Duration {
+// randomDuration returns a random duration of at least least and less than most.
+func (w *World) randomDuration(least, most time.Duration) time.Duration {
 	return least + time.Duration(w.random.Int64N(int64(most-least)))
 }
 
 func (w *World) log(format string, arguments ...any) {
-	w.Log = append(w.Log, fmt.Sprintf("%8.3f ", w.now.Sub(began).Seconds())+fmt.Sprintf(format, arguments...))
+	w.Log = append(w.Log, fmt.Sprintf("%8.3f ", w.now.Sub(startTime).Seconds())+fmt.Sprintf(format, arguments...))
 }
 
-var began = time.Unix(1_000_000, 0)
+var startTime = time.Unix(1_000_000, 0)
 
 const (
-	coordinators = 5
-	stores       = 3
-	tolerate     = 1
-	// faultsUntil is when the last fault begins, healAt when all is mended, and
-	// endAt when the promises are checked for the last time.
+	coordinators      = 5
+	stores            = 3
+	toleratedFailures = 1
+	// The last fault starts before faultsUntil. All faults are repaired at healAt, and the promises
+	// are checked for the last time at endAt.
 	faultsFrom  = 3 * time.Second
 	faultsUntil = 32 * time.Second
 	healAt      = 36 * time.Second
 	endAt       = 50 * time.Second
 )
 
-// Run runs a seed and returns the violations found.
+// Run simulates a seed with a mutation and returns the world and the violations found.
 func Run(seed uint64, mutation Mutation) (*World, []string) {
-	w := &World{random: rand.New(rand.NewPCG(seed, 7)), luck: rand.New(rand.NewPCG(seed, 8)), restarts: rand.New(rand.NewPCG(seed, 9)), manyRestarts: seed%5 == 2, mutation: mutation, now: began, sameIDs: seed%4 == 2, twoBuilds: seed%8 == 1 || seed%8 == 3}
+	w := &World{random: rand.New(rand.NewPCG(seed, 7)), extraRandom: rand.New(rand.NewPCG(seed, 8)), restartRandom: rand.New(rand.NewPCG(seed, 9)), fastRestarts: seed%5 == 2, mutation: mutation, now: startTime, fixedIDs: seed%4 == 2, twoBuilds: seed%8 == 1 || seed%8 == 3}
 	if seed%2 == 1 {
-		w.greetAll = 1
+		w.fullMeshLimit = 1
 	}
 	w.ledger = newLedger(w)
 	for i := 1; i <= coordinators; i++ {
@@ -131,14 +132,14 @@
 	for i := 1; i <= stores; i++ {
 		w.add(kindStore, true)
 	}
-	w.lossSafeAt = began.Add(faultsFrom)
-	w.ledger.begin()
-	w.beginFaults()
-	w.beginEdges()
-	w.beginBuilds()
-	w.beginRestarts()
+	w.nextLossAt = startTime.Add(faultsFrom)
+	w.ledger.start()
+	w.startFaults()
+	w.startEdges()
+	w.startUpgrades()
+	w.startRestarts()
 	w.after(healAt, w.heal)
-	end := began.Add(endAt)
+	end := startTime.Add(endAt)
 	for w.events.Len() > 0 {
 		next := heap.Pop(&w.events).(*event)
 		if next.at.After(end) {
@@ -148,7 +149,7 @@
 		next.action()
 	}
 	w.now = end
-	w.ledger.finish()
-	w.checkAlike()
+	w.ledger.checkFinalState()
+	w.checkSameState()
 	return w, w.ledger.violations
 }
