--- a/internal/loadgen/client.go
+++ b/internal/loadgen/client.go
@@ -1,6 +1,5 @@
-// Package loadgen makes load as callers do, through the gateways' public API,
-// and checks every answer whole against what the emulated engines must have
-// generated.
+// Package loadgen generates load through the gateways' public API, as callers do. It compares the
+// complete text of every answer with the text that the emulated engines must have generated.
 package loadgen
 
 import (
@@ -19,7 +18,7 @@
 	"github.com/sedgemast/sedgemast/internal/failure"
 )
 
-// Client is one caller of one tenant.
+// Client sends the requests of one caller of a tenant.
 type Client struct {
 	Address string
 	Key     string
@@ -28,7 +27,7 @@
 
 const maxConnections = 1024
 
-// NewClient returns a caller that uses the gateway at address (IP:port).
+// NewClient returns a client of the gateway at address (IP:port) that uses the given API key.
 func NewClient(address, key string) *Client {
 	return &Client{Address: address, Key: key, client: &http.Client{Transport: &http.Transport{
 		MaxIdleConns:        maxConnections,
@@ -36,7 +35,7 @@
 	}}}
 }
 
-// Request is an online request.
+// Request is an online request. A Deadline of zero sends no deadline.
 type Request struct {
 	Model      string
 	Text       string
@@ -46,24 +45,24 @@
 	Deadline   time.Duration
 }
 
-// Expected returns the answer that the emulated engines must give.
+// Expected returns the text that the emulated engines must generate for the request.
 func (r *Request) Expected() string {
 	return ExpectedText(r.Model, r.Text, r.MaxTokens)
 }
 
-// ExpectedText returns the answer to a single user message.
+// ExpectedText returns the text that the emulated engines must generate for a single user message.
 func ExpectedText(model, text string, maxTokens int) string {
 	name, adapter, _ := strings.Cut(model, ":")
 	return emulator.NewAnswer(name, adapter, "user: "+text+"\n").Text(maxTokens)
 }
 
-// Reply is the answer to an online request with its times.
+// Reply is the answer to an online request and its latencies, measured from the sending.
 type Reply struct {
 	Text         string
 	FinishReason string
 	FirstToken   time.Duration
 	Total        time.Duration
-	// Gaps are the times between tokens.
+	// Gaps are the times between successive tokens of a streamed answer.
 	Gaps []time.Duration
 }
 
@@ -88,7 +87,7 @@
 	}
 }
 
-// chatChunk is a streamed or whole answer, or an error.
+// chatChunk is a chunk of a streamed answer, a complete answer or an error.
 type chatChunk struct {
 	Choices []struct {
 		Delta        chatMessage `json:"delta"`
@@ -98,7 +97,8 @@
 	Error *failure.Detail `json:"error"`
 }
 
-// Chat sends an online request and reads its answer.
+// Chat sends an online request and reads the complete answer. If the connection breaks or the
+// answer ends early, the error is a failure.OutcomeUnknown.
 func (c *Client) Chat(ctx context.Context, request *Request) (*Reply, error) {
 	encoded, err := json.Marshal(newChatBody(request))
 	if err != nil {
@@ -120,11 +120,11 @@
 	if request.Stream {
 		return readStream(response.Body, started)
 	}
-	var whole chatChunk
-	if err := json.NewDecoder(response.Body).Decode(&whole); err != nil {
-		return nil, cut(err)
+	var answer chatChunk
+	if err := json.NewDecoder(response.Body).Decode(&answer); err != nil {
+		return nil, truncatedError(err)
 	}
-	reply := &Reply{Text: whole.Choices[0].Message.Content, Total: time.Since(started)}
+	reply := &Reply{Text: answer.Choices[0].Message.Content, Total: time.Since(started)}
 	reply.FirstToken = reply.Total
 	return reply, nil
 }
@@ -147,7 +147,7 @@
 		}
 		var chunk chatChunk
 		if err := json.Unmarshal([]byte(data), &chunk); err != nil {
-			return nil, cut(err)
+			return nil, truncatedError(err)
 		}
 		if chunk.Error != nil {
 			return nil, chunk.Error.Failure()
@@ -164,14 +164,14 @@
 		last = now
 		text.WriteString(chunk.Choices[0].Delta.Content)
 	}
-	return nil, cut(scanner.Err())
+	return nil, truncatedError(scanner.Err())
 }
 
-func cut(err error) error {
+func truncatedError(err error) error {
 	return failure.Wrap(err, failure.OutcomeUnknown, "send it again if it may be repeated", "the answer was cut")
 }
 
-// Batch is a job as the API shows it.
+// Batch is a batch job as the API returns it.
 type Batch struct {
 	ID            string `json:"id"`
 	Status        string `json:"status"`
@@ -184,7 +184,7 @@
 	} `json:"request_counts"`
 }
 
-// Upload sends a file, produced line by line, and returns its id.
+// Upload uploads a file while write produces it, and returns the file's id.
 func (c *Client) Upload(ctx context.Context, write func(io.Writer) error) (string, error) {
 	reader, writer := io.Pipe()
 	form := multipart.NewWriter(writer)
@@ -219,7 +219,7 @@
 	return form.Close()
 }
 
-// CreateBatch makes a job of a file.
+// CreateBatch creates a batch job from an uploaded file.
 func (c *Client) CreateBatch(ctx context.Context, fileID, idempotencyKey string) (*Batch, error) {
 	body, err := json.Marshal(map[string]string{
 		"input_file_id":     fileID,
@@ -237,19 +237,19 @@
 	return batch, c.call(ctx, http.MethodPost, "/v1/batches", headers, bytes.NewReader(body), batch)
 }
 
-// Batch reads a job.
+// Batch returns the current state of a job.
 func (c *Client) Batch(ctx context.Context, id string) (*Batch, error) {
 	batch := &Batch{}
 	return batch, c.call(ctx, http.MethodGet, "/v1/batches/"+id, nil, nil, batch)
 }
 
-// CancelBatch stops a job.
+// CancelBatch cancels a job and returns its state.
 func (c *Client) CancelBatch(ctx context.Context, id string) (*Batch, error) {
 	batch := &Batch{}
 	return batch, c.call(ctx, http.MethodPost, "/v1/batches/"+id+"/cancel", nil, nil, batch)
 }
 
-// ReadFile reads a file and passes each line to accept.
+// ReadFile downloads a file and passes each line to accept.
 func (c *Client) ReadFile(ctx context.Context, fileID string, accept func(line []byte) error) error {
 	response, err := c.do(ctx, http.MethodGet, "/v1/files/"+fileID+"/content", nil, nil)
 	if err != nil {
@@ -293,9 +293,9 @@
 		return response, nil
 	}
 	defer response.Body.Close()
-	var told failure.Body
-	if err := json.NewDecoder(response.Body).Decode(&told); err != nil {
+	var errorBody failure.Body
+	if err := json.NewDecoder(response.Body).Decode(&errorBody); err != nil {
 		return nil, failure.New(failure.Internal, "look at the gateway's log", "the gateway answered with status %d", response.StatusCode)
 	}
-	return nil, told.Error.Failure()
+	return nil, errorBody.Error.Failure()
 }
--- a/internal/loadgen/job.go
+++ b/internal/loadgen/job.go
@@ -12,20 +12,20 @@
 	"github.com/sedgemast/sedgemast/internal/failure"
 )
 
-// BatchJob describes a batch job whose items can be checked.
+// BatchJob describes a batch job whose results can be checked.
 type BatchJob struct {
 	Model     string
 	Items     int
 	MaxTokens int
-	// Words is the length of each prompt.
+	// Words is the length of the shared part of each prompt, in words.
 	Words int
-	// Name makes the prompts of one job differ from another's.
+	// Name is part of each prompt, so that the prompts of two jobs differ.
 	Name string
-	// Key is the job's idempotency key; empty means the file's id.
+	// Key is the job's idempotency key. If it is empty, the gateway uses the file's id.
 	Key string
 }
 
-const jobPoll = 100 * time.Millisecond
+const pollInterval = 100 * time.Millisecond
 
 func (j *BatchJob) customID(item int) string { return fmt.Sprintf("%s-item-%d", j.Name, item) }
 
@@ -33,7 +33,7 @@
 	return SharedPrompt("tally", j.Words) + fmt.Sprintf(" sheet %d of %s", item, j.Name)
 }
 
-// Write writes the job's file.
+// Write writes the job's input file.
 func (j *BatchJob) Write(writer io.Writer) error {
 	encoder := json.NewEncoder(writer)
 	for item := 0; item < j.Items; item++ {
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// Submit uploads the job's file and creates the job.
+// Submit uploads the job's input file and creates the job, with retries.
 func (j *BatchJob) Submit(ctx context.Context, client *Client) (*Batch, error) {
 	var fileID string
 	err := Retry(ctx, func() (err error) {
@@ -73,8 +73,8 @@
 	return batch, errors.Wrap(err, "create")
 }
 
-// Retry repeats an action that may be repeated while it fails for reasons that
-// pass.
+// Retry repeats an idempotent action until it succeeds, fails with a kind other than NotRun and
+// OutcomeUnknown, or ctx ends.
 func Retry(ctx context.Context, action func() error) error {
 	for {
 		err := action()
@@ -85,7 +85,7 @@
 		if kind != failure.NotRun && kind != failure.OutcomeUnknown {
 			return err
 		}
-		wait := max(failure.From(err).RetryAfter, jobPoll)
+		wait := max(failure.From(err).RetryAfter, pollInterval)
 		select {
 		case <-ctx.Done():
 			return err
@@ -94,7 +94,7 @@
 	}
 }
 
-// WaitBatch polls a job until it has ended.
+// WaitBatch polls a job until its status is no longer in_progress.
 func WaitBatch(ctx context.Context, client *Client, id string) (*Batch, error) {
 	for {
 		var batch *Batch
@@ -108,12 +108,12 @@
 		select {
 		case <-ctx.Done():
 			return batch, ctx.Err()
-		case <-time.After(jobPoll):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// resultLine is a line of a job's results.
+// resultLine is a line of a job's output file.
 type resultLine struct {
 	CustomID string `json:"custom_id"`
 	Response *struct {
@@ -122,8 +122,8 @@
 	Error *failure.Detail `json:"error"`
 }
 
-// Check reads a completed job's results and compares each with what the engines
-// must have generated: every item once, whole, none left over.
+// Check reads a completed job's results and compares them with what the engines must have
+// generated: one result for each item with the complete text, and no others.
 func (j *BatchJob) Check(ctx context.Context, client *Client, batch *Batch) error {
 	if batch.Status != "completed" || batch.RequestCounts.Completed != j.Items || batch.RequestCounts.Failed != 0 {
 		return errors.Newf("job %s: status %s, %d completed, %d failed of %d", batch.ID, batch.Status, batch.RequestCounts.Completed, batch.RequestCounts.Failed, j.Items)
@@ -139,11 +139,11 @@
 		}
 		want, found := expected[line.CustomID]
 		if !found {
-			return errors.Newf("item %s is unknown or came twice", line.CustomID)
+			return errors.Newf("item %s has an unknown id or more than one result", line.CustomID)
 		}
 		delete(expected, line.CustomID)
 		if line.Response == nil || line.Response.Body.Choices[0].Message.Content != want {
-			return errors.Newf("item %s is not whole", line.CustomID)
+			return errors.Newf("item %s has a wrong or incomplete text", line.CustomID)
 		}
 		return nil
 	})
--- a/internal/loadgen/online.go
+++ b/internal/loadgen/online.go
@@ -14,30 +14,30 @@
 	"github.com/sedgemast/sedgemast/internal/failure"
 )
 
-// OnlineLoad describes an open-loop load of online requests: they are sent at the
-// times drawn, whether or not earlier ones have been answered, and each delay
-// counts from the time at which the request was due.
+// OnlineLoad describes an open-loop load of online requests: each is sent at its scheduled time,
+// whether or not earlier ones have been answered. The delay until the first token counts from the
+// scheduled time.
 type OnlineLoad struct {
 	Model    string
 	Requests int
-	// Rate is in requests a second; arrivals are a Poisson process.
+	// Rate is in requests per second. Arrivals are a Poisson process.
 	Rate      float64
 	MaxTokens int
-	// Words is the length of the part of the prompt that requests share.
+	// Words is the length of the part of the prompt that all requests share, in words.
 	Words int
 	Seed  uint64
-	// StreamShare is the share of requests that are streamed, 0 to 1.
+	// StreamShare is the fraction of requests that are streamed, 0 to 1.
 	StreamShare float64
-	// AtMostOnceShare is the share of requests that may not be repeated, 0 to 1.
+	// AtMostOnceShare is the fraction of requests that may not be repeated, 0 to 1.
 	AtMostOnceShare float64
 }
 
-// Summary is what became of an online load.
+// Summary holds the results of an online load.
 type Summary struct {
 	Correct   int
 	Incorrect int
 	Failures  map[failure.Kind]int
-	// FirstToken and Gap are those of streamed answers, in microseconds.
+	// FirstToken and Gap cover correct streamed answers, in microseconds.
 	FirstToken *hdrhistogram.Histogram
 	Gap        *hdrhistogram.Histogram
 	FirstError error
@@ -59,8 +59,7 @@
 	return &Summary{Failures: map[failure.Kind]int{}, FirstToken: NewHistogram(), Gap: NewHistogram()}
 }
 
-// SharedPrompt returns a text of the given number of words that is the same for
-// every prompt of a topic.
+// SharedPrompt returns a text of the given number of words that depends on the topic only.
 func SharedPrompt(topic string, words int) string {
 	var text strings.Builder
 	for word := 0; word < words; word++ {
@@ -69,7 +68,7 @@
 	return strings.TrimSpace(text.String())
 }
 
-// Run sends the load over the clients in turn and waits for all answers.
+// Run sends the load, taking the clients in turn, and waits for all answers.
 func (o *OnlineLoad) Run(ctx context.Context, clients []*Client) *Summary {
 	random := rand.New(rand.NewPCG(o.Seed, o.Seed))
 	summary := newSummary()
@@ -84,18 +83,19 @@
 			Text:      fmt.Sprintf("%s question %d of %d", SharedPrompt("timetable", o.Words), number, o.Seed),
 			MaxTokens: o.MaxTokens,
 			Stream:    random.Float64() < o.StreamShare,
-			// The order of draws keeps the load of a seed as it was.
+			// The draw comes last and only if the share is set, so that a seed without it keeps
+			// its load.
 			AtMostOnce: o.AtMostOnceShare > 0 && random.Float64() < o.AtMostOnceShare,
 		}
 		time.Sleep(time.Until(due))
 		pending.Add(1)
 		go func(client *Client, due time.Time) {
 			defer pending.Done()
-			late := time.Since(due)
+			sendDelay := time.Since(due)
 			reply, err := client.Chat(ctx, request)
 			mutex.Lock()
 			defer mutex.Unlock()
-			summary.add(request, reply, late, err)
+			summary.record(request, reply, sendDelay, err)
 		}(clients[number%len(clients)], due)
 	}
 	pending.Wait()
@@ -103,34 +103,34 @@
 	return summary
 }
 
-func (s *Summary) add(request *Request, reply *Reply, late time.Duration, err error) {
+func (s *Summary) record(request *Request, reply *Reply, sendDelay time.Duration, err error) {
 	switch {
 	case err != nil:
 		s.Failures[failure.KindOf(err)]++
-		s.note(err)
+		s.recordError(err)
 	case reply.Text != request.Expected():
 		s.Incorrect++
-		s.note(errors.Newf("wrong answer to %q: %q", request.Text, reply.Text))
+		s.recordError(errors.Newf("wrong answer to %q: %q", request.Text, reply.Text))
 	default:
 		s.Correct++
 		if !request.Stream {
 			return
 		}
-		// Values beyond the histogram's range are far past any deadline.
-		_ = s.FirstToken.RecordValue((reply.FirstToken + late).Microseconds())
+		// Values outside the histogram's range are far beyond any deadline and are dropped.
+		_ = s.FirstToken.RecordValue((reply.FirstToken + sendDelay).Microseconds())
 		for _, gap := range reply.Gaps {
 			_ = s.Gap.RecordValue(gap.Microseconds())
 		}
 	}
 }
 
-func (s *Summary) note(err error) {
+func (s *Summary) recordError(err error) {
 	if s.FirstError == nil {
 		s.FirstError = err
 	}
 }
 
-// Failed returns the number of requests without a whole answer.
+// Failed returns the number of requests without a correct answer.
 func (s *Summary) Failed() int {
 	failed := s.Incorrect
 	for _, count := range s.Failures {
@@ -139,7 +139,7 @@
 	return failed
 }
 
-// String returns the summary in one line.
+// String formats the summary as one line.
 func (s *Summary) String() string {
 	line := fmt.Sprintf("whole=%d wrong=%d elapsed=%s first_token_ms p50=%.1f p95=%.1f p99=%.1f between_tokens_ms p50=%.1f p95=%.1f p99=%.1f",
 		s.Correct, s.Incorrect, s.Elapsed.Round(time.Millisecond),
@@ -157,7 +157,7 @@
 	return float64(histogram.ValueAtQuantile(percentile)) / microsPerMilli
 }
 
-// WaitServing waits until the gateway's fleet has answered a request.
+// WaitServing waits until the fleet behind the gateway has answered a request.
 func WaitServing(ctx context.Context, client *Client, model string) error {
 	return Retry(ctx, func() error {
 		_, err := client.Chat(ctx, &Request{Model: model, Text: "are you there", MaxTokens: 1})
