--- a/internal/fleet/demo.go
+++ b/internal/fleet/demo.go
@@ -14,8 +14,8 @@
 	demoConcurrency = 2000
 )
 
-// DemoDocuments returns a template and a tenant that may use the models with
-// the key given.
+// DemoDocuments returns the documents of a template and of a tenant that may use the models with
+// the given key.
 func DemoDocuments(tenant string, models []string, key string) []operator.Document {
 	template := metastate.Template{
 		Description: "a school or field station",
@@ -27,13 +27,13 @@
 			"concurrency":         {Default: mustJSON(demoConcurrency), Fixed: true},
 		},
 	}
-	made := metastate.Tenant{
+	tenantSpec := metastate.Tenant{
 		Template: demoTemplate,
 		Keys:     []metastate.Key{{ID: "first", SHA256: configuration.Digest(key)}},
 	}
 	return []operator.Document{
 		{Kind: metastate.KindTemplate, Name: demoTemplate, Spec: mustJSON(template)},
-		{Kind: metastate.KindTenant, Name: tenant, Spec: mustJSON(made)},
+		{Kind: metastate.KindTenant, Name: tenant, Spec: mustJSON(tenantSpec)},
 	}
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,4 +1,4 @@
-// Package fleet runs every role and the stand-ins in one operating-system
+// Package fleet runs all daemons, emulated engines and an emulated platform in one operating-system
 // process on loopback: the embedded fleet of `sedgemast dev` and of tests.
 package fleet
 
@@ -21,25 +21,25 @@
 	"github.com/sedgemast/sedgemast/internal/workerlist"
 )
 
-// Options describe an embedded fleet.
+// Options configures an embedded fleet.
 type Options struct {
 	Gateways    int
 	Dispatchers int
 	Engines     int
 	Models      []string
-	// Folder holds control's data.
+	// Folder is the parent of control's data folder.
 	Folder string
 	Logger logging.Logger
-	// Capacity is that of each engine.
+	// Capacity is the capacity of each engine.
 	Capacity emulator.Capacity
 	Faults   emulator.Faults
-	// ExitOnPrompt, where it is set, ends an engine when a prompt that holds it begins there.
+	// ExitOnPrompt, if set, makes an engine exit when it starts a prompt that contains this text.
 	ExitOnPrompt string
-	// OperatorKeySHA256 is the digest of the first operator's key.
+	// OperatorKeySHA256 is the SHA-256 digest of the first operator's key.
 	OperatorKeySHA256 string
 }
 
-// Member is one embedded process.
+// Member is one daemon or emulated process of the fleet.
 type Member struct {
 	Name   string
 	Daemon *daemon.Daemon
@@ -66,15 +66,15 @@
 }
 
 const (
-	loopback      = "127.0.0.1:0"
-	platformLag   = 200 * time.Millisecond
-	weightRate    = 256 << 20
-	weightBytes   = 64 << 20
-	resumeGrace   = 5 * time.Second
-	readyPoll     = 10 * time.Millisecond
-	stopTimeout   = 20 * time.Second
-	zones         = 3
-	heartbeatTime = 100 * time.Millisecond
+	loopback          = "127.0.0.1:0"
+	platformLag       = 200 * time.Millisecond
+	weightRate        = 256 << 20
+	weightBytes       = 64 << 20
+	resumeGrace       = 5 * time.Second
+	readyPoll         = 10 * time.Millisecond
+	stopTimeout       = 20 * time.Second
+	zones             = 3
+	heartbeatInterval = 100 * time.Millisecond
 )
 
 // Start starts a fleet and waits until every daemon is ready.
@@ -125,7 +125,8 @@
 	return nil
 }
 
-// start runs one member. build prepares it and returns what closes it.
+// start starts one member. build prepares its daemon and returns a function that closes the member
+// after the daemon has stopped, or nil.
 func (f *Fleet) start(role, name string, build func(*daemon.Daemon) (func() error, error)) (*Member, error) {
 	d, err := daemon.New(daemon.Options{
 		Role:        role,
@@ -187,7 +188,7 @@
 	return nil
 }
 
-// PublishWorkers tells the platform of the engines.
+// PublishWorkers sets the platform's worker list to the current engines.
 func (f *Fleet) PublishWorkers() {
 	var workers []workerlist.Worker
 	for index, member := range f.Engines {
@@ -202,7 +203,7 @@
 		config.Name = "control-1"
 		config.DataFolder = filepath.Join(f.options.Folder, "control-1")
 		config.Platform = platformAddress
-		config.PlatformInterval = settings.Duration(heartbeatTime)
+		config.PlatformInterval = settings.Duration(heartbeatInterval)
 		config.DaemonLease = settings.Duration(time.Second)
 		process, err := control.New(d, config)
 		if err != nil {
@@ -214,7 +215,7 @@
 	return err
 }
 
-// StartDispatcher adds a dispatcher.
+// StartDispatcher starts a further dispatcher.
 func (f *Fleet) StartDispatcher(number int) error {
 	name := fmt.Sprintf("dispatcher-%d", number)
 	member, err := f.start("dispatcher", name, func(d *daemon.Daemon) (func() error, error) {
@@ -222,7 +223,7 @@
 		config.Name = name
 		config.Zone = zoneOf(number)
 		config.Control = []string{f.Control.Address()}
-		config.Heartbeat.Interval = settings.Duration(heartbeatTime)
+		config.Heartbeat.Interval = settings.Duration(heartbeatInterval)
 		dispatcher.New(d, config)
 		return nil, nil
 	})
@@ -239,7 +240,7 @@
 		config.Name = name
 		config.Zone = zoneOf(number)
 		config.Control = []string{f.Control.Address()}
-		config.Heartbeat.Interval = settings.Duration(heartbeatTime)
+		config.Heartbeat.Interval = settings.Duration(heartbeatInterval)
 		config.OperatorKeySHA256 = f.options.OperatorKeySHA256
 		gateway.New(d, config)
 		return nil, nil
@@ -263,14 +264,15 @@
 	return nil
 }
 
-// Stop stops every member in the planned way, callers' side first.
+// Stop stops all members gracefully, in the reverse order of their start, so that callers of a
+// process stop before that process.
 func (f *Fleet) Stop() {
 	for index := len(f.members) - 1; index >= 0; index-- {
 		f.StopMember(f.members[index])
 	}
 }
 
-// StopMember stops one member in the planned way. Stopping twice is harmless.
+// StopMember stops one member gracefully. It may be called more than once.
 func (f *Fleet) StopMember(member *Member) {
 	if err := member.Daemon.Stop(); err != nil {
 		logging.Warn(f.options.Logger, "stop_failed", "process", member.Name, "error", err)
@@ -285,7 +287,7 @@
 	}
 }
 
-// KillMember ends a member as if its machine had died.
+// KillMember ends a member abruptly, as if its machine had failed.
 func (f *Fleet) KillMember(member *Member) {
 	if err := member.Daemon.Kill(); err != nil {
 		logging.Warn(f.options.Logger, "kill_failed", "process", member.Name, "error", err)
