--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -1,6 +1,6 @@
-// Package scale runs hollow daemons and workers beside real processes, to
-// measure what a fleet of the target's size costs. A hollow daemon speaks the
-// real control protocol through the real client; it serves nobody.
+// Package scale runs hollow daemons and workers beside real processes, to measure the cost of a
+// fleet of the target size. A hollow daemon speaks the real control protocol through the real
+// client, but serves no callers.
 package scale
 
 import (
@@ -21,20 +21,19 @@
 	heartbeatTimeout  = time.Second
 	itemInterval      = 100 * time.Millisecond
 	zones             = 9
-	// dispatcherShare is the part of the daemons that are dispatchers, in
-	// tenths.
+	// dispatcherShare is the number of dispatchers in every ten daemons.
 	dispatcherShare = 6
 )
 
-// hollowDaemon is one daemon without its work.
+// hollowDaemon is a gateway or dispatcher reduced to its exchange with control.
 type hollowDaemon struct {
-	name    string
-	role    wire.Role
-	zone    string
-	client  *controlclient.Client
-	session *controlclient.Session
-	started uint64
-	beats   atomic.Uint64
+	name       string
+	role       wire.Role
+	zone       string
+	client     *controlclient.Client
+	session    *controlclient.Session
+	started    uint64
+	heartbeats atomic.Uint64
 
 	mutex       sync.Mutex
 	assignments []wire.Assignment
@@ -46,18 +45,19 @@
 	model   string
 	all     []*hollowDaemon
 	running sync.WaitGroup
-	// itemRate is the batch items a second over all dispatchers.
+	// itemRate is the target of completed batch items per second, over all dispatchers.
 	itemRate  atomic.Int64
 	completed atomic.Int64
 	failed    atomic.Int64
 }
 
-// NewDaemons returns an empty set.
+// NewDaemons returns an empty set of daemons that use the control processes at the given
+// addresses.
 func NewDaemons(control []string, model string) *Daemons {
 	return &Daemons{control: control, model: model}
 }
 
-// Grow adds daemons until there are count. They run until ctx ends.
+// Grow adds daemons until there are count in the set. They run until ctx ends.
 func (d *Daemons) Grow(ctx context.Context, count int) {
 	for len(d.all) < count {
 		d.add(ctx, len(d.all))
@@ -78,12 +78,12 @@
 		Interval: heartbeatInterval,
 		Timeout:  heartbeatTimeout,
 		Report:   func(request *wire.HeartbeatRequest) { h.report(request, number, d.model) },
-		OnChange: h.heard,
+		OnChange: h.handleResponse,
 	})
 	d.all = append(d.all, h)
 	d.run(ctx, h.session.Run)
 	if h.role == wire.RoleDispatcher {
-		d.run(ctx, func(ctx context.Context) { d.work(ctx, h) })
+		d.run(ctx, func(ctx context.Context) { d.completeItems(ctx, h) })
 	}
 }
 
@@ -95,7 +95,7 @@
 	}()
 }
 
-// Wait waits until all daemons have ended.
+// Wait waits until all daemons have stopped.
 func (d *Daemons) Wait() { d.running.Wait() }
 
 func (h *hollowDaemon) report(request *wire.HeartbeatRequest, number int, model string) {
@@ -108,7 +108,7 @@
 		return
 	}
 	request.Models = []string{model}
-	// The utilization changes now and then, as a real one does.
+	// The utilization changes every five seconds, as that of a real dispatcher does now and then.
 	request.Utilization = uint8((time.Now().Unix()/5 + int64(number)) % 8 * 32)
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -117,8 +117,8 @@
 	}
 }
 
-func (h *hollowDaemon) heard(response *wire.HeartbeatResponse) {
-	h.beats.Add(1)
+func (h *hollowDaemon) handleResponse(response *wire.HeartbeatResponse) {
+	h.heartbeats.Add(1)
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if response.Assignments != nil {
@@ -126,12 +126,12 @@
 	}
 }
 
-// work leases batch items and reports them done at once, at the dispatcher's
-// share of the rate.
-func (d *Daemons) work(ctx context.Context, h *hollowDaemon) {
+// completeItems leases batch items and reports them completed at once, at the dispatcher's share of
+// the item rate.
+func (d *Daemons) completeItems(ctx context.Context, h *hollowDaemon) {
 	ticker := time.NewTicker(itemInterval)
 	defer ticker.Stop()
-	owed := 0.0
+	budget := 0.0
 	for group := 0; ; group++ {
 		select {
 		case <-ctx.Done():
@@ -140,11 +140,11 @@
 		}
 		groups := h.session.JobGroupCount()
 		dispatchers := max(1, len(d.all)*dispatcherShare/10)
-		owed = min(owed+float64(d.itemRate.Load())*itemInterval.Seconds()/float64(dispatchers), 256)
-		if groups == 0 || owed < 1 {
+		budget = min(budget+float64(d.itemRate.Load())*itemInterval.Seconds()/float64(dispatchers), 256)
+		if groups == 0 || budget < 1 {
 			continue
 		}
-		owed -= float64(d.leaseAndComplete(ctx, h, 1+group%groups, int(owed)))
+		budget -= float64(d.leaseAndComplete(ctx, h, 1+group%groups, int(budget)))
 	}
 }
 
@@ -167,30 +167,30 @@
 	return len(report.Results)
 }
 
-// hollowResult stands for an answer of the usual length.
+// hollowResult is the text of every result, as long as a typical answer.
 const hollowResult = "wmd5 w1k9o wb3t w14yq w7d w2f8k wzz1 w9ab0 wk2 w3fj1 wmd5 w1k9o wb3t w14yq w7d w2f8k wzz1 w9ab0 wk2 w3fj1 wmd5 w1k9o wb3t w14yq w7d w2f8k"
 
-// counts adds up what the daemons have exchanged.
+// counts holds totals over all hollow daemons.
 type counts struct {
-	beats     uint64
-	traffic   rpc.Traffic
-	completed int64
-	failed    int64
+	heartbeats uint64
+	traffic    rpc.Traffic
+	completed  int64
+	failed     int64
 }
 
 func (d *Daemons) counts() counts {
 	total := counts{completed: d.completed.Load(), failed: d.failed.Load()}
 	for _, h := range d.all {
-		total.beats += h.beats.Load()
-		one := h.client.Traffic()
-		total.traffic.Calls += one.Calls
-		total.traffic.SentBytes += one.SentBytes
-		total.traffic.ReceivedBytes += one.ReceivedBytes
+		total.heartbeats += h.heartbeats.Load()
+		traffic := h.client.Traffic()
+		total.traffic.Calls += traffic.Calls
+		total.traffic.SentBytes += traffic.SentBytes
+		total.traffic.ReceivedBytes += traffic.ReceivedBytes
 	}
 	return total
 }
 
-// serving returns how many daemons hold a lease and a confirmed configuration.
+// serving returns the number of daemons with a valid lease and a valid configuration.
 func (d *Daemons) serving(now time.Time) int {
 	count := 0
 	for _, h := range d.all {
@@ -201,8 +201,8 @@
 	return count
 }
 
-// slowestRevision returns the lowest revision that a daemon acts on.
-func (d *Daemons) slowestRevision() uint64 {
+// lowestRevision returns the lowest configuration revision in force at any daemon.
+func (d *Daemons) lowestRevision() uint64 {
 	lowest := ^uint64(0)
 	for _, h := range d.all {
 		lowest = min(lowest, h.session.Config().Revision)
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -15,20 +15,20 @@
 	"github.com/sedgemast/sedgemast/internal/clock"
 )
 
-// Process is a real process whose metrics are read.
+// Process is a real process from which metrics are read.
 type Process struct {
 	Role    string
 	Name    string
 	Address string
 }
 
-// usage is what a process has spent so far.
+// usage is the processor time that a process has used since its start, and its memory.
 type usage struct {
 	cpuSeconds    float64
 	residentBytes float64
 }
 
-// readUsage reads a process's metrics page.
+// readUsage reads the usage from a process's metrics page.
 func readUsage(ctx context.Context, process Process) (usage, error) {
 	var read usage
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+process.Address+"/metrics", nil)
@@ -57,7 +57,7 @@
 	return read, scanner.Err()
 }
 
-// ownUsage returns what this process has spent, with its live heap.
+// ownUsage returns the usage of this process, with its live heap and stacks as the memory.
 func ownUsage() (usage, error) {
 	var spent syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &spent); err != nil {
@@ -70,75 +70,74 @@
 	return usage{cpuSeconds: seconds(spent.Utime) + seconds(spent.Stime), residentBytes: float64(memory.HeapAlloc + memory.StackInuse)}, nil
 }
 
-// Point is what was measured at one size.
+// Point holds the measurements at one fleet size.
 type Point struct {
 	Daemons int
 	Workers int
 	Tenants int
-	// ItemRate is the batch items completed a second.
+	// ItemRate is the number of batch items completed per second.
 	ItemRate float64
-	// Serving is how many daemons held their leases at the end.
+	// Serving is the number of daemons with valid leases and configurations at the end.
 	Serving int
-	// BeatsPerSecond is the heartbeats answered a second over all hollow daemons.
+	// BeatsPerSecond is the number of heartbeats answered per second, over all hollow daemons.
 	BeatsPerSecond float64
-	// MissedShare is the share of heartbeats that were due and not answered.
+	// MissedShare is the fraction of due heartbeats that were not answered.
 	MissedShare float64
-	// InForceMillis holds the time of each change until it was in force at
-	// every hollow daemon.
+	// InForceMillis holds, for each change, the time in milliseconds until it was in force at every
+	// hollow daemon.
 	InForceMillis []float64
-	// DaemonCPU is a hollow daemon's processor time as a share of a core,
-	// DaemonBytes its exchange with control in bytes a second, DaemonMemory its
-	// memory in bytes.
+	// DaemonCPU is the processor time of a hollow daemon as a fraction of a core, DaemonBytes its
+	// traffic with control in bytes per second, DaemonMemory its memory in bytes.
 	DaemonCPU    float64
 	DaemonBytes  float64
 	DaemonMemory float64
-	// CPU and Memory are the mean of the real processes of each role: a share
-	// of a core, and bytes.
+	// CPU and Memory are means over the real processes of each role: a fraction of a core, and
+	// bytes.
 	CPU    map[string]float64
 	Memory map[string]float64
-	// LeaderCPU is that of the busiest control process.
+	// LeaderCPU is the CPU of the busiest control process, as a fraction of a core.
 	LeaderCPU float64
 }
 
-// window measures over a stretch of time.
-type window struct {
-	started   time.Time
+// reading holds all counters at one time. A Point is computed from two readings.
+type reading struct {
+	takenAt   time.Time
 	daemons   counts
 	own       usage
 	processes map[string]usage
 }
 
-func (r *Run) open(ctx context.Context) (*window, error) {
-	w := &window{processes: map[string]usage{}}
+func (r *Run) takeReading(ctx context.Context) (*reading, error) {
+	taken := &reading{processes: map[string]usage{}}
 	for _, process := range r.Processes {
 		read, err := readUsage(ctx, process)
 		if err != nil {
 			return nil, err
 		}
-		w.processes[process.Name] = read
+		taken.processes[process.Name] = read
 	}
 	var err error
-	if w.own, err = ownUsage(); err != nil {
+	if taken.own, err = ownUsage(); err != nil {
 		return nil, err
 	}
-	w.daemons = r.daemons.counts()
-	w.started = time.Now()
-	return w, nil
+	taken.daemons = r.daemons.counts()
+	taken.takenAt = time.Now()
+	return taken, nil
 }
 
-// point compares two windows' openings.
-func (r *Run) point(first, second *window) *Point {
-	seconds := second.started.Sub(first.started).Seconds()
+// point computes the measurements between two readings.
+func (r *Run) point(first, second *reading) *Point {
+	seconds := second.takenAt.Sub(first.takenAt).Seconds()
 	count := float64(len(r.daemons.all))
 	traffic := second.daemons.traffic.SentBytes + second.daemons.traffic.ReceivedBytes - first.daemons.traffic.SentBytes - first.daemons.traffic.ReceivedBytes
-	beats := float64(second.daemons.beats-first.daemons.beats) / seconds
+	heartbeats := float64(second.daemons.heartbeats-first.daemons.heartbeats) / seconds
 	due := count / heartbeatInterval.Seconds()
 	p := &Point{
 		Daemons:        len(r.daemons.all),
 		ItemRate:       float64(second.daemons.completed-first.daemons.completed) / seconds,
 		Serving:        r.daemons.serving(clock.Now()),
-		BeatsPerSecond: beats,
-		MissedShare:    max(0, 1-beats/due),
+		BeatsPerSecond: heartbeats,
+		MissedShare:    max(0, 1-heartbeats/due),
 		DaemonCPU:      (second.own.cpuSeconds - first.own.cpuSeconds) / seconds / count,
 		DaemonBytes:    float64(traffic) / seconds / count,
 		DaemonMemory:   (second.own.residentBytes - r.baseMemory) / count,
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -14,19 +14,19 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Slope is a straight line through the points of a run.
+// Slope is the straight line fitted to one series of a run, as a function of the number of daemons.
 type Slope struct {
 	Name      string
 	Unit      string
 	Intercept float64
 	PerDaemon float64
-	// Residual is the largest distance of a point from the line.
+	// Residual is the largest distance of a point from the line, in Unit.
 	Residual float64
-	// AtTarget is the line's value at the target's number of daemons.
+	// AtTarget is the line's value at Target daemons.
 	AtTarget float64
 }
 
-// series is one measured quantity of a run.
+// series is one measured quantity, as a function of a point.
 type series struct {
 	name  string
 	unit  string
@@ -35,7 +35,7 @@
 
 const (
 	megabyte = 1 << 20
-	// Target is the number of daemons that the system is built towards.
+	// Target is the number of daemons that the system is designed for.
 	Target = 330
 )
 
@@ -46,7 +46,7 @@
 		{"hollow daemon: memory", "MB", func(p *Point) float64 { return p.DaemonMemory / megabyte }},
 		{"busiest control process: processor", "% of a core", func(p *Point) float64 { return 100 * p.LeaderCPU }},
 		{"control: heartbeats", "1/s", func(p *Point) float64 { return p.BeatsPerSecond }},
-		{"change in force everywhere, slowest", "ms", func(p *Point) float64 { return largest(p.InForceMillis) }},
+		{"change in force everywhere, slowest", "ms", func(p *Point) float64 { return maxOf(p.InForceMillis) }},
 	}
 	for _, role := range roles(points) {
 		list = append(list,
@@ -77,7 +77,7 @@
 	return slopes
 }
 
-// fit is a least-squares line.
+// fit fits a line to a series by least squares.
 func fit(points []*Point, measured series) Slope {
 	var count, sumX, sumY, sumXX, sumXY float64
 	for _, point := range points {
@@ -101,7 +101,7 @@
 	return slope
 }
 
-// PrintSlopes writes the slopes as a table.
+// PrintSlopes writes the slopes as a Markdown table.
 func PrintSlopes(out io.Writer, slopes []Slope) {
 	fmt.Fprintf(out, "| quantity | unit | intercept | per daemon | largest residual | at %d daemons |\n|---|---|---|---|---|---|\n", Target)
 	for _, slope := range slopes {
@@ -109,7 +109,7 @@
 	}
 }
 
-// Save writes the points, the slopes and a plot of each series to a folder.
+// Save writes scale.json, with the points and the slopes, and a plot of each series to a folder.
 func Save(folder string, points []*Point, slopes []Slope) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -18,24 +18,27 @@
 )
 
 const (
-	settleTime   = 4 * time.Second
-	changesAStep = 10
-	changePause  = 300 * time.Millisecond
-	inForcePoll  = 2 * time.Millisecond
-	stepTimeout  = 2 * time.Minute
-	itemHeadroom = 1.6
-	uploaders    = 4
-	submitPause  = 100 * time.Millisecond
+	// settleTime is the time between the growth of the fleet and the first reading.
+	settleTime     = 4 * time.Second
+	changesPerStep = 10
+	changeInterval = 300 * time.Millisecond
+	pollInterval   = 2 * time.Millisecond
+	stepTimeout    = 2 * time.Minute
+	// itemHeadroom is the ratio of submitted items to those that a step should complete.
+	itemHeadroom        = 1.6
+	uploaders           = 4
+	submitRetryInterval = 100 * time.Millisecond
 )
 
-// Step is one size of the fleet.
+// Step is one fleet size at which the run measures.
 type Step struct {
 	Daemons  int
 	Tenants  int
 	ItemRate int
 }
 
-// Run is a scale run against real control processes and gateways.
+// Run is a measurement of growing fleets of hollow daemons against real control processes and
+// gateways.
 type Run struct {
 	Control     []string
 	Gateway     string
@@ -52,13 +55,14 @@
 	operator   *operator.Client
 }
 
-// tenant is a tenant of the run with its caller's key.
+// tenant is a tenant of the run with its API key.
 type tenant struct {
 	name string
 	key  string
 }
 
-// Measure grows the fleet step by step and measures each size.
+// Measure grows the fleet step by step and returns the measurements of each step. After an error it
+// returns those of the steps before.
 func (r *Run) Measure(ctx context.Context) ([]*Point, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -79,7 +83,7 @@
 		}
 		points = append(points, point)
 		fmt.Fprintf(r.Out, "daemons=%d serving=%d workers=%d tenants=%d items/s=%.0f beats/s=%.0f missed=%.4f in_force_ms max=%.0f daemon: cpu=%.4f bytes/s=%.0f memory=%.0f leader_cpu=%.3f\n",
-			point.Daemons, point.Serving, point.Workers, point.Tenants, point.ItemRate, point.BeatsPerSecond, point.MissedShare, largest(point.InForceMillis), point.DaemonCPU, point.DaemonBytes, point.DaemonMemory, point.LeaderCPU)
+			point.Daemons, point.Serving, point.Workers, point.Tenants, point.ItemRate, point.BeatsPerSecond, point.MissedShare, maxOf(point.InForceMillis), point.DaemonCPU, point.DaemonBytes, point.DaemonMemory, point.LeaderCPU)
 	}
 	cancel()
 	r.daemons.Wait()
@@ -99,18 +103,18 @@
 	}
 	r.daemons.itemRate.Store(int64(step.ItemRate))
 	time.Sleep(settleTime)
-	first, err := r.open(stepContext)
+	first, err := r.takeReading(stepContext)
 	if err != nil {
 		return nil, err
 	}
-	inForce, err := r.changes(stepContext)
+	inForce, err := r.measureChanges(stepContext)
 	if err != nil {
 		return nil, err
 	}
-	if rest := r.Window - time.Since(first.started); rest > 0 {
-		time.Sleep(rest)
+	if remaining := r.Window - time.Since(first.takenAt); remaining > 0 {
+		time.Sleep(remaining)
 	}
-	second, err := r.open(stepContext)
+	second, err := r.takeReading(stepContext)
 	if err != nil {
 		return nil, err
 	}
@@ -131,13 +135,13 @@
 		select {
 		case <-ctx.Done():
 			return errors.Wrapf(ctx.Err(), "%d of %d daemons hold their leases", r.daemons.serving(clock.Now()), len(r.daemons.all))
-		case <-time.After(inForcePoll):
+		case <-time.After(pollInterval):
 		}
 	}
 	return nil
 }
 
-// apply makes one change of the configuration.
+// apply applies one change of the configuration and returns its revision.
 func (r *Run) apply(ctx context.Context, id string, documents []operator.Document) (uint64, error) {
 	current, err := r.operator.Documents(ctx, "none", "")
 	if err != nil {
@@ -153,17 +157,17 @@
 func (r *Run) growTenants(ctx context.Context, count int) error {
 	var documents []operator.Document
 	for number := len(r.tenants); number < count; number++ {
-		made := tenant{name: fmt.Sprintf("tenant-%d", number)}
+		added := tenant{name: fmt.Sprintf("tenant-%d", number)}
 		var err error
-		if made.key, err = keys.New("tenant", made.name); err != nil {
+		if added.key, err = keys.New("tenant", added.name); err != nil {
 			return err
 		}
-		for _, document := range fleet.DemoDocuments(made.name, []string{r.Model}, made.key) {
+		for _, document := range fleet.DemoDocuments(added.name, []string{r.Model}, added.key) {
 			if document.Kind == metastate.KindTenant || number == 0 {
 				documents = append(documents, document)
 			}
 		}
-		r.tenants = append(r.tenants, made)
+		r.tenants = append(r.tenants, added)
 	}
 	if len(documents) == 0 {
 		return nil
@@ -172,8 +176,7 @@
 	return err
 }
 
-// submitJobs uploads the items that the step works off, spread over tenants and
-// so over job groups.
+// submitJobs submits the batch items for a step, spread over tenants and thus over job groups.
 func (r *Run) submitJobs(ctx context.Context, step Step) error {
 	total := int(float64(step.ItemRate) * (r.Window + settleTime).Seconds() * itemHeadroom)
 	if total == 0 {
@@ -195,7 +198,7 @@
 	return failed
 }
 
-// submit submits a job; the gateway may not know a new tenant at once.
+// submit submits a job. It retries all errors, because the gateway may not know a new tenant yet.
 func submit(ctx context.Context, client *loadgen.Client, job *loadgen.BatchJob) error {
 	for {
 		_, err := job.Submit(ctx, client)
@@ -205,16 +208,16 @@
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(submitPause):
+		case <-time.After(submitRetryInterval):
 		}
 	}
 }
 
-// changes makes changes and measures how long each takes until the last hollow
-// daemon acts on it.
-func (r *Run) changes(ctx context.Context) ([]float64, error) {
-	var taken []float64
-	for number := 0; number < changesAStep; number++ {
+// measureChanges applies changes and returns for each the time in milliseconds until it is in force
+// at the last hollow daemon.
+func (r *Run) measureChanges(ctx context.Context) ([]float64, error) {
+	var millis []float64
+	for number := 0; number < changesPerStep; number++ {
 		spec, err := json.Marshal(metastate.Drain{Reason: fmt.Sprint(number)})
 		if err != nil {
 			return nil, err
@@ -224,21 +227,21 @@
 		if err != nil {
 			return nil, err
 		}
-		begun := time.Now()
-		for r.daemons.slowestRevision() < revision {
+		applied := time.Now()
+		for r.daemons.lowestRevision() < revision {
 			select {
 			case <-ctx.Done():
 				return nil, errors.Wrapf(ctx.Err(), "revision %d is not in force everywhere", revision)
-			case <-time.After(inForcePoll):
+			case <-time.After(pollInterval):
 			}
 		}
-		taken = append(taken, float64(time.Since(begun).Microseconds())/1000)
-		time.Sleep(changePause)
+		millis = append(millis, float64(time.Since(applied).Microseconds())/1000)
+		time.Sleep(changeInterval)
 	}
-	return taken, nil
+	return millis, nil
 }
 
-func largest(values []float64) float64 {
+func maxOf(values []float64) float64 {
 	top := 0.0
 	for _, value := range values {
 		top = max(top, value)
--- a/internal/scale/workers.go
+++ b/internal/scale/workers.go
@@ -13,8 +13,7 @@
 	"github.com/sedgemast/sedgemast/internal/workerlist"
 )
 
-// hollowWorker answers the load reports and orders that its owner asks for, and
-// runs nothing.
+// hollowWorker answers its owner's orders and polls for load reports, and runs no requests.
 type hollowWorker struct {
 	name  string
 	model string
@@ -40,7 +39,7 @@
 			Worker:      h.name,
 			Incarnation: 1,
 			Epoch:       h.epoch,
-			// Without slots its owner gives it no work.
+			// Without slots, the owner assigns no work.
 			Slots:        0,
 			BlockTokens:  engine.BlockTokens,
 			Models:       []string{h.model},
@@ -55,12 +54,12 @@
 
 func (h *hollowWorker) write(writer http.ResponseWriter, value any) {
 	writer.Header().Set("Content-Type", "application/json")
-	// A failed write means that the owner has gone.
+	// A failed write means that the owner has disconnected.
 	_ = json.NewEncoder(writer).Encode(value)
 }
 
-// ServeWorkers serves hollow workers on ports of their own until ctx ends, and
-// returns their rows for the platform's list.
+// ServeWorkers serves hollow workers, each on its own loopback port, until ctx ends. It returns
+// their rows for the platform's worker list.
 func ServeWorkers(ctx context.Context, count int, model string) ([]workerlist.Worker, error) {
 	var rows []workerlist.Worker
 	for number := 0; number < count; number++ {
@@ -71,7 +70,7 @@
 		name := fmt.Sprintf("hollow-worker-%d", number)
 		server := &http.Server{Handler: &hollowWorker{name: name, model: model}, ReadHeaderTimeout: time.Minute}
 		go func() {
-			// It ends when it is closed.
+			// Serve returns when the server is closed.
 			_ = server.Serve(listener)
 		}()
 		context.AfterFunc(ctx, func() { server.Close() })
