--- a/internal/proptest/proptest.go
+++ b/internal/proptest/proptest.go
@@ -1,5 +1,5 @@
-// Package proptest fixes the seed of property-based tests, so that CI gives the
-// same verdict each time. Another seed and count can be given by environment.
+// Package proptest runs property-based tests with a fixed seed, so that CI gets the same result
+// each time. Environment variables select another seed and number of tests.
 package proptest
 
 import (
@@ -14,13 +14,12 @@
 const (
 	defaultSeed  = 20261202
 	defaultTests = 100
-	// SeedVariable and TestsVariable name the environment variables.
+	// SeedVariable and TestsVariable are the environment variables that override the defaults.
 	SeedVariable  = "SEDGEMAST_PROPERTY_SEED"
 	TestsVariable = "SEDGEMAST_PROPERTY_TESTS"
 )
 
-// Run checks one property of a random source: it must hold for every seed. The
-// seed that fails is printed.
+// Run checks that a property holds for random sources of many seeds. A failing seed is printed.
 func Run(t *testing.T, name string, property func(random *rand.Rand) error) {
 	t.Helper()
 	parameters := gopter.DefaultTestParameters()
