--- a/internal/emulator/answer.go
+++ b/internal/emulator/answer.go
@@ -1,7 +1,6 @@
-// Package emulator holds the stand-ins for the systems that sedgemast serves:
-// the language-model engine, the platform's list of workers and the weight
-// store. The engine's batching is a pure model, which simulations drive in
-// virtual time and the server drives in real time.
+// Package emulator emulates the systems that sedgemast depends on: the language-model engine,
+// the platform's worker list and the weight store. The engine's batching is a pure model:
+// simulations run it in virtual time, the server runs it in real time.
 package emulator
 
 import (
@@ -16,8 +15,8 @@
 	answerTokenRange = 56
 )
 
-// Answer is what an engine generates for a prompt: it depends on the model, the
-// adapter and the prompt alone, so that every answer can be checked whole.
+// Answer is the text that an engine generates for a prompt. It depends only on the model, the
+// adapter and the prompt, so a test can compute the expected text of any answer.
 type Answer struct {
 	seed   uint64
 	length int
@@ -29,14 +28,13 @@
 	return Answer{seed: seed, length: minAnswerTokens + int(seed%answerTokenRange)}
 }
 
-// Token returns the text of the token at the position given.
+// Token returns the text of the token at the given position, counted from 0.
 func (a Answer) Token(position int) string {
 	hash := xxhash.Sum64String(strconv.FormatUint(a.seed, 16) + ":" + strconv.Itoa(position))
 	return "w" + strconv.FormatUint(hash%100_000, 36) + " "
 }
 
-// Length returns the number of tokens generated with the limit given, and why
-// the answer ends there.
+// Length returns the number of tokens generated under the given limit, and the finish reason.
 func (a Answer) Length(maxTokens int) (int, string) {
 	if a.length > maxTokens {
 		return maxTokens, "length"
@@ -44,7 +42,7 @@
 	return a.length, "stop"
 }
 
-// Text returns the whole answer with the limit given.
+// Text returns the complete answer under the given limit of tokens.
 func (a Answer) Text(maxTokens int) string {
 	length, _ := a.Length(maxTokens)
 	var text strings.Builder
--- a/internal/emulator/attempt.go
+++ b/internal/emulator/attempt.go
@@ -7,26 +7,27 @@
 	"github.com/sedgemast/sedgemast/internal/engine"
 )
 
-// attempt keeps the events of one sequence so that readers can begin at any
-// offset, also some time after the end.
+// attempt buffers the events of one sequence, so that a reader can start at any offset, even
+// some time after the sequence has ended.
 type attempt struct {
-	mutex    sync.Mutex
-	sequence *Sequence
-	first    int
-	tokens   []string
-	ended    bool
-	stopped  bool
-	readers  int
-	// idleSince is when the last reader left, or the end of a read attempt.
+	mutex       sync.Mutex
+	sequence    *Sequence
+	firstOffset int
+	tokens      []string
+	ended       bool
+	stopped     bool
+	readers     int
+	// idleSince is when a reader was last added or removed, or when the attempt was created.
 	idleSince time.Time
-	changed   chan struct{}
+	// changed is closed, and replaced, when an event is added or the attempt stops.
+	changed chan struct{}
 }
 
 func newAttempt(sequence *Sequence, now time.Time) *attempt {
-	return &attempt{sequence: sequence, first: sequence.Position, idleSince: now, changed: make(chan struct{})}
+	return &attempt{sequence: sequence, firstOffset: sequence.Position, idleSince: now, changed: make(chan struct{})}
 }
 
-// signal wakes all readers. The mutex must be held.
+// signal wakes all readers. The caller must hold the mutex.
 func (a *attempt) signal() {
 	close(a.changed)
 	a.changed = make(chan struct{})
@@ -52,29 +53,29 @@
 	}
 }
 
-func (a *attempt) addReader(change int, now time.Time) {
+func (a *attempt) addReaders(delta int, now time.Time) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.readers += change
+	a.readers += delta
 	a.idleSince = now
 }
 
-// abandoned reports whether nobody has read the attempt for longer than grace.
+// abandoned reports whether the attempt has had no reader for longer than grace.
 func (a *attempt) abandoned(now time.Time, grace time.Duration) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.readers == 0 && now.Sub(a.idleSince) > grace
 }
 
-// next returns the event at the offset, or a channel that is closed once there
-// may be one.
+// next returns the event at the offset. If there is none yet, it returns nil and a channel that
+// is closed on the next change; the caller then tries again.
 func (a *attempt) next(offset int) (*engine.Event, <-chan struct{}) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	index := offset - a.first
+	index := offset - a.firstOffset
 	switch {
 	case index < 0:
-		return a.failed(engine.CodeUnknownAttempt, "the offset is before the attempt's first token"), nil
+		return a.errorEvent(engine.CodeUnknownAttempt, "the offset is before the attempt's first token"), nil
 	case index < len(a.tokens):
 		return &engine.Event{
 			Type:      engine.EventTokens,
@@ -93,11 +94,11 @@
 			CachedTokens: a.sequence.CachedTokens,
 		}, nil
 	case a.stopped:
-		return a.failed(engine.CodeStopped, "the attempt was cancelled"), nil
+		return a.errorEvent(engine.CodeStopped, "the attempt was cancelled"), nil
 	}
 	return nil, a.changed
 }
 
-func (a *attempt) failed(code, message string) *engine.Event {
+func (a *attempt) errorEvent(code, message string) *engine.Event {
 	return &engine.Event{Type: engine.EventError, AttemptID: a.sequence.ID, Code: code, Message: message}
 }
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -9,7 +9,7 @@
 	"github.com/sedgemast/sedgemast/internal/logging"
 )
 
-// EngineOptions describes an emulated engine.
+// EngineOptions configures an emulated engine.
 type EngineOptions struct {
 	Worker      string
 	Incarnation uint64
@@ -21,18 +21,19 @@
 	// LoadLag is the age of load reports, EventLag that of cache events.
 	LoadLag  time.Duration
 	EventLag time.Duration
-	// ResumeGrace is how long an attempt goes on without a reader, and how
-	// long an ended one can still be read.
+	// ResumeGrace is how long an attempt continues without a reader, and how long an ended
+	// attempt can still be read.
 	ResumeGrace time.Duration
-	// ExitOnPrompt, where it is set, ends the engine by Ended when a prompt that holds it begins.
+	// ExitOnPrompt, if set, makes the engine call OnExit when it starts a prompt that contains
+	// this text.
 	ExitOnPrompt string
 	OnExit       func()
-	// WeightStore is the address of the weight store; empty loads at once.
+	// WeightStore is the address of the weight store. If empty, loading takes no time.
 	WeightStore string
 	Logger      logging.Logger
 }
 
-// Counters count what an engine has done, for checks.
+// Counters are totals since the engine started. Tests read them to check its behavior.
 type Counters struct {
 	Started   uint64 `json:"started"`
 	Ended     uint64 `json:"ended"`
@@ -42,31 +43,31 @@
 	Tokens    uint64 `json:"tokens"`
 }
 
-// loadSample is a load report with the time it was made.
+// loadSample is a load report and the time at which it was taken.
 type loadSample struct {
 	at   time.Time
 	load engine.Load
 }
 
-// Engine drives the model in real time and keeps its attempts.
+// Engine runs the model in real time and buffers the events of its attempts.
 type Engine struct {
 	options  EngineOptions
-	faults   *faultSource
+	faults   *faultInjector
 	mutex    sync.Mutex
 	model    *Model
 	attempts map[string]*attempt
-	// seen holds the ids of every attempt ever started, to refuse a second.
-	seen     map[string]bool
-	models   map[string]bool
-	adapters map[string]bool
-	role     string
-	epoch    uint64
-	leaving  bool
-	counters Counters
-	samples  []loadSample
-	events   []timedCacheEvent
-	copied   uint64
-	wake     chan struct{}
+	// startedIDs holds the ids of all attempts ever started, to reject duplicates.
+	startedIDs map[string]bool
+	models     map[string]bool
+	adapters   map[string]bool
+	role       string
+	epoch      uint64
+	leaving    bool
+	counters   Counters
+	samples    []loadSample
+	events     []timedCacheEvent
+	lastCopied uint64
+	wake       chan struct{}
 }
 
 type timedCacheEvent struct {
@@ -80,15 +81,15 @@
 		options.Logger = logging.Discard()
 	}
 	e := &Engine{
-		options:  options,
-		faults:   newFaultSource(options.Seed, options.Faults),
-		model:    NewModel(options.Capacity),
-		attempts: map[string]*attempt{},
-		seen:     map[string]bool{},
-		models:   map[string]bool{},
-		adapters: map[string]bool{},
-		role:     "mixed",
-		wake:     make(chan struct{}, 1),
+		options:    options,
+		faults:     newFaultInjector(options.Seed, options.Faults),
+		model:      NewModel(options.Capacity),
+		attempts:   map[string]*attempt{},
+		startedIDs: map[string]bool{},
+		models:     map[string]bool{},
+		adapters:   map[string]bool{},
+		role:       "mixed",
+		wake:       make(chan struct{}, 1),
 	}
 	for _, name := range options.Models {
 		e.models[name] = true
@@ -104,7 +105,7 @@
 	maxSamples           = 256
 )
 
-// Run generates until ctx ends.
+// Run generates tokens until ctx is done.
 func (e *Engine) Run(ctx context.Context) {
 	housekeeping := time.NewTicker(housekeepingInterval)
 	defer housekeeping.Stop()
@@ -128,7 +129,8 @@
 	}
 }
 
-// wakeWhenIdle lets a new attempt interrupt the wait of an idle engine only.
+// wakeWhenIdle returns the channel that a new attempt signals if the engine is idle, else nil:
+// a new attempt must not cut the duration of a running step short.
 func (e *Engine) wakeWhenIdle(duration time.Duration) <-chan struct{} {
 	if duration > 0 {
 		return nil
@@ -136,7 +138,8 @@
 	return e.wake
 }
 
-// step performs one step of the model and hands its outputs to the readers.
+// step performs one step of the model, passes its outputs to the readers and returns how long
+// Run waits before the next step: 0 if the engine is idle, a short interval if it is frozen.
 func (e *Engine) step() time.Duration {
 	if e.faults.get().Frozen {
 		return housekeepingInterval
@@ -160,7 +163,8 @@
 	return duration
 }
 
-// housekeep stops abandoned attempts, forgets ended ones and records samples.
+// housekeep stops abandoned attempts, deletes ended attempts that are no longer read, and
+// records a load sample and new cache events.
 func (e *Engine) housekeep(now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -181,17 +185,17 @@
 	e.collectEvents(now)
 }
 
-// collectEvents copies new cache events, losing some where that fault is set.
+// collectEvents copies new cache events and drops some of them if the CacheGap fault is set.
 func (e *Engine) collectEvents(now time.Time) {
-	for _, event := range e.model.cache.after(e.copied) {
-		e.copied = event.Sequence
-		if e.faults.strikes(func(f *Faults) float64 { return f.CacheGap }) {
+	for _, event := range e.model.cache.eventsAfter(e.lastCopied) {
+		e.lastCopied = event.Sequence
+		if e.faults.occurs(func(f *Faults) float64 { return f.CacheGap }) {
 			continue
 		}
 		e.events = append(e.events, timedCacheEvent{at: now, event: event})
 	}
-	if len(e.events) > maxKeptEvents {
-		e.events = append([]timedCacheEvent(nil), e.events[len(e.events)-maxKeptEvents/2:]...)
+	if len(e.events) > maxCacheEvents {
+		e.events = append([]timedCacheEvent(nil), e.events[len(e.events)-maxCacheEvents/2:]...)
 	}
 }
 
@@ -211,14 +215,14 @@
 		Adapters:      sortedSet(e.adapters),
 		Role:          e.role,
 		MeasuredAtMS:  now.UnixMilli(),
-		EventSequence: e.copied,
+		EventSequence: e.lastCopied,
 	}
 }
 
 func (e *Engine) leavingLocked() bool { return e.leaving || e.faults.get().Leaving }
 
-// Load returns the load report of LoadLag ago. What an operator ordered (models,
-// epoch, leaving) is told without lag.
+// Load returns the load as it was LoadLag ago. Models, adapters, role, epoch and leaving, which
+// are set by orders, are reported without lag.
 func (e *Engine) Load(now time.Time) engine.Load {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -234,12 +238,12 @@
 	return current
 }
 
-// Counters returns what the engine has done so far.
+// Counters returns the totals so far.
 func (e *Engine) Counters() Counters {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.counters
 }
 
-// SetFaults changes how the engine misbehaves.
+// SetFaults replaces the faults that the engine injects.
 func (e *Engine) SetFaults(faults Faults) { e.faults.set(faults) }
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -6,63 +6,63 @@
 	"time"
 )
 
-// Faults says how often and how an engine misbehaves. Probabilities are per
-// event of a stream, from 0 to 1.
+// Faults are the faults that an engine injects. Probabilities are per stream event, from 0 to 1.
 type Faults struct {
-	// Delayed delays an event by LateBy.
+	// Delayed delays an event by DelayBy, a Go duration.
 	Delayed float64 `json:"late"`
 	DelayBy string  `json:"late_by"`
-	// Misrouted puts an event of another attempt into the stream.
+	// Misrouted inserts an event of another attempt into the stream.
 	Misrouted float64 `json:"crossed"`
-	// Duplicated repeats an event.
+	// Duplicated sends an event twice.
 	Duplicated float64 `json:"twice"`
-	// Disconnected breaks the connection in mid-stream; the attempt goes on.
+	// Disconnected closes the connection in mid-stream. The attempt continues.
 	Disconnected float64 `json:"cut"`
-	// CacheGap loses a cache event.
+	// CacheGap drops a cache event.
 	CacheGap float64 `json:"cache_gap"`
-	// Frozen makes the engine answer nothing and generate nothing.
+	// Frozen makes the engine stop answering and generating.
 	Frozen bool `json:"frozen"`
-	// Leaving makes the engine refuse new attempts.
+	// Leaving makes the engine reject new attempts.
 	Leaving bool `json:"leaving"`
 }
 
-const defaultLateBy = 50 * time.Millisecond
+const defaultDelay = 50 * time.Millisecond
 
-// lateBy returns the delay of late events.
-func (f *Faults) lateBy() time.Duration {
+// delay returns the delay of delayed events, the default if DelayBy does not parse.
+func (f *Faults) delay() time.Duration {
 	if parsed, err := time.ParseDuration(f.DelayBy); err == nil {
 		return parsed
 	}
-	return defaultLateBy
+	return defaultDelay
 }
 
-// faultSource draws faults from a seed.
-type faultSource struct {
+// faultInjector decides at random, from a seed, when a fault occurs.
+type faultInjector struct {
 	mutex  sync.Mutex
 	random *rand.Rand
 	faults Faults
 }
 
-func newFaultSource(seed uint64, faults Faults) *faultSource {
-	return &faultSource{random: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), faults: faults}
+func newFaultInjector(seed uint64, faults Faults) *faultInjector {
+	return &faultInjector{random: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), faults: faults}
 }
 
-func (s *faultSource) set(faults Faults) {
+func (s *faultInjector) set(faults Faults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.faults = faults
 }
 
-func (s *faultSource) get() Faults {
+func (s *faultInjector) get() Faults {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.faults
 }
 
-// strikes draws whether a fault of the given probability happens.
-func (s *faultSource) strikes(probability func(*Faults) float64) bool {
+// occurs draws whether the fault whose probability is selected occurs. It draws no random number
+// if the probability is 0.
+func (s *faultInjector) occurs(probability func(*Faults) float64) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	wanted := probability(&s.faults)
-	return wanted > 0 && s.random.Float64() < wanted
+	p := probability(&s.faults)
+	return p > 0 && s.random.Float64() < p
 }
--- a/internal/emulator/hosted.go
+++ b/internal/emulator/hosted.go
@@ -14,39 +14,39 @@
 	"github.com/sedgemast/sedgemast/internal/httpheader"
 )
 
-// HostedWorker is a stand-in for a model worker of the users' platform: it
-// answers with events and a seal, takes so many requests at once, and can be told
-// to misbehave.
+// HostedWorker emulates a model worker of the users' platform. It answers with a stream of events
+// and a seal header, runs up to Slots requests at once, and injects faults on demand.
 type HostedWorker struct {
 	ID    string
 	Slots int
 	// EventInterval is the time between two events.
 	EventInterval time.Duration
-	// HeaderNames are the headers that it knows; those of the users' platform unless
-	// they are set before the first request.
+	// HeaderNames are the names of the headers that the worker reads and sends. The default is
+	// those of the users' platform; set it before the first request.
 	HeaderNames *httpheader.Names
-	// KeepID is set where the worker comes back under its ID after an end; it must be set
-	// before the first request. Otherwise each life has another one.
+	// KeepID makes the worker keep its ID when it restarts; set it before the first request.
+	// Otherwise each incarnation has its own id.
 	KeepID bool
 
 	server *httptest.Server
 	mutex  sync.Mutex
-	// ends counts the times that the worker has ended, incarnation those that it has
-	// come back; down is set in between.
-	ends        int
+	// exits counts the worker's exits, incarnation its restarts. down is set between an exit
+	// and the restart.
+	exits       int
 	incarnation int
-	// born is when the present life began.
-	born    time.Time
-	down    bool
-	closed  bool
-	running int
-	seen    []HostedRequest
-	behave  func(request *HostedRequest) HostedFault
-	leaving bool
-	left    int
+	// startedAt is when the current incarnation started.
+	startedAt time.Time
+	down      bool
+	closed    bool
+	running   int
+	requests  []HostedRequest
+	// faultFor chooses the fault of a request; nil injects none.
+	faultFor    func(request *HostedRequest) HostedFault
+	draining    bool
+	disconnects int
 }
 
-// HostedRequest is a request as the worker got it.
+// HostedRequest is a request as the worker received it.
 type HostedRequest struct {
 	ID          string
 	Method      string
@@ -57,32 +57,31 @@
 	Header      http.Header
 }
 
-// HostedFault says how the worker misbehaves at a request.
+// HostedFault is the fault that the worker injects into a request. The zero value is none.
 type HostedFault struct {
-	// NotRun refuses it.
+	// NotRun rejects the request without running it.
 	NotRun bool
-	// Status, where it is set, answers with it.
+	// Status, if not 0, is the status of the answer, which then has no body.
 	Status int
-	// BreakAfter, where it is set, breaks the connection after so many events.
+	// BreakAfter, if not 0, is the number of events after which the connection is closed.
 	BreakAfter int
-	// Hang sends nothing until the caller has left.
+	// Hang sends nothing until the caller disconnects.
 	Hang bool
-	// ExitAfter, where it is set, ends the worker under the request after so long; Back is
-	// after which time it is back at the same address.
+	// ExitAfter, if not 0, makes the worker exit this long after the request began.
+	// RestartAfter is the time from the exit to the restart at the same address.
 	ExitAfter    time.Duration
 	RestartAfter time.Duration
 }
 
-// NewHostedWorker starts a worker; Close ends it.
-func NewHostedWorker(id string, slots int, pause time.Duration) *HostedWorker {
-	w := &HostedWorker{ID: id, Slots: slots, EventInterval: pause, HeaderNames: platformNames(), born: time.Now()}
+// NewHostedWorker starts a worker that sends an event every eventInterval. Close stops it.
+func NewHostedWorker(id string, slots int, eventInterval time.Duration) *HostedWorker {
+	w := &HostedWorker{ID: id, Slots: slots, EventInterval: eventInterval, HeaderNames: platformHeaderNames(), startedAt: time.Now()}
 	w.server = httptest.NewServer(http.HandlerFunc(w.serve))
 	return w
 }
 
-// platformNames are the names of the users' platform, as far as the stand-in
-// knows them.
-func platformNames() *httpheader.Names {
+// platformHeaderNames returns the header names of the users' platform that the emulator uses.
+func platformHeaderNames() *httpheader.Names {
 	return &httpheader.Names{
 		RequestID:    "Request-Id",
 		ExpectWorker: "Expect-Instance",
@@ -93,7 +92,7 @@
 	}
 }
 
-// Close ends the worker for good.
+// Close stops the worker. It does not restart.
 func (w *HostedWorker) Close() {
 	w.mutex.Lock()
 	w.closed = true
@@ -109,61 +108,62 @@
 	return w.server.Listener.Addr().String()
 }
 
-// InjectFaults sets how the worker misbehaves; nil means that it does not.
-func (w *HostedWorker) InjectFaults(behave func(request *HostedRequest) HostedFault) {
+// InjectFaults sets the function that chooses the fault of each request; nil injects none.
+func (w *HostedWorker) InjectFaults(faultFor func(request *HostedRequest) HostedFault) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.behave = behave
+	w.faultFor = faultFor
 }
 
-// Drain lists the worker as draining.
+// Drain makes the list report the worker as draining.
 func (w *HostedWorker) Drain() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.leaving = true
+	w.draining = true
 }
 
 // Requests returns the requests that the worker ran.
 func (w *HostedWorker) Requests() []HostedRequest {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return append([]HostedRequest(nil), w.seen...)
+	return append([]HostedRequest(nil), w.requests...)
 }
 
-// Disconnects returns how many callers left before their answer was whole.
+// Disconnects returns the number of callers that disconnected before their answer was complete.
 func (w *HostedWorker) Disconnects() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.left
+	return w.disconnects
 }
 
-func (w *HostedWorker) callerLeft() {
+func (w *HostedWorker) recordDisconnect() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.left++
+	w.disconnects++
 }
 
-// admit takes a request in and returns how the worker misbehaves at it.
+// admit chooses the fault of a request, and records the request and takes a slot unless it is
+// rejected.
 func (w *HostedWorker) admit(request *HostedRequest) HostedFault {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	fault := HostedFault{}
-	if w.behave != nil {
-		fault = w.behave(request)
+	if w.faultFor != nil {
+		fault = w.faultFor(request)
 	}
 	if w.running >= w.Slots {
 		fault.NotRun = true
 	}
 	if !fault.NotRun {
 		w.running++
-		w.seen = append(w.seen, *request)
+		w.requests = append(w.requests, *request)
 	}
 	return fault
 }
 
 func (w *HostedWorker) serve(writer http.ResponseWriter, httpRequest *http.Request) {
-	if httpRequest.URL.Path == hostedReport {
-		w.report(writer)
+	if httpRequest.URL.Path == hostedReportPath {
+		w.serveReport(writer)
 		return
 	}
 	header := httpRequest.Header
@@ -177,14 +177,14 @@
 	if err != nil {
 		return
 	}
-	last, _ := strconv.Atoi(header.Get(w.HeaderNames.LastEvent))
+	lastEventID, _ := strconv.Atoi(header.Get(w.HeaderNames.LastEvent))
 	request := &HostedRequest{
 		ID:          header.Get(w.HeaderNames.RequestID),
 		Method:      httpRequest.Method,
 		Target:      httpRequest.RequestURI,
 		Host:        httpRequest.Host,
 		Body:        string(body),
-		LastEventID: last,
+		LastEventID: lastEventID,
 		Header:      header.Clone(),
 	}
 	fault := w.admit(request)
@@ -194,7 +194,7 @@
 		return
 	}
 	defer w.release()
-	writer.Header().Set(w.HeaderNames.Load, w.load())
+	writer.Header().Set(w.HeaderNames.Load, w.loadHeader())
 	writer.Header().Set("Server-Seal", w.ID+"."+request.ID)
 	if fault.Status != 0 {
 		writer.WriteHeader(fault.Status)
@@ -202,28 +202,28 @@
 	}
 	if fault.ExitAfter > 0 {
 		time.Sleep(fault.ExitAfter)
-		w.end(fault.RestartAfter)
+		w.exit(fault.RestartAfter)
 		panic(http.ErrAbortHandler)
 	}
 	if fault.Hang {
 		<-httpRequest.Context().Done()
-		w.callerLeft()
+		w.recordDisconnect()
 		return
 	}
 	w.stream(writer, httpRequest, request, fault)
 }
 
-// hostedReport is the path of what a worker says of itself.
-const hostedReport = "/-/report"
+// hostedReportPath is the path of a worker's report on itself.
+const hostedReportPath = "/-/report"
 
-// report tells when the present life began.
-func (w *HostedWorker) report(writer http.ResponseWriter) {
+// serveReport answers with the start time of the current incarnation.
+func (w *HostedWorker) serveReport(writer http.ResponseWriter) {
 	w.mutex.Lock()
-	born := w.born.UnixMilli()
+	startedAt := w.startedAt.UnixMilli()
 	w.mutex.Unlock()
 	writer.Header().Set("Content-Type", "application/json")
-	// A failed write means that the reader has gone.
-	_, _ = fmt.Fprintf(writer, `{"stage":"mixed","running":0,"born":%d}`, born)
+	// A failed write means that the caller disconnected.
+	_, _ = fmt.Fprintf(writer, `{"stage":"mixed","running":0,"born":%d}`, startedAt)
 }
 
 func (w *HostedWorker) release() {
@@ -232,27 +232,27 @@
 	w.running--
 }
 
-// load returns what the worker tells of itself.
-func (w *HostedWorker) load() string {
+// loadHeader returns the value of the loadHeader header: running, waiting and total slots.
+func (w *HostedWorker) loadHeader() string {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return fmt.Sprintf("%d,0,%d", w.running, w.Slots)
 }
 
-// HostedEvent returns the data of a request's event, so that a test can tell
-// what the whole text must be.
+// HostedEvent returns the data of a request's event, from which a test computes the expected
+// text.
 func HostedEvent(id string, number int) string { return fmt.Sprintf("%s-%d", id, number) }
 
-// stream sends the events after the last one that the caller has.
+// stream sends the events that follow the last one that the caller received.
 func (w *HostedWorker) stream(writer http.ResponseWriter, httpRequest *http.Request, request *HostedRequest, fault HostedFault) {
 	writer.Header().Set("Content-Type", "text/event-stream")
-	_, out, _ := strings.Cut(request.Header.Get(w.HeaderNames.Tokens), ",")
-	count, _ := strconv.Atoi(out)
+	_, outputTokens, _ := strings.Cut(request.Header.Get(w.HeaderNames.Tokens), ",")
+	count, _ := strconv.Atoi(outputTokens)
 	flusher, _ := writer.(http.Flusher)
 	for sent, number := 0, request.LastEventID+1; number <= count; number++ {
 		select {
 		case <-httpRequest.Context().Done():
-			w.callerLeft()
+			w.recordDisconnect()
 			return
 		case <-time.After(w.EventInterval):
 		}
@@ -269,7 +269,7 @@
 	}
 }
 
-// HostedList is a stand-in for the platform's list of workers, in pages.
+// HostedList emulates the platform's paginated worker list.
 type HostedList struct {
 	server  *httptest.Server
 	service string
@@ -277,20 +277,20 @@
 	workers []*HostedWorker
 }
 
-// NewHostedList starts a list of workers of one service; Close ends it.
+// NewHostedList starts a list of the workers of one service. Close stops it.
 func NewHostedList(service string, workers ...*HostedWorker) *HostedList {
 	l := &HostedList{service: service, workers: workers}
 	l.server = httptest.NewServer(http.HandlerFunc(l.serve))
 	return l
 }
 
-// Close ends the list.
+// Close stops the list.
 func (l *HostedList) Close() { l.server.Close() }
 
 // Address returns the list's IP:port.
 func (l *HostedList) Address() string { return l.server.Listener.Addr().String() }
 
-// hostedPageRows is how many rows a page has: few, so that there are several.
+// hostedPageRows is the number of rows of a page. It is small so that a list has several pages.
 const hostedPageRows = 2
 
 // hostedRow is one row of the list.
@@ -303,7 +303,7 @@
 	State   string `json:"state"`
 }
 
-// hostedPage is one answer of the list.
+// hostedPage is one page of the list.
 type hostedPage struct {
 	Instances []hostedRow `json:"instances"`
 	NextToken *string     `json:"nextToken"`
@@ -318,7 +318,7 @@
 		worker := l.workers[i]
 		worker.mutex.Lock()
 		state := "ready"
-		if worker.leaving {
+		if worker.draining {
 			state = "draining"
 		}
 		worker.mutex.Unlock()
@@ -329,6 +329,6 @@
 		page.NextToken = &token
 	}
 	writer.Header().Set("Content-Type", "application/json")
-	// A failed write means that the reader has gone.
+	// A failed write means that the caller disconnected.
 	_ = json.NewEncoder(writer).Encode(page)
 }
--- a/internal/emulator/hosted_end.go
+++ b/internal/emulator/hosted_end.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Incarnation returns the id of the worker's present life: its ID at first, and another
-// one each time it is back, unless it keeps it.
+// Incarnation returns the id of the worker's current incarnation: ID until the first restart,
+// then a new id after each restart, or always ID if KeepID is set.
 func (w *HostedWorker) Incarnation() string {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -19,16 +19,16 @@
 	return fmt.Sprintf("%s.%d", w.ID, w.incarnation)
 }
 
-// Exits returns how often the worker has ended.
+// Exits returns the number of times that the worker has exited.
 func (w *HostedWorker) Exits() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.ends
+	return w.exits
 }
 
-// end ends the worker, whatever runs on it, as a crash does: its connections close and
-// nobody listens. It is back after a while.
-func (w *HostedWorker) end(back time.Duration) {
+// exit emulates a crash: it closes all connections, whatever runs on them, and the listener. The
+// worker restarts after restartAfter.
+func (w *HostedWorker) exit(restartAfter time.Duration) {
 	w.mutex.Lock()
 	server := w.server
 	address := server.Listener.Addr().String()
@@ -36,16 +36,17 @@
 		w.mutex.Unlock()
 		return
 	}
-	w.ends++
+	w.exits++
 	w.down = true
 	w.mutex.Unlock()
-	// It waits for nobody; what it can't close is closed already.
+	// Close does not wait for running requests; an error means that a connection or the
+	// listener was closed already.
 	_ = server.Config.Close()
-	time.AfterFunc(back, func() { w.comeBack(address) })
+	time.AfterFunc(restartAfter, func() { w.restart(address) })
 }
 
-// comeBack listens at the address again, unless the worker was closed meanwhile.
-func (w *HostedWorker) comeBack(address string) {
+// restart listens at the address again, unless the worker was closed in the meantime.
+func (w *HostedWorker) restart(address string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.closed {
@@ -53,7 +54,7 @@
 	}
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		// The port is taken: the stand-in stays away, as a worker may.
+		// Another process uses the port. The worker stays down, as a real one may.
 		return
 	}
 	next := httptest.NewUnstartedServer(http.HandlerFunc(w.serve))
@@ -62,6 +63,6 @@
 	next.Start()
 	w.server = next
 	w.incarnation++
-	w.born = time.Now()
+	w.startedAt = time.Now()
 	w.down = false
 }
--- a/internal/emulator/orders.go
+++ b/internal/emulator/orders.go
@@ -12,19 +12,19 @@
 	"github.com/sedgemast/sedgemast/internal/logging"
 )
 
-// start begins an attempt unless it must be refused.
+// start starts an attempt, or returns why it is rejected.
 func (e *Engine) start(request *engine.GenerateRequest) (*attempt, *engine.ErrorBody) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if refusal := e.refusalLocked(request); refusal != nil {
+	if rejection := e.rejectionLocked(request); rejection != nil {
 		e.counters.Refused++
-		return nil, refusal
+		return nil, rejection
 	}
 	sequence := NewSequence(request)
 	started := newAttempt(sequence, time.Now())
 	e.model.Add(sequence)
 	e.attempts[request.AttemptID] = started
-	e.seen[request.AttemptID] = true
+	e.startedIDs[request.AttemptID] = true
 	e.counters.Started++
 	logging.Info(e.options.Logger, "attempt_started", "attempt", request.AttemptID, "epoch", request.Epoch)
 	select {
@@ -34,33 +34,33 @@
 	return started, nil
 }
 
-func (e *Engine) refusalLocked(request *engine.GenerateRequest) *engine.ErrorBody {
+func (e *Engine) rejectionLocked(request *engine.GenerateRequest) *engine.ErrorBody {
 	switch {
 	case request.AttemptID == "" || request.MaxTokens <= 0 || request.ContinueTokens < 0:
-		return refuse(engine.CodeInvalid, "attempt_id and max_tokens must be set")
+		return newError(engine.CodeInvalid, "attempt_id and max_tokens must be set")
 	case request.Epoch < e.epoch:
-		refusal := refuse(engine.CodeStaleEpoch, fmt.Sprintf("epoch %d is below %d", request.Epoch, e.epoch))
-		refusal.Epoch = e.epoch
-		return refusal
+		rejection := newError(engine.CodeStaleEpoch, fmt.Sprintf("epoch %d is below %d", request.Epoch, e.epoch))
+		rejection.Epoch = e.epoch
+		return rejection
 	case e.leavingLocked():
-		return refuse(engine.CodeLeaving, "the engine is leaving")
+		return newError(engine.CodeLeaving, "the engine is leaving")
 	case !e.models[request.Model]:
-		return refuse(engine.CodeUnknownModel, fmt.Sprintf("model %q is not loaded", request.Model))
+		return newError(engine.CodeUnknownModel, fmt.Sprintf("model %q is not loaded", request.Model))
 	case request.Adapter != "" && !e.adapters[request.Adapter]:
-		return refuse(engine.CodeUnknownModel, fmt.Sprintf("adapter %q is not loaded", request.Adapter))
-	case e.seen[request.AttemptID]:
-		return refuse(engine.CodeDuplicateAttempt, "the attempt was started before")
+		return newError(engine.CodeUnknownModel, fmt.Sprintf("adapter %q is not loaded", request.Adapter))
+	case e.startedIDs[request.AttemptID]:
+		return newError(engine.CodeDuplicateAttempt, "the attempt was started before")
 	case e.model.Waiting() >= e.options.Capacity.Slots:
-		return refuse(engine.CodeSaturated, "too many attempts wait")
+		return newError(engine.CodeSaturated, "too many attempts wait")
 	}
 	return nil
 }
 
-func refuse(code, message string) *engine.ErrorBody {
+func newError(code, message string) *engine.ErrorBody {
 	return &engine.ErrorBody{Code: code, Message: message}
 }
 
-// cancel stops an attempt.
+// cancel stops an attempt if it is still running.
 func (e *Engine) cancel(id string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -72,15 +72,15 @@
 	}
 }
 
-// order executes a fenced order. Loads run through the weight store and finish
-// some time after the order was taken.
-func (e *Engine) order(request *engine.Order) *engine.ErrorBody {
+// executeOrder executes an executeOrder unless its epoch is stale. Loading reads from the weight store and
+// finishes some time after the executeOrder was accepted.
+func (e *Engine) executeOrder(request *engine.Order) *engine.ErrorBody {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if request.Epoch < e.epoch {
-		refusal := refuse(engine.CodeStaleEpoch, fmt.Sprintf("epoch %d is below %d", request.Epoch, e.epoch))
-		refusal.Epoch = e.epoch
-		return refusal
+		rejection := newError(engine.CodeStaleEpoch, fmt.Sprintf("epoch %d is below %d", request.Epoch, e.epoch))
+		rejection.Epoch = e.epoch
+		return rejection
 	}
 	e.epoch = request.Epoch
 	switch request.Kind {
@@ -96,14 +96,15 @@
 	case engine.OrderLoadAdapter:
 		go e.load(request.Name, e.adapters)
 	default:
-		return refuse(engine.CodeInvalid, fmt.Sprintf("%q is not an order", request.Kind))
+		return newError(engine.CodeInvalid, fmt.Sprintf("%q is not an order", request.Kind))
 	}
 	return nil
 }
 
 const weightTimeout = 10 * time.Minute
 
-// load reads the weights from the store and then adds the name to the set.
+// load reads the weights from the store and then adds the name to the set. If the read fails,
+// the name is not added.
 func (e *Engine) load(name string, into map[string]bool) {
 	if e.options.WeightStore != "" {
 		if err := fetchWeights(e.options.WeightStore, name); err != nil {
--- a/internal/emulator/platform.go
+++ b/internal/emulator/platform.go
@@ -15,12 +15,12 @@
 
 const weightChunkBytes = 64 << 10
 
-// Platform is the emulated list of workers, which lags, and the weight store,
-// whose total rate is limited.
+// Platform emulates the worker list, which lags behind changes, and the weight store, whose total
+// rate is limited.
 type Platform struct {
 	lag time.Duration
-	// weightRate is in bytes a second over all readers, weightBytes the size
-	// of one set of weights.
+	// weightRate is the limit in bytes per second over all readers, 0 for none. weightBytes is
+	// the size of one set of weights.
 	weightRate  int
 	weightBytes int
 	mutex       sync.Mutex
@@ -33,7 +33,7 @@
 	workers []workerlist.Worker
 }
 
-// NewPlatform returns a platform whose list is lag old.
+// NewPlatform returns a platform whose list shows each change after lag.
 func NewPlatform(lag time.Duration, weightBytesPerSecond, weightBytes int) *Platform {
 	return &Platform{lag: lag, weightRate: weightBytesPerSecond, weightBytes: weightBytes}
 }
@@ -50,7 +50,7 @@
 	}
 }
 
-// WorkersAt returns the list as it is seen at now. The first version shows at once.
+// WorkersAt returns the list that a caller sees at now. The first version has no lag.
 func (p *Platform) WorkersAt(now time.Time) []workerlist.Worker {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -65,13 +65,13 @@
 	return p.history[0].workers
 }
 
-// Register adds the platform's protocol to a server.
+// Register adds the platform's handlers to a router.
 func (p *Platform) Register(router rpc.Router) {
 	router.HandleFunc(workerlist.PathWorkers, p.handleWorkers)
 	router.HandleFunc(PathWeights+"{name}", p.handleWeights)
 }
 
-// handleWorkers answers the list (GET) or replaces it (PUT, emulator only).
+// handleWorkers returns the list (GET) or replaces it (PUT, which only the emulator supports).
 func (p *Platform) handleWorkers(writer http.ResponseWriter, request *http.Request) {
 	if request.Method == http.MethodPut {
 		var list workerlist.List
@@ -84,7 +84,7 @@
 	writeJSON(writer, workerlist.List{Workers: p.WorkersAt(time.Now())})
 }
 
-// handleWeights streams weights; all readers share one rate.
+// handleWeights streams weights. All readers share the rate limit.
 func (p *Platform) handleWeights(writer http.ResponseWriter, request *http.Request) {
 	if strings.TrimPrefix(request.URL.Path, PathWeights) == "" {
 		http.NotFound(writer, request)
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -11,7 +11,7 @@
 	"github.com/sedgemast/sedgemast/internal/rpc"
 )
 
-// Paths of the emulator's own switches, which no real engine has.
+// Paths of the emulator's own controls, which a real engine does not have.
 const (
 	PathFaults   = "/emulator/faults"
 	PathCounters = "/emulator/counters"
@@ -19,21 +19,21 @@
 
 const maxRequestBytes = 16 << 20
 
-// Register adds the engine's protocol to a server.
+// Register adds the engine's handlers to a router.
 func (e *Engine) Register(router rpc.Router) {
-	router.HandleFunc(engine.PathGenerate, e.unfrozen(e.handleGenerate))
-	router.HandleFunc(engine.PathStreams, e.unfrozen(e.handleResume))
-	router.HandleFunc(engine.PathCancel, e.unfrozen(e.handleCancel))
-	router.HandleFunc(engine.PathLoad, e.unfrozen(e.handleLoad))
-	router.HandleFunc(engine.PathOrders, e.unfrozen(e.handleOrder))
-	router.HandleFunc(engine.PathEvents, e.unfrozen(e.handleEvents))
-	router.HandleFunc(engine.PathCache, e.unfrozen(e.handleCache))
+	router.HandleFunc(engine.PathGenerate, e.waitWhileFrozen(e.handleGenerate))
+	router.HandleFunc(engine.PathStreams, e.waitWhileFrozen(e.handleResume))
+	router.HandleFunc(engine.PathCancel, e.waitWhileFrozen(e.handleCancel))
+	router.HandleFunc(engine.PathLoad, e.waitWhileFrozen(e.handleLoad))
+	router.HandleFunc(engine.PathOrders, e.waitWhileFrozen(e.handleOrder))
+	router.HandleFunc(engine.PathEvents, e.waitWhileFrozen(e.handleEvents))
+	router.HandleFunc(engine.PathCache, e.waitWhileFrozen(e.handleCache))
 	router.HandleFunc(PathFaults, e.handleFaults)
 	router.HandleFunc(PathCounters, e.handleCounters)
 }
 
-// unfrozen holds a call for as long as the engine is frozen.
-func (e *Engine) unfrozen(handler http.HandlerFunc) http.HandlerFunc {
+// waitWhileFrozen delays each call until the engine is not frozen.
+func (e *Engine) waitWhileFrozen(handler http.HandlerFunc) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		for e.faults.get().Frozen {
 			select {
@@ -51,9 +51,9 @@
 	if !readJSON(writer, request, &body) {
 		return
 	}
-	started, refusal := e.start(&body)
-	if refusal != nil {
-		writeRefusal(writer, refusal)
+	started, rejection := e.start(&body)
+	if rejection != nil {
+		writeError(writer, rejection)
 		return
 	}
 	if e.options.ExitOnPrompt != "" && strings.Contains(body.Prompt, e.options.ExitOnPrompt) {
@@ -66,29 +66,30 @@
 func (e *Engine) handleResume(writer http.ResponseWriter, request *http.Request) {
 	offset, err := strconv.Atoi(request.URL.Query().Get("offset"))
 	if err != nil || offset < 0 {
-		writeRefusal(writer, refuse(engine.CodeInvalid, "offset must be a number"))
+		writeError(writer, newError(engine.CodeInvalid, "offset must be a number"))
 		return
 	}
 	e.mutex.Lock()
 	found := e.attempts[request.URL.Query().Get("attempt_id")]
 	e.mutex.Unlock()
 	if found == nil {
-		writeRefusal(writer, refuse(engine.CodeUnknownAttempt, "the attempt is not known"))
+		writeError(writer, newError(engine.CodeUnknownAttempt, "the attempt is not known"))
 		return
 	}
 	e.stream(writer, request, found, offset)
 }
 
-// stream sends an attempt's events from the offset until its end.
-func (e *Engine) stream(writer http.ResponseWriter, request *http.Request, from *attempt, offset int) {
-	from.addReader(1, time.Now())
-	defer func() { from.addReader(-1, time.Now()) }()
+// stream sends an attempt's events from the offset on until the attempt ends or the caller
+// disconnects.
+func (e *Engine) stream(writer http.ResponseWriter, request *http.Request, source *attempt, offset int) {
+	source.addReaders(1, time.Now())
+	defer func() { source.addReaders(-1, time.Now()) }()
 	writer.Header().Set("Content-Type", "text/event-stream")
 	writer.WriteHeader(http.StatusOK)
 	sender := &eventSender{writer: writer, faults: e.faults}
 	sender.flush()
 	for {
-		event, wait := from.next(offset)
+		event, wait := source.next(offset)
 		if event == nil {
 			select {
 			case <-wait:
@@ -121,8 +122,8 @@
 	if !readJSON(writer, request, &body) {
 		return
 	}
-	if refusal := e.order(&body); refusal != nil {
-		writeRefusal(writer, refusal)
+	if rejection := e.executeOrder(&body); rejection != nil {
+		writeError(writer, rejection)
 		return
 	}
 	writeJSON(writer, struct{}{})
@@ -131,7 +132,7 @@
 func (e *Engine) handleEvents(writer http.ResponseWriter, request *http.Request) {
 	after, err := strconv.ParseUint(request.URL.Query().Get("after"), 10, 64)
 	if err != nil {
-		writeRefusal(writer, refuse(engine.CodeInvalid, "after must be a number"))
+		writeError(writer, newError(engine.CodeInvalid, "after must be a number"))
 		return
 	}
 	now := time.Now()
@@ -185,7 +186,7 @@
 func readJSON(writer http.ResponseWriter, request *http.Request, target any) bool {
 	decoder := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maxRequestBytes))
 	if err := decoder.Decode(target); err != nil {
-		writeRefusal(writer, refuse(engine.CodeInvalid, err.Error()))
+		writeError(writer, newError(engine.CodeInvalid, err.Error()))
 		return false
 	}
 	return true
@@ -193,20 +194,20 @@
 
 func writeJSON(writer http.ResponseWriter, value any) {
 	writer.Header().Set("Content-Type", "application/json")
-	// A failed write means that the client has gone.
+	// A failed write means that the client disconnected.
 	_ = json.NewEncoder(writer).Encode(value)
 }
 
-func writeRefusal(writer http.ResponseWriter, refusal *engine.ErrorBody) {
+func writeError(writer http.ResponseWriter, body *engine.ErrorBody) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(http.StatusConflict)
-	_ = json.NewEncoder(writer).Encode(refusal)
+	_ = json.NewEncoder(writer).Encode(body)
 }
 
-// eventSender writes server-sent events, with faults.
+// eventSender writes server-sent events and injects faults.
 type eventSender struct {
 	writer http.ResponseWriter
-	faults *faultSource
+	faults *faultInjector
 }
 
 func (s *eventSender) flush() {
@@ -215,23 +216,23 @@
 	}
 }
 
-// send writes an event and reports whether the stream goes on.
+// send writes an event and reports whether the stream continues.
 func (s *eventSender) send(event *engine.Event) bool {
-	if s.faults.strikes(func(f *Faults) float64 { return f.Disconnected }) {
+	if s.faults.occurs(func(f *Faults) float64 { return f.Disconnected }) {
 		panic(http.ErrAbortHandler)
 	}
-	if s.faults.strikes(func(f *Faults) float64 { return f.Delayed }) {
+	if s.faults.occurs(func(f *Faults) float64 { return f.Delayed }) {
 		faults := s.faults.get()
-		time.Sleep(faults.lateBy())
+		time.Sleep(faults.delay())
 	}
-	if s.faults.strikes(func(f *Faults) float64 { return f.Misrouted }) {
-		crossed := *event
-		crossed.AttemptID = "another-attempt"
-		crossed.Text = "crossed "
-		s.write(&crossed)
+	if s.faults.occurs(func(f *Faults) float64 { return f.Misrouted }) {
+		misrouted := *event
+		misrouted.AttemptID = "another-attempt"
+		misrouted.Text = "crossed "
+		s.write(&misrouted)
 	}
-	repeat := s.faults.strikes(func(f *Faults) float64 { return f.Duplicated })
-	if repeat {
+	duplicate := s.faults.occurs(func(f *Faults) float64 { return f.Duplicated })
+	if duplicate {
 		s.write(event)
 	}
 	return s.write(event)
