--- a/test/bad_input_test.go
+++ b/test/bad_input_test.go
@@ -22,14 +22,15 @@
 	"github.com/sedgemast/sedgemast/internal/settings"
 )
 
-// embedded starts a small fleet in this process and configures it.
-func embedded(t testing.TB, ctx context.Context) (*fleet.Fleet, string, string) {
+// startEmbedded starts a fleet with one engine in this process and configures it. It returns the
+// fleet, the operator's key and the tenant's key.
+func startEmbedded(t testing.TB, ctx context.Context) (*fleet.Fleet, string, string) {
 	t.Helper()
-	return embeddedOf(t, ctx, fleet.Options{Engines: 1})
+	return startEmbeddedWith(t, ctx, fleet.Options{Engines: 1})
 }
 
-// embeddedOf does the same with some of the options given.
-func embeddedOf(t testing.TB, ctx context.Context, options fleet.Options) (*fleet.Fleet, string, string) {
+// startEmbeddedWith is startEmbedded with the given options; it sets the others itself.
+func startEmbeddedWith(t testing.TB, ctx context.Context, options fleet.Options) (*fleet.Fleet, string, string) {
 	t.Helper()
 	operatorKey, tenantKey := "operator-secret", "tenant-secret"
 	options.Gateways, options.Dispatchers = 1, 1
@@ -59,7 +60,7 @@
 	return started, operatorKey, tenantKey
 }
 
-// badRequest is a wrong HTTP request and the kind of its answer.
+// badRequest is an invalid HTTP request and the kind of error that it must get.
 type badRequest struct {
 	name   string
 	method string
@@ -68,7 +69,7 @@
 	header map[string]string
 	body   string
 	want   failure.Kind
-	// field must stand in the answer's message.
+	// field must occur in the answer's message or parameter.
 	field string
 }
 
@@ -140,37 +141,37 @@
 	}
 }
 
-// TestBadRequests sends wrong requests: each gets its typed error, and the
-// configuration and the list of jobs stay as they were.
+// TestBadRequests sends invalid requests. Each must get its typed error with a remedy, and the
+// configuration and the list of jobs must not change.
 func TestBadRequests(t *testing.T) {
 	ctx := testContext(t)
-	started, operatorKey, tenantKey := embedded(t, ctx)
+	started, operatorKey, tenantKey := startEmbedded(t, ctx)
 	address := started.Gateways[0].Address()
 	for _, bad := range badRequests(operatorKey, tenantKey) {
 		t.Run(bad.name, func(t *testing.T) {
-			told := sendBad(t, ctx, address, bad)
-			if told.Type != bad.want.String() {
-				t.Errorf("got kind %q (%s), want %q", told.Type, told.Message, bad.want)
+			detail := sendBadRequest(t, ctx, address, bad)
+			if detail.Type != bad.want.String() {
+				t.Errorf("got kind %q (%s), want %q", detail.Type, detail.Message, bad.want)
 			}
-			if !strings.Contains(told.Message+told.Param, bad.field) {
-				t.Errorf("message %q does not name %q", told.Message, bad.field)
+			if !strings.Contains(detail.Message+detail.Param, bad.field) {
+				t.Errorf("message %q does not contain %q", detail.Message, bad.field)
 			}
-			if told.Remedy == "" {
-				t.Errorf("message %q has no remedy", told.Message)
+			if detail.Remedy == "" {
+				t.Errorf("message %q has no remedy", detail.Message)
 			}
 		})
 	}
 	status, err := operator.NewClient(address, operatorKey).Status(ctx)
 	if err != nil || status.ConfigRevision != 1 {
-		t.Errorf("the revision is %v after wrong requests (%v)", status, err)
+		t.Errorf("status after invalid requests: %v (%v), want revision 1", status, err)
 	}
 	jobs, err := operator.NewClient(address, operatorKey).Jobs(ctx, "", 10)
 	if err != nil || len(jobs.Jobs) != 0 {
-		t.Errorf("there are jobs after wrong requests: %v (%v)", jobs, err)
+		t.Errorf("jobs after invalid requests: %v (%v), want none", jobs, err)
 	}
 }
 
-func sendBad(t *testing.T, ctx context.Context, address string, bad badRequest) failure.Detail {
+func sendBadRequest(t *testing.T, ctx context.Context, address string, bad badRequest) failure.Detail {
 	t.Helper()
 	request, err := http.NewRequestWithContext(ctx, bad.method, "http://"+address+bad.path, strings.NewReader(bad.body))
 	if err != nil {
@@ -182,10 +183,10 @@
 	for name, value := range bad.header {
 		request.Header.Set(name, value)
 	}
-	return readDetail(t, request, bad.want)
+	return readErrorDetail(t, request, bad.want)
 }
 
-func readDetail(t *testing.T, request *http.Request, want failure.Kind) failure.Detail {
+func readErrorDetail(t *testing.T, request *http.Request, want failure.Kind) failure.Detail {
 	t.Helper()
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
@@ -195,17 +196,18 @@
 	if response.StatusCode != want.HTTPStatus() {
 		t.Errorf("got status %d, want %d", response.StatusCode, want.HTTPStatus())
 	}
-	var told failure.Body
-	if err := json.NewDecoder(response.Body).Decode(&told); err != nil {
+	var body failure.Body
+	if err := json.NewDecoder(response.Body).Decode(&body); err != nil {
 		t.Fatal(err)
 	}
-	return told.Error
+	return body.Error
 }
 
-// TestBadFiles uploads wrong files; each answer names the line.
+// TestBadFiles uploads invalid files. Each error must name the invalid field, and the line if it
+// is in one.
 func TestBadFiles(t *testing.T) {
 	ctx := testContext(t)
-	started, _, tenantKey := embedded(t, ctx)
+	started, _, tenantKey := startEmbedded(t, ctx)
 	good := `{"custom_id":"a","method":"POST","url":"/v1/chat/completions","body":{"model":"heron-8b","messages":[{"role":"user","content":"x"}]}}`
 	cases := []struct {
 		name, purpose, content, field string
@@ -242,15 +244,15 @@
 			}
 			request.Header.Set("Authorization", "Bearer "+tenantKey)
 			request.Header.Set("Content-Type", form.FormDataContentType())
-			told := readDetail(t, request, failure.BadRequest)
-			if told.Param != bad.field {
-				t.Errorf("the answer names %q, want %q", told.Param, bad.field)
+			detail := readErrorDetail(t, request, failure.BadRequest)
+			if detail.Param != bad.field {
+				t.Errorf("the answer names %q, want %q", detail.Param, bad.field)
 			}
 		})
 	}
 }
 
-// TestBadSettings loads wrong settings files; each error names the field's path.
+// TestBadSettings loads invalid settings files. Each error must name the path of the field.
 func TestBadSettings(t *testing.T) {
 	cases := []struct {
 		name, content, path string
--- a/test/cluster_test.go
+++ b/test/cluster_test.go
@@ -1,5 +1,5 @@
-// Package test holds the end-to-end tests: real processes on loopback, killed,
-// frozen and cut off. Only tests start processes.
+// Package test holds the end-to-end tests. They run real processes on loopback addresses, and
+// kill, freeze and partition them. Only tests start processes.
 package test
 
 import (
@@ -38,7 +38,7 @@
 	buildErr    error
 )
 
-// binary returns the path of a program, built once for all tests.
+// binary returns the path of a program. All programs are built once per test run.
 func binary(t *testing.T, name string) string {
 	t.Helper()
 	buildOnce.Do(func() {
@@ -78,22 +78,22 @@
 
 var startedPattern = regexp.MustCompile(`event=started address=([0-9.:]+)`)
 
-// start runs a program and waits until it has told its address.
-func start(t *testing.T, folder, program, name string, arguments ...string) *process {
+// startProcess runs a program and waits until it has logged its address.
+func startProcess(t *testing.T, folder, program, name string, arguments ...string) *process {
 	t.Helper()
 	p := &process{name: name, path: binary(t, program), arguments: arguments, address: "127.0.0.1:0"}
 	p.logPath = filepath.Join(folder, name+".log")
 	p.launch(t)
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Logf("the end of the log of %s:\n%s", name, tail(p.logPath))
+			t.Logf("last lines of the log of %s:\n%s", name, logTail(p.logPath))
 		}
 	})
 	t.Cleanup(func() { p.kill() })
 	return p
 }
 
-// launch starts the program, at its old address if it had one.
+// launch starts the program, after a restart at the same address as before.
 func (p *process) launch(t *testing.T) {
 	t.Helper()
 	logFile, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -116,7 +116,7 @@
 	exited := make(chan struct{})
 	p.exited = exited
 	go func() {
-		// The exit status is read from the state.
+		// The exit status is taken from ProcessState.
 		_ = p.command.Wait()
 		p.state = p.command.ProcessState
 		close(exited)
@@ -124,9 +124,9 @@
 	select {
 	case p.address = <-address:
 	case <-exited:
-		t.Fatalf("%s ended at once:\n%s", p.name, tail(p.logPath))
+		t.Fatalf("%s exited during the start:\n%s", p.name, logTail(p.logPath))
 	case <-time.After(startTimeout):
-		t.Fatalf("%s did not start:\n%s", p.name, tail(p.logPath))
+		t.Fatalf("%s did not start in time:\n%s", p.name, logTail(p.logPath))
 	}
 }
 
@@ -146,7 +146,7 @@
 	}
 }
 
-func tail(path string) string {
+func logTail(path string) string {
 	const limit = 4000
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -160,20 +160,20 @@
 
 func (p *process) signal(signal syscall.Signal) { _ = p.command.Process.Signal(signal) }
 
-// kill ends the process at once and waits for its end.
+// kill kills the process and waits until it has exited.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.exited
 }
 
-// stop ends the process in the planned way and returns its exit code.
+// stop stops the process with SIGTERM and returns its exit code.
 func (p *process) stop() int {
 	p.signal(syscall.SIGTERM)
 	<-p.exited
 	return p.state.ExitCode()
 }
 
-// peakMemory returns the largest resident size of the process so far, in bytes.
+// peakMemory returns the peak resident set size of the process in bytes.
 func (p *process) peakMemory(t *testing.T) int64 {
 	t.Helper()
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.command.Process.Pid))
@@ -202,14 +202,14 @@
 	tenantKey   string
 }
 
-// clusterSize says how many processes of each role there are.
+// clusterSize is the number of processes of each role.
 type clusterSize struct {
 	engines     int
 	dispatchers int
 	gateways    int
 	engineFlags []string
-	// controls is the number of control processes; each is reached through a
-	// relay that can be cut if there are several.
+	// controls is the number of control processes, 0 for one. Each is reached through a relay
+	// that can partition it.
 	controls int
 }
 
@@ -222,23 +222,23 @@
 	for number := 1; number <= size.engines; number++ {
 		name := fmt.Sprintf("engine-%d", number)
 		flags := append([]string{"engine", "--step-base", "4ms", "--seed", fmt.Sprint(number)}, size.engineFlags...)
-		engine := start(t, c.folder, "sedgemast-lab", name, flags...)
+		engine := startProcess(t, c.folder, "sedgemast-lab", name, flags...)
 		c.engines = append(c.engines, engine)
 		platformFlags = append(platformFlags, "--worker", fmt.Sprintf("%s=%s=zone-a", name, engine.address))
 	}
-	c.platform = start(t, c.folder, "sedgemast-lab", "platform", platformFlags...)
+	c.platform = startProcess(t, c.folder, "sedgemast-lab", "platform", platformFlags...)
 	c.startControls(t, max(1, size.controls))
 	for number := 1; number <= size.dispatchers; number++ {
-		c.dispatchers = append(c.dispatchers, start(t, c.folder, "sedgemast", fmt.Sprintf("dispatcher-%d", number), append([]string{"dispatcher", "--control"}, c.controlAddresses()...)...))
+		c.dispatchers = append(c.dispatchers, startProcess(t, c.folder, "sedgemast", fmt.Sprintf("dispatcher-%d", number), append([]string{"dispatcher", "--control"}, c.controlAddresses()...)...))
 	}
 	for number := 1; number <= size.gateways; number++ {
-		c.gateways = append(c.gateways, start(t, c.folder, "sedgemast", fmt.Sprintf("gateway-%d", number), append([]string{"gateway", "--operator-key-sha256", configuration.Digest(c.operatorKey), "--control"}, c.controlAddresses()...)...))
+		c.gateways = append(c.gateways, startProcess(t, c.folder, "sedgemast", fmt.Sprintf("gateway-%d", number), append([]string{"gateway", "--operator-key-sha256", configuration.Digest(c.operatorKey), "--control"}, c.controlAddresses()...)...))
 	}
 	c.configure(t, ctx)
 	return c
 }
 
-// checkRecord checks the promises over the logs of all processes.
+// checkRecord checks the logs of all processes for violations of the promises.
 func (c *cluster) checkRecord(t *testing.T) {
 	t.Helper()
 	events, err := record.ReadFolder(c.folder)
@@ -254,7 +254,7 @@
 	}
 }
 
-// startControls starts control processes, each behind a relay.
+// startControls starts the control processes, each behind a relay.
 func (c *cluster) startControls(t *testing.T, count int) {
 	t.Helper()
 	for number := 0; number < count; number++ {
@@ -267,7 +267,7 @@
 		settingsFile := filepath.Join(c.folder, name+".yaml")
 		writeFile(t, settingsFile, "replace_after: 3s\n")
 		arguments := []string{"control", "--settings", settingsFile, "--data-folder", c.dataFolder(number), "--platform", c.platform.address, "--advertise", relay.address(), "--peers"}
-		started := start(t, c.folder, "sedgemast", name, append(arguments, peers...)...)
+		started := startProcess(t, c.folder, "sedgemast", name, append(arguments, peers...)...)
 		relay.forwardTo(started.address)
 		c.controls = append(c.controls, started)
 	}
@@ -318,7 +318,7 @@
 	return clients
 }
 
-// configure applies the tenant and waits until every gateway serves it.
+// configure applies the first configuration and waits until every gateway serves its tenant.
 func (c *cluster) configure(t *testing.T, ctx context.Context) {
 	t.Helper()
 	revision := uint64(0)
--- a/test/control_test.go
+++ b/test/control_test.go
@@ -16,21 +16,21 @@
 	"github.com/sedgemast/sedgemast/internal/operator"
 )
 
-// fullSize is the fleet of the failure tests: five voters and a spare.
+// fullSize is the fleet of the failure tests: five voters and one spare control process.
 var fullSize = clusterSize{controls: 6, engines: 6, dispatchers: 3, gateways: 3}
 
-// writer changes the configuration again and again and remembers the longest
-// time between two accepted changes.
-type writer struct {
-	mutex    sync.Mutex
-	accepted int
-	last     time.Time
-	gap      time.Duration
-	revision uint64
-	err      error
+// configWriter changes the configuration repeatedly and records the longest time between two accepted
+// changes.
+type configWriter struct {
+	mutex      sync.Mutex
+	accepted   int
+	last       time.Time
+	longestGap time.Duration
+	revision   uint64
+	err        error
 }
 
-func (w *writer) run(ctx context.Context, client *operator.Client, name string) {
+func (w *configWriter) run(ctx context.Context, client *operator.Client, name string) {
 	for number := 0; ctx.Err() == nil; number++ {
 		current, err := client.Documents(ctx, "none", "")
 		if err != nil {
@@ -52,26 +52,26 @@
 			}
 			return
 		}
-		w.note(applied.Revision)
+		w.recordAccepted(applied.Revision)
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-func (w *writer) note(revision uint64) {
+func (w *configWriter) recordAccepted(revision uint64) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	now := time.Now()
 	if w.accepted > 0 {
-		w.gap = max(w.gap, now.Sub(w.last))
+		w.longestGap = max(w.longestGap, now.Sub(w.last))
 	}
 	if revision <= w.revision {
-		w.err = fmt.Errorf("revision %d came after %d", revision, w.revision)
+		w.err = fmt.Errorf("revision %d was accepted after revision %d", revision, w.revision)
 	}
 	w.accepted++
 	w.last, w.revision = now, revision
 }
 
-// leader returns the number of the control process that leads the meta group.
+// leader returns the index of the control process that leads the meta group.
 func (c *cluster) leader(t *testing.T, ctx context.Context) int {
 	t.Helper()
 	status, err := c.operator().Status(ctx)
@@ -83,12 +83,12 @@
 			return number
 		}
 	}
-	t.Fatalf("no process is called %s", status.Control[0].Name)
+	t.Fatalf("no control process is named %s", status.Control[0].Name)
 	return 0
 }
 
-// waitVoters waits until there are as many voters as wanted that answer and lack
-// nothing.
+// waitVoters waits until at least want voters are responsive and nearly up to date: the leader, or
+// an answer in the last second and fewer than 100 entries of lag.
 func (c *cluster) waitVoters(t *testing.T, ctx context.Context, want int) {
 	t.Helper()
 	for {
@@ -106,16 +106,15 @@
 		}
 		select {
 		case <-ctx.Done():
-			t.Fatalf("there are no %d voters: %v", want, err)
+			t.Fatalf("fewer than %d responsive voters: %v", want, err)
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
 }
 
-// underLoad runs online requests, a batch job and configuration changes, breaks
-// something in the middle, and checks every answer. It returns the longest time
-// without an accepted change.
-func (c *cluster) underLoad(t *testing.T, ctx context.Context, name string, breakIt func()) time.Duration {
+// underLoad runs online requests, a batch job and configuration changes, calls inject after two
+// seconds, and checks every answer. It returns the longest time without an accepted change.
+func (c *cluster) underLoad(t *testing.T, ctx context.Context, name string, inject func()) time.Duration {
 	t.Helper()
 	job := &loadgen.BatchJob{Model: testModel, Items: 600, MaxTokens: 64, Words: 32, Name: name}
 	batch, err := job.Submit(ctx, c.client(0))
@@ -124,7 +123,7 @@
 	}
 	writing, stopWriting := context.WithCancel(ctx)
 	defer stopWriting()
-	changes := &writer{}
+	changes := &configWriter{}
 	var running sync.WaitGroup
 	running.Add(2)
 	go func() {
@@ -139,14 +138,14 @@
 		stopWriting()
 	}()
 	time.Sleep(2 * time.Second)
-	breakIt()
+	inject()
 	running.Wait()
-	t.Logf("%s: online %s; %d changes, longest time without one %s", name, summary, changes.accepted, changes.gap.Round(time.Millisecond))
+	t.Logf("%s: online %s; %d accepted changes, longest time between two %s", name, summary, changes.accepted, changes.longestGap.Round(time.Millisecond))
 	if changes.err != nil {
 		t.Errorf("changes: %v", changes.err)
 	}
 	if summary.Incorrect > 0 {
-		t.Errorf("%d wrong answers", summary.Incorrect)
+		t.Errorf("%d incorrect answers", summary.Incorrect)
 	}
 	if batch, err = loadgen.WaitBatch(ctx, c.client(1), batch.ID); err != nil {
 		t.Fatal(err)
@@ -154,11 +153,11 @@
 	if err := job.Check(ctx, c.client(2), batch); err != nil {
 		t.Error(err)
 	}
-	return changes.gap
+	return changes.longestGap
 }
 
-// TestControlFailures breaks control processes of one fleet, one after another,
-// under load: killed, frozen, cut off silently, stopped as planned, emptied.
+// TestControlFailures injects faults into the control processes of one fleet, one after another,
+// under load: kill, freeze, partition without closed connections, planned stop, loss of the disk.
 func TestControlFailures(t *testing.T) {
 	ctx := testContext(t)
 	c := newCluster(t, ctx, fullSize)
@@ -187,14 +186,14 @@
 	c.underLoad(t, ctx, "leader stopped as planned", func() {
 		leader := c.controls[c.leader(t, ctx)]
 		if code := leader.stop(); code != 0 {
-			t.Errorf("the planned stop ended with code %d", code)
+			t.Errorf("the planned stop exited with code %d, want 0", code)
 		}
 		leader.launch(t)
 	})
 	c.waitVoters(t, ctx, 5)
-	c.underLoad(t, ctx, "leader emptied", func() { c.empty(t, c.leader(t, ctx)) })
+	c.underLoad(t, ctx, "leader emptied", func() { c.wipe(t, c.leader(t, ctx)) })
 	c.waitVoters(t, ctx, 5)
-	c.underLoad(t, ctx, "a second one emptied after the repair", func() { c.empty(t, c.leader(t, ctx)) })
+	c.underLoad(t, ctx, "a second one emptied after the repair", func() { c.wipe(t, c.leader(t, ctx)) })
 	c.waitVoters(t, ctx, 5)
 	if err := operator.WaitInForce(ctx, c.operator(), 1); err != nil {
 		t.Error(err)
@@ -202,8 +201,8 @@
 	c.checkRecord(t)
 }
 
-// empty kills a control process, takes its disk and starts it again.
-func (c *cluster) empty(t *testing.T, number int) {
+// wipe kills a control process, deletes its data and starts it again.
+func (c *cluster) wipe(t *testing.T, number int) {
 	t.Helper()
 	c.controls[number].kill()
 	if err := os.RemoveAll(c.dataFolder(number + 1)); err != nil {
@@ -212,8 +211,8 @@
 	c.controls[number].launch(t)
 }
 
-// TestDaemonFailures freezes a dispatcher past its lease, kills one, and freezes
-// a gateway and an engine, under load.
+// TestDaemonFailures freezes a dispatcher past its lease, kills another one and freezes an engine,
+// under load.
 func TestDaemonFailures(t *testing.T) {
 	ctx := testContext(t)
 	c := newCluster(t, ctx, fullSize)
@@ -225,7 +224,7 @@
 	})
 	c.underLoad(t, ctx, "dispatcher killed", func() {
 		c.dispatchers[1].kill()
-		t.Logf("workers owned again after %s", c.untilOwned(t, ctx, c.dispatchers[1].name).Round(time.Millisecond))
+		t.Logf("workers owned again after %s", c.waitReassigned(t, ctx, c.dispatchers[1].name).Round(time.Millisecond))
 		c.dispatchers[1].launch(t)
 	})
 	c.underLoad(t, ctx, "engine frozen", func() {
@@ -236,33 +235,33 @@
 	c.checkRecord(t)
 }
 
-// untilOwned returns how long it takes until the dispatcher owns no worker.
-func (c *cluster) untilOwned(t *testing.T, ctx context.Context, dead string) time.Duration {
+// waitReassigned returns how long it takes until the dispatcher owns no worker.
+func (c *cluster) waitReassigned(t *testing.T, ctx context.Context, dispatcher string) time.Duration {
 	t.Helper()
-	begun := time.Now()
+	start := time.Now()
 	for {
 		status, err := c.operator().Status(ctx)
 		orphans := 0
 		if err == nil {
 			for _, worker := range status.Workers {
-				if worker.Dispatcher == dead {
+				if worker.Dispatcher == dispatcher {
 					orphans++
 				}
 			}
 			if orphans == 0 {
-				return time.Since(begun)
+				return time.Since(start)
 			}
 		}
 		select {
 		case <-ctx.Done():
-			t.Fatalf("%d workers still belong to %s: %v", orphans, dead, err)
+			t.Fatalf("%d workers still belong to %s: %v", orphans, dispatcher, err)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-// TestTimeToForce measures how long accepted changes take to be in force at every
-// daemon.
+// TestTimeToForce measures the time from the acceptance of a change until it is in force at every
+// daemon. It logs the times and sets no bound.
 func TestTimeToForce(t *testing.T) {
 	ctx := testContext(t)
 	c := newCluster(t, ctx, fullSize)
@@ -284,7 +283,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		begun := time.Now()
+		start := time.Now()
 		for {
 			status, err := client.Status(ctx)
 			if err == nil && status.ConfigRevision >= applied.Revision && status.InForce == len(status.Daemons) {
@@ -292,7 +291,7 @@
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
-		took := time.Since(begun)
+		took := time.Since(start)
 		total += took
 		slowest = max(slowest, took)
 	}
--- a/test/engine_ends_test.go
+++ b/test/engine_ends_test.go
@@ -9,33 +9,34 @@
 	"github.com/sedgemast/sedgemast/internal/loadgen"
 )
 
-// TestPromptThatEndsEngines lets one prompt come again and again, under which each engine
-// ends that begins it: three of eight end, and others are served.
+// TestPromptThatEndsEngines repeats a prompt that makes each engine exit that starts it. After
+// three exits the prompt must be quarantined, so most of the eight engines survive and serve other
+// prompts.
 func TestPromptThatEndsEngines(t *testing.T) {
 	ctx := testContext(t)
-	started, _, key := embeddedOf(t, ctx, fleet.Options{Engines: 8, ExitOnPrompt: "ends its engine"})
+	started, _, key := startEmbeddedWith(t, ctx, fleet.Options{Engines: 8, ExitOnPrompt: "ends its engine"})
 	client := loadgen.NewClient(started.Gateways[0].Address(), key)
-	ask := func(text string) bool {
+	send := func(text string) bool {
 		request := &loadgen.Request{Model: testModel, Text: text, MaxTokens: 4, Stream: true, Deadline: 10 * time.Second}
 		reply, err := client.Chat(ctx, request)
 		return err == nil && reply.Text == request.Expected()
 	}
 	for range 6 {
-		if ask("this ends its engine") {
-			t.Error("the prompt has an answer")
+		if send("this ends its engine") {
+			t.Error("the prompt that makes engines exit was answered")
 		}
 	}
-	ended := 0
-	for _, member := range started.Engines {
-		if conn, err := net.Dial("tcp", member.Address()); err != nil {
-			ended++
+	exited := 0
+	for _, engine := range started.Engines {
+		if conn, err := net.Dial("tcp", engine.Address()); err != nil {
+			exited++
 		} else {
 			_ = conn.Close()
 		}
 	}
-	t.Logf("%d of %d engines ended", ended, len(started.Engines))
-	if ended < 1 || ended > 4 {
-		t.Errorf("%d of %d engines ended, three and one under a trial may", ended, len(started.Engines))
+	t.Logf("%d of %d engines exited", exited, len(started.Engines))
+	if exited < 1 || exited > 4 {
+		t.Errorf("%d of %d engines exited, want 1 to 4: three before the quarantine and one during a trial", exited, len(started.Engines))
 	}
-	eventually(t, "another prompt is served", func() bool { return ask("harmless") })
+	eventually(t, "another prompt is served", func() bool { return send("harmless") })
 }
--- a/test/fleet_api_test.go
+++ b/test/fleet_api_test.go
@@ -23,27 +23,27 @@
 	"github.com/sedgemast/sedgemast/internal/workerlist"
 )
 
-// ownFleet is a fleet of edges, coordinators and stores of the product's own
-// program, in its own interface.
-type ownFleet struct {
+// nativeFleet is a fleet of an edge, a coordinator and stores that run the product's own program
+// with its native interface, not that of the users' platform.
+type nativeFleet struct {
 	t       *testing.T
 	binary  string
 	port    int
 	workers []*emulator.HostedWorker
 }
 
-// Ports behind the first one, as each process has an address of its own.
+// Offsets from the first port. Each process has its own IP address.
 const (
-	ownOperators = 1
-	ownCallers   = 2
+	operatorPort = 1
+	callerPort   = 2
 )
 
-func (f *ownFleet) address(host, port int) string {
+func (f *nativeFleet) address(host, port int) string {
 	return fmt.Sprintf("127.0.78.%d:%d", host, f.port+port)
 }
 
-// start runs a process; it is killed at the end of the test.
-func (f *ownFleet) start(host int, role string, flags ...string) {
+// start runs a process, which is killed at the end of the test.
+func (f *nativeFleet) start(host int, role string, flags ...string) {
 	folder := f.t.TempDir()
 	log, err := os.Create(filepath.Join(folder, "log"))
 	if err != nil {
@@ -68,13 +68,13 @@
 	})
 }
 
-func newOwnFleet(t *testing.T) *ownFleet {
+func newNativeFleet(t *testing.T) *nativeFleet {
 	t.Helper()
 	folder := t.TempDir()
 	if output, err := exec.Command("go", "build", "-o", folder+"/", "../cmd/sedgemast").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, output)
 	}
-	f := &ownFleet{t: t, binary: filepath.Join(folder, "sedgemast"), port: freePorts(t)}
+	f := &nativeFleet{t: t, binary: filepath.Join(folder, "sedgemast"), port: freePorts(t)}
 	for i := range 2 {
 		worker := emulator.NewHostedWorker(fmt.Sprintf("w-%d", i), 8, time.Millisecond)
 		worker.HeaderNames = httpheader.Default()
@@ -86,19 +86,19 @@
 		for _, worker := range f.workers {
 			list.Workers = append(list.Workers, workerlist.Worker{ID: worker.Incarnation(), Address: worker.Address(), Zone: "zone-a", Pool: "pool", Slots: 8})
 		}
-		// A failed write means that the reader has gone.
+		// A failed write means that the caller disconnected.
 		_ = json.NewEncoder(writer).Encode(list)
 	}))
 	t.Cleanup(platform.Close)
-	f.start(1, "coordinator", "--bootstrap", "--operators", f.address(1, ownOperators), "--platform", platform.Listener.Addr().String())
+	f.start(1, "coordinator", "--bootstrap", "--operators", f.address(1, operatorPort), "--platform", platform.Listener.Addr().String())
 	for host := 11; host <= 13; host++ {
 		f.start(host, "store")
 	}
-	f.start(21, "edge", "--callers", f.address(21, ownCallers))
+	f.start(21, "edge", "--callers", f.address(21, callerPort))
 	return f
 }
 
-func (f *ownFleet) call(method, address, target, id, body string) (int, string) {
+func (f *nativeFleet) call(method, address, target, id, body string) (int, string) {
 	request, err := http.NewRequest(method, "http://"+address+target, strings.NewReader(body))
 	if err != nil {
 		f.t.Fatal(err)
@@ -118,7 +118,7 @@
 	return response.StatusCode, string(text)
 }
 
-func ownRoutes() *routetable.Configuration {
+func nativeRoutes() *routetable.Configuration {
 	parts := []routetable.PoolWeight{{Pool: "pool", Weight: 1}}
 	return &routetable.Configuration{
 		Version: 3,
@@ -130,12 +130,12 @@
 	}
 }
 
-// TestOwnFleet serves a stream and a job with the product's own program and in
-// its own interface, and gives wrong input to each of its calls.
-func TestOwnFleet(t *testing.T) {
-	f := newOwnFleet(t)
-	operators, callers := f.address(1, ownOperators), f.address(21, ownCallers)
-	document, err := ownRoutes().Encode()
+// TestNativeFleet serves a stream and a job through the native interface and sends invalid input to
+// each of its calls.
+func TestNativeFleet(t *testing.T) {
+	f := newNativeFleet(t)
+	operators, callers := f.address(1, operatorPort), f.address(21, callerPort)
+	document, err := nativeRoutes().Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,7 +144,7 @@
 		return status == http.StatusOK
 	})
 	if status, text := f.call(http.MethodGet, operators, coordinator.PathRoutes, "", ""); status != http.StatusOK || text != string(document) {
-		t.Errorf("the configuration is read back as %d %q", status, text)
+		t.Errorf("reading the configuration back: status %d, %q", status, text)
 	}
 	eventually(t, "a stream", func() bool {
 		status, text := f.call(http.MethodPost, callers, "/ask/a", "r-1", "prompt")
@@ -155,15 +155,15 @@
 	f.testQuarantine(operators, callers)
 }
 
-// testQuarantine lets workers end under a request until it is refused: operators see it,
-// and let it in again once it is harmless.
-func (f *ownFleet) testQuarantine(operators, callers string) {
+// testQuarantine makes workers exit under a request until the quarantine refuses it. The operators'
+// list must show it, and after an operator has readmitted it and it is harmless, it must be served.
+func (f *nativeFleet) testQuarantine(operators, callers string) {
 	t := f.t
-	var deadly atomic.Bool
-	deadly.Store(true)
+	var fatal atomic.Bool
+	fatal.Store(true)
 	for _, worker := range f.workers {
 		worker.InjectFaults(func(request *emulator.HostedRequest) emulator.HostedFault {
-			if request.Body == endingBody && deadly.Load() {
+			if request.Body == exitBody && fatal.Load() {
 				return emulator.HostedFault{ExitAfter: time.Millisecond, RestartAfter: 20 * time.Millisecond}
 			}
 			return emulator.HostedFault{}
@@ -171,16 +171,16 @@
 	}
 	list := func() (requests []coordinator.Quarantined) {
 		if status, text := f.call(http.MethodGet, operators, coordinator.PathQuarantine, "", ""); status != http.StatusOK || json.Unmarshal([]byte(text), &requests) != nil {
-			t.Errorf("the list is %d %q", status, text)
+			t.Errorf("listing the quarantine: status %d, %q", status, text)
 		}
 		return requests
 	}
 	eventually(t, "the request is refused", func() bool {
-		_, _ = f.call(http.MethodPost, callers, "/ask/a", "r-2", endingBody)
+		_, _ = f.call(http.MethodPost, callers, "/ask/a", "r-2", exitBody)
 		requests := list()
 		return len(requests) == 1 && requests[0].Refused && requests[0].Ends >= quarantine.Threshold
 	})
-	deadly.Store(false)
+	fatal.Store(false)
 	path := coordinator.PathQuarantine + "/" + list()[0].Request
 	for _, test := range []struct {
 		target string
@@ -191,12 +191,12 @@
 		}
 	}
 	eventually(t, "the request is served", func() bool {
-		status, text := f.call(http.MethodPost, callers, "/ask/a", "r-3", endingBody)
+		status, text := f.call(http.MethodPost, callers, "/ask/a", "r-3", exitBody)
 		return status == http.StatusOK && text == events("r-3", 1, 4)
 	})
 }
 
-func (f *ownFleet) testJob(callers string) {
+func (f *nativeFleet) testJob(callers string) {
 	t := f.t
 	job := edge.JobDocument{Items: []edge.JobItem{
 		{ID: "i-1", Path: "/jobs/x", Headers: map[string]string{httpheader.Default().Tokens: "5,3"}, Body: []byte("one"), Tokens: 8},
@@ -226,11 +226,11 @@
 		}
 	}
 	if status, _ := f.call(http.MethodDelete, callers, edge.PathJobs+"j-1", "", ""); status != http.StatusOK {
-		t.Errorf("the end got %d", status)
+		t.Errorf("ending the job: status %d, want 200", status)
 	}
 }
 
-func (f *ownFleet) testWrongInput(operators, callers string) {
+func (f *nativeFleet) testWrongInput(operators, callers string) {
 	for _, test := range []struct {
 		method, address, target, body string
 		want                          int
--- a/test/hop_test.go
+++ b/test/hop_test.go
@@ -13,18 +13,17 @@
 )
 
 const (
-	hopTokens = 4
-	hopPause  = 2 * time.Millisecond
+	hopTokens   = 4
+	hopInterval = 2 * time.Millisecond
 )
 
-// BenchmarkHop compares the time to the first token through gateway and
-// dispatcher with that straight from the engine, on the same emulated work, one
-// request at a time.
+// BenchmarkHop compares the latency of requests through gateway and dispatcher with that of
+// requests sent directly to the engine, on the same emulated work, one request at a time.
 func BenchmarkHop(b *testing.B) {
 	ctx := context.Background()
-	started, _, tenantKey := embedded(b, ctx)
+	started, _, tenantKey := startEmbedded(b, ctx)
 	client := loadgen.NewClient(started.Gateways[0].Address(), tenantKey)
-	straight := engine.NewClient()
+	engineClient := engine.NewClient()
 	direct, through := loadgen.NewHistogram(), loadgen.NewHistogram()
 	for i := 0; b.Loop(); i++ {
 		text := fmt.Sprintf("question %d", i)
@@ -32,32 +31,32 @@
 			_, err := client.Chat(ctx, &loadgen.Request{Model: testModel, Text: text, MaxTokens: hopTokens, Stream: true})
 			return err
 		})
-		recordLatency(b, direct, func() error { return runStraight(ctx, straight, started.Engines[0].Address(), i, text) })
+		recordLatency(b, direct, func() error { return runDirect(ctx, engineClient, started.Engines[0].Address(), i, text) })
 	}
-	report(b, "straight", direct)
-	report(b, "through", through)
+	reportLatency(b, "straight", direct)
+	reportLatency(b, "through", through)
 	b.ReportMetric(float64(through.ValueAtQuantile(50)-direct.ValueAtQuantile(50)), "hop-p50-µs")
 	b.ReportMetric(float64(through.ValueAtQuantile(99)-direct.ValueAtQuantile(99)), "hop-p99-µs")
 }
 
 func recordLatency(b *testing.B, histogram *hdrhistogram.Histogram, action func() error) {
 	b.Helper()
-	time.Sleep(hopPause)
-	begun := time.Now()
+	time.Sleep(hopInterval)
+	start := time.Now()
 	if err := action(); err != nil {
 		b.Fatal(err)
 	}
-	if err := histogram.RecordValue(time.Since(begun).Microseconds()); err != nil {
+	if err := histogram.RecordValue(time.Since(start).Microseconds()); err != nil {
 		b.Fatal(err)
 	}
 }
 
-func report(b *testing.B, name string, histogram *hdrhistogram.Histogram) {
+func reportLatency(b *testing.B, name string, histogram *hdrhistogram.Histogram) {
 	b.ReportMetric(float64(histogram.ValueAtQuantile(50)), name+"-p50-µs")
 	b.ReportMetric(float64(histogram.ValueAtQuantile(99)), name+"-p99-µs")
 }
 
-func runStraight(ctx context.Context, client *engine.Client, address string, number int, text string) error {
+func runDirect(ctx context.Context, client *engine.Client, address string, number int, text string) error {
 	stream, err := client.Generate(ctx, address, &engine.GenerateRequest{
 		AttemptID: fmt.Sprintf("straight-%d", number),
 		Epoch:     1 << 40,
--- a/test/hosted_fleet_test.go
+++ b/test/hosted_fleet_test.go
@@ -19,11 +19,11 @@
 const (
 	hostedService = "s1"
 	hostedHost    = "h.example"
-	// hostedWait bounds what a test waits for; nothing is judged by it.
-	hostedWait = 60 * time.Second
+	// hostedTimeout bounds each wait of a test. It is generous, as no test checks speed with it.
+	hostedTimeout = 60 * time.Second
 )
 
-// hostedMachine is a process on an address of its own.
+// hostedMachine is a process with its own IP address.
 type hostedMachine struct {
 	name    string
 	ip      string
@@ -34,7 +34,7 @@
 	exited  chan error
 }
 
-// hostedFleet is a fleet as the users' platform runs it, on loopback addresses.
+// hostedFleet is a fleet on loopback addresses, set up as the users' platform does.
 type hostedFleet struct {
 	t        *testing.T
 	binary   string
@@ -44,22 +44,22 @@
 	machines map[string]*hostedMachine
 }
 
-// Ports behind the first one.
+// Offsets from the first port.
 const (
 	portControl = 1
-	portFront   = 2
+	portCallers = 2
 	portReady   = 3
 )
 
-// hostedWorkers is how many workers a fleet has where a test asks for no more.
+// hostedWorkers is the default number of workers of a fleet.
 const hostedWorkers = 3
 
 func newHostedFleet(t *testing.T, workers int) *hostedFleet {
 	t.Helper()
-	return newHostedFleetOf(t, buildHosted(t), workers)
+	return newHostedFleetWith(t, buildHosted(t), workers)
 }
 
-// buildHosted builds the program that the machines run and returns its path.
+// buildHosted builds the program of the machines and returns its path.
 func buildHosted(t *testing.T) string {
 	t.Helper()
 	folder := t.TempDir()
@@ -70,8 +70,8 @@
 	return filepath.Join(folder, "sedgemast-hosted")
 }
 
-// newHostedFleetOf starts a fleet whose machines run the program.
-func newHostedFleetOf(t *testing.T, binary string, workers int) *hostedFleet {
+// newHostedFleetWith starts a fleet whose machines run the given program.
+func newHostedFleetWith(t *testing.T, binary string, workers int) *hostedFleet {
 	t.Helper()
 	f := &hostedFleet{t: t, binary: binary, port: freePorts(t), machines: map[string]*hostedMachine{}}
 	for i := 1; i <= workers; i++ {
@@ -92,8 +92,8 @@
 	return f
 }
 
-// freePorts returns the first of a few ports that are probably free on all
-// loopback addresses.
+// freePorts returns the first of a few consecutive ports that are probably free on all loopback
+// addresses.
 func freePorts(t *testing.T) int {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -107,8 +107,8 @@
 	return port
 }
 
-// hostedIP returns the address of a machine. SEDGEMAST_TEST_NET, a number up to 255, gives
-// fleets that run beside one another networks of their own.
+// hostedIP returns the address of a machine. To run several fleets at the same time, set
+// SEDGEMAST_TEST_NET to a different number up to 255 for each.
 func hostedIP(number int) string {
 	network := os.Getenv("SEDGEMAST_TEST_NET")
 	if network == "" {
@@ -154,15 +154,15 @@
 [cloud]
 address = %q
 `, machine.name, machine.ip, f.port, f.port, strings.Join(seeds, ","), bootstrap, machine.folder+"/data",
-		f.address(machine, portControl), f.address(machine, portFront), f.address(machine, portReady), f.list.Address())
-	boot := filepath.Join(machine.folder, "settings.toml")
-	writeFile(f.t, boot, text)
+		f.address(machine, portControl), f.address(machine, portCallers), f.address(machine, portReady), f.list.Address())
+	settingsFile := filepath.Join(machine.folder, "settings.toml")
+	writeFile(f.t, settingsFile, text)
 	log, err := os.OpenFile(filepath.Join(machine.folder, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	machine.command = exec.Command(machine.binary, machine.role)
-	machine.command.Env = append(os.Environ(), "SEDGEMAST_BOOT="+boot)
+	machine.command.Env = append(os.Environ(), "SEDGEMAST_BOOT="+settingsFile)
 	machine.command.Stdout, machine.command.Stderr = log, log
 	if err := machine.command.Start(); err != nil {
 		f.t.Fatal(err)
@@ -186,7 +186,7 @@
 			_ = machine.command.Process.Kill()
 			select {
 			case <-machine.exited:
-			case <-time.After(hostedWait):
+			case <-time.After(hostedTimeout):
 			}
 		}
 		if f.t.Failed() {
@@ -196,27 +196,27 @@
 	}
 }
 
-// eventually repeats a check until it holds.
-func eventually(t *testing.T, what string, holds func() bool) {
+// eventually repeats a check until it succeeds, and fails the test after hostedTimeout.
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(hostedWait); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if holds() {
+	for deadline := time.Now().Add(hostedTimeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+		if condition() {
 			return
 		}
 	}
-	t.Fatalf("%s did not come about", what)
+	t.Fatalf("waiting for %q: timeout", what)
 }
 
-var hostedClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: hostedWait}
+var hostedClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: hostedTimeout}
 
-// call makes one call and returns the status, headers and body.
+// call sends a request and returns the status, headers and body.
 func (f *hostedFleet) call(method, address, target string, headers map[string]string, body string) (int, http.Header, string, error) {
-	return f.callWithin(hostedWait, method, address, target, headers, body)
+	return f.callWithin(hostedTimeout, method, address, target, headers, body)
 }
 
-// callWithin is call, given up after a while.
-func (f *hostedFleet) callWithin(patience time.Duration, method, address, target string, headers map[string]string, body string) (int, http.Header, string, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// callWithin is call with a timeout.
+func (f *hostedFleet) callWithin(timeout time.Duration, method, address, target string, headers map[string]string, body string) (int, http.Header, string, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+target, strings.NewReader(body))
 	if err != nil {
@@ -235,16 +235,16 @@
 	return response.StatusCode, response.Header, string(text), err
 }
 
-func (f *hostedFleet) configuration(version int, more string) string {
+func (f *hostedFleet) configuration(version int, extraRoutes string) string {
 	return fmt.Sprintf(`{"version":%d,"routes":[
  {"name":"stream","host":%q,"pathPrefix":"/stream/","routeKind":"streaming","timeoutMs":20000,"goalMs":2000,"gapGoalMs":2000,"service":%q,"maxAttempts":3,"resumable":true},
  {"name":"once","host":%q,"pathPrefix":"/once/","routeKind":"streaming","timeoutMs":20000,"goalMs":2000,"gapGoalMs":2000,"service":%q,"maxAttempts":3},
  {"name":"batch","host":%q,"pathPrefix":"/batch/","routeKind":"batch","timeoutMs":30000,"goalMs":400,"runGoalMs":20000,"retainS":60,"maxQueuedTokens":100000,"service":%q,"maxAttempts":3}%s],
  "services":[{"name":%q,"maxConns":100,"engine":{"slots":8,"kvCapacityTokens":100000}}],"limits":{"maxBodyBytes":1000000}}`,
-		version, hostedHost, hostedService, hostedHost, hostedService, hostedHost, hostedService, more, hostedService)
+		version, hostedHost, hostedService, hostedHost, hostedService, hostedHost, hostedService, extraRoutes, hostedService)
 }
 
-func (f *hostedFleet) put(core, document string) int {
+func (f *hostedFleet) putConfiguration(core, document string) int {
 	status, _, _, err := f.call(http.MethodPut, f.address(f.machines[core], portControl), "/-/config", nil, document)
 	if err != nil {
 		return 0
--- a/test/hosted_test.go
+++ b/test/hosted_test.go
@@ -20,7 +20,7 @@
 	"github.com/sedgemast/sedgemast/internal/placement"
 )
 
-// events returns the body that a whole stream has.
+// events returns the body of a stream with the events from..to.
 func events(id string, from, to int) string {
 	var text strings.Builder
 	for number := from; number <= to; number++ {
@@ -29,13 +29,13 @@
 	return text.String()
 }
 
-// TestHostedFleet runs a whole fleet as the users' platform does and brings about
-// the failures that it must bear.
+// TestHostedFleet runs a fleet as the users' platform does and injects the faults that it must
+// tolerate.
 func TestHostedFleet(t *testing.T) {
 	f := newHostedFleet(t, hostedWorkers)
-	front := f.address(f.machines["front-21"], portFront)
-	second := f.address(f.machines["front-22"], portFront)
-	eventually(t, "the first configuration", func() bool { return f.put("core-2", f.configuration(5, "")) == http.StatusOK })
+	front := f.address(f.machines["front-21"], portCallers)
+	second := f.address(f.machines["front-22"], portCallers)
+	eventually(t, "the first configuration", func() bool { return f.putConfiguration("core-2", f.configuration(5, "")) == http.StatusOK })
 	for _, name := range []string{"front-21", "front-22"} {
 		eventually(t, name+" ready", func() bool {
 			status, _, _, err := f.call(http.MethodGet, f.address(f.machines[name], portReady), "/-/ready", nil, "")
@@ -45,14 +45,14 @@
 	t.Run("configuration", f.testConfiguration)
 	t.Run("stream", func(t *testing.T) { f.testStream(t, front) })
 	t.Run("resumed", func(t *testing.T) { f.testResumed(t, front) })
-	t.Run("once", func(t *testing.T) { f.testOnce(t, front) })
+	t.Run("once", func(t *testing.T) { f.testNotResumable(t, front) })
 	t.Run("not run", func(t *testing.T) { f.testNotRun(t, front) })
 	t.Run("wrong input", func(t *testing.T) { f.testWrongInput(t, front) })
 	t.Run("job over a killed store", func(t *testing.T) { f.testJob(t, front, second) })
-	t.Run("in force", func(t *testing.T) { f.testInForce(t, front, second) })
-	t.Run("failing worker", func(t *testing.T) { f.testFailing(t, front) })
-	t.Run("leaving worker", func(t *testing.T) { f.testLeaving(t, front) })
-	t.Run("planned stop", func(t *testing.T) { f.testStop(t) })
+	t.Run("in force", func(t *testing.T) { f.testRouteUpdate(t, front, second) })
+	t.Run("failing worker", func(t *testing.T) { f.testFailingWorker(t, front) })
+	t.Run("leaving worker", func(t *testing.T) { f.testDraining(t, front) })
+	t.Run("planned stop", func(t *testing.T) { f.testPlannedStop(t) })
 }
 
 func (f *hostedFleet) testConfiguration(t *testing.T) {
@@ -67,20 +67,20 @@
 		return body
 	}
 	if read() != f.configuration(5, "") {
-		t.Error("the configuration is not read back as it was sent")
+		t.Error("the configuration that is read differs from the one that was sent")
 	}
-	if status := f.put("core-1", f.configuration(4, "")); status != http.StatusOK {
-		t.Errorf("an older version got %d", status)
+	if status := f.putConfiguration("core-1", f.configuration(4, "")); status != http.StatusOK {
+		t.Errorf("sending an older version: status %d, want 200", status)
 	}
 	other := strings.Replace(f.configuration(5, ""), "/stream/", "/other/", 1)
-	if status := f.put("core-1", other); status != http.StatusOK {
-		t.Errorf("other content under the held version got %d", status)
+	if status := f.putConfiguration("core-1", other); status != http.StatusOK {
+		t.Errorf("sending other content under the current version: status %d, want 200", status)
 	}
-	if status := f.put("core-1", f.configuration(9, "")[:100]); status != http.StatusBadRequest {
-		t.Errorf("half a document got %d", status)
+	if status := f.putConfiguration("core-1", f.configuration(9, "")[:100]); status != http.StatusBadRequest {
+		t.Errorf("sending a truncated document: status %d, want 400", status)
 	}
 	if read() != f.configuration(5, "") {
-		t.Error("what was not above the held version is in force")
+		t.Error("a document whose version is not newer replaced the configuration")
 	}
 }
 
@@ -99,19 +99,19 @@
 				continue
 			}
 			if seen.Method != http.MethodPost || seen.Target != "/stream/a?b=c%20d" || seen.Host != hostedHost || seen.Body != "prompt" || seen.Header.Get("X-Other") != "kept" || seen.Header.Get("Expect-Instance") != worker.ID {
-				t.Errorf("the worker got %+v", seen)
+				t.Errorf("the worker received %+v", seen)
 			}
 		}
 	}
 }
 
-func (f *hostedFleet) behaveAll(behave func(request *emulator.HostedRequest) emulator.HostedFault) {
+func (f *hostedFleet) injectFaults(faultFor func(request *emulator.HostedRequest) emulator.HostedFault) {
 	for _, worker := range f.workers {
-		worker.InjectFaults(behave)
+		worker.InjectFaults(faultFor)
 	}
 }
 
-func (f *hostedFleet) runs(id string) (runs int) {
+func (f *hostedFleet) runCount(id string) (runs int) {
 	for _, worker := range f.workers {
 		for _, seen := range worker.Requests() {
 			if seen.ID == id {
@@ -122,44 +122,44 @@
 	return runs
 }
 
-// testResumed breaks the first run after three events: another worker goes on,
-// and the caller sees each event once.
+// testResumed closes the connection of the first run after three events. Another worker must
+// continue, and the caller must get each event once.
 func (f *hostedFleet) testResumed(t *testing.T, front string) {
-	f.behaveAll(func(request *emulator.HostedRequest) emulator.HostedFault {
+	f.injectFaults(func(request *emulator.HostedRequest) emulator.HostedFault {
 		if request.LastEventID == 0 {
 			return emulator.HostedFault{BreakAfter: 3}
 		}
 		return emulator.HostedFault{}
 	})
-	defer f.behaveAll(nil)
+	defer f.injectFaults(nil)
 	headers := map[string]string{"Request-Id": "r-2", "Token-Count": "10,7"}
 	status, _, body, err := f.call(http.MethodPost, front, "/stream/a", headers, "p")
 	if err != nil || status != http.StatusOK || body != events("r-2", 1, 7) {
 		t.Errorf("%d, %v: %q", status, err, body)
 	}
-	if runs := f.runs("r-2"); runs != 2 {
+	if runs := f.runCount("r-2"); runs != 2 {
 		t.Errorf("%d runs", runs)
 	}
 }
 
-// testOnce breaks a stream that may not be resumed: it must not look whole, and
-// must not run again.
-func (f *hostedFleet) testOnce(t *testing.T, front string) {
-	f.behaveAll(func(*emulator.HostedRequest) emulator.HostedFault { return emulator.HostedFault{BreakAfter: 2} })
-	defer f.behaveAll(nil)
+// testNotResumable closes the connection of a stream that may not be resumed. The answer must not look
+// complete, and the request must not run again.
+func (f *hostedFleet) testNotResumable(t *testing.T, front string) {
+	f.injectFaults(func(*emulator.HostedRequest) emulator.HostedFault { return emulator.HostedFault{BreakAfter: 2} })
+	defer f.injectFaults(nil)
 	headers := map[string]string{"Request-Id": "r-3", "Token-Count": "10,7"}
 	_, _, body, err := f.call(http.MethodPost, front, "/once/a", headers, "p")
 	if err == nil {
-		t.Errorf("a broken stream looks whole: %q", body)
+		t.Errorf("the answer of a broken stream looks complete: %q", body)
 	}
-	if runs := f.runs("r-3"); runs != 1 {
+	if runs := f.runCount("r-3"); runs != 1 {
 		t.Errorf("%d runs", runs)
 	}
 }
 
 func (f *hostedFleet) testNotRun(t *testing.T, front string) {
-	f.behaveAll(func(*emulator.HostedRequest) emulator.HostedFault { return emulator.HostedFault{NotRun: true} })
-	defer f.behaveAll(nil)
+	f.injectFaults(func(*emulator.HostedRequest) emulator.HostedFault { return emulator.HostedFault{NotRun: true} })
+	defer f.injectFaults(nil)
 	for _, path := range []string{"/stream/a", "/once/a"} {
 		headers := map[string]string{"Request-Id": "r-4" + path, "Token-Count": "10,7"}
 		status, header, _, err := f.call(http.MethodPost, front, path, headers, "p")
@@ -169,8 +169,7 @@
 	}
 }
 
-// testWrongInput sends what can't be served: each case its status, and nothing
-// runs.
+// testWrongInput sends requests that can't be served. Each must get its status, and none may run.
 func (f *hostedFleet) testWrongInput(t *testing.T, front string) {
 	long := strings.Repeat("x", 1_000_001)
 	cases := []struct {
@@ -201,14 +200,15 @@
 		if err != nil || status != test.status {
 			t.Errorf("%s: %d, %v; want %d", test.name, status, err, test.status)
 		}
-		if test.id != "" && (f.runs(test.id) > 0 || f.runs("i") > 0) {
-			t.Errorf("%s: it ran", test.name)
+		if test.id != "" && (f.runCount(test.id) > 0 || f.runCount("i") > 0) {
+			t.Errorf("%s: the request ran", test.name)
 		}
 	}
 	f.testRawInput(t, front)
 }
 
-// testRawInput sends bytes that are no proper request.
+// testRawInput sends bytes that are not a valid HTTP request. No answer may be a success, and no
+// request may run.
 func (f *hostedFleet) testRawInput(t *testing.T, front string) {
 	cases := map[string]string{
 		"no HTTP":                 "hello\r\n\r\n",
@@ -227,7 +227,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = connection.SetDeadline(time.Now().Add(hostedWait))
+		_ = connection.SetDeadline(time.Now().Add(hostedTimeout))
 		_, _ = connection.Write([]byte(text))
 		answer := make([]byte, 64)
 		count, _ := connection.Read(answer)
@@ -237,20 +237,20 @@
 		}
 	}
 	for number := 1; number <= 9; number++ {
-		if id := fmt.Sprintf("q-%d", number); f.runs(id) > 0 {
+		if id := fmt.Sprintf("q-%d", number); f.runCount(id) > 0 {
 			t.Errorf("%s ran", id)
 		}
 	}
 }
 
-// hostedPage is an answer to a read of results.
+// hostedPage is a page of a job's results.
 type hostedPage struct {
 	Total     int
 	NextToken int
 	Results   []struct{ ID, State, Message string }
 }
 
-func (f *hostedFleet) read(front, id string, since int) (*hostedPage, int) {
+func (f *hostedFleet) readResults(front, id string, since int) (*hostedPage, int) {
 	status, _, body, err := f.call(http.MethodGet, front, fmt.Sprintf("/-/lots/%s?sinceRev=%d", id, since), map[string]string{"Wait-Ms": "200"}, "")
 	if err != nil || status != http.StatusOK {
 		return nil, status
@@ -262,7 +262,7 @@
 	return page, status
 }
 
-// parsePage reads a page of results.
+// parsePage decodes a page of results.
 func parsePage(body string) (*hostedPage, error) {
 	page := &hostedPage{}
 	if err := json.Unmarshal([]byte(body), page); err != nil {
@@ -280,8 +280,8 @@
 	return `{"items":[` + document.String()[1:] + `]}`
 }
 
-// testJob submits a job twice, kills the store that leads while its items run,
-// and reads all results; what was read before stays.
+// testJob submits a job twice, kills and restarts the leading store while items run, and reads all
+// results. Results that were read before must keep their positions.
 func (f *hostedFleet) testJob(t *testing.T, front, second string) {
 	const items, tokens = 12, 120
 	document := jobDocument("j1", items, tokens)
@@ -293,55 +293,55 @@
 	}
 	status, _, body, err := f.call(http.MethodGet, second, "/-/items/j1?id=j1-11", nil, "")
 	if err != nil || status != http.StatusOK || body != "body of j1-11" {
-		t.Errorf("the body of an item: %d %q, %v", status, body, err)
+		t.Errorf("reading the body of an item: status %d, %q, %v", status, body, err)
 	}
-	eventually(t, "items at workers", func() bool { return f.runs("j1-0") > 0 })
+	eventually(t, "items at workers", func() bool { return f.runCount("j1-0") > 0 })
 	leader := f.storeLeader(t, "j1")
 	f.kill(leader)
 	f.start(leader, false)
 	seen := map[int]string{}
 	eventually(t, "all results", func() bool {
-		page, _ := f.read(second, "j1", 0)
+		page, _ := f.readResults(second, "j1", 0)
 		if page == nil {
 			return false
 		}
 		for position, row := range page.Results {
 			if before := seen[position]; before != "" && before != row.ID {
-				t.Fatalf("position %d was %s, is %s", position, before, row.ID)
+				t.Fatalf("position %d changed from %s to %s", position, before, row.ID)
 			}
 			seen[position] = row.ID
 		}
 		return len(page.Results) == items
 	})
-	page, _ := f.read(front, "j1", 0)
+	page, _ := f.readResults(front, "j1", 0)
 	for _, row := range page.Results {
 		var want []string
 		for number := 1; number <= tokens; number++ {
 			want = append(want, emulator.HostedEvent(row.ID, number))
 		}
 		if row.State != "completed" || row.Message != strings.Join(want, "\n") {
-			t.Errorf("%s is %s with %d bytes", row.ID, row.State, len(row.Message))
+			t.Errorf("item %s is %s with a result of %d bytes", row.ID, row.State, len(row.Message))
 		}
 	}
 	f.testEnd(t, front, second)
 }
 
-// testEnd ends a job and checks that it takes no more results, and that hopeless
-// items are given up.
+// testEnd checks that items which fail permanently are abandoned, and that ending the job
+// can be repeated and adds no results.
 func (f *hostedFleet) testEnd(t *testing.T, front, second string) {
-	f.behaveAll(func(request *emulator.HostedRequest) emulator.HostedFault {
+	f.injectFaults(func(request *emulator.HostedRequest) emulator.HostedFault {
 		if strings.HasPrefix(request.ID, "j2") {
 			return emulator.HostedFault{Status: http.StatusUnprocessableEntity}
 		}
 		return emulator.HostedFault{}
 	})
-	defer f.behaveAll(nil)
+	defer f.injectFaults(nil)
 	eventually(t, "the second job accepted", func() bool {
 		status, _, _, err := f.call(http.MethodPost, front, "/batch/j2", map[string]string{"Request-Id": "j2"}, jobDocument("j2", 2, 5))
 		return err == nil && status == http.StatusAccepted
 	})
 	eventually(t, "hopeless items given up", func() bool {
-		page, _ := f.read(second, "j2", 0)
+		page, _ := f.readResults(second, "j2", 0)
 		return page != nil && len(page.Results) == 2 && page.Results[0].State == "abandoned"
 	})
 	for i := 0; i < 2; i++ {
@@ -350,12 +350,12 @@
 			return err == nil && status == http.StatusOK
 		})
 	}
-	if page, _ := f.read(front, "j2", 1); page == nil || len(page.Results) != 1 {
-		t.Errorf("after the end the results read %+v", page)
+	if page, _ := f.readResults(front, "j2", 1); page == nil || len(page.Results) != 1 {
+		t.Errorf("results from position 1 after the job was ended: %+v, want one", page)
 	}
 }
 
-// storeLeader returns the store that runs the items of a job.
+// storeLeader returns the store that leads the group of a job and so runs its items.
 func (f *hostedFleet) storeLeader(t *testing.T, job string) *hostedMachine {
 	role := []byte(fmt.Sprintf("event=running_items group=%d leading=", placement.GroupOf(job, placement.GroupCount(3, 3))))
 	var leader *hostedMachine
@@ -372,9 +372,9 @@
 	return leader
 }
 
-func (f *hostedFleet) testInForce(t *testing.T, front, second string) {
+func (f *hostedFleet) testRouteUpdate(t *testing.T, front, second string) {
 	added := fmt.Sprintf(`,{"name":"added","host":%q,"pathPrefix":"/added/","routeKind":"safe","timeoutMs":20000,"service":%q,"maxAttempts":1}`, hostedHost, hostedService)
-	eventually(t, "the change", func() bool { return f.put("core-1", f.configuration(20, added)) == http.StatusOK })
+	eventually(t, "the change", func() bool { return f.putConfiguration("core-1", f.configuration(20, added)) == http.StatusOK })
 	for _, address := range []string{front, second} {
 		eventually(t, "the added route", func() bool {
 			status, _, _, err := f.call(http.MethodPost, address, "/added/a", map[string]string{"Request-Id": "c-1", "Token-Count": "1,1"}, "p")
@@ -383,45 +383,46 @@
 	}
 }
 
-// testLeaving lists a worker as draining and checks that it gets nothing new once
-// that is known.
-func (f *hostedFleet) testLeaving(t *testing.T, front string) {
-	leaving := f.workers[0]
-	leaving.Drain()
+// testDraining lists a worker as draining and checks that it gets no new requests once the edge
+// has applied that.
+func (f *hostedFleet) testDraining(t *testing.T, front string) {
+	draining := f.workers[0]
+	draining.Drain()
 	number := 0
-	ask := func() {
+	send := func() {
 		number++
 		_, _, _, _ = f.call(http.MethodPost, front, "/stream/a", map[string]string{"Request-Id": fmt.Sprintf("l-%d", number), "Token-Count": "1,1"}, "p")
 	}
 	eventually(t, "an end of requests to the leaving worker", func() bool {
-		before := len(leaving.Requests())
-		// One of three workers is passed over by chance in 60 requests once in 10^10 times;
-		// in 12 it was once in 130, at each of some ten looks.
+		before := len(draining.Requests())
+		// A worker that is not draining gets none of 60 requests with a probability of about
+		// 1 in 10^10. With 12 requests it was 1 in 130 at each of about ten checks.
 		for i := 0; i < 60; i++ {
-			ask()
+			send()
 		}
-		return len(leaving.Requests()) == before
+		return len(draining.Requests()) == before
 	})
-	before := len(leaving.Requests())
+	before := len(draining.Requests())
 	for i := 0; i < 40; i++ {
-		ask()
+		send()
 	}
-	if after := len(leaving.Requests()); after != before {
-		t.Errorf("%d requests went to a leaving worker", after-before)
+	if after := len(draining.Requests()); after != before {
+		t.Errorf("%d requests were sent to a draining worker", after-before)
 	}
 }
 
-// testFailing lets a worker fail all that it gets until it is avoided, then be well again:
-// requests that may run more than once show that, no caller sees a failure, and soon it gets its
-// part of them again. The time that this takes is logged, not bounded: the machine may be busy.
-func (f *hostedFleet) testFailing(t *testing.T, front string) {
-	ill := f.workers[1]
-	ill.InjectFaults(func(*emulator.HostedRequest) emulator.HostedFault {
+// testFailingWorker makes a worker fail all requests until it is avoided, then recover. The requests may
+// run more than once, so no caller may see a failure. After the recovery the worker must get its
+// share of requests again; the time that this takes is logged, not bounded, as the machine may be
+// busy.
+func (f *hostedFleet) testFailingWorker(t *testing.T, front string) {
+	failing := f.workers[1]
+	failing.InjectFaults(func(*emulator.HostedRequest) emulator.HostedFault {
 		return emulator.HostedFault{Status: http.StatusInternalServerError}
 	})
 	number := 0
-	ask := func(count int) (came int) {
-		before := len(ill.Requests())
+	send := func(count int) (received int) {
+		before := len(failing.Requests())
 		for range count {
 			number++
 			headers := map[string]string{"Request-Id": fmt.Sprintf("f-%d", number), "Token-Count": "1,1"}
@@ -429,24 +430,25 @@
 				t.Errorf("call %d: %d, %v", number, status, err)
 			}
 		}
-		return len(ill.Requests()) - before
-	}
-	// Long enough for all to avoid it, beyond the second for which an edge does so by itself.
-	for begun := time.Now(); time.Since(begun) < 3*time.Second; time.Sleep(20 * time.Millisecond) {
-		ask(1)
-	}
-	eventually(t, "an end of requests to the failing worker but for probes", func() bool { return ask(60) <= 2 })
-	ill.InjectFaults(nil)
-	well := time.Now()
-	eventually(t, "requests to the worker that is well again", func() bool { return ask(20) >= 4 })
-	t.Logf("the worker got its part again after %v", time.Since(well))
+		return len(failing.Requests()) - before
+	}
+	// Long enough for the whole zone to avoid the worker. On its own, an edge avoids it for one
+	// second only.
+	for start := time.Now(); time.Since(start) < 3*time.Second; time.Sleep(20 * time.Millisecond) {
+		send(1)
+	}
+	eventually(t, "an end of requests to the failing worker but for probes", func() bool { return send(60) <= 2 })
+	failing.InjectFaults(nil)
+	recovered := time.Now()
+	eventually(t, "requests to the worker that is well again", func() bool { return send(20) >= 4 })
+	t.Logf("the worker got its share of requests again after %v", time.Since(recovered))
 }
 
-// testStop stops an edge while streams run through it: none is cut, and it ends
-// as planned.
-func (f *hostedFleet) testStop(t *testing.T) {
+// testPlannedStop stops an edge while streams run through it. All streams must complete, and the process
+// must exit without an error.
+func (f *hostedFleet) testPlannedStop(t *testing.T) {
 	machine := f.machines["front-22"]
-	address := f.address(machine, portFront)
+	address := f.address(machine, portCallers)
 	var streams sync.WaitGroup
 	for i := 0; i < 4; i++ {
 		streams.Add(1)
@@ -459,21 +461,21 @@
 			}
 		}()
 	}
-	eventually(t, "running streams", func() bool { return f.runs("s-0")+f.runs("s-1")+f.runs("s-2")+f.runs("s-3") == 4 })
+	eventually(t, "running streams", func() bool { return f.runCount("s-0")+f.runCount("s-1")+f.runCount("s-2")+f.runCount("s-3") == 4 })
 	_ = machine.command.Process.Signal(syscall.SIGTERM)
 	eventually(t, "not ready", func() bool {
 		status, _, _, err := f.call(http.MethodGet, f.address(machine, portReady), "/-/ready", nil, "")
 		return err != nil || status == http.StatusServiceUnavailable
 	})
 	streams.Wait()
-	ctx, cancel := context.WithTimeout(context.Background(), hostedWait)
+	ctx, cancel := context.WithTimeout(context.Background(), hostedTimeout)
 	defer cancel()
 	select {
 	case err := <-machine.exited:
 		if err != nil {
-			t.Errorf("it ended with %v", err)
+			t.Errorf("the edge exited with %v", err)
 		}
 	case <-ctx.Done():
-		t.Error("it did not end")
+		t.Error("the edge did not exit in time")
 	}
 }
--- a/test/inventory_test.go
+++ b/test/inventory_test.go
@@ -11,14 +11,14 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// inventory is the page on what one build writes and another reads.
-const inventory = "../docs/design/0015-builds-side-by-side.md"
+// inventoryPage is the page that lists the messages and log commands that different builds exchange.
+const inventoryPage = "../docs/design/0015-builds-side-by-side.md"
 
-// TestInventoryIsWhole checks that each method between processes, and each command of the
-// logs of coordinators and stores, has a row in the inventory: what is added there says
-// what an older and a newer reader make of it.
+// TestInventoryIsWhole checks that the inventory has a row for each method between processes and
+// for each command in the logs of coordinators and stores. The row must say how older and newer
+// builds handle it.
 func TestInventoryIsWhole(t *testing.T) {
-	page, err := os.ReadFile(inventory)
+	page, err := os.ReadFile(inventoryPage)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,19 +39,19 @@
 		for _, match := range method.FindAllStringSubmatch(string(content), -1) {
 			found++
 			if !strings.Contains(string(page), "`"+match[1]+"`") {
-				t.Errorf("%s has the method %s, which has no row", name, match[1])
+				t.Errorf("method %[2]s in %[1]s has no row: add one to the inventory", name, match[1])
 			}
 		}
 	}
 	if found < 30 {
-		t.Errorf("only %d methods were found", found)
+		t.Errorf("found only %d methods, want at least 30", found)
 	}
 	for _, command := range []any{wire.FleetCommand{}, wire.BatchCommand{}} {
 		kind := reflect.TypeOf(command)
 		for i := range kind.NumField() {
 			name, _, _ := strings.Cut(kind.Field(i).Tag.Get("msg"), ",")
 			if !strings.Contains(string(page), "`"+name+"`") {
-				t.Errorf("the command %s of %s has no row", name, kind.Name())
+				t.Errorf("command %s of %s has no row: add one to the inventory", name, kind.Name())
 			}
 		}
 	}
--- a/test/relay_test.go
+++ b/test/relay_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// relay forwards TCP connections to a process until it is cut: then it accepts
-// them and lets nothing through, as a silent cut of the network does.
+// relay forwards TCP connections to a process. While cut, it accepts connections but discards all
+// data, like a network partition that closes no connection.
 type relay struct {
 	listener net.Listener
 	mutex    sync.Mutex
@@ -40,8 +40,8 @@
 	r.target = target
 }
 
-// setCut cuts the link or heals it. Healing breaks the connections that were
-// open, as if they had timed out.
+// setCut cuts or restores the link. Restoring closes the open connections, as if they had timed
+// out.
 func (r *relay) setCut(cut bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -85,7 +85,7 @@
 	r.copy(connection, onward)
 }
 
-// copy forwards one direction; what comes while the link is cut is lost.
+// copy forwards one direction. Data that arrives while the link is cut is lost.
 func (r *relay) copy(to, from net.Conn) {
 	buffer := make([]byte, 64<<10)
 	for {
--- a/test/roll_test.go
+++ b/test/roll_test.go
@@ -11,26 +11,26 @@
 	"time"
 )
 
-// firstRolled is the first version that adds a route while machines are replaced.
-const firstRolled = 30
+// firstRollVersion is the first configuration version that adds a route while machines are replaced.
+const firstRollVersion = 30
 
-// rolled is what callers saw while machines were replaced.
-type rolled struct {
-	served, refused, failed atomic.Int64
-	inForce, notFound       atomic.Int64
-	jobs, accepted, done    atomic.Int64
+// rollStats counts what callers saw while machines were replaced.
+type rollStats struct {
+	served, rejected, failed  atomic.Int64
+	inForce, notFound         atomic.Int64
+	jobs, accepted, completed atomic.Int64
 }
 
-// String returns the counts as a row.
-func (r *rolled) String() string {
-	asked := r.served.Load() + r.refused.Load() + r.failed.Load()
-	return fmt.Sprintf("calls served %.4f of %d (%d refused, %d failed); routes %d served, %d not found 2 s after their acknowledgement; jobs %d accepted of %d, %d done",
-		float64(r.served.Load())/float64(max(asked, 1)), asked, r.refused.Load(), r.failed.Load(), r.inForce.Load(), r.notFound.Load(), r.accepted.Load(), r.jobs.Load(), r.done.Load())
+// String returns the counts on one line.
+func (r *rollStats) String() string {
+	total := r.served.Load() + r.rejected.Load() + r.failed.Load()
+	return fmt.Sprintf("calls served %.4f of %d (%d rejected, %d failed); routes %d served, %d not found 2 s after their acknowledgement; jobs %d accepted of %d, %d completed",
+		float64(r.served.Load())/float64(max(total, 1)), total, r.rejected.Load(), r.failed.Load(), r.inForce.Load(), r.notFound.Load(), r.accepted.Load(), r.jobs.Load(), r.completed.Load())
 }
 
-// TestRollUnderLoad replaces all machines one after the other under calls, routes added and
-// jobs handed in, on one build and from the released one to this one, and prints what
-// callers saw. It takes minutes and judges by time, so it is run by hand:
+// TestRollUnderLoad replaces all machines one after the other while requests, new routes and jobs
+// arrive, on one build and between the released build and this one, and logs what callers saw. It
+// takes minutes and its results depend on timing, so it is run by hand:
 // SEDGEMAST_ROLL=1 go test -run TestRollUnderLoad -v ./test
 func TestRollUnderLoad(t *testing.T) {
 	if os.Getenv("SEDGEMAST_ROLL") == "" {
@@ -46,34 +46,34 @@
 		{"back to the older build, mixed", newest, released, mixed},
 	} {
 		t.Run(roll.name, func(t *testing.T) {
-			f := newHostedFleetOf(t, roll.from, 6)
+			f := newHostedFleetWith(t, roll.from, 6)
 			t.Log(f.roll(t, roll.to, strings.Fields(roll.order)))
 		})
 	}
 }
 
-// roll replaces the machines, one each two seconds, while callers come.
-func (f *hostedFleet) roll(t *testing.T, to string, machines []string) *rolled {
-	seen := &rolled{}
-	fronts := f.ready(t)
+// roll replaces one machine every two seconds, in the given order, under load.
+func (f *hostedFleet) roll(t *testing.T, to string, machines []string) *rollStats {
+	stats := &rollStats{}
+	fronts := f.configure(t)
 	time.Sleep(2 * time.Second)
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
-	every := func(pause time.Duration, call func(number int)) {
+	every := func(interval time.Duration, call func(number int)) {
 		callers.Go(func() {
 			for number := 0; ; number++ {
 				select {
 				case <-stop:
 					return
-				case <-time.After(pause):
+				case <-time.After(interval):
 					callers.Go(func() { call(number) })
 				}
 			}
 		})
 	}
-	every(25*time.Millisecond, func(number int) { f.rollCall(fronts, number, seen) })
-	every(time.Second, func(number int) { f.rollRoute(fronts, firstRolled+number, seen) })
-	every(200*time.Millisecond, func(number int) { f.rollJob(fronts, number, seen) })
+	every(25*time.Millisecond, func(number int) { f.rollCall(fronts, number, stats) })
+	every(time.Second, func(number int) { f.rollRoute(fronts, firstRollVersion+number, stats) })
+	every(200*time.Millisecond, func(number int) { f.rollJob(fronts, number, stats) })
 	for _, name := range machines {
 		time.Sleep(2 * time.Second)
 		f.replace(f.machines[name], to)
@@ -81,39 +81,39 @@
 	time.Sleep(4 * time.Second)
 	close(stop)
 	callers.Wait()
-	return seen
+	return stats
 }
 
-// rollCall sends a request as callers do: an edge that refuses or is gone is left for the
-// other one, twice.
-func (f *hostedFleet) rollCall(fronts []string, number int, seen *rolled) {
+// rollCall sends a request as callers do: if an edge rejects it or does not answer, the caller
+// tries the other edge, up to three attempts in all.
+func (f *hostedFleet) rollCall(fronts []string, number int, stats *rollStats) {
 	headers := map[string]string{"Request-Id": fmt.Sprintf("r-%d", number), "Token-Count": "10,6", "Deadline-Ms": "3000"}
 	for try := range 3 {
 		status, _, body, err := f.call(http.MethodPost, fronts[(number+try)%len(fronts)], "/stream/a", headers, "p")
 		switch {
 		case err == nil && status == http.StatusOK && strings.HasSuffix(body, fmt.Sprintf("r-%d-6\n\n", number)):
-			seen.served.Add(1)
+			stats.served.Add(1)
 			return
 		case try == 2 && err == nil && status == http.StatusServiceUnavailable:
-			seen.refused.Add(1)
+			stats.rejected.Add(1)
 		case try == 2:
-			seen.failed.Add(1)
+			stats.failed.Add(1)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-// rollRoute adds a route and asks both edges for it 2 s after it was acknowledged.
-func (f *hostedFleet) rollRoute(fronts []string, version int, seen *rolled) {
+// rollRoute adds a route and calls it at both edges 2 s after the configuration was acknowledged.
+func (f *hostedFleet) rollRoute(fronts []string, version int, stats *rollStats) {
 	added := ""
-	for earlier := firstRolled; earlier <= version; earlier++ {
+	for earlier := firstRollVersion; earlier <= version; earlier++ {
 		added += fmt.Sprintf(`,{"name":"added-%d","host":%q,"pathPrefix":"/added-%d/","routeKind":"safe","timeoutMs":20000,"service":%q,"maxAttempts":3}`, earlier, hostedHost, earlier, hostedService)
 	}
 	for try := 0; ; try++ {
 		if try == 30 {
 			return
 		}
-		if f.put(fmt.Sprintf("core-%d", 1+(version+try)%3), f.configuration(version, added)) == http.StatusOK {
+		if f.putConfiguration(fmt.Sprintf("core-%d", 1+(version+try)%3), f.configuration(version, added)) == http.StatusOK {
 			break
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -124,18 +124,18 @@
 		switch {
 		case err != nil || status == http.StatusServiceUnavailable:
 		case status == http.StatusNotFound:
-			seen.notFound.Add(1)
+			stats.notFound.Add(1)
 		default:
-			seen.inForce.Add(1)
+			stats.inForce.Add(1)
 		}
 	}
 }
 
-// rollJob hands in a job of four items and waits for its results.
-func (f *hostedFleet) rollJob(fronts []string, number int, seen *rolled) {
+// rollJob submits a job of four items and waits for its results.
+func (f *hostedFleet) rollJob(fronts []string, number int, stats *rollStats) {
 	const items = 4
 	job := fmt.Sprintf("rj-%d", number)
-	seen.jobs.Add(1)
+	stats.jobs.Add(1)
 	accepted := false
 	for try := 0; try < 10 && !accepted; try++ {
 		status, _, _, err := f.call(http.MethodPost, fronts[(number+try)%len(fronts)], "/batch/a", map[string]string{"Request-Id": job}, jobDocument(job, items, 10))
@@ -146,10 +146,10 @@
 	if !accepted {
 		return
 	}
-	seen.accepted.Add(1)
+	stats.accepted.Add(1)
 	for try := range 100 {
-		if page, _ := f.read(fronts[try%len(fronts)], job, 0); page != nil && len(page.Results) == items {
-			seen.done.Add(1)
+		if page, _ := f.readResults(fronts[try%len(fronts)], job, 0); page != nil && len(page.Results) == items {
+			stats.completed.Add(1)
 			return
 		}
 		time.Sleep(200 * time.Millisecond)
--- a/test/smoke_test.go
+++ b/test/smoke_test.go
@@ -34,7 +34,7 @@
 	runSmoke(t, ctx, c, nil)
 }
 
-// TestFleetSmokeWithKills kills an engine and a dispatcher in the middle.
+// TestFleetSmokeWithKills kills an engine and a dispatcher under load.
 func TestFleetSmokeWithKills(t *testing.T) {
 	ctx := testContext(t)
 	c := newCluster(t, ctx, smokeSize)
@@ -46,7 +46,7 @@
 	})
 }
 
-// TestEngineFaults lets the engines' answers come late, crossed, twice and cut.
+// TestEngineFaults makes the engines delay, misroute and duplicate events and close connections.
 func TestEngineFaults(t *testing.T) {
 	ctx := testContext(t)
 	size := smokeSize
@@ -54,21 +54,21 @@
 	runSmoke(t, ctx, newCluster(t, ctx, size), nil)
 }
 
-// runSmoke sends the smoke load while disturb runs, and checks every answer.
-func runSmoke(t *testing.T, ctx context.Context, c *cluster, disturb func()) {
+// runSmoke sends the smoke load while inject runs, and checks every answer. inject may be nil.
+func runSmoke(t *testing.T, ctx context.Context, c *cluster, inject func()) {
 	t.Helper()
 	job := &loadgen.BatchJob{Model: testModel, Items: smokeItems, MaxTokens: 64, Words: 64, Name: "smoke", Key: "smoke"}
 	batch, err := job.Submit(ctx, c.client(0))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if disturb != nil {
-		go disturb()
+	if inject != nil {
+		go inject()
 	}
 	summary := smokeOnline().Run(ctx, c.clients())
 	t.Logf("online: %s", summary)
 	if summary.Failed() > 0 {
-		t.Errorf("%d online requests have no whole answer; the first: %v", summary.Failed(), summary.FirstError)
+		t.Errorf("%d online requests failed; first error: %v", summary.Failed(), summary.FirstError)
 	}
 	batch, err = loadgen.WaitBatch(ctx, c.client(1), batch.ID)
 	if err != nil {
@@ -77,11 +77,11 @@
 	if err := job.Check(ctx, c.client(2), batch); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("job: %d items complete, each once and whole", batch.RequestCounts.Completed)
+	t.Logf("job: %d items completed, each once and with the expected text", batch.RequestCounts.Completed)
 }
 
-// TestPlannedStop stops a dispatcher and a gateway under load: no request that
-// was sent to a gateway which stays is cut.
+// TestPlannedStop stops a dispatcher and a gateway under load. Requests to the other gateways must
+// not fail.
 func TestPlannedStop(t *testing.T) {
 	ctx := testContext(t)
 	c := newCluster(t, ctx, smokeSize)
@@ -94,11 +94,11 @@
 	summary := smokeOnline().Run(ctx, c.clients()[:2])
 	t.Logf("online: %s", summary)
 	if summary.Failed() > 0 {
-		t.Errorf("%d online requests have no whole answer; the first: %v", summary.Failed(), summary.FirstError)
+		t.Errorf("%d online requests failed; first error: %v", summary.Failed(), summary.FirstError)
 	}
 	for range 2 {
 		if code := <-stopped; code != 0 {
-			t.Errorf("a planned stop ended with code %d", code)
+			t.Errorf("a planned stop exited with code %d, want 0", code)
 		}
 	}
 }
--- a/test/soak_clients_test.go
+++ b/test/soak_clients_test.go
@@ -12,9 +12,9 @@
 	"github.com/sedgemast/sedgemast/internal/emulator"
 )
 
-// client sends requests to one edge after the other, over an open connection for as long as
-// that lasts.
-func (s *soak) client(number int, random *rand.Rand, stop <-chan struct{}) {
+// runClient sends requests to one edge over a kept-alive connection, and changes to a random edge
+// when that one does not serve.
+func (s *soak) runClient(number int, random *rand.Rand, stop <-chan struct{}) {
 	transport := &http.Transport{MaxIdleConnsPerHost: 1, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport, Timeout: 20 * time.Second}
@@ -30,7 +30,7 @@
 		if random.Intn(3) == 0 {
 			path = "/once/a"
 			s.mutex.Lock()
-			s.once = append(s.once, id)
+			s.atMostOnce = append(s.atMostOnce, id)
 			s.mutex.Unlock()
 		}
 		if !s.send(client, front, path, id, 1+random.Intn(30)) {
@@ -40,17 +40,17 @@
 	}
 }
 
-// send sends a request, checks the answer, and reports whether the edge served.
+// send sends a request, checks the answer and reports whether the edge served it.
 func (s *soak) send(client *http.Client, front, path, id string, events int) bool {
 	s.mutex.Lock()
-	life, sentAt := s.lives[front], time.Now()
+	incarnation, sentAt := s.incarnations[front], time.Now()
 	s.mutex.Unlock()
-	request, err := http.NewRequest(http.MethodPost, "http://"+s.address(s.machines[front], portFront)+path, strings.NewReader("p"))
+	request, err := http.NewRequest(http.MethodPost, "http://"+s.address(s.machines[front], portCallers)+path, strings.NewReader("p"))
 	if err != nil {
-		s.violate("%v", err)
+		s.recordViolation("%v", err)
 		return false
 	}
-	// Without GetBody it is never sent a second time by itself.
+	// Without GetBody the transport never resends the request on its own.
 	request.GetBody = nil
 	request.Host = hostedHost
 	request.Header.Set("Request-Id", id)
@@ -59,7 +59,7 @@
 	response, err := client.Do(request)
 	if err != nil {
 		if !strings.Contains(err.Error(), "refused") && !strings.Contains(err.Error(), "dial") {
-			s.noAnswer(front, id, life, sentAt, err)
+			s.recordNoAnswer(front, id, incarnation, sentAt, err)
 		}
 		return false
 	}
@@ -68,47 +68,49 @@
 	switch {
 	case response.StatusCode == http.StatusServiceUnavailable:
 		s.mutex.Lock()
-		s.refused = append(s.refused, id)
+		s.rejected = append(s.rejected, id)
 		s.counts["refused"]++
 		s.mutex.Unlock()
 		return false
 	case response.StatusCode != http.StatusOK:
-		s.violate("%s got %d: %s", id, response.StatusCode, body)
+		s.recordViolation("%s got %d: %s", id, response.StatusCode, body)
 		return false
 	case err != nil:
-		s.noAnswer(front, id, life, sentAt, err)
+		s.recordNoAnswer(front, id, incarnation, sentAt, err)
 		return false
 	}
-	s.count("answers whole")
-	if want := wholeAnswer(id, events); string(body) != want {
-		s.violate("%s got %q, want %q", id, body, want)
+	s.count("complete answers")
+	if want := expectedAnswer(id, events); string(body) != want {
+		s.recordViolation("%s got %q, want %q", id, body, want)
 	}
 	return true
 }
 
-func wholeAnswer(id string, count int) string { return events(id, 1, count) }
+func expectedAnswer(id string, count int) string { return events(id, 1, count) }
 
-// noAnswer takes in that a request had no whole answer. That may be where its edge was
-// killed; around a planned stop a few may cross the close.
-func (s *soak) noAnswer(front, id string, life int, sentAt time.Time, err error) {
+// recordNoAnswer records that a request got no complete answer. That is allowed if its edge was killed,
+// at most a second before the request was sent or later.
+// Around a planned stop it is allowed for a few requests that were sent while the edge closed the
+// connection.
+func (s *soak) recordNoAnswer(front, id string, incarnation int, sentAt time.Time, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	killed := s.killed[front]
 	switch {
 	case killed.After(sentAt.Add(-time.Second)):
 		s.counts["cut"]++
-	case s.lives[front] != life || s.busy[front]:
+	case s.incarnations[front] != incarnation || s.faulty[front]:
 		s.counts["crossed"]++
-		s.crossed[fmt.Sprintf("%s/%d", front, max(life, s.lives[front]))]++
+		s.crossed[fmt.Sprintf("%s/%d", front, max(incarnation, s.incarnations[front]))]++
 	default:
-		s.violations = append(s.violations, fmt.Sprintf("%8.3f %s had no answer of %s, which nothing befell: %v", time.Since(s.began).Seconds(), id, front, err))
+		s.violations = append(s.violations, fmt.Sprintf("%8.3f %s got no complete answer from %s, which had no fault: %v", time.Since(s.began).Seconds(), id, front, err))
 	}
 }
 
-// operator adds a route again and again, and looks whether edges go back.
-func (s *soak) operator(stop <-chan struct{}) {
+// runOperator adds a route every 500 ms and checks that no edge goes back to an older configuration.
+func (s *soak) runOperator(stop <-chan struct{}) {
 	version := 20
-	newest := map[string]int{}
+	newestServed := map[string]int{}
 	for {
 		select {
 		case <-stop:
@@ -116,18 +118,19 @@
 		case <-time.After(500 * time.Millisecond):
 		}
 		version++
-		if s.put(fmt.Sprintf("core-%d", 1+version%3), s.configuration(version, soakRoutes(version))) == http.StatusOK {
+		if s.putConfiguration(fmt.Sprintf("core-%d", 1+version%3), s.configuration(version, soakRoutes(version))) == http.StatusOK {
 			s.mutex.Lock()
-			s.acked = version
+			s.ackedVersion = version
 			s.mutex.Unlock()
 		}
 		for _, front := range s.fronts() {
-			s.lookBack(front, version, newest)
+			s.checkRoutes(front, version, newestServed)
 		}
 	}
 }
 
-// soakRoutes are those of the last versions, with which the document stays short.
+// soakRoutes returns the routes that the last versions added. Older ones are left out to keep the
+// document short.
 func soakRoutes(version int) string {
 	var routes strings.Builder
 	for added := max(21, version-30); added <= version; added++ {
@@ -136,15 +139,15 @@
 	return routes.String()
 }
 
-// lookBack asks an edge for the newest route that it has served in this life, and for the
-// newest there is.
-func (s *soak) lookBack(front string, version int, newest map[string]int) {
+// checkRoutes calls the newest route that an edge has served since its last start, which must still
+// be served, and the newest route of all.
+func (s *soak) checkRoutes(front string, version int, newestServed map[string]int) {
 	s.mutex.Lock()
-	life := fmt.Sprintf("%s/%d", front, s.lives[front])
+	incarnation := fmt.Sprintf("%s/%d", front, s.incarnations[front])
 	s.mutex.Unlock()
-	ask := func(route int) int {
+	call := func(route int) int {
 		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * time.Second}
-		request, err := http.NewRequest(http.MethodPost, fmt.Sprintf("http://%s/added-%d/a", s.address(s.machines[front], portFront), route), strings.NewReader("p"))
+		request, err := http.NewRequest(http.MethodPost, fmt.Sprintf("http://%s/added-%d/a", s.address(s.machines[front], portCallers), route), strings.NewReader("p"))
 		if err != nil {
 			return 0
 		}
@@ -158,26 +161,26 @@
 		_ = response.Body.Close()
 		return response.StatusCode
 	}
-	known := newest[life]
-	if known > version-30 && known > 0 {
-		status := ask(known)
+	served := newestServed[incarnation]
+	if served > version-30 && served > 0 {
+		status := call(served)
 		s.mutex.Lock()
-		same := life == fmt.Sprintf("%s/%d", front, s.lives[front])
+		same := incarnation == fmt.Sprintf("%s/%d", front, s.incarnations[front])
 		s.mutex.Unlock()
 		if status == http.StatusNotFound && same {
-			s.violate("%s answers 404 on route %d, which it has served", front, known)
+			s.recordViolation("%s answers 404 for route %d, which it served before", front, served)
 		}
 		if status == http.StatusOK {
 			s.count("routes in force")
 		}
 	}
-	if ask(version) == http.StatusOK {
-		newest[life] = version
+	if call(version) == http.StatusOK {
+		newestServed[incarnation] = version
 	}
 }
 
-// batches hands jobs in and reads them.
-func (s *soak) batches(stop <-chan struct{}) {
+// runBatches submits jobs and reads their results.
+func (s *soak) runBatches(stop <-chan struct{}) {
 	for number := 0; ; number++ {
 		select {
 		case <-stop:
@@ -187,7 +190,7 @@
 		job, items := fmt.Sprintf("sj-%d", number), 1+number%5
 		for try := range 20 {
 			front := s.fronts()[(number+try)%3]
-			status, _, _, err := s.callWithin(2*time.Second, http.MethodPost, s.address(s.machines[front], portFront), "/batch/a", map[string]string{"Request-Id": job}, jobDocument(job, items, 20))
+			status, _, _, err := s.callWithin(2*time.Second, http.MethodPost, s.address(s.machines[front], portCallers), "/batch/a", map[string]string{"Request-Id": job}, jobDocument(job, items, 20))
 			if err == nil && status == http.StatusAccepted {
 				s.mutex.Lock()
 				s.jobs[job] = &soakJob{items: items}
@@ -196,7 +199,7 @@
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		for name := range s.accepted() {
+		for name := range s.acceptedJobs() {
 			if number%3 == 0 {
 				s.readJob(name, s.fronts()[number%3])
 			}
@@ -204,8 +207,8 @@
 	}
 }
 
-// accepted returns the accepted jobs.
-func (s *soak) accepted() map[string]*soakJob {
+// acceptedJobs returns a copy of the map of acceptedJobs jobs.
+func (s *soak) acceptedJobs() map[string]*soakJob {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	jobs := make(map[string]*soakJob, len(s.jobs))
@@ -215,33 +218,33 @@
 	return jobs
 }
 
-// readJob reads a job and checks that what was read before has stayed. It reports whether
-// all is there.
+// readJob reads a job's results, checks them, and checks that those that were read before have kept
+// their positions. It reports whether the results are complete.
 func (s *soak) readJob(name, front string) bool {
-	status, _, body, err := s.callWithin(2*time.Second, http.MethodGet, s.address(s.machines[front], portFront), "/-/lots/"+name+"?sinceRev=0", map[string]string{"Wait-Ms": "0"}, "")
+	status, _, body, err := s.callWithin(2*time.Second, http.MethodGet, s.address(s.machines[front], portCallers), "/-/lots/"+name+"?sinceRev=0", map[string]string{"Wait-Ms": "0"}, "")
 	if err != nil || status != http.StatusOK {
 		if err == nil && status != http.StatusServiceUnavailable {
-			s.violate("%s answers %d for %s, which was accepted", front, status, name)
+			s.recordViolation("%s answers %d for the accepted job %s", front, status, name)
 		}
 		return false
 	}
-	page, fault := parsePage(body)
-	if fault != nil {
-		s.violate("%s: %v", name, fault)
+	page, parseErr := parsePage(body)
+	if parseErr != nil {
+		s.recordViolation("%s: %v", name, parseErr)
 		return false
 	}
-	job := s.accepted()[name]
+	job := s.acceptedJobs()[name]
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for position, row := range page.Results {
-		if position < len(job.read) {
-			s.counts["positions last"]++
-			if job.read[position] != row.ID {
-				s.violations = append(s.violations, fmt.Sprintf("position %d of %s was %s, is %s", position, name, job.read[position], row.ID))
+		if position < len(job.results) {
+			s.counts["stable positions"]++
+			if job.results[position] != row.ID {
+				s.violations = append(s.violations, fmt.Sprintf("position %d of %s changed from %s to %s", position, name, job.results[position], row.ID))
 			}
 			continue
 		}
-		job.read = append(job.read, row.ID)
+		job.results = append(job.results, row.ID)
 		var want []string
 		for number := 1; number <= 20; number++ {
 			want = append(want, emulator.HostedEvent(row.ID, number))
@@ -253,38 +256,38 @@
 	return len(page.Results) == job.items
 }
 
-// finishJobs waits until all accepted jobs are done, and checks that no item stands twice.
-func (s *soak) finishJobs() {
-	for name, job := range s.accepted() {
+// checkJobs waits until all accepted jobs are complete, and checks that no item has two results.
+func (s *soak) checkJobs() {
+	for name, job := range s.acceptedJobs() {
 		eventually(s.t, "the results of "+name, func() bool { return s.readJob(name, s.fronts()[0]) })
-		s.count("jobs done")
+		s.count("completed jobs")
 		seen := map[string]bool{}
-		for _, item := range job.read {
+		for _, item := range job.results {
 			if seen[item] {
-				s.violate("%s stands twice in %s", item, name)
+				s.recordViolation("item %s has two results in job %s", item, name)
 			}
 			seen[item] = true
 		}
 	}
 }
 
-// finishConfiguration checks that the newest acknowledged configuration is read back, or a
-// later one that had no clear answer, and is in force at each edge.
-func (s *soak) finishConfiguration() {
+// checkConfiguration checks that the configuration that is read is the newest acknowledged one, or
+// a later one whose acknowledgement was lost, and that it is in force at each edge.
+func (s *soak) checkConfiguration() {
 	eventually(s.t, "a read of the configuration", func() bool {
 		status, _, body, err := s.callWithin(2*time.Second, http.MethodGet, s.address(s.machines["core-1"], portControl), "/-/config", nil, "")
 		var version int
 		if err != nil || status != http.StatusOK {
 			return false
 		}
-		if _, err := fmt.Sscanf(body, `{"version":%d`, &version); err != nil || version < s.acked {
-			s.violate("version %d is read, %d was acknowledged", version, s.acked)
+		if _, err := fmt.Sscanf(body, `{"version":%d`, &version); err != nil || version < s.ackedVersion {
+			s.recordViolation("the configuration has version %d, but %d was acknowledged", version, s.ackedVersion)
 		}
 		return true
 	})
 	for _, front := range s.fronts() {
 		eventually(s.t, "the newest route at "+front, func() bool {
-			status, _, _, err := s.callWithin(2*time.Second, http.MethodPost, s.address(s.machines[front], portFront), fmt.Sprintf("/added-%d/a", s.acked), map[string]string{"Request-Id": "last-" + front, "Token-Count": "1,1"}, "p")
+			status, _, _, err := s.callWithin(2*time.Second, http.MethodPost, s.address(s.machines[front], portCallers), fmt.Sprintf("/added-%d/a", s.ackedVersion), map[string]string{"Request-Id": "last-" + front, "Token-Count": "1,1"}, "p")
 			return err == nil && status == http.StatusOK
 		})
 	}
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -16,68 +16,71 @@
 	"github.com/sedgemast/sedgemast/internal/emulator"
 )
 
-// A soak runs a fleet of separate processes under faults drawn from a seed, several at once
-// and in series, while clients go on over open connections, and checks what callers and
-// workers see. CI plays one short seed; by hand: make soak SECONDS=60 SEED=7.
+// The soak test runs a fleet of separate processes and injects faults drawn from a seed, several at
+// once and one after another, while clients send requests over kept-alive connections. It checks
+// what callers and workers see. CI runs one short seed; by hand: make soak SECONDS=60 SEED=7.
 
 const (
-	// soakSeconds is how long the short run's faults last, soakSeed its seed.
+	// soakSeconds is how long the default run injects faults, soakSeed is its seed.
 	soakSeconds = 30
 	soakSeed    = 1
-	// soakRest is the shortest time between two faults that take a disk of one class of
-	// machines away: a process that lost its disk is a member again by then.
-	soakRest = 9 * time.Second
-	// mostCrossed is how many requests may cross the close of their connection at one
-	// planned stop.
-	mostCrossed = 3
-	// allDark is how long all machines are away at once, thirdFrozen how long a third of them
-	// stands still.
-	allDark     = 600 * time.Millisecond
+	// wipeInterval is how long after the loss of a disk no machine of the same class gets another
+	// fault, so that the process that lost its disk is a full member again by then.
+	wipeInterval = 9 * time.Second
+	// maxCrossed is the maximum number of requests without an answer per planned stop: those
+	// that were sent while the edge closed their connection.
+	maxCrossed = 3
+	// allDown is how long all machines are down at once, thirdFrozen how long a third of them
+	// is frozen.
+	allDown     = 600 * time.Millisecond
 	thirdFrozen = 3 * time.Second
 )
 
-// soak is one run.
+// soak is the state of one run.
 type soak struct {
 	*hostedFleet
 	t      *testing.T
 	random *rand.Rand
 	began  time.Time
-	// released is the path of the released build, empty where it is not there.
+	// newest is the path of this build. released is that of the released build, empty if the
+	// history does not hold it.
 	released, newest string
 
 	mutex sync.Mutex
-	// counts holds how often each promise was put to the test.
+	// counts is the number of checks of each promise, and of a few other events.
 	counts     map[string]int
 	faults     []string
 	violations []string
-	// lives counts the starts of each machine, killed is when it was last killed, crossed
-	// how many requests crossed the close of a planned stop of that life.
-	lives   map[string]int
-	killed  map[string]time.Time
-	crossed map[string]int
-	// busy names the machines that a fault is at, wiped is when a class last lost a disk.
-	busy  map[string]bool
-	wiped map[string]time.Time
-	// refused and once hold ids of requests that were promised not to run, and that may run
-	// once at most.
-	refused, once []string
-	// acked is the newest acknowledged version; jobs holds accepted jobs.
-	acked int
-	jobs  map[string]*soakJob
+	// incarnations counts the stops of each machine, by kill or as planned. killed is when it
+	// was last killed. crossed counts, by machine and incarnation, the requests that were sent
+	// while a planned stop closed their connection.
+	incarnations map[string]int
+	killed       map[string]time.Time
+	crossed      map[string]int
+	// faulty holds the machines that have a fault now. wiped is when a class last lost a disk.
+	faulty map[string]bool
+	wiped  map[string]time.Time
+	// rejected holds the ids of requests that were rejected as not run. atMostOnce holds the ids of
+	// requests that may run at most atMostOnce.
+	rejected, atMostOnce []string
+	// ackedVersion is the newest acknowledged configuration version. jobs holds the accepted jobs.
+	ackedVersion int
+	jobs         map[string]*soakJob
 }
 
-// soakJob is an accepted job and what has been read of it.
+// soakJob is an accepted job and the ids of the items whose results were read, by position.
 type soakJob struct {
-	items int
-	read  []string
+	items   int
+	results []string
 }
 
-// TestSoak plays a seed.
+// TestSoak runs the soak test with one seed and fails on each violation, and if a promise was never
+// checked.
 func TestSoak(t *testing.T) {
 	s := newSoak(t, envInt(t, "SEDGEMAST_SOAK_SEED", soakSeed))
 	seconds := envInt(t, "SEDGEMAST_SOAK_SECONDS", soakSeconds)
-	s.play(time.Duration(seconds) * time.Second)
-	s.finish()
+	s.run(time.Duration(seconds) * time.Second)
+	s.checkEnd()
 	t.Logf("seed %d, %d faults; %s", envInt(t, "SEDGEMAST_SOAK_SEED", soakSeed), len(s.faults), s.summary())
 	for _, violation := range s.violations {
 		t.Error(violation)
@@ -85,9 +88,9 @@
 	if len(s.violations) > 0 {
 		t.Logf("faults:\n%s", strings.Join(s.faults, "\n"))
 	}
-	for _, promise := range []string{"answers whole", "once at most", "not run is true", "routes in force", "jobs done", "positions last", "planned stops", "all at once", "a third stood still"} {
+	for _, promise := range []string{"complete answers", "at most once", "not run confirmed", "routes in force", "completed jobs", "stable positions", "planned stops", "all killed", "third frozen"} {
 		if s.counts[promise] == 0 {
-			t.Errorf("the promise %q was not put to the test", promise)
+			t.Errorf("the promise %q was never checked", promise)
 		}
 	}
 }
@@ -108,65 +111,65 @@
 func newSoak(t *testing.T, seed int) *soak {
 	newest := buildHosted(t)
 	s := &soak{
-		hostedFleet: newHostedFleetOf(t, newest, 6),
-		t:           t,
-		random:      rand.New(rand.NewSource(int64(seed))),
-		began:       time.Now(),
-		newest:      newest,
-		counts:      map[string]int{},
-		lives:       map[string]int{},
-		killed:      map[string]time.Time{},
-		crossed:     map[string]int{},
-		busy:        map[string]bool{},
-		wiped:       map[string]time.Time{},
-		jobs:        map[string]*soakJob{},
+		hostedFleet:  newHostedFleetWith(t, newest, 6),
+		t:            t,
+		random:       rand.New(rand.NewSource(int64(seed))),
+		began:        time.Now(),
+		newest:       newest,
+		counts:       map[string]int{},
+		incarnations: map[string]int{},
+		killed:       map[string]time.Time{},
+		crossed:      map[string]int{},
+		faulty:       map[string]bool{},
+		wiped:        map[string]time.Time{},
+		jobs:         map[string]*soakJob{},
 	}
 	s.add("front", "edge", 23)
-	s.released = findReleased(t)
+	s.released = tryBuildReleased(t)
 	return s
 }
 
 // fronts returns the edges' names.
 func (s *soak) fronts() []string { return []string{"front-21", "front-22", "front-23"} }
 
-// play lets clients come and faults happen for a while.
-func (s *soak) play(length time.Duration) {
-	s.ready(s.t)
+// run runs the clients and injects faults for the given duration.
+func (s *soak) run(duration time.Duration) {
+	s.configure(s.t)
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
 	seed := s.random.Int63()
 	for number := range 8 {
-		clients.Go(func() { s.client(number, rand.New(rand.NewSource(seed+int64(number))), stop) })
+		clients.Go(func() { s.runClient(number, rand.New(rand.NewSource(seed+int64(number))), stop) })
 	}
-	clients.Go(func() { s.operator(stop) })
-	clients.Go(func() { s.batches(stop) })
+	clients.Go(func() { s.runOperator(stop) })
+	clients.Go(func() { s.runBatches(stop) })
 	var faults sync.WaitGroup
-	began, whole := time.Now(), []func(){s.killAll, s.freezeThird}
-	for parts := len(whole) + 1; time.Since(began) < length; {
-		if len(whole) > 0 && time.Since(began) > length*time.Duration(parts-len(whole))/time.Duration(parts) {
-			// These are at all machines, so no other fault is at any.
+	began, fleetFaults := time.Now(), []func(){s.killAll, s.freezeThird}
+	for parts := len(fleetFaults) + 1; time.Since(began) < duration; {
+		if len(fleetFaults) > 0 && time.Since(began) > duration*time.Duration(parts-len(fleetFaults))/time.Duration(parts) {
+			// Such a fault affects all classes of machines, so it waits until no other is active.
 			faults.Wait()
-			whole[0]()
-			whole = whole[1:]
+			fleetFaults[0]()
+			fleetFaults = fleetFaults[1:]
 		}
-		if fault := s.draw(); fault != nil {
+		if fault := s.drawFault(); fault != nil {
 			faults.Go(fault)
 		}
 		time.Sleep(200*time.Millisecond + time.Duration(s.random.Int63n(int64(1500*time.Millisecond))))
 	}
 	faults.Wait()
-	s.note("all is mended")
+	s.logFault("all faults are over")
 	close(stop)
 	clients.Wait()
 }
 
-func (s *soak) note(format string, arguments ...any) {
+func (s *soak) logFault(format string, arguments ...any) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.faults = append(s.faults, fmt.Sprintf("%8.3f ", time.Since(s.began).Seconds())+fmt.Sprintf(format, arguments...))
 }
 
-func (s *soak) violate(format string, arguments ...any) {
+func (s *soak) recordViolation(format string, arguments ...any) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.violations = append(s.violations, fmt.Sprintf("%8.3f ", time.Since(s.began).Seconds())+fmt.Sprintf(format, arguments...))
@@ -180,45 +183,46 @@
 
 func (s *soak) summary() string {
 	var rows []string
-	for _, promise := range []string{"answers whole", "once at most", "not run is true", "routes in force", "jobs done", "positions last", "planned stops", "all at once", "a third stood still", "crossed", "cut", "refused"} {
+	for _, promise := range []string{"complete answers", "at most once", "not run confirmed", "routes in force", "completed jobs", "stable positions", "planned stops", "all killed", "third frozen", "crossed", "cut", "refused"} {
 		rows = append(rows, fmt.Sprintf("%s %d", promise, s.counts[promise]))
 	}
 	return strings.Join(rows, ", ")
 }
 
-// draw returns a fault of a machine that none is at, or nil: of coordinators and stores one
-// at a time, of edges all but one.
-func (s *soak) draw() func() {
+// drawFault returns a random fault for a machine that has none, or nil. At most one coordinator, one
+// store and two of the three edges have a fault at the same time. The fault of the workers, which
+// is that all reject requests, may come at any time.
+func (s *soak) drawFault() func() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	classes := []string{"core", "store", "front", "workers"}
 	class := classes[s.random.Intn(len(classes))]
 	if class == "workers" {
-		return s.refuseAtWorkers
+		return s.rejectAtWorkers
 	}
 	var idle []string
 	busy := 0
 	for _, name := range s.names() {
 		switch {
 		case !strings.HasPrefix(name, class):
-		case s.busy[name]:
+		case s.faulty[name]:
 			busy++
 		default:
 			idle = append(idle, name)
 		}
 	}
-	most := map[string]int{"core": 1, "store": 1, "front": 2}[class]
+	maxBusy := map[string]int{"core": 1, "store": 1, "front": 2}[class]
 	kind := s.random.Intn(5)
 	name := idle[s.random.Intn(len(idle))]
 	pause := time.Duration(s.random.Int63n(int64(2 * time.Second)))
-	wipe := kind == 3 && class != "front" && time.Since(s.wiped[class]) > soakRest
-	if busy >= most || time.Since(s.wiped[class]) < soakRest {
+	wipe := kind == 3 && class != "front" && time.Since(s.wiped[class]) > wipeInterval
+	if busy >= maxBusy || time.Since(s.wiped[class]) < wipeInterval {
 		return nil
 	}
 	if wipe {
 		s.wiped[class] = time.Now()
 	}
-	s.busy[name] = true
+	s.faulty[name] = true
 	machine := s.machines[name]
 	return func() {
 		switch {
@@ -230,58 +234,58 @@
 			s.restart(machine, kind == 4)
 		}
 		s.mutex.Lock()
-		s.busy[name] = false
+		s.faulty[name] = false
 		s.mutex.Unlock()
 	}
 }
 
-// names returns the machines' names in an order that a seed repeats.
+// names returns the machines' names in a fixed order, so that a seed draws the same ones.
 func (s *soak) names() []string {
 	return append([]string{"core-1", "core-2", "core-3", "store-11", "store-12", "store-13"}, s.fronts()...)
 }
 
-// refuseAtWorkers lets all workers refuse for a while: what is answered as not run meanwhile
-// must not run.
-func (s *soak) refuseAtWorkers() {
-	s.note("workers refuse")
-	s.behaveAll(func(*emulator.HostedRequest) emulator.HostedFault { return emulator.HostedFault{NotRun: true} })
+// rejectAtWorkers makes all workers reject requests for 300 ms. Requests that are answered as not
+// run in that time must not run.
+func (s *soak) rejectAtWorkers() {
+	s.logFault("workers reject requests")
+	s.injectFaults(func(*emulator.HostedRequest) emulator.HostedFault { return emulator.HostedFault{NotRun: true} })
 	time.Sleep(300 * time.Millisecond)
-	s.behaveAll(nil)
+	s.injectFaults(nil)
 }
 
 func (s *soak) freeze(machine *hostedMachine, pause time.Duration) {
-	s.note("freeze %s for %s", machine.name, pause)
+	s.logFault("freeze %s for %s", machine.name, pause)
 	_ = machine.command.Process.Signal(syscall.SIGSTOP)
 	time.Sleep(pause)
 	_ = machine.command.Process.Signal(syscall.SIGCONT)
 }
 
-// crash kills a machine; with wipe it loses its disk.
+// crash kills a machine and restarts it after pause. With wipe it loses its disk.
 func (s *soak) crash(machine *hostedMachine, pause time.Duration, wipe bool) {
-	s.note("kill %s for %s, disk lost: %t", machine.name, pause, wipe)
+	s.logFault("kill %s for %s, disk lost: %t", machine.name, pause, wipe)
 	s.mutex.Lock()
 	s.killed[machine.name] = time.Now()
-	s.lives[machine.name]++
+	s.incarnations[machine.name]++
 	s.mutex.Unlock()
 	s.kill(machine)
 	time.Sleep(pause)
 	if wipe {
 		if err := os.RemoveAll(filepath.Join(machine.folder, "data")); err != nil {
-			s.violate("the data of %s can't be taken away: %v", machine.name, err)
+			s.recordViolation("deleting the data of %s: %v", machine.name, err)
 		}
 	}
 	s.start(machine, false)
 }
 
-// killAll kills all machines at once and starts them together, on their disks and builds.
-// Each edge must serve again.
+// killAll kills all machines at once and restarts them on the same disks and builds. Each edge must
+// serve again.
 func (s *soak) killAll() {
-	pause := allDark
-	s.note("kill all for %s", pause)
+	pause := allDown
+	s.logFault("kill all for %s", pause)
 	s.mutex.Lock()
 	for _, name := range s.names() {
 		s.killed[name] = time.Now()
-		s.lives[name]++
+		s.incarnations[name]++
 	}
 	s.mutex.Unlock()
 	for _, name := range s.names() {
@@ -295,15 +299,15 @@
 		s.start(s.machines[name], false)
 	}
 	for _, name := range s.fronts() {
-		s.awaitServing(s.t, s.address(s.machines[name], portFront))
+		s.waitServing(s.t, s.address(s.machines[name], portCallers))
 	}
-	s.note("all serve again")
-	s.count("all at once")
+	s.logFault("all serve again")
+	s.count("all killed")
 }
 
-// freezeThird stops a third of each class of machines at the same time.
+// freezeThird freezes a third of each class of machines at the same time.
 func (s *soak) freezeThird() {
-	s.note("freeze a third for %s", thirdFrozen)
+	s.logFault("freeze a third for %s", thirdFrozen)
 	third := []string{"core-1", "store-11", "front-21"}
 	for _, name := range third {
 		_ = s.machines[name].command.Process.Signal(syscall.SIGSTOP)
@@ -312,12 +316,12 @@
 	for _, name := range third {
 		_ = s.machines[name].command.Process.Signal(syscall.SIGCONT)
 	}
-	s.awaitServing(s.t, s.address(s.machines["front-21"], portFront))
-	s.count("a third stood still")
+	s.waitServing(s.t, s.address(s.machines["front-21"], portCallers))
+	s.count("third frozen")
 }
 
-// restart stops a machine as planned and starts it again, on the other build if that is
-// wanted and there.
+// restart stops a machine as planned and restarts it. With rebuild it uses the other build, if the
+// released build is available.
 func (s *soak) restart(machine *hostedMachine, rebuild bool) {
 	binary := machine.binary
 	if rebuild && s.released != "" {
@@ -325,57 +329,57 @@
 			binary = s.newest
 		}
 	}
-	s.note("stop %s, back on another build: %t", machine.name, binary != machine.binary)
+	s.logFault("planned stop of %s, restart on the other build: %t", machine.name, binary != machine.binary)
 	s.mutex.Lock()
-	s.lives[machine.name]++
-	life := fmt.Sprintf("%s/%d", machine.name, s.lives[machine.name])
+	s.incarnations[machine.name]++
+	incarnation := fmt.Sprintf("%s/%d", machine.name, s.incarnations[machine.name])
 	s.mutex.Unlock()
 	_ = machine.command.Process.Signal(syscall.SIGTERM)
 	select {
 	case err := <-machine.exited:
 		if err != nil {
-			s.violate("%s ended with %v", machine.name, err)
+			s.recordViolation("%s exited with %v", machine.name, err)
 		}
-	case <-time.After(hostedWait):
-		s.violate("%s did not end", machine.name)
+	case <-time.After(hostedTimeout):
+		s.recordViolation("%s did not exit in time", machine.name)
 		s.kill(machine)
 	}
 	s.mutex.Lock()
 	s.counts["planned stops"]++
-	if crossed := s.crossed[life]; crossed > mostCrossed {
-		s.violations = append(s.violations, fmt.Sprintf("%d requests had no answer at a planned stop of %s", crossed, machine.name))
+	if crossed := s.crossed[incarnation]; crossed > maxCrossed {
+		s.violations = append(s.violations, fmt.Sprintf("%d requests got no answer at a planned stop of %s", crossed, machine.name))
 	}
 	s.mutex.Unlock()
 	machine.binary = binary
 	s.start(machine, false)
 }
 
-// finish checks what must hold once all is mended.
-func (s *soak) finish() {
+// checkEnd checks what must hold once all faults are over.
+func (s *soak) checkEnd() {
 	for _, name := range s.fronts() {
 		eventually(s.t, name+" ready", func() bool {
 			status, _, _, err := s.call(http.MethodGet, s.address(s.machines[name], portReady), "/-/ready", nil, "")
 			return err == nil && status == http.StatusOK
 		})
 	}
-	s.finishJobs()
-	s.finishConfiguration()
+	s.checkJobs()
+	s.checkConfiguration()
 	runs := map[string]int{}
 	for _, worker := range s.workers {
 		for _, seen := range worker.Requests() {
 			runs[seen.ID]++
 		}
 	}
-	for _, id := range s.refused {
-		s.count("not run is true")
+	for _, id := range s.rejected {
+		s.count("not run confirmed")
 		if runs[id] > 0 {
-			s.violate("%s was refused as not run, and ran", id)
+			s.recordViolation("%s was rejected as not run, but ran", id)
 		}
 	}
-	for _, id := range s.once {
-		s.count("once at most")
+	for _, id := range s.atMostOnce {
+		s.count("at most once")
 		if runs[id] > 1 {
-			s.violate("%s ran %d times", id, runs[id])
+			s.recordViolation("%s ran %d times", id, runs[id])
 		}
 	}
 }
--- a/test/two_builds_test.go
+++ b/test/two_builds_test.go
@@ -11,23 +11,23 @@
 	"testing"
 )
 
-// releasedBuild is the build that runs in production, by its revision.
+// releasedBuild is the revision of the build that runs in production.
 const releasedBuild = "8cf60d7ed49a1c2ad939bdab0303c4fc0b95d89f"
 
-// buildReleased builds the released programs from the repository's history, or skips the
-// test where the history is not there. It takes some 15 s of one core where the modules are
-// in the module cache.
+// buildReleased builds the released program from the repository's history and returns its path. It
+// skips the test if the history does not hold the revision. The build takes about 15 s of one core
+// if the modules are in the module cache.
 func buildReleased(t *testing.T) string {
 	t.Helper()
-	released := findReleased(t)
+	released := tryBuildReleased(t)
 	if released == "" {
-		t.Skipf("the history does not hold %s: TestReleases reads its messages without it", releasedBuild)
+		t.Skipf("the history does not hold %s: fetch it to run this test; TestReleases checks its messages without it", releasedBuild)
 	}
 	return released
 }
 
-// findReleased is buildReleased, and returns nothing where the history is not there.
-func findReleased(t *testing.T) string {
+// tryBuildReleased is buildReleased, but returns "" if the history does not hold the revision.
+func tryBuildReleased(t *testing.T) string {
 	t.Helper()
 	if exec.Command("git", "cat-file", "-e", releasedBuild+"^{commit}").Run() != nil {
 		return ""
@@ -51,7 +51,7 @@
 	return filepath.Join(tree, "hosted")
 }
 
-// replace stops a machine as planned and starts it on its data, on the given build.
+// replace stops a machine as planned and restarts it on its data with the given build.
 func (f *hostedFleet) replace(machine *hostedMachine, binary string) {
 	_ = machine.command.Process.Signal(syscall.SIGTERM)
 	<-machine.exited
@@ -59,11 +59,11 @@
 	f.start(machine, false)
 }
 
-// TestTwoBuilds replaces machines one after the other, there and back. After each step each
-// edge serves a route that came with the step, and a job handed in then is done. Before, a
-// process started on one build learnt nothing of a leader of the other one: edges that were
-// replaced first answered 503 or 404 until a coordinator of their build led, and stores
-// that led ran no items.
+// TestTwoBuilds upgrades machines one after the other and downgrades half of them. After each step
+// every edge must serve a route added in that step, and a new job must complete. It guards against
+// processes that get no updates from a leader of the other build: edges that were upgraded first
+// then answer 503 or 404 until a coordinator of their build leads, and leading stores run no
+// items.
 func TestTwoBuilds(t *testing.T) {
 	released := buildReleased(t)
 	for _, order := range []struct{ name, machines string }{
@@ -72,32 +72,33 @@
 		{"mixed", "store-11 core-1 front-21 store-12 core-2 front-22 store-13 core-3"},
 	} {
 		t.Run(order.name, func(t *testing.T) {
-			f := newHostedFleetOf(t, released, hostedWorkers)
+			f := newHostedFleetWith(t, released, hostedWorkers)
 			newest := buildHosted(t)
-			fronts, version := f.ready(t), 20
+			fronts, version := f.configure(t), 20
 			machines := strings.Fields(order.machines)
 			for _, name := range machines {
 				f.replace(f.machines[name], newest)
 				version++
-				f.testStep(t, fronts, version, name+" on the newer build")
+				f.checkStep(t, fronts, version, name+" on the newer build")
 			}
 			for _, name := range machines[:len(machines)/2] {
 				f.replace(f.machines[name], released)
 				version++
-				f.testStep(t, fronts, version, name+" back on the older build")
+				f.checkStep(t, fronts, version, name+" back on the older build")
 			}
-			f.testNothingUnread(t)
+			f.checkAllDecoded(t)
 		})
 	}
 }
 
-// testStep adds a route and hands in a job.
-func (f *hostedFleet) testStep(t *testing.T, fronts []string, version int, step string) {
+// checkStep adds a route and submits a job, and checks that all edges serve the route and that the
+// job completes.
+func (f *hostedFleet) checkStep(t *testing.T, fronts []string, version int, step string) {
 	t.Helper()
 	added := fmt.Sprintf(`,{"name":"added","host":%q,"pathPrefix":"/added-%d/","routeKind":"safe","timeoutMs":20000,"service":%q,"maxAttempts":3}`, hostedHost, version, hostedService)
 	eventually(t, step+": the change", func() bool {
 		for _, core := range []string{"core-1", "core-2", "core-3"} {
-			if f.put(core, f.configuration(version, added)) == http.StatusOK {
+			if f.putConfiguration(core, f.configuration(version, added)) == http.StatusOK {
 				return true
 			}
 		}
@@ -116,14 +117,14 @@
 		return err == nil && status == http.StatusAccepted
 	})
 	eventually(t, step+": the job's results", func() bool {
-		page, _ := f.read(fronts[0], job, 0)
+		page, _ := f.readResults(fronts[0], job, 0)
 		return page != nil && len(page.Results) == items
 	})
 }
 
-// testNothingUnread looks for lines on messages that could not be read; the released build
-// writes none.
-func (f *hostedFleet) testNothingUnread(t *testing.T) {
+// checkAllDecoded checks that no process logged a message that it could not decode. The released
+// build does not log them.
+func (f *hostedFleet) checkAllDecoded(t *testing.T) {
 	t.Helper()
 	for name, machine := range f.machines {
 		text, err := os.ReadFile(filepath.Join(machine.folder, "log"))
--- a/test/upload_test.go
+++ b/test/upload_test.go
@@ -15,8 +15,8 @@
 	maxGatewayMemory = 128 << 20
 )
 
-// TestLargestUpload sends the target's largest job through one gateway and
-// looks at the peak of the gateway's whole memory.
+// TestLargestUpload uploads the largest job that must be supported through one gateway and checks
+// the peak memory of the gateway process.
 func TestLargestUpload(t *testing.T) {
 	ctx := testContext(t)
 	c := newCluster(t, ctx, clusterSize{engines: 1, dispatchers: 1, gateways: 1})
@@ -26,19 +26,20 @@
 		t.Fatal(err)
 	}
 	if batch.RequestCounts.Total != largestJob {
-		t.Errorf("the job has %d items", batch.RequestCounts.Total)
+		t.Errorf("the job has %d items, want all that were uploaded", batch.RequestCounts.Total)
 	}
 	peak := c.gateways[0].peakMemory(t)
 	t.Logf("peak memory of the gateway: %.1f MB, of control: %.1f MB", float64(peak)/(1<<20), float64(c.control.peakMemory(t))/(1<<20))
 	if peak > maxGatewayMemory {
-		t.Errorf("the gateway's memory reached %d bytes", peak)
+		t.Errorf("the gateway's peak memory is %d bytes, more than allowed", peak)
 	}
 	if _, err := c.client(0).CancelBatch(ctx, batch.ID); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestBadLineRefusesWholeFile puts a bad line near the end of a long file.
+// TestBadLineRefusesWholeFile uploads a long file whose last line is invalid. The upload must fail,
+// and no job can be created from it.
 func TestBadLineRefusesWholeFile(t *testing.T) {
 	ctx := testContext(t)
 	c := newCluster(t, ctx, clusterSize{engines: 1, dispatchers: 1, gateways: 1})
@@ -58,6 +59,6 @@
 		t.Fatalf("got %v, want an error that names %q", err, want)
 	}
 	if _, err := c.client(0).CreateBatch(ctx, "file-g1-1", ""); err == nil {
-		t.Error("a job was made of a refused file")
+		t.Error("a job was created from a rejected file")
 	}
 }
--- a/test/worker_ends_test.go
+++ b/test/worker_ends_test.go
@@ -12,108 +12,102 @@
 	"github.com/sedgemast/sedgemast/internal/emulator"
 )
 
-// What users saw: whole rows of workers ended one after the other, each some 0.1 s after a
-// request began on it, and came back a second later only to end again; of the requests of
-// those ten seconds a quarter was served. It went on for as long as one request, the same
-// path, caller and body under a new id each time, came again at any edge.
-//
-// The order of events: the request begins on a worker, the worker ends, the edge sends the
-// request to the next one, which ends, too; the caller gets 502 and comes again at another
-// edge, which knows nothing of all that.
-//
-// The cause: what a request had done to workers was known to the one call that sent it, and
-// forgotten with it. The evidence: the ends stop the moment the request does, and 40 ends
-// come of 20 arrivals with two attempts each; harmless requests under the same load end none.
-//
-// TestRequestThatEndsWorkers lets such a request come again at both edges, beside a harmless
-// one that comes as often and others that come once.
+// These tests guard against one request that makes many workers exit. If an edge forgets the exits
+// when its call ends, a request (same path, caller and body, a new id each time) makes one worker
+// exit per attempt: the edge retries on the next worker, the caller gets 502 and retries at another
+// edge. 20 such calls with two attempts each caused 40 exits, about 0.1 s after each start, and
+// restarted workers exited again; only a quarter of all requests were served meanwhile.
+// Harmless requests under the same load caused no exits.
 
 const (
-	endingBody   = "ends its worker"
+	exitBody     = "ends its worker"
 	frequentBody = "harmless and frequent"
-	// endingRounds is how often the request comes; each worker is back before the next
-	// round but one.
-	endingRounds = 60
-	endingPause  = 40 * time.Millisecond
-	// mostEnds is how many workers may end under it: the three that prove it, those that
-	// had it before that was known to both edges, and one under the trial that is due
-	// within the time that the test takes.
-	mostEnds = 3 + 2 + 1
+	// exitRounds is how often the request is sent. Each worker has restarted before the round
+	// after the next.
+	exitRounds    = 60
+	roundInterval = 40 * time.Millisecond
+	// maxExits is the maximum number of exits that the request may cause: the three that
+	// quarantine it, two on workers that got it before both edges knew, and one in the trial
+	// that is due while the test runs.
+	maxExits = 3 + 2 + 1
 )
 
-// endingBack is after which time a worker is back.
-const endingBack = 60 * time.Millisecond
+// restartDelay is the time from a worker's exit to its restart.
+const restartDelay = 60 * time.Millisecond
 
-// endingWorkers make workers end under the request.
-func (f *hostedFleet) endingWorkers(back time.Duration) {
-	f.behaveAll(func(request *emulator.HostedRequest) emulator.HostedFault {
-		if request.Body == endingBody {
-			return emulator.HostedFault{ExitAfter: 15 * time.Millisecond, RestartAfter: back}
+// injectExits makes workers exit when they run the request with exitBody.
+func (f *hostedFleet) injectExits(restartAfter time.Duration) {
+	f.injectFaults(func(request *emulator.HostedRequest) emulator.HostedFault {
+		if request.Body == exitBody {
+			return emulator.HostedFault{ExitAfter: 15 * time.Millisecond, RestartAfter: restartAfter}
 		}
 		return emulator.HostedFault{}
 	})
 }
 
-func (f *hostedFleet) ends() (count int) {
+func (f *hostedFleet) exits() (count int) {
 	for _, worker := range f.workers {
 		count += worker.Exits()
 	}
 	return count
 }
 
-// served counts the answers to one kind of request.
-type served struct{ whole, refused, failed atomic.Int64 }
+// answerCounts counts the answers to one kind of request by outcome.
+type answerCounts struct{ completed, rejected, failed atomic.Int64 }
 
-func (s *served) String() string {
-	return fmt.Sprintf("%d whole, %d refused, %d failed", s.whole.Load(), s.refused.Load(), s.failed.Load())
+func (s *answerCounts) String() string {
+	return fmt.Sprintf("%d complete, %d rejected, %d failed", s.completed.Load(), s.rejected.Load(), s.failed.Load())
 }
 
-// ask sends a request to an edge and counts the answer.
-func (f *hostedFleet) ask(front, id, body string, count *served) {
+// sendAndCount sends a request to an edge and counts the outcome.
+func (f *hostedFleet) sendAndCount(front, id, body string, count *answerCounts) {
 	headers := map[string]string{"Request-Id": id, "Token-Count": "10,6", "Deadline-Ms": "15000"}
 	status, _, text, err := f.call(http.MethodPost, front, "/stream/a", headers, body)
 	switch {
 	case err == nil && status == http.StatusOK && text == events(id, 1, 6):
-		count.whole.Add(1)
+		count.completed.Add(1)
 	case err == nil && status == http.StatusServiceUnavailable:
-		count.refused.Add(1)
+		count.rejected.Add(1)
 	default:
 		count.failed.Add(1)
 	}
 }
 
+// TestRequestThatEndsWorkers sends such a request repeatedly to both edges, beside a harmless one
+// that is sent as often and others that are sent once. It must be quarantined, also after edges and
+// coordinators were killed, and the harmless requests must be served.
 func TestRequestThatEndsWorkers(t *testing.T) {
 	f := newHostedFleet(t, 8)
-	fronts := f.ready(t)
-	f.endingWorkers(endingBack)
-	var ending, frequent, others served
+	fronts := f.configure(t)
+	f.injectExits(restartDelay)
+	var ending, frequent, others answerCounts
 	var callers sync.WaitGroup
-	for round := range endingRounds {
+	for round := range exitRounds {
 		front := fronts[round%len(fronts)]
 		for _, caller := range []struct {
 			id, body string
-			count    *served
+			count    *answerCounts
 		}{
 			{fmt.Sprintf("f-%d", round), frequentBody, &frequent},
 			{fmt.Sprintf("o-%d", round), fmt.Sprintf("harmless %d", round), &others},
 		} {
-			callers.Go(func() { f.ask(front, caller.id, caller.body, caller.count) })
+			callers.Go(func() { f.sendAndCount(front, caller.id, caller.body, caller.count) })
 		}
-		// Its caller comes again once it has its answer, at the other edge.
-		f.ask(front, fmt.Sprintf("e-%d", round), endingBody, &ending)
-		time.Sleep(endingPause)
+		// Once its caller has the answer, it retries at the other edge.
+		f.sendAndCount(front, fmt.Sprintf("e-%d", round), exitBody, &ending)
+		time.Sleep(roundInterval)
 	}
 	callers.Wait()
-	t.Logf("%d workers ended in %d rounds; the request: %s; the frequent one: %s; others: %s", f.ends(), endingRounds, &ending, &frequent, &others)
-	if ends := f.ends(); ends > mostEnds {
-		t.Errorf("%d workers ended, at most %d may", ends, mostEnds)
+	t.Logf("%d exits of workers in %d rounds; the request: %s; the frequent one: %s; others: %s", f.exits(), exitRounds, &ending, &frequent, &others)
+	if ends := f.exits(); ends > maxExits {
+		t.Errorf("%d exits of workers, want at most %d", ends, maxExits)
 	}
-	if ending.whole.Load() > 0 {
-		t.Error("the request has an answer")
+	if ending.completed.Load() > 0 {
+		t.Error("the request that makes workers exit was answered")
 	}
 
-	// It is known after all edges and coordinators were killed, too.
-	before := f.ends()
+	// The quarantine must survive a kill of all edges and coordinators.
+	before := f.exits()
 	for name, machine := range f.machines {
 		if !strings.HasPrefix(name, "store") {
 			f.kill(machine)
@@ -124,26 +118,27 @@
 			f.start(machine, false)
 		}
 	}
-	fronts = f.ready(t)
+	fronts = f.configure(t)
 	for round := range 8 {
-		f.ask(fronts[round%len(fronts)], fmt.Sprintf("again-%d", round), endingBody, &ending)
+		f.sendAndCount(fronts[round%len(fronts)], fmt.Sprintf("again-%d", round), exitBody, &ending)
 	}
-	if more := f.ends() - before; more > 1 {
-		t.Errorf("%d more workers ended after a restart, a trial may end one", more)
+	if more := f.exits() - before; more > 1 {
+		t.Errorf("%d more exits after a restart, want at most 1, in a trial", more)
 	}
 	eventually(t, "the frequent request is served", func() bool {
-		var now served
-		f.ask(fronts[0], "last", frequentBody, &now)
-		return now.whole.Load() == 1
+		var now answerCounts
+		f.sendAndCount(fronts[0], "last", frequentBody, &now)
+		return now.completed.Load() == 1
 	})
 }
 
-// ready puts the first configuration in force and returns the edges.
-func (f *hostedFleet) ready(t *testing.T) []string {
-	eventually(t, "the first configuration", func() bool { return f.put("core-2", f.configuration(5, "")) == http.StatusOK })
+// configure applies the first configuration, waits until the first two edges are configure, and returns
+// their addresses.
+func (f *hostedFleet) configure(t *testing.T) []string {
+	eventually(t, "the first configuration", func() bool { return f.putConfiguration("core-2", f.configuration(5, "")) == http.StatusOK })
 	var fronts []string
 	for _, name := range []string{"front-21", "front-22"} {
-		fronts = append(fronts, f.address(f.machines[name], portFront))
+		fronts = append(fronts, f.address(f.machines[name], portCallers))
 		eventually(t, name+" ready", func() bool {
 			status, _, _, err := f.call(http.MethodGet, f.address(f.machines[name], portReady), "/-/ready", nil, "")
 			return err == nil && status == http.StatusOK
@@ -152,14 +147,14 @@
 	return fronts
 }
 
-// TestItemThatEndsWorkers hands in a job with an item that ends its workers, beside others:
-// those are completed, and the one is held back. It is not given up, because no worker said
+// TestItemThatEndsWorkers submits a job with one item that makes workers exit. The other items must
+// complete, and that one must be held back. It must not be abandoned, because no worker reported
 // that it failed.
 func TestItemThatEndsWorkers(t *testing.T) {
 	const items, tokens = 12, 20
 	f := newHostedFleet(t, 8)
-	fronts := f.ready(t)
-	f.behaveAll(func(request *emulator.HostedRequest) emulator.HostedFault {
+	fronts := f.configure(t)
+	f.injectFaults(func(request *emulator.HostedRequest) emulator.HostedFault {
 		if request.ID == "j1-3" {
 			return emulator.HostedFault{ExitAfter: 15 * time.Millisecond, RestartAfter: 60 * time.Millisecond}
 		}
@@ -170,50 +165,51 @@
 		return err == nil && status == http.StatusAccepted
 	})
 	eventually(t, "all other results", func() bool {
-		page, _ := f.read(fronts[1], "j1", 0)
+		page, _ := f.readResults(fronts[1], "j1", 0)
 		return page != nil && len(page.Results) == items-1
 	})
-	page, _ := f.read(fronts[0], "j1", 0)
+	page, _ := f.readResults(fronts[0], "j1", 0)
 	for _, row := range page.Results {
 		if row.ID == "j1-3" || row.State != "completed" {
-			t.Errorf("%s is %s", row.ID, row.State)
+			t.Errorf("item %s is %s", row.ID, row.State)
 		}
 	}
-	eventually(t, "the trial", func() bool { return f.ends() > 3 })
-	// As many looks of the runner as would end all workers many times over.
+	eventually(t, "the trial", func() bool { return f.exits() > 3 })
+	// Long enough for the runner to start the item often enough to make all workers exit many
+	// times.
 	time.Sleep(2 * time.Second)
-	t.Logf("%d workers ended", f.ends())
-	if ends := f.ends(); ends > mostEnds {
-		t.Errorf("%d workers ended, %d at most may", ends, mostEnds)
+	t.Logf("%d exits of workers", f.exits())
+	if ends := f.exits(); ends > maxExits {
+		t.Errorf("%d exits of workers, want no more than %d", ends, maxExits)
 	}
 }
 
-// TestWorkersBackUnderTheirIDs lets the request come again at two workers that are back
-// under their ids after each end, a moment later or at once. Each end counts: before, two
-// ends of one worker were one, so that the request went on for as long as it came, and an
-// end was none where the worker was back by the time that the edge looked.
+// TestWorkersBackUnderTheirIDs repeats the request with two workers that restart under the same id,
+// after 60 ms or almost at once. Each exit must count. It guards against two faults: several exits
+// of one worker count as one, so the request is never quarantined; or an exit does not count
+// because the worker has restarted by the time the edge checks it.
 func TestWorkersBackUnderTheirIDs(t *testing.T) {
-	for _, back := range []time.Duration{endingBack, 500 * time.Microsecond} {
+	for _, back := range []time.Duration{restartDelay, 500 * time.Microsecond} {
 		t.Run(back.String(), func(t *testing.T) {
 			f := newHostedFleet(t, 2)
 			for _, worker := range f.workers {
 				worker.KeepID = true
 			}
-			fronts := f.ready(t)
-			f.endingWorkers(back)
-			var ending served
-			for round := range endingRounds {
-				f.ask(fronts[round%len(fronts)], fmt.Sprintf("e-%d", round), endingBody, &ending)
-				time.Sleep(endingPause + back)
+			fronts := f.configure(t)
+			f.injectExits(back)
+			var ending answerCounts
+			for round := range exitRounds {
+				f.sendAndCount(fronts[round%len(fronts)], fmt.Sprintf("e-%d", round), exitBody, &ending)
+				time.Sleep(roundInterval + back)
 			}
-			t.Logf("%d workers ended in %d rounds; the request: %s", f.ends(), endingRounds, &ending)
-			if ends := f.ends(); ends > mostEnds {
-				t.Errorf("workers ended %d times, at most %d times they may", ends, mostEnds)
+			t.Logf("%d exits of workers in %d rounds; the request: %s", f.exits(), exitRounds, &ending)
+			if ends := f.exits(); ends > maxExits {
+				t.Errorf("workers exited %d times, want at most %d", ends, maxExits)
 			}
 			eventually(t, "another request is served", func() bool {
-				var now served
-				f.ask(fronts[0], "last", frequentBody, &now)
-				return now.whole.Load() == 1
+				var now answerCounts
+				f.sendAndCount(fronts[0], "last", frequentBody, &now)
+				return now.completed.Load() == 1
 			})
 		})
 	}
