--- a/internal/emulator/hosted.go
+++ b/internal/emulator/hosted.go
@@ -232,7 +232,7 @@
 	w.running--
 }
 
-// loadHeader returns the value of the loadHeader header: running, waiting and total slots.
+// loadHeader returns the value of the header Load: running requests, waiting requests and slots.
 func (w *HostedWorker) loadHeader() string {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/internal/emulator/orders.go
+++ b/internal/emulator/orders.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// executeOrder executes an executeOrder unless its epoch is stale. Loading reads from the weight store and
-// finishes some time after the executeOrder was accepted.
+// executeOrder executes an order unless its epoch is stale. Loading reads from the weight store and
+// finishes some time after the order was accepted.
 func (e *Engine) executeOrder(request *engine.Order) *engine.ErrorBody {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/test/hosted_test.go
+++ b/test/hosted_test.go
@@ -94,12 +94,12 @@
 		t.Errorf("seal %q", seal)
 	}
 	for _, worker := range f.workers {
-		for _, seen := range worker.Requests() {
-			if seen.ID != "r-1" {
+		for _, request := range worker.Requests() {
+			if request.ID != "r-1" {
 				continue
 			}
-			if seen.Method != http.MethodPost || seen.Target != "/stream/a?b=c%20d" || seen.Host != hostedHost || seen.Body != "prompt" || seen.Header.Get("X-Other") != "kept" || seen.Header.Get("Expect-Instance") != worker.ID {
-				t.Errorf("the worker received %+v", seen)
+			if request.Method != http.MethodPost || request.Target != "/stream/a?b=c%20d" || request.Host != hostedHost || request.Body != "prompt" || request.Header.Get("X-Other") != "kept" || request.Header.Get("Expect-Instance") != worker.ID {
+				t.Errorf("the worker received %+v", request)
 			}
 		}
 	}
@@ -113,8 +113,8 @@
 
 func (f *hostedFleet) runCount(id string) (runs int) {
 	for _, worker := range f.workers {
-		for _, seen := range worker.Requests() {
-			if seen.ID == id {
+		for _, request := range worker.Requests() {
+			if request.ID == id {
 				runs++
 			}
 		}
@@ -142,8 +142,8 @@
 	}
 }
 
-// testNotResumable closes the connection of a stream that may not be resumed. The answer must not look
-// complete, and the request must not run again.
+// testNotResumable closes the connection of a stream that may not be resumed. The answer must not
+// look complete, and the request must not run again.
 func (f *hostedFleet) testNotResumable(t *testing.T, front string) {
 	f.injectFaults(func(*emulator.HostedRequest) emulator.HostedFault { return emulator.HostedFault{BreakAfter: 2} })
 	defer f.injectFaults(nil)
@@ -299,17 +299,17 @@
 	leader := f.storeLeader(t, "j1")
 	f.kill(leader)
 	f.start(leader, false)
-	seen := map[int]string{}
+	idByPosition := map[int]string{}
 	eventually(t, "all results", func() bool {
 		page, _ := f.readResults(second, "j1", 0)
 		if page == nil {
 			return false
 		}
 		for position, row := range page.Results {
-			if before := seen[position]; before != "" && before != row.ID {
+			if before := idByPosition[position]; before != "" && before != row.ID {
 				t.Fatalf("position %d changed from %s to %s", position, before, row.ID)
 			}
-			seen[position] = row.ID
+			idByPosition[position] = row.ID
 		}
 		return len(page.Results) == items
 	})
@@ -340,7 +340,7 @@
 		status, _, _, err := f.call(http.MethodPost, front, "/batch/j2", map[string]string{"Request-Id": "j2"}, jobDocument("j2", 2, 5))
 		return err == nil && status == http.StatusAccepted
 	})
-	eventually(t, "hopeless items given up", func() bool {
+	eventually(t, "abandonment of the failing items", func() bool {
 		page, _ := f.readResults(second, "j2", 0)
 		return page != nil && len(page.Results) == 2 && page.Results[0].State == "abandoned"
 	})
@@ -393,7 +393,7 @@
 		number++
 		_, _, _, _ = f.call(http.MethodPost, front, "/stream/a", map[string]string{"Request-Id": fmt.Sprintf("l-%d", number), "Token-Count": "1,1"}, "p")
 	}
-	eventually(t, "an end of requests to the leaving worker", func() bool {
+	eventually(t, "no more requests to the draining worker", func() bool {
 		before := len(draining.Requests())
 		// A worker that is not draining gets none of 60 requests with a probability of about
 		// 1 in 10^10. With 12 requests it was 1 in 130 at each of about ten checks.
@@ -411,10 +411,10 @@
 	}
 }
 
-// testFailingWorker makes a worker fail all requests until it is avoided, then recover. The requests may
-// run more than once, so no caller may see a failure. After the recovery the worker must get its
-// share of requests again; the time that this takes is logged, not bounded, as the machine may be
-// busy.
+// testFailingWorker makes a worker fail all requests until it is avoided, then recover. The requests
+// may run more than once, so no caller may see a failure. After the recovery the worker must get
+// its share of requests again; the time that this takes is logged, not bounded, as the machine may
+// be busy.
 func (f *hostedFleet) testFailingWorker(t *testing.T, front string) {
 	failing := f.workers[1]
 	failing.InjectFaults(func(*emulator.HostedRequest) emulator.HostedFault {
@@ -437,15 +437,15 @@
 	for start := time.Now(); time.Since(start) < 3*time.Second; time.Sleep(20 * time.Millisecond) {
 		send(1)
 	}
-	eventually(t, "an end of requests to the failing worker but for probes", func() bool { return send(60) <= 2 })
+	eventually(t, "at most two of 60 requests, the probes, to the failing worker", func() bool { return send(60) <= 2 })
 	failing.InjectFaults(nil)
 	recovered := time.Now()
-	eventually(t, "requests to the worker that is well again", func() bool { return send(20) >= 4 })
+	eventually(t, "requests to the recovered worker", func() bool { return send(20) >= 4 })
 	t.Logf("the worker got its share of requests again after %v", time.Since(recovered))
 }
 
-// testPlannedStop stops an edge while streams run through it. All streams must complete, and the process
-// must exit without an error.
+// testPlannedStop stops an edge while streams run through it. All streams must complete, and the
+// process must exit without an error.
 func (f *hostedFleet) testPlannedStop(t *testing.T) {
 	machine := f.machines["front-22"]
 	address := f.address(machine, portCallers)
--- a/test/restart_test.go
+++ b/test/restart_test.go
@@ -133,8 +133,8 @@
 	return times[len(times)/2]
 }
 
-// recoveryTime returns the time, after the last process start, from which the fleet serves well: of the
-// requests sent in the following 250 ms, at least 90 percent are served within 250 ms each.
+// recoveryTime returns the time, after the last process start, from which the fleet serves in time:
+// of the requests sent in the following 250 ms, at least 90 percent are served within 250 ms each.
 func recoveryTime(callers []restartCaller) time.Duration {
 	const window = 250 * time.Millisecond
 	for from := time.Duration(0); from < restartLoad; from += 10 * time.Millisecond {
@@ -263,12 +263,12 @@
 	}
 	var callers sync.WaitGroup
 	for number := range frozenRequests {
-		id, left, want := fmt.Sprintf("short-%d", number), "900", http.StatusServiceUnavailable
+		id, deadlineMillis, want := fmt.Sprintf("short-%d", number), "900", http.StatusServiceUnavailable
 		if number%2 == 1 {
-			id, left, want = fmt.Sprintf("long-%d", number), "20000", http.StatusOK
+			id, deadlineMillis, want = fmt.Sprintf("long-%d", number), "20000", http.StatusOK
 		}
 		callers.Go(func() {
-			headers := map[string]string{"Request-Id": id, "Token-Count": "10,3", "Deadline-Ms": left}
+			headers := map[string]string{"Request-Id": id, "Token-Count": "10,3", "Deadline-Ms": deadlineMillis}
 			status, header, body, err := f.call(http.MethodPost, fronts[0], "/stream/a", headers, "prompt")
 			switch {
 			case err != nil || status != want:
--- a/test/soak_clients_test.go
+++ b/test/soak_clients_test.go
@@ -88,10 +88,9 @@
 
 func expectedAnswer(id string, count int) string { return events(id, 1, count) }
 
-// recordNoAnswer records that a request got no complete answer. That is allowed if its edge was killed,
-// at most a second before the request was sent or later.
-// Around a planned stop it is allowed for a few requests that were sent while the edge closed the
-// connection.
+// recordNoAnswer records that a request got no complete answer. That is allowed if its edge was
+// killed after the request was sent, or at most a second before. Around a planned stop it is allowed
+// for a few requests that were sent while the edge closed the connection.
 func (s *soak) recordNoAnswer(front, id string, incarnation int, sentAt time.Time, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -207,7 +206,7 @@
 	}
 }
 
-// acceptedJobs returns a copy of the map of acceptedJobs jobs.
+// acceptedJobs returns a copy of the map of accepted jobs.
 func (s *soak) acceptedJobs() map[string]*soakJob {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -60,8 +60,8 @@
 	// faulty holds the machines that have a fault now. wiped is when a class last lost a disk.
 	faulty map[string]bool
 	wiped  map[string]time.Time
-	// rejected holds the ids of requests that were rejected as not run. atMostOnce holds the ids of
-	// requests that may run at most atMostOnce.
+	// rejected holds the ids of requests that were rejected as not run. atMostOnce holds the ids
+	// of requests that may run at most once.
 	rejected, atMostOnce []string
 	// ackedVersion is the newest acknowledged configuration version. jobs holds the accepted jobs.
 	ackedVersion int
@@ -201,22 +201,22 @@
 		return s.rejectAtWorkers
 	}
 	var idle []string
-	busy := 0
+	faulty := 0
 	for _, name := range s.names() {
 		switch {
 		case !strings.HasPrefix(name, class):
 		case s.faulty[name]:
-			busy++
+			faulty++
 		default:
 			idle = append(idle, name)
 		}
 	}
-	maxBusy := map[string]int{"core": 1, "store": 1, "front": 2}[class]
+	maxFaulty := map[string]int{"core": 1, "store": 1, "front": 2}[class]
 	kind := s.random.Intn(5)
 	name := idle[s.random.Intn(len(idle))]
 	pause := time.Duration(s.random.Int63n(int64(2 * time.Second)))
 	wipe := kind == 3 && class != "front" && time.Since(s.wiped[class]) > wipeInterval
-	if busy >= maxBusy || time.Since(s.wiped[class]) < wipeInterval {
+	if faulty >= maxFaulty || time.Since(s.wiped[class]) < wipeInterval {
 		return nil
 	}
 	if wipe {
@@ -366,8 +366,8 @@
 	s.checkConfiguration()
 	runs := map[string]int{}
 	for _, worker := range s.workers {
-		for _, seen := range worker.Requests() {
-			runs[seen.ID]++
+		for _, request := range worker.Requests() {
+			runs[request.ID]++
 		}
 	}
 	for _, id := range s.rejected {
--- a/test/two_builds_test.go
+++ b/test/two_builds_test.go
@@ -21,7 +21,7 @@
 	t.Helper()
 	released := tryBuildReleased(t)
 	if released == "" {
-		t.Skipf("the history does not hold %s: fetch it to run this test; TestReleases checks its messages without it", releasedBuild)
+		t.Skipf("the history does not hold %s: fetch it to run this test; TestReleases checks without it that its messages are decoded", releasedBuild)
 	}
 	return released
 }
--- a/test/worker_ends_test.go
+++ b/test/worker_ends_test.go
@@ -80,7 +80,7 @@
 	f := newHostedFleet(t, 8)
 	fronts := f.configure(t)
 	f.injectExits(restartDelay)
-	var ending, frequent, others answerCounts
+	var repeated, frequent, others answerCounts
 	var callers sync.WaitGroup
 	for round := range exitRounds {
 		front := fronts[round%len(fronts)]
@@ -94,15 +94,15 @@
 			callers.Go(func() { f.sendAndCount(front, caller.id, caller.body, caller.count) })
 		}
 		// Once its caller has the answer, it retries at the other edge.
-		f.sendAndCount(front, fmt.Sprintf("e-%d", round), exitBody, &ending)
+		f.sendAndCount(front, fmt.Sprintf("e-%d", round), exitBody, &repeated)
 		time.Sleep(roundInterval)
 	}
 	callers.Wait()
-	t.Logf("%d exits of workers in %d rounds; the request: %s; the frequent one: %s; others: %s", f.exits(), exitRounds, &ending, &frequent, &others)
-	if ends := f.exits(); ends > maxExits {
-		t.Errorf("%d exits of workers, want at most %d", ends, maxExits)
+	t.Logf("%d exits of workers in %d rounds; the request: %s; the frequent one: %s; others: %s", f.exits(), exitRounds, &repeated, &frequent, &others)
+	if count := f.exits(); count > maxExits {
+		t.Errorf("%d exits of workers, want at most %d", count, maxExits)
 	}
-	if ending.completed.Load() > 0 {
+	if repeated.completed.Load() > 0 {
 		t.Error("the request that makes workers exit was answered")
 	}
 
@@ -120,7 +120,7 @@
 	}
 	fronts = f.configure(t)
 	for round := range 8 {
-		f.sendAndCount(fronts[round%len(fronts)], fmt.Sprintf("again-%d", round), exitBody, &ending)
+		f.sendAndCount(fronts[round%len(fronts)], fmt.Sprintf("again-%d", round), exitBody, &repeated)
 	}
 	if more := f.exits() - before; more > 1 {
 		t.Errorf("%d more exits after a restart, want at most 1, in a trial", more)
@@ -132,7 +132,7 @@
 	})
 }
 
-// configure applies the first configuration, waits until the first two edges are configure, and returns
+// configure applies the first configuration, waits until the first two edges are ready, and returns
 // their addresses.
 func (f *hostedFleet) configure(t *testing.T) []string {
 	eventually(t, "the first configuration", func() bool { return f.putConfiguration("core-2", f.configuration(5, "")) == http.StatusOK })
@@ -175,12 +175,12 @@
 		}
 	}
 	eventually(t, "the trial", func() bool { return f.exits() > 3 })
-	// Long enough for the runner to start the item often enough to make all workers exit many
-	// times.
+	// Without the quarantine, the runner would start the item often enough in this time to make
+	// all workers exit many times.
 	time.Sleep(2 * time.Second)
 	t.Logf("%d exits of workers", f.exits())
-	if ends := f.exits(); ends > maxExits {
-		t.Errorf("%d exits of workers, want no more than %d", ends, maxExits)
+	if count := f.exits(); count > maxExits {
+		t.Errorf("%d exits of workers, want no more than %d", count, maxExits)
 	}
 }
 
@@ -197,14 +197,14 @@
 			}
 			fronts := f.configure(t)
 			f.injectExits(back)
-			var ending answerCounts
+			var repeated answerCounts
 			for round := range exitRounds {
-				f.sendAndCount(fronts[round%len(fronts)], fmt.Sprintf("e-%d", round), exitBody, &ending)
+				f.sendAndCount(fronts[round%len(fronts)], fmt.Sprintf("e-%d", round), exitBody, &repeated)
 				time.Sleep(roundInterval + back)
 			}
-			t.Logf("%d exits of workers in %d rounds; the request: %s", f.exits(), exitRounds, &ending)
-			if ends := f.exits(); ends > maxExits {
-				t.Errorf("workers exited %d times, want at most %d", ends, maxExits)
+			t.Logf("%d exits of workers in %d rounds; the request: %s", f.exits(), exitRounds, &repeated)
+			if count := f.exits(); count > maxExits {
+				t.Errorf("workers exited %d times, want at most %d", count, maxExits)
 			}
 			eventually(t, "another request is served", func() bool {
 				var now answerCounts
