--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -88,7 +88,7 @@
 	if len(s.violations) > 0 {
 		t.Logf("faults:\n%s", strings.Join(s.faults, "\n"))
 	}
-	for _, promise := range []string{"complete answers", "at most once", "not run confirmed", "routes in force", "completed jobs", "stable positions", "planned stops", "all killed", "third frozen"} {
+	for _, promise := range []string{"complete answers", "at most once", "not run is true", "routes in force", "completed jobs", "stable positions", "planned stops", "all killed", "third frozen"} {
 		if s.counts[promise] == 0 {
 			t.Errorf("the promise %q was never checked", promise)
 		}
@@ -183,7 +183,7 @@
 
 func (s *soak) summary() string {
 	var rows []string
-	for _, promise := range []string{"complete answers", "at most once", "not run confirmed", "routes in force", "completed jobs", "stable positions", "planned stops", "all killed", "third frozen", "crossed", "cut", "refused"} {
+	for _, promise := range []string{"complete answers", "at most once", "not run is true", "routes in force", "completed jobs", "stable positions", "planned stops", "all killed", "third frozen", "crossed", "cut", "refused"} {
 		rows = append(rows, fmt.Sprintf("%s %d", promise, s.counts[promise]))
 	}
 	return strings.Join(rows, ", ")
@@ -371,7 +371,7 @@
 		}
 	}
 	for _, id := range s.rejected {
-		s.count("not run confirmed")
+		s.count("not run is true")
 		if runs[id] > 0 {
 			s.recordViolation("%s was rejected as not run, but ran", id)
 		}
