--- a/internal/simulation/connection.go
+++ b/internal/simulation/connection.go
@@ -2,58 +2,60 @@
 
 import "time"
 
-// connection carries messages one way in order, as an open TCP connection does:
-// while the link is cut they wait to be sent again.
+// connection carries messages in one direction and in order, like an open TCP connection: while the
+// link is cut, messages wait for retransmission.
 type connection struct {
 	world    *World
 	from, to *process
-	// fromLife and toLife are the lives of the two processes; the connection
-	// does not outlive them.
-	fromLife, toLife int
-	waiting          []func()
-	retrying         bool
-	lastDue          time.Time
+	// fromGeneration and toGeneration are the generations of the two processes when they connected.
+	// The connection ends when either process does.
+	fromGeneration, toGeneration int
+	pending                      []func()
+	retrying                     bool
+	lastDelivery                 time.Time
 }
 
+// connect opens a connection between the processes as they run now.
 func (w *World) connect(from, to *process) *connection {
-	return &connection{world: w, from: from, to: to, fromLife: from.life, toLife: to.life}
+	return &connection{world: w, from: from, to: to, fromGeneration: from.generation, toGeneration: to.generation}
 }
 
-// send delivers a message after those sent before it.
+// send queues a message. Messages are delivered in the order in which they were sent.
 func (c *connection) send(deliver func()) {
-	c.waiting = append(c.waiting, deliver)
-	c.pump()
+	c.pending = append(c.pending, deliver)
+	c.transmitPending()
 }
 
-// delayUntil holds back what is sent from now on.
+// delayUntil delivers messages sent from now on no earlier than at the moment given.
 func (c *connection) delayUntil(moment time.Time) {
-	if c.lastDue.Before(moment) {
-		c.lastDue = moment
+	if c.lastDelivery.Before(moment) {
+		c.lastDelivery = moment
 	}
 }
 
-func (c *connection) pump() {
+// transmitPending starts the delivery of the queued messages, or retries later if the link is cut.
+func (c *connection) transmitPending() {
 	w := c.world
-	if !c.from.alive || c.from.life != c.fromLife {
-		c.waiting = nil
+	if !c.from.alive || c.from.generation != c.fromGeneration {
+		c.pending = nil
 		return
 	}
-	for len(c.waiting) > 0 && !c.retrying {
+	for len(c.pending) > 0 && !c.retrying {
 		if w.network.drops(c.from, c.to) {
 			c.retrying = true
-			w.clock.after(retransmission, func() {
+			w.clock.after(retransmitDelay, func() {
 				c.retrying = false
-				c.pump()
+				c.transmitPending()
 			})
 			return
 		}
-		deliver := c.waiting[0]
-		c.waiting = c.waiting[1:]
-		due := w.clock.now.Add(w.network.delay(c.from, c.to))
-		if due.Before(c.lastDue) {
-			due = c.lastDue
+		deliver := c.pending[0]
+		c.pending = c.pending[1:]
+		deliverAt := w.clock.now.Add(w.network.delay(c.from, c.to))
+		if deliverAt.Before(c.lastDelivery) {
+			deliverAt = c.lastDelivery
 		}
-		c.lastDue = due
-		w.clock.after(due.Sub(w.clock.now), func() { w.enter(c.to, c.toLife, deliver) })
+		c.lastDelivery = deliverAt
+		w.clock.after(deliverAt.Sub(w.clock.now), func() { w.enter(c.to, c.toGeneration, deliver) })
 	}
 }
--- a/internal/simulation/control.go
+++ b/internal/simulation/control.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	tickInterval       = 20 * time.Millisecond
-	helloInterval      = 200 * time.Millisecond
-	planInterval       = 50 * time.Millisecond
-	platformInterval   = 500 * time.Millisecond
-	electionTimeout    = 500 * time.Millisecond
-	heartbeatShare     = 5
-	replaceAfter       = 3 * time.Second
-	keptLogBytes       = 8 << 10
-	experimentLogBytes = 4 << 20
-	controlVoters      = 5
-	controlCount       = 6
-	jobGroups          = 2
-	// firstBackoff and maxBackoff are those of controlclient.
+	tickInterval                 = 20 * time.Millisecond
+	helloInterval                = 200 * time.Millisecond
+	planInterval                 = 50 * time.Millisecond
+	platformInterval             = 500 * time.Millisecond
+	electionTimeout              = 500 * time.Millisecond
+	heartbeatsPerElectionTimeout = 5
+	replaceAfter                 = 3 * time.Second
+	faultRunLogBytes             = 8 << 10
+	experimentLogBytes           = 4 << 20
+	controlVoters                = 5
+	controlCount                 = 6
+	jobGroups                    = 2
+	// firstBackoff and maxBackoff equal those of controlclient.
 	firstBackoff = 20 * time.Millisecond
 	maxBackoff   = 500 * time.Millisecond
 	callTimeout  = time.Second
-	// tornRestart is when a process starts again after its disk lost power.
-	tornRestart = time.Second
+	// powerLossRestart is the time until a process restarts after its disk has lost power.
+	powerLossRestart = time.Second
 )
 
 func (w *World) policy() coordination.Policy {
@@ -45,15 +45,15 @@
 	}
 }
 
-// controlProcess is a control process: a replication node on a disk, with the
-// soft state of the groups that it leads.
+// controlProcess is a simulated control process: a replication node on a disk, and the volatile
+// state of the groups that the process leads.
 type controlProcess struct {
 	process
 	world *World
 	disk  *disk
 	node  *replication.Node
-	// gone processes never come back.
-	gone       bool
+	// removed processes are never restarted.
+	removed    bool
 	meta       *metastate.Machine
 	metaTerm   uint64
 	metaLeader *coordination.MetaLeader
@@ -79,19 +79,19 @@
 	return nil
 }
 
-// start begins a life of the process on its disk.
+// start starts the process from the contents of its disk.
 func (c *controlProcess) start() {
 	w := c.world
 	c.alive = true
-	c.life++
+	c.generation++
 	c.meta = metastate.New()
 	c.metaLeader, c.planning = nil, false
 	c.jobs, c.jobTerms, c.jobLeaders = nil, make([]uint64, jobGroups), make([]*coordination.JobLeader, jobGroups)
-	machines := []replication.StateMachine{w.mutation.machine(0, c.meta)}
+	machines := []replication.StateMachine{w.mutation.wrap(0, c.meta)}
 	for number := 1; number <= jobGroups; number++ {
 		machine := jobstate.New(number)
 		c.jobs = append(c.jobs, machine)
-		machines = append(machines, w.mutation.machine(number, machine))
+		machines = append(machines, w.mutation.wrap(number, machine))
 	}
 	var err error
 	c.node, err = replication.Open(replication.Options{
@@ -103,34 +103,34 @@
 		Voters:            controlVoters,
 		NewID:             w.newIdentity(c),
 		ElectionTimeout:   electionTimeout,
-		HeartbeatInterval: electionTimeout / heartbeatShare,
+		HeartbeatInterval: electionTimeout / heartbeatsPerElectionTimeout,
 		ReplaceAfter:      replaceAfter,
-		RetainedLogBytes:  w.logBytes(),
+		RetainedLogBytes:  w.retainedLogBytes(),
 		Random:            w.random,
 		Send:              c.send,
 		OnApplied: func(group int, entry *wire.LogEntry) {
-			w.ledger.applied(c.node, group, entry)
+			w.ledger.entryApplied(c.node, group, entry)
 		},
 	}, w.clock.now)
 	if err != nil {
-		w.ledger.violate("storage", "%s does not start on its disk: %v", c.name, err)
+		w.ledger.violate("storage", "%s could not start on its disk: %v", c.name, err)
 		c.alive = false
 		return
 	}
-	c.guarded(func() { c.node.Flush(w.clock.now) })
-	w.every(&c.process, tickInterval, func() { c.drive(func() { c.node.Tick(w.clock.now) }) })
-	w.every(&c.process, helloInterval, c.introduce)
+	c.handlePowerLoss(func() { c.node.Flush(w.clock.now) })
+	w.every(&c.process, tickInterval, func() { c.runOnNode(func() { c.node.Tick(w.clock.now) }) })
+	w.every(&c.process, helloInterval, c.exchangeHellos)
 	w.every(&c.process, planInterval, c.plan)
-	w.every(&c.process, platformInterval, c.readPlatform)
+	w.every(&c.process, platformInterval, c.pollPlatform)
 }
 
-// logBytes is small in failure runs, so that replicas that were away need
-// snapshots.
-func (w *World) logBytes() int {
+// retainedLogBytes returns how much of the log a replica retains. The log is short in runs with
+// faults, so that replicas that were down need snapshots.
+func (w *World) retainedLogBytes() int {
 	if w.experiment != nil || w.profile.Engine != nil {
 		return experimentLogBytes
 	}
-	return keptLogBytes
+	return faultRunLogBytes
 }
 
 func controlNames() []string {
@@ -141,7 +141,7 @@
 	return names
 }
 
-// newIdentity gives identities to empty disks.
+// newIdentity returns a function that makes an identity for an empty disk.
 func (w *World) newIdentity(c *controlProcess) func() uint64 {
 	return func() uint64 {
 		w.identities++
@@ -152,23 +152,23 @@
 	}
 }
 
-// drive runs something on the node and carries out what follows from it.
-func (c *controlProcess) drive(action func()) {
-	c.guarded(func() {
+// runOnNode runs an action on the node and flushes the writes and messages that result from it.
+func (c *controlProcess) runOnNode(action func()) {
+	c.handlePowerLoss(func() {
 		action()
 		c.node.Flush(c.world.clock.now)
 	})
 }
 
-// guarded turns a disk that fails in the middle of a write into the death of the
-// process.
-func (c *controlProcess) guarded(action func()) {
+// handlePowerLoss runs an action. If the disk loses power in the middle of a write, the process is
+// killed and restarts later.
+func (c *controlProcess) handlePowerLoss(action func()) {
 	defer func() {
-		if c.disk.broken {
-			// The panic of the store's user is the process's death.
+		if c.disk.lostPower {
+			// The user of the store panics when a write fails: that ends the process.
 			_ = recover()
 			c.world.killControl(c, false)
-			c.world.restartControl(c, tornRestart)
+			c.world.restartControl(c, powerLossRestart)
 		}
 	}()
 	action()
@@ -177,18 +177,19 @@
 func (c *controlProcess) send(address string, message wire.PeerMessage) {
 	to := c.world.controlByName(address)
 	c.world.transmit(&c.process, &to.process, func() {
-		to.drive(func() { to.node.Receive(c.world.clock.now, &message) })
+		to.runOnNode(func() { to.node.Receive(c.world.clock.now, &message) })
 	}, nil)
 }
 
-func (c *controlProcess) introduce() {
+// exchangeHellos exchanges hello messages with all other control processes.
+func (c *controlProcess) exchangeHellos() {
 	for _, other := range c.world.controls {
 		if other == c {
 			continue
 		}
 		hello := c.node.Hello()
 		call(c.world, &c.process, &other.process, time.Second, func(answer reply[wire.Hello]) {
-			other.drive(func() { other.node.HandleHello(c.world.clock.now, &hello) })
+			other.runOnNode(func() { other.node.HandleHello(c.world.clock.now, &hello) })
 			answer(other.node.Hello(), nil)
 		}, func(answer wire.Hello, err error) {
 			if err == nil {
@@ -198,7 +199,7 @@
 	}
 }
 
-// readMeta calls read if this process leads the meta group.
+// readMeta calls read with the state of the meta group if this process leads it.
 func (c *controlProcess) readMeta(read func(leader *coordination.MetaLeader) error) error {
 	now := c.world.clock.now
 	return c.node.Read(now, controlclient.MetaGroup, func(term uint64, _ storage.Reader) error {
@@ -210,7 +211,7 @@
 	})
 }
 
-// readJobs calls read if this process leads the job group.
+// readJobs calls read with the state of the job group if this process leads it.
 func (c *controlProcess) readJobs(group int, read func(leader *coordination.JobLeader, reader storage.Reader) error) error {
 	now := c.world.clock.now
 	return c.node.Read(now, group, func(term uint64, reader storage.Reader) error {
@@ -223,6 +224,8 @@
 	})
 }
 
+// plan proposes the changes of assignments that the leader of the meta group plans, one command at
+// a time.
 func (c *controlProcess) plan() {
 	if c.planning {
 		return
@@ -239,6 +242,7 @@
 	c.propose(controlclient.MetaGroup, &wire.MetaCommand{Assign: &command}, func([]byte, error) { c.planning = false })
 }
 
+// propose commits an encoded command to a group.
 func (c *controlProcess) propose(group int, command interface {
 	MarshalMsg([]byte) ([]byte, error)
 }, done replication.Done) {
@@ -246,15 +250,15 @@
 	if err != nil {
 		panic(err)
 	}
-	c.drive(func() {
+	c.runOnNode(func() {
 		c.node.Propose(group, encoded, func(answer []byte, err error) {
-			// What follows must not enter the node while it flushes.
+			// The callback must not call the node while it flushes, so it runs as a separate event.
 			c.world.timer(&c.process, 0, func() { done(answer, err) })
 		})
 	})
 }
 
-// proposeMeta commits a command to the meta group and answers with the result.
+// proposeMeta commits a command to the meta group and answers with its result.
 func (c *controlProcess) proposeMeta(command *wire.MetaCommand, answer reply[*wire.MetaResult]) {
 	command.AtMillis = c.world.clock.now.UnixMilli()
 	c.propose(controlclient.MetaGroup, command, func(encoded []byte, err error) {
@@ -270,7 +274,7 @@
 	})
 }
 
-// proposeJob commits a command to a job group and answers with the result.
+// proposeJob commits a command to a job group and answers with its result.
 func (c *controlProcess) proposeJob(group int, command *wire.JobCommand, answer reply[*wire.JobResult]) {
 	command.AtMillis = c.world.clock.now.UnixMilli()
 	c.propose(group, command, func(encoded []byte, err error) {
@@ -307,7 +311,7 @@
 func (c *controlProcess) completeItems(group int, request *wire.CompleteItemsRequest, answer reply[*wire.JobResult]) {
 	c.proposeJob(group, &wire.JobCommand{Complete: request}, func(result *wire.JobResult, err error) {
 		if err == nil {
-			// An error means that another process leads now.
+			// An error means that another process leads the group now and keeps the leases.
 			_ = c.readJobs(group, func(leader *coordination.JobLeader, _ storage.Reader) error {
 				leader.Release(request.Results)
 				return nil
@@ -317,7 +321,7 @@
 	})
 }
 
-// jobView is what a caller reads of a job.
+// jobView is a job with its results, as a caller reads it.
 type jobView struct {
 	record  wire.JobRecord
 	results *wire.ReadResultsResponse
@@ -329,36 +333,37 @@
 		if view.record, err = c.jobs[group-1].Job(tenant, id); err != nil {
 			return err
 		}
-		view.results, err = jobstate.ReadResults(reader, &wire.ReadResultsRequest{JobID: id, Tenant: tenant, Limit: maxItems})
+		view.results, err = jobstate.ReadResults(reader, &wire.ReadResultsRequest{JobID: id, Tenant: tenant, Limit: readResultsLimit})
 		return err
 	})
 	answer(view, err)
 }
 
-// readPlatform takes in the platform's lagging list.
-func (c *controlProcess) readPlatform() {
+// pollPlatform applies the platform's list of workers, which lags, if this process leads the meta
+// group.
+func (c *controlProcess) pollPlatform() {
 	if c.readMeta(func(*coordination.MetaLeader) error { return nil }) != nil {
 		return
 	}
 	w := c.world
 	call(w, &c.process, &w.platform.process, time.Second, func(answer reply[[]membership.ListedWorker]) {
 		answer(w.platform.list(), nil)
-	}, func(rows []membership.ListedWorker, err error) {
+	}, func(workers []membership.ListedWorker, err error) {
 		if err != nil {
 			return
 		}
 		_ = c.readMeta(func(leader *coordination.MetaLeader) error {
-			leader.ApplyList(w.clock.now, rows)
+			leader.ApplyList(w.clock.now, workers)
 			return nil
 		})
 	})
 }
 
-// callControl makes a call to a group's leader, going round the control
-// processes until it is answered or the time is up. Typed refusals of the state
-// machine are answers.
-func callControl[Answer any](w *World, from *process, leaders map[int]string, group int, within time.Duration, serve func(*controlProcess, reply[Answer]), done reply[Answer]) {
-	deadline := w.clock.now.Add(within)
+// callControl calls the leader of a group. It tries one control process after another, or the
+// leader that one of them names, until it gets an answer or the timeout has passed. A failure other
+// than NotRun and OutcomeUnknown is an answer. leaders caches the leader of each group.
+func callControl[Answer any](w *World, from *process, leaders map[int]string, group int, timeout time.Duration, serve func(*controlProcess, reply[Answer]), done reply[Answer]) {
+	deadline := w.clock.now.Add(timeout)
 	backoff := firstBackoff
 	first := w.random.IntN(controlCount)
 	var attempt func(number int)
@@ -368,7 +373,7 @@
 			target = controlName((first + number) % controlCount)
 		}
 		c := w.controlByName(target)
-		w.controlLoad[w.clock.now.Unix()]++
+		w.controlCalls[w.clock.now.Unix()]++
 		call(w, from, &c.process, callTimeout, func(answer reply[Answer]) { serve(c, answer) }, func(answer Answer, err error) {
 			if !failure.Is(err, failure.NotRun) && !failure.Is(err, failure.OutcomeUnknown) {
 				leaders[group] = target
@@ -380,17 +385,19 @@
 				done(answer, err)
 				return
 			}
-			pause := time.Duration(0)
+			delay := time.Duration(0)
 			if number%controlCount == controlCount-1 {
-				pause = backoff
+				delay = backoff
 				backoff = min(2*backoff, maxBackoff)
 			}
-			w.timer(from, pause, func() { attempt(number + 1) })
+			w.timer(from, delay, func() { attempt(number + 1) })
 		})
 	}
 	attempt(0)
 }
 
+// leaderHint returns the leader that a failure names, or nothing if it names none or the target
+// itself.
 func leaderHint(err error, target string) string {
 	field := failure.From(err).Field
 	if len(field) <= len(controlclient.LeaderFieldPrefix) || field[len(controlclient.LeaderFieldPrefix):] == target {
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -11,36 +11,36 @@
 // disk is a store that can lose power in the middle of a write.
 type disk struct {
 	*storage.Memory
-	// breakAfter counts down the writes until the disk breaks; below zero it
-	// does not.
-	breakAfter int
-	broken     bool
-	// forgetful disks claim to sync and do not.
-	forgetful bool
+	// writesToPowerLoss counts down the writes until the disk loses power; it is negative if the
+	// disk is to keep power.
+	writesToPowerLoss int
+	lostPower         bool
+	// skipsSync makes the disk acknowledge synced writes without syncing them.
+	skipsSync bool
 }
 
-func newDisk() *disk { return &disk{Memory: storage.NewMemory(), breakAfter: -1} }
+func newDisk() *disk { return &disk{Memory: storage.NewMemory(), writesToPowerLoss: -1} }
 
-var errBroken = errors.New("the disk has lost power")
+var errPowerLost = errors.New("the disk has lost power")
 
 // Commit implements storage.Store.
 func (d *disk) Commit(mutations []storage.Mutation, sync bool) error {
-	if d.breakAfter == 0 {
-		d.broken = true
-		return errBroken
+	if d.writesToPowerLoss == 0 {
+		d.lostPower = true
+		return errPowerLost
 	}
-	if d.breakAfter > 0 {
-		d.breakAfter--
+	if d.writesToPowerLoss > 0 {
+		d.writesToPowerLoss--
 	}
-	return d.Memory.Commit(mutations, sync && !d.forgetful)
+	return d.Memory.Commit(mutations, sync && !d.skipsSync)
 }
 
-// crash returns the disk as the next life of the process finds it: a random
-// number of the unsynced writes has survived.
+// crash returns the disk as the restarted process finds it: a random number of the unsynced writes
+// has survived.
 func (d *disk) crash(random *rand.Rand) *disk {
-	keep := random.IntN(d.Unsynced() + 1)
-	if d.forgetful {
-		keep = 0
+	surviving := random.IntN(d.Unsynced() + 1)
+	if d.skipsSync {
+		surviving = 0
 	}
-	return &disk{Memory: d.Memory.Crash(keep), breakAfter: -1, forgetful: d.forgetful}
+	return &disk{Memory: d.Memory.Crash(surviving), writesToPowerLoss: -1, skipsSync: d.skipsSync}
 }
--- a/internal/simulation/doc.go
+++ b/internal/simulation/doc.go
@@ -1,10 +1,10 @@
-// Package simulation runs a whole fleet in virtual time, by seed: the pure cores
-// of the product (consensus, replication, metastate, jobstate, coordination,
-// scheduling, routing, retry, configuration and leases) behind shells that stand
-// for sockets, clocks and disks. Faults strike by a schedule drawn from the seed;
-// a ledger of what callers were told and what engines did is checked against the
-// promises at every step and at the end.
+// Package simulation runs a whole fleet in virtual time from a seed. It runs the product's
+// deterministic packages (consensus, replication, metastate, jobstate, coordination, scheduling,
+// routing, retry, configuration and leases) on simulated sockets, clocks and disks. Faults are
+// injected by a schedule that is drawn from the seed. A ledger records the answers that callers got
+// and the work that engines did, and checks them against the system's promises during the run and
+// at its end.
 //
-// One seed always gives the same run, so that a failing seed can be replayed and
-// its schedule shrunk.
+// A seed always gives the same run, so that a failing seed can be replayed and its schedule of
+// faults shrunk.
 package simulation
--- a/internal/simulation/engine.go
+++ b/internal/simulation/engine.go
@@ -14,46 +14,48 @@
 	engineKVTokens  = 4096
 	loadLag         = 500 * time.Millisecond
 	platformLag     = time.Second
-	maxLateness     = 2 * time.Second
-	breakNoticeTime = 100 * time.Millisecond
+	maxEventDelay   = 2 * time.Second
+	disconnectDelay = 100 * time.Millisecond
 )
 
-// engineProcess is a worker: the emulator's model of continuous batching behind
-// its protocol, with the ways in which answers go wrong.
+// engineProcess is a simulated worker: the emulator's model of continuous batching behind the
+// engine protocol, with faults that delay, misroute and duplicate events.
 type engineProcess struct {
 	process
-	world       *World
-	incarnation uint64
-	model       *emulator.Model
-	fence       uint64
-	leaving     bool
-	stepping    bool
-	attempts    map[string]*engineAttempt
-	order       []string
-	reports     []timedLoad
-	// Until these moments answers come late, mixed up or twice.
-	lateUntil    time.Time
-	crossedUntil time.Time
-	twiceUntil   time.Time
-	// blocked is since when online work has waited while batch work ran.
-	blocked time.Time
+	world        *World
+	incarnation  uint64
+	model        *emulator.Model
+	fencingEpoch uint64
+	leaving      bool
+	stepping     bool
+	attempts     map[string]*engineAttempt
+	attemptIDs   []string
+	loadReports  []timedLoad
+	// The moments until which events are delayed, mixed with those of other attempts, or sent
+	// twice.
+	delayedUntil    time.Time
+	misroutedUntil  time.Time
+	duplicatedUntil time.Time
+	// onlineBlockedSince is when online work began to wait while batch work ran; zero if none
+	// waits.
+	onlineBlockedSince time.Time
 }
 
-// engineAttempt is one attempt with what it has generated.
+// engineAttempt is one attempt with the tokens that it has generated.
 type engineAttempt struct {
-	id      string
-	online  bool
-	first   int
-	tokens  []string
-	ended   bool
-	stopped bool
-	reader  *engineReader
+	id          string
+	online      bool
+	firstOffset int
+	tokens      []string
+	finished    bool
+	cancelled   bool
+	reader      *engineReader
 }
 
-// engineReader is the stream of one attempt to a dispatcher.
+// engineReader is the stream of one attempt's events to a dispatcher.
 type engineReader struct {
 	connection *connection
-	next       int
+	nextOffset int
 	deliver    func(*engine.Event, error)
 }
 
@@ -73,7 +75,7 @@
 
 func (w *World) engineByName(name string) *engineProcess { return w.enginesByName[name] }
 
-// capacity returns the size of the profile's engines.
+// capacity returns the capacity of the profile's engines.
 func (p *Profile) capacity() emulator.Capacity {
 	if p.Engine != nil {
 		return *p.Engine
@@ -89,20 +91,21 @@
 
 func (e *engineProcess) start() {
 	e.alive = true
-	e.life++
+	e.generation++
 	e.incarnation++
-	e.fence, e.leaving, e.stepping = 0, false, false
-	e.attempts, e.order, e.reports = map[string]*engineAttempt{}, nil, nil
-	e.blocked = time.Time{}
+	e.fencingEpoch, e.leaving, e.stepping = 0, false, false
+	e.attempts, e.attemptIDs, e.loadReports = map[string]*engineAttempt{}, nil, nil
+	e.onlineBlockedSince = time.Time{}
 	e.model = emulator.NewModel(e.world.profile.capacity())
-	e.world.every(&e.process, loadLag/2, e.report)
+	e.world.every(&e.process, loadLag/2, e.recordLoad)
 }
 
-func (e *engineProcess) report() {
-	e.reports = append(e.reports, timedLoad{at: e.world.clock.now, load: engine.Load{
+// recordLoad records a load report, which load returns once it is loadLag old.
+func (e *engineProcess) recordLoad() {
+	e.loadReports = append(e.loadReports, timedLoad{at: e.world.clock.now, load: engine.Load{
 		Worker:      e.name,
 		Incarnation: e.incarnation,
-		Epoch:       e.fence,
+		Epoch:       e.fencingEpoch,
 		Leaving:     e.leaving,
 		Slots:       e.world.profile.capacity().Slots,
 		Running:     e.model.Running(),
@@ -110,216 +113,220 @@
 		KVTokens:    e.world.profile.capacity().KVTokens,
 		Models:      []string{simulatedModel},
 	}})
-	if len(e.reports) > 8 {
-		e.reports = e.reports[1:]
+	if len(e.loadReports) > 8 {
+		e.loadReports = e.loadReports[1:]
 	}
 }
 
-// load returns a report that lags.
+// load returns the newest load report that is at least loadLag old.
 func (e *engineProcess) load() engine.Load {
 	var newest engine.Load
-	for _, reported := range e.reports {
-		if e.world.clock.now.Sub(reported.at) >= loadLag {
-			newest = reported.load
+	for _, report := range e.loadReports {
+		if e.world.clock.now.Sub(report.at) >= loadLag {
+			newest = report.load
 		}
 	}
 	return newest
 }
 
-// own is the fenced order by which a dispatcher takes the worker over.
-func (e *engineProcess) own(fence uint64) bool {
-	if fence < e.fence && e.world.mutation != MutationNoFencing {
+// claim makes a dispatcher the owner of the worker, unless a later epoch has claimed it.
+func (e *engineProcess) claim(newEpoch uint64) bool {
+	if newEpoch < e.fencingEpoch && e.world.mutation != MutationNoFencing {
 		return false
 	}
-	e.world.ledger.fenced(e, fence)
-	e.fence = max(e.fence, fence)
+	e.world.ledger.workerClaimed(e, newEpoch)
+	e.fencingEpoch = max(e.fencingEpoch, newEpoch)
 	return true
 }
 
-// generate starts an attempt and streams it to the reader. It returns the code
-// of a refusal before the start.
+// generate starts an attempt and streams it to the reader. It returns the code of the rejection if
+// the attempt is not started.
 func (e *engineProcess) generate(request *engine.GenerateRequest, reader *engineReader) string {
 	switch {
-	case request.Epoch < e.fence && e.world.mutation != MutationNoFencing:
+	case request.Epoch < e.fencingEpoch && e.world.mutation != MutationNoFencing:
 		return engine.CodeStaleEpoch
 	case e.leaving:
 		return engine.CodeLeaving
 	case e.attempts[request.AttemptID] != nil:
 		return engine.CodeDuplicateAttempt
 	}
-	e.world.ledger.engineStarted(e, request)
-	e.fence = max(e.fence, request.Epoch)
+	e.world.ledger.attemptStarted(e, request)
+	e.fencingEpoch = max(e.fencingEpoch, request.Epoch)
 	e.model.Add(emulator.NewSequence(request))
 	e.attempts[request.AttemptID] = &engineAttempt{
-		id:     request.AttemptID,
-		online: request.Priority >= engine.PriorityOnline,
-		first:  request.ContinueTokens,
-		reader: reader,
+		id:          request.AttemptID,
+		online:      request.Priority >= engine.PriorityOnline,
+		firstOffset: request.ContinueTokens,
+		reader:      reader,
 	}
-	e.order = append(e.order, request.AttemptID)
-	reader.next = request.ContinueTokens
+	e.attemptIDs = append(e.attemptIDs, request.AttemptID)
+	reader.nextOffset = request.ContinueTokens
 	if !e.stepping {
 		e.step()
 	}
 	return ""
 }
 
-// resume streams an attempt from an offset on; false if it is not known.
+// resume streams an attempt from an offset. It returns false if the engine can't resume it there.
 func (e *engineProcess) resume(id string, offset int, reader *engineReader) bool {
-	found := e.attempts[id]
-	if found == nil || found.stopped || offset < found.first {
+	attempt := e.attempts[id]
+	if attempt == nil || attempt.cancelled || offset < attempt.firstOffset {
 		return false
 	}
-	reader.next = offset
-	found.reader = reader
-	e.feed(found)
+	reader.nextOffset = offset
+	attempt.reader = reader
+	e.sendPending(attempt)
 	return true
 }
 
+// cancel stops an attempt and its stream.
 func (e *engineProcess) cancel(id string) {
 	e.model.Remove(id)
-	if found := e.attempts[id]; found != nil && !found.ended {
-		found.stopped = true
-		found.reader = nil
+	if attempt := e.attempts[id]; attempt != nil && !attempt.finished {
+		attempt.cancelled = true
+		attempt.reader = nil
 	}
 }
 
+// step runs steps of the model one after another while it has work.
 func (e *engineProcess) step() {
 	e.stepping = !e.model.Idle()
 	if !e.stepping {
 		return
 	}
 	outputs, duration := e.model.Step()
-	e.forgetEnded()
-	e.watchBlocking()
+	e.evictEnded()
+	e.checkBlocking()
 	e.world.timer(&e.process, duration, func() {
 		for _, output := range outputs {
-			found := e.attempts[output.Sequence.ID]
-			if found == nil {
-				// It was cancelled during the step and forgotten since.
+			attempt := e.attempts[output.Sequence.ID]
+			if attempt == nil {
+				// The attempt was cancelled during the step and has been evicted since.
 				continue
 			}
 			if output.Ended {
-				found.ended = true
+				attempt.finished = true
 			} else {
-				found.tokens = append(found.tokens, output.Text)
-				e.world.generated(found.online)
+				attempt.tokens = append(attempt.tokens, output.Text)
+				e.world.recordToken(attempt.online)
 			}
-			e.feed(found)
+			e.sendPending(attempt)
 		}
 		e.step()
 	})
 }
 
-// maxRemembered is how many attempts an engine keeps; later readers of older ones
-// find them gone.
-const maxRemembered = 512
+// retainedAttempts is how many of its newest attempts an engine always keeps. Older ones are
+// evicted once they have ended, so that their streams can't be resumed any more.
+const retainedAttempts = 512
 
-func (e *engineProcess) forgetEnded() {
-	if len(e.order) < 2*maxRemembered {
+// evictEnded evicts old attempts that have ended and have no reader.
+func (e *engineProcess) evictEnded() {
+	if len(e.attemptIDs) < 2*retainedAttempts {
 		return
 	}
-	kept := e.order[:0]
-	for index, id := range e.order {
-		found := e.attempts[id]
-		if index < maxRemembered && (found.ended || found.stopped) && found.reader == nil {
+	kept := e.attemptIDs[:0]
+	for index, id := range e.attemptIDs {
+		attempt := e.attempts[id]
+		if index < retainedAttempts && (attempt.finished || attempt.cancelled) && attempt.reader == nil {
 			delete(e.attempts, id)
 			continue
 		}
 		kept = append(kept, id)
 	}
-	e.order = kept
+	e.attemptIDs = kept
 }
 
-// watchBlocking notes since when online work waits while batch work runs.
-func (e *engineProcess) watchBlocking() {
-	waiting, batch := 0, 0
-	for _, id := range e.order {
-		found := e.attempts[id]
-		if found.ended || found.stopped {
+// checkBlocking measures how long online work waits while batch work runs, and reports it and the
+// active batch attempts to the ledger.
+func (e *engineProcess) checkBlocking() {
+	waitingOnline, runningBatch := 0, 0
+	for _, id := range e.attemptIDs {
+		attempt := e.attempts[id]
+		if attempt.finished || attempt.cancelled {
 			continue
 		}
-		if found.online && len(found.tokens) == 0 {
-			waiting++
+		if attempt.online && len(attempt.tokens) == 0 {
+			waitingOnline++
 		}
-		if !found.online {
-			batch++
-			e.world.ledger.working(id)
+		if !attempt.online {
+			runningBatch++
+			e.world.ledger.checkBatchAttempt(id)
 		}
 	}
-	if e.model.Waiting() == 0 || waiting == 0 || batch == 0 {
-		e.blocked = time.Time{}
+	if e.model.Waiting() == 0 || waitingOnline == 0 || runningBatch == 0 {
+		e.onlineBlockedSince = time.Time{}
 		return
 	}
-	if e.blocked.IsZero() {
-		e.blocked = e.world.clock.now
+	if e.onlineBlockedSince.IsZero() {
+		e.onlineBlockedSince = e.world.clock.now
 	}
-	e.world.ledger.blocked(e, e.world.clock.now.Sub(e.blocked))
+	e.world.ledger.checkBlocked(e, e.world.clock.now.Sub(e.onlineBlockedSince))
 }
 
-// feed sends the reader what it has not been sent.
-func (e *engineProcess) feed(from *engineAttempt) {
-	reader := from.reader
+// sendPending sends the attempt's reader the events that it has not got yet.
+func (e *engineProcess) sendPending(attempt *engineAttempt) {
+	reader := attempt.reader
 	if reader == nil {
 		return
 	}
-	for reader.next < from.first+len(from.tokens) {
-		offset := reader.next
-		reader.next++
-		e.deliver(reader, &engine.Event{Type: engine.EventTokens, AttemptID: from.id, Offset: offset, Tokens: 1, Text: from.tokens[offset-from.first]})
+	for reader.nextOffset < attempt.firstOffset+len(attempt.tokens) {
+		offset := reader.nextOffset
+		reader.nextOffset++
+		e.deliver(reader, &engine.Event{Type: engine.EventTokens, AttemptID: attempt.id, Offset: offset, Tokens: 1, Text: attempt.tokens[offset-attempt.firstOffset]})
 	}
-	if from.ended {
-		e.deliver(reader, &engine.Event{Type: engine.EventEnd, AttemptID: from.id, Offset: reader.next, FinishReason: "stop"})
-		from.reader = nil
+	if attempt.finished {
+		e.deliver(reader, &engine.Event{Type: engine.EventEnd, AttemptID: attempt.id, Offset: reader.nextOffset, FinishReason: "stop"})
+		attempt.reader = nil
 	}
 }
 
-// deliver sends one event, with the faults of the moment.
-func (e *engineProcess) deliver(reader *engineReader, sent *engine.Event) {
+// deliver sends one event and applies the faults that are active.
+func (e *engineProcess) deliver(reader *engineReader, event *engine.Event) {
 	w, now := e.world, e.world.clock.now
-	if now.Before(e.crossedUntil) && w.random.IntN(2) == 0 && len(e.order) > 1 {
-		other := e.attempts[e.order[w.random.IntN(len(e.order))]]
-		if len(other.tokens) > 0 && other.id != sent.AttemptID {
-			w.faults.struck("answers_crossed")
-			reader.send(&engine.Event{Type: engine.EventTokens, AttemptID: other.id, Offset: sent.Offset, Tokens: 1, Text: other.tokens[0]})
+	if now.Before(e.misroutedUntil) && w.random.IntN(2) == 0 && len(e.attemptIDs) > 1 {
+		other := e.attempts[e.attemptIDs[w.random.IntN(len(e.attemptIDs))]]
+		if len(other.tokens) > 0 && other.id != event.AttemptID {
+			w.faults.record("answers_crossed")
+			reader.send(&engine.Event{Type: engine.EventTokens, AttemptID: other.id, Offset: event.Offset, Tokens: 1, Text: other.tokens[0]})
 		}
 	}
-	if now.Before(e.lateUntil) && w.random.IntN(8) == 0 {
-		w.faults.struck("answers_late")
-		reader.connection.delayUntil(now.Add(time.Duration(w.random.Int64N(int64(maxLateness)))))
+	if now.Before(e.delayedUntil) && w.random.IntN(8) == 0 {
+		w.faults.record("answers_late")
+		reader.connection.delayUntil(now.Add(time.Duration(w.random.Int64N(int64(maxEventDelay)))))
 	}
-	reader.send(sent)
-	if now.Before(e.twiceUntil) && w.random.IntN(3) == 0 {
-		w.faults.struck("answers_twice")
-		reader.send(sent)
+	reader.send(event)
+	if now.Before(e.duplicatedUntil) && w.random.IntN(3) == 0 {
+		w.faults.record("answers_twice")
+		reader.send(event)
 	}
 }
 
-func (r *engineReader) send(sent *engine.Event) {
-	r.connection.send(func() { r.deliver(sent, nil) })
+func (r *engineReader) send(event *engine.Event) {
+	r.connection.send(func() { r.deliver(event, nil) })
 }
 
-// breakStreams ends the streams of an engine, as when its connections break.
+// breakStreams ends the streams of an engine as if its connections broke.
 func (e *engineProcess) breakStreams() {
-	for _, id := range e.order {
-		found := e.attempts[id]
-		if reader := found.reader; reader != nil {
-			found.reader = nil
+	for _, id := range e.attemptIDs {
+		attempt := e.attempts[id]
+		if reader := attempt.reader; reader != nil {
+			attempt.reader = nil
 			w := e.world
-			w.clock.after(breakNoticeTime, func() {
-				w.enter(reader.connection.to, reader.connection.toLife, func() { reader.deliver(nil, errStreamCut) })
+			w.clock.after(disconnectDelay, func() {
+				w.enter(reader.connection.to, reader.connection.toGeneration, func() { reader.deliver(nil, errStreamCut) })
 			})
 		}
 	}
 }
 
-// platformProcess is the platform's lagging list.
+// platformProcess is the platform that lists the workers, with a lag.
 type platformProcess struct {
 	process
 	world  *World
 	states []timedList
-	// contradictUntil is until when the list goes back and forth.
-	contradictUntil time.Time
+	// inconsistentUntil is until when the list alternates between newer and older states.
+	inconsistentUntil time.Time
 }
 
 type timedList struct {
@@ -329,10 +336,11 @@
 
 func (w *World) addPlatform() {
 	w.platform = &platformProcess{process: process{name: "platform", alive: true}, world: w}
-	w.every(&w.platform.process, platformLag/4, w.platform.record)
+	w.every(&w.platform.process, platformLag/4, w.platform.recordState)
 }
 
-func (p *platformProcess) record() {
+// recordState records the list of workers as it is now.
+func (p *platformProcess) recordState() {
 	var rows []membership.ListedWorker
 	for _, e := range p.world.engines {
 		if e.alive {
@@ -345,12 +353,12 @@
 	}
 }
 
-// list returns the list as it was some time ago; a contradicting one sometimes
-// goes back further.
+// list returns the list as it was platformLag ago, or sometimes an older one while the fault
+// platform_contradicts is active.
 func (p *platformProcess) list() []membership.ListedWorker {
 	lag := platformLag
-	if p.world.clock.now.Before(p.contradictUntil) && p.world.random.IntN(2) == 0 {
-		p.world.faults.struck("platform_contradicts")
+	if p.world.clock.now.Before(p.inconsistentUntil) && p.world.random.IntN(2) == 0 {
+		p.world.faults.record("platform_contradicts")
 		lag = 3 * platformLag
 	}
 	var rows []membership.ListedWorker
--- a/internal/simulation/experiment.go
+++ b/internal/simulation/experiment.go
@@ -20,19 +20,18 @@
 	Name   string
 	Online bool
 	Batch  bool
-	// ReservePercent is the fixed reserve; with Adaptive set it is the most that
-	// the reserve may grow to.
+	// ReservePercent is the fixed reserve, or with AdaptiveReserve the maximum of the adaptive one.
 	ReservePercent  int
 	AdaptiveReserve bool
-	// EnginePriorities leaves the order to the engines: nothing is preempted
-	// and no slot is kept free.
+	// EnginePriorities leaves the order of work to the engines: the scheduler preempts nothing and
+	// keeps no slot free.
 	EnginePriorities bool
-	// Surge multiplies the online load between two moments; zero for none.
+	// Surge multiplies the online load from SurgeFrom to SurgeTo after the warm-up; zero for none.
 	Surge              int
 	SurgeFrom, SurgeTo time.Duration
 }
 
-// Variants returns those that are measured side by side.
+// Variants returns the variants that an experiment compares.
 func Variants() []Variant {
 	return []Variant{
 		{Name: "online alone", Online: true},
@@ -47,42 +46,41 @@
 	}
 }
 
-// Measurement is what one variant showed, over all seeds.
+// Measurement holds the measured values of one variant over all seeds.
 type Measurement struct {
 	Variant Variant
-	// FirstToken, Gap and Yield are in microseconds: until a caller's first
-	// token, between two of its tokens, and from a preemption's decision until
-	// the batch work was off its engine.
+	// FirstToken, Gap and PreemptionLatency are in microseconds: from a request to its first token,
+	// between two tokens of a request, and from the decision to cancel a batch attempt until its
+	// engine has cancelled it.
 	FirstToken        *hdrhistogram.Histogram
 	Gap               *hdrhistogram.Histogram
 	PreemptionLatency *hdrhistogram.Histogram
-	// RejectionLatency is the time until a refused request had its answer.
+	// RejectionLatency is the time from a request to its failure, in microseconds.
 	RejectionLatency *hdrhistogram.Histogram
-	// BatchTokens and OnlineTokens are generated tokens a second, one value for
-	// each seed.
+	// BatchTokens and OnlineTokens are generated tokens a second, one value per seed.
 	BatchTokens  []float64
 	OnlineTokens []float64
-	// OnlineShare is the share of slot time that online work held.
+	// OnlineShare is the fraction of slot time that online work used, one value per seed.
 	OnlineShare []float64
 	Requests    int
 	Completed   int
 	Rejected    int
 	Preemptions int
 	Violations  []Violation
-	// Goodput holds whole answers by the second of their end.
+	// Goodput counts the successful answers by the second of their end after the warm-up.
 	Goodput []int
 }
 
-func newMeasured(variant Variant) *Measurement {
+func newMeasurement(variant Variant) *Measurement {
 	return &Measurement{Variant: variant, FirstToken: loadgen.NewHistogram(), Gap: loadgen.NewHistogram(), PreemptionLatency: loadgen.NewHistogram(), RejectionLatency: loadgen.NewHistogram()}
 }
 
-func recordDuration(histogram *hdrhistogram.Histogram, length time.Duration) {
-	// Values beyond the range are far past every deadline.
-	_ = histogram.RecordValue(length.Microseconds())
+func recordDuration(histogram *hdrhistogram.Histogram, duration time.Duration) {
+	// An error means that the value is out of range, which is far beyond every deadline.
+	_ = histogram.RecordValue(duration.Microseconds())
 }
 
-func (m *Measurement) add(other *Measurement) {
+func (m *Measurement) merge(other *Measurement) {
 	m.FirstToken.Merge(other.FirstToken)
 	m.Gap.Merge(other.Gap)
 	m.PreemptionLatency.Merge(other.PreemptionLatency)
@@ -103,10 +101,10 @@
 	}
 }
 
-// experiment collects a run's measurements.
+// experiment collects the measurements of one run, from start to end.
 type experiment struct {
-	measured     *Measurement
-	from, till   time.Time
+	measurement  *Measurement
+	start, end   time.Time
 	batchTokens  int
 	onlineTokens int
 	onlineSlots  float64
@@ -115,62 +113,64 @@
 
 const (
 	experimentWarmUp = 8 * time.Second
-	// batchWaiting is how many items are kept waiting, so that the fleet never
-	// runs out of them.
-	batchWaiting = 1200
-	// burstEvery, burstSize and burstLength describe bursts of quick questions.
-	burstEvery  = 8 * time.Second
-	burstSize   = 120
-	burstLength = 500 * time.Millisecond
-	// reviewShare is the part of requests that are long reviews.
-	reviewShare = 0.05
+	// minWaitingItems is the number of batch items below which another job is submitted, so that
+	// the fleet never runs out of items.
+	minWaitingItems = 1200
+	// burstInterval, burstSize and burstDuration describe bursts of short requests; burstSize is
+	// for 12 workers.
+	burstInterval = 8 * time.Second
+	burstSize     = 120
+	burstDuration = 500 * time.Millisecond
+	// longRequestShare is the fraction of requests with a long prompt.
+	longRequestShare = 0.05
 )
 
-// experimentProfile gives a deployment engines of the usual size and the load of
-// an experiment: steady quick questions, bursts, and some long reviews.
-func experimentProfile(profile Profile, variant Variant, length time.Duration) Profile {
+// experimentProfile returns the profile with engines of the default capacity and without the
+// callers of failure runs, as experiments make their own load.
+func experimentProfile(profile Profile, variant Variant, duration time.Duration) Profile {
 	capacity := emulator.DefaultCapacity()
 	profile.Engine = &capacity
 	profile.ReservePercent = variant.ReservePercent
 	profile.OnlineCallers = 0
 	profile.BatchCallers = 0
 	profile.ChangeInterval = 10 * time.Second
-	profile.FaultsTo = experimentWarmUp + length
+	profile.FaultsTo = experimentWarmUp + duration
 	return profile
 }
 
-// RunExperiment runs one variant with one seed and measures it for the length
-// given.
-func RunExperiment(profile Profile, variant Variant, length time.Duration, seed uint64) *Measurement {
-	w := newWorld(Options{Profile: experimentProfile(profile, variant, length), Seed: seed, Variant: variant})
+// RunExperiment runs one variant with one seed and measures it for the duration given, after the
+// warm-up.
+func RunExperiment(profile Profile, variant Variant, duration time.Duration, seed uint64) *Measurement {
+	w := newWorld(Options{Profile: experimentProfile(profile, variant, duration), Seed: seed, Variant: variant})
 	w.experiment = &experiment{
-		measured: newMeasured(variant),
-		from:     epoch.Add(experimentWarmUp),
-		till:     epoch.Add(experimentWarmUp + length),
+		measurement: newMeasurement(variant),
+		start:       simulationStart.Add(experimentWarmUp),
+		end:         simulationStart.Add(experimentWarmUp + duration),
 	}
 	w.startLoad()
 	if variant.Batch {
-		w.keepBatchWaiting()
+		w.keepItemsWaiting()
 	}
 	if variant.Online {
-		w.steadyQuestions(variant)
-		w.bursts()
+		w.sendSteadyLoad(variant)
+		w.sendBursts()
 	}
 	w.every(&w.platform.process, sampleInterval, w.sampleSlots)
-	w.clock.runUntil(w.experiment.till.Add(2*time.Second), w.broken)
+	w.clock.runUntil(w.experiment.end.Add(2*time.Second), w.hasViolation)
 	return w.experiment.finish(w)
 }
 
 const sampleInterval = 50 * time.Millisecond
 
+// sampleSlots samples how many slots online work uses.
 func (w *World) sampleSlots() {
 	if !w.measuring() {
 		return
 	}
 	for _, e := range w.engines {
 		online := 0
-		for _, id := range e.order {
-			if found := e.attempts[id]; found.online && !found.ended && !found.stopped {
+		for _, id := range e.attemptIDs {
+			if attempt := e.attempts[id]; attempt.online && !attempt.finished && !attempt.cancelled {
 				online++
 			}
 		}
@@ -180,34 +180,35 @@
 }
 
 func (w *World) measuring() bool {
-	return w.experiment != nil && !w.clock.now.Before(w.experiment.from) && w.clock.now.Before(w.experiment.till)
+	return w.experiment != nil && !w.clock.now.Before(w.experiment.start) && w.clock.now.Before(w.experiment.end)
 }
 
+// finish computes the values that are known at the end of the run.
 func (x *experiment) finish(w *World) *Measurement {
-	m := x.measured
-	seconds := x.till.Sub(x.from).Seconds()
+	m := x.measurement
+	seconds := x.end.Sub(x.start).Seconds()
 	m.BatchTokens = []float64{float64(x.batchTokens) / seconds}
 	m.OnlineTokens = []float64{float64(x.onlineTokens) / seconds}
 	m.OnlineShare = []float64{x.onlineSlots / max(x.slots, 1)}
 	m.Preemptions = w.ledger.preemptions
 	m.Violations = w.ledger.violations
-	for _, record := range w.ledger.order {
-		if record.asked.Before(x.from) || !record.asked.Before(x.till) {
+	for _, record := range w.ledger.requestOrder {
+		if record.sentAt.Before(x.start) || !record.sentAt.Before(x.end) {
 			continue
 		}
 		m.Requests++
 		switch {
-		case record.over && record.err == nil:
+		case record.finished && record.err == nil:
 			m.Completed++
-		case record.over && failure.Is(record.err, failure.NotRun):
+		case record.finished && failure.Is(record.err, failure.NotRun):
 			m.Rejected++
 		}
 	}
 	return m
 }
 
-// generated takes in a token of an engine.
-func (w *World) generated(online bool) {
+// recordToken counts a token that an engine has generated.
+func (w *World) recordToken(online bool) {
 	if !w.measuring() {
 		return
 	}
@@ -218,51 +219,51 @@
 	}
 }
 
-// steadyQuestions asks quick questions and long reviews at random moments. The
-// rate is a share of what the fleet can do.
-func (w *World) steadyQuestions(variant Variant) {
+// sendSteadyLoad sends short and long online requests at random intervals, at a rate that is
+// proportional to the number of workers.
+func (w *World) sendSteadyLoad(variant Variant) {
 	p := w.newCaller("desk")
 	count := 0
-	var again func()
-	again = func() {
-		if w.clock.now.After(w.experiment.till) {
+	var sendNext func()
+	sendNext = func() {
+		if w.clock.now.After(w.experiment.end) {
 			return
 		}
 		count++
-		w.ask(p, fmt.Sprintf("s.%d", count))
-		rate := questionsPerWorker * float64(w.profile.Workers)
-		if since := w.clock.now.Sub(w.experiment.from); variant.Surge > 0 && since >= variant.SurgeFrom && since < variant.SurgeTo {
+		w.sendOnline(p, fmt.Sprintf("s.%d", count))
+		rate := steadyRatePerWorker * float64(w.profile.Workers)
+		if since := w.clock.now.Sub(w.experiment.start); variant.Surge > 0 && since >= variant.SurgeFrom && since < variant.SurgeTo {
 			rate *= float64(variant.Surge)
 		}
-		w.timer(p, time.Duration(w.workload.ExpFloat64()/rate*float64(time.Second)), again)
+		w.timer(p, time.Duration(w.workload.ExpFloat64()/rate*float64(time.Second)), sendNext)
 	}
-	w.timer(p, w.profile.WarmUp, again)
+	w.timer(p, w.profile.WarmUp, sendNext)
 }
 
-// questionsPerWorker is the steady rate for each worker, in requests a second:
-// about a quarter of its slots.
-const questionsPerWorker = 10.0
+// steadyRatePerWorker is in requests a second; the requests use about a quarter of a worker's
+// slots.
+const steadyRatePerWorker = 10.0
 
-// bursts asks many quick questions within half a second, again and again.
-func (w *World) bursts() {
+// sendBursts sends many online requests within burstDuration, at every burstInterval.
+func (w *World) sendBursts() {
 	p := w.newCaller("counter")
 	count := 0
-	w.every(p, burstEvery, func() {
+	w.every(p, burstInterval, func() {
 		for number := 0; number < burstSize*w.profile.Workers/12; number++ {
 			count++
 			id := fmt.Sprintf("b.%d", count)
-			w.timer(p, time.Duration(w.workload.Float64()*float64(burstLength)), func() { w.ask(p, id) })
+			w.timer(p, time.Duration(w.workload.Float64()*float64(burstDuration)), func() { w.sendOnline(p, id) })
 		}
 	})
 }
 
-// keepBatchWaiting submits heaps so that items always wait.
-func (w *World) keepBatchWaiting() {
+// keepItemsWaiting submits batch jobs so that at least minWaitingItems wait at any time.
+func (w *World) keepItemsWaiting() {
 	p := w.newCaller("term")
 	count := 0
 	w.timer(p, w.profile.WarmUp, func() {
 		w.every(p, 100*time.Millisecond, func() {
-			if w.waitingItems() >= batchWaiting {
+			if w.waitingItems() >= minWaitingItems {
 				return
 			}
 			count++
@@ -271,6 +272,7 @@
 	})
 }
 
+// waitingItems returns the number of submitted items that have no result yet.
 func (w *World) waitingItems() int {
 	waiting := 0
 	for _, job := range w.ledger.jobs {
@@ -278,41 +280,42 @@
 			waiting += len(job.lines)
 			continue
 		}
-		if job.done {
+		if job.completed {
 			continue
 		}
-		record, err := w.jobRecord(groupOf(job), job.id)
+		record, err := w.readJobRecord(groupOf(job), job.id)
 		if err != nil {
 			continue
 		}
-		job.done = int(record.Succeeded) == len(job.lines)
+		job.completed = int(record.Succeeded) == len(job.lines)
 		waiting += len(job.lines) - int(record.Succeeded)
 	}
 	return waiting
 }
 
-// questionShape draws the prompt and the length of an online request.
-func (w *World) questionShape(random *rand.Rand) (words, tokens int) {
+// requestShape draws the length of the prompt and of the answer of an online request.
+func (w *World) requestShape(random *rand.Rand) (words, tokens int) {
 	if w.experiment == nil {
 		return random.IntN(40), 8 + random.IntN(24)
 	}
-	if random.Float64() < reviewShare {
+	if random.Float64() < longRequestShare {
 		return 1500 + random.IntN(1500), 64
 	}
 	return 20 + random.IntN(100), 16 + random.IntN(48)
 }
 
-// Experiment runs variants over seeds.
+// Experiment runs each variant with each seed from FirstSeed to LastSeed.
 type Experiment struct {
 	Profile  Profile
 	Variants []Variant
-	// Duration is the measured part of each run, after the warm-up.
+	// Duration is the measured time of each run, after the warm-up.
 	Duration  time.Duration
 	FirstSeed uint64
 	LastSeed  uint64
 }
 
-// Run runs all variants over all seeds, several at a time.
+// Run runs all variants over all seeds, one run per processor at a time, and returns one
+// measurement per variant.
 func (x Experiment) Run() []*Measurement {
 	type run struct {
 		variant int
@@ -347,17 +350,17 @@
 func mergeSeeds(variants []Variant, results [][]*Measurement) []*Measurement {
 	var merged []*Measurement
 	for index, variant := range variants {
-		total := newMeasured(variant)
-		for _, measured := range results[index] {
-			total.add(measured)
+		total := newMeasurement(variant)
+		for _, measurement := range results[index] {
+			total.merge(measurement)
 		}
 		merged = append(merged, total)
 	}
 	return merged
 }
 
-// prompt returns a text of the given number of words that shares its beginning
-// with others of its kind.
+// promptOf returns a prompt with the given number of words before its id. Prompts start with the
+// same words, so that they share a prefix.
 func promptOf(id string, words int) string {
 	return strings.Repeat("room ", words) + "timetable clash " + id
 }
--- a/internal/simulation/experiment_report.go
+++ b/internal/simulation/experiment_report.go
@@ -7,9 +7,9 @@
 
 const microsPerMilli = 1000.0
 
-// PrintExperiment writes the variants as a table. Ratios are to the variants that
-// run one kind of work alone; the bound of batch work is what batch alone reaches,
-// less the share of slot time that online work held.
+// PrintExperiment writes the variants as a table. Ratios compare a variant with the one that runs
+// online work alone. The bound of batch work is the throughput of the variant that runs batch work
+// alone, less the fraction of slot time that online work used.
 func PrintExperiment(out io.Writer, variants []*Measurement) {
 	var onlineAlone, batchAlone *Measurement
 	for _, m := range variants {
@@ -20,7 +20,7 @@
 			batchAlone = m
 		}
 	}
-	fmt.Fprintln(out, "| variant | first token p50 / p99 ms | ratio of p99 | between tokens p50 / p99 ms | ratio of p99 | batch tokens/s (lowest..highest seed) | share of the bound | preemptions | yield p99 ms | whole of asked | violations |")
+	fmt.Fprintln(out, "| variant | first token p50 / p99 ms | ratio of p99 | between tokens p50 / p99 ms | ratio of p99 | batch tokens/s (lowest..highest seed) | share of the bound | preemptions | preemption p99 ms | completed of requested | violations |")
 	fmt.Fprintln(out, "|---|---|---|---|---|---|---|---|---|---|---|")
 	for _, m := range variants {
 		bound := 0.0
@@ -36,6 +36,8 @@
 	}
 }
 
+// millisOf returns a percentile of the time to the first token, or else between tokens, in
+// milliseconds.
 func millisOf(m *Measurement, first bool, percentile float64) float64 {
 	if m == nil {
 		return 0
--- a/internal/simulation/experiment_test.go
+++ b/internal/simulation/experiment_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestExperiment runs each variant for a short time: no promise is broken in any,
-// and batch work gets done beside online work.
+// TestExperiment runs each variant for a short time and expects that no promise is broken, and that
+// both online and batch work make progress.
 func TestExperiment(t *testing.T) {
 	for _, variant := range Variants() {
 		t.Run(variant.Name, func(t *testing.T) {
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -9,8 +9,7 @@
 	"time"
 )
 
-// Fault is one failure that strikes at a moment of the run.
-
+// Fault is one failure that is injected into a run.
 type Fault struct {
 	At       time.Duration
 	Kind     string
@@ -19,101 +18,93 @@
 }
 
 // String returns the fault as a line of a schedule.
-
 func (f Fault) String() string {
 	return fmt.Sprintf("%6s %s target=%d length=%s", f.At.Round(time.Millisecond), f.Kind, f.Target, f.Duration.Round(time.Millisecond))
 }
 
-// faultKind is how a kind of fault is made and ended.
-
+// faultKind describes how faults of a kind are injected and how often they may be drawn.
 type faultKind struct {
-	// strike begins the fault and reports whether it hit anything.
-	strike func(w *World, fault Fault) bool
-	// heavy faults take a control process's disk or the process itself away
-	// for good; a run has at most as many as the voters can bear.
-	heavy bool
-	// rare faults are drawn only where they are named.
-	rare bool
-	// once faults strike at most once in a run.
+	// inject starts the fault, arranges its end and reports whether it had an effect.
+	inject func(w *World, fault Fault) bool
+	// destructive faults erase the disk of a control process or remove the process for good.
+	// A run has at most maxDestructive of them, which is what the voters can survive.
+	destructive bool
+	// explicitOnly faults are drawn only if a run names them.
+	explicitOnly bool
+	// once faults are drawn at most once in a run.
 	once bool
-	// planned faults are stops in the planned way.
+	// planned faults are graceful stops.
 	planned bool
 }
 
-// faultKinds are the failures of the users' list, and the planned stops.
-
+// faultKinds holds the failures that the users listed, and the planned stops.
 var faultKinds = map[string]faultKind{
-	"worker_dies":              {strike: strikeWorkerDies},
-	"worker_freezes":           {strike: strikeWorkerFreezes},
-	"worker_leaves":            {strike: strikeWorkerLeaves},
-	"answers_late":             {strike: strikeLate},
-	"answers_crossed":          {strike: strikeCrossed},
-	"answers_twice":            {strike: strikeTwice},
-	"streams_cut":              {strike: strikeStreamsCut},
-	"control_killed":           {strike: strikeControlKilled},
-	"control_leader_killed":    {strike: strikeLeaderKilled},
-	"control_torn":             {strike: strikeControlTorn},
-	"control_freezes":          {strike: strikeControlFreezes},
-	"control_majority_killed":  {strike: strikeMajorityKilled},
-	"control_cut":              {strike: strikeControlCut},
-	"control_cut_one_way":      {strike: strikeControlCutOneWay},
-	"control_leader_cut":       {strike: strikeLeaderCut},
-	"control_disk_lost":        {strike: strikeDiskLost, heavy: true},
-	"control_lost_for_good":    {strike: strikeControlLost, heavy: true},
-	"control_stops":            {strike: strikeControlStops, planned: true},
-	"dispatcher_killed":        {strike: strikeDispatcherKilled},
-	"dispatcher_freezes":       {strike: strikeDispatcherFreezes},
-	"dispatcher_cut":           {strike: strikeDispatcherCut},
-	"dispatcher_lost_control":  {strike: strikeDispatcherLostControl},
-	"dispatcher_stops":         {strike: strikeDispatcherStops, planned: true},
-	"gateway_killed":           {strike: strikeGatewayKilled},
-	"gateway_freezes":          {strike: strikeGatewayFreezes},
-	"gateway_cut":              {strike: strikeGatewayCut},
-	"gateway_stops":            {strike: strikeGatewayStops, planned: true},
-	"zone_dispatchers_lost":    {strike: strikeZoneDispatchersLost, rare: true},
-	"zone_lost":                {strike: strikeZoneLost, rare: true},
-	"platform_contradicts":     {strike: strikePlatform},
-	"operators_race":           {strike: strikeOperators},
-	"missed_500_revisions":     {strike: strikeMissedRevisions, once: true},
-	"rolling_disk_loss":        {strike: strikeRollingLoss, heavy: true, once: true},
-	"second_loss_after_repair": {strike: strikeSecondLoss, heavy: true},
+	"worker_dies":              {inject: injectWorkerDies},
+	"worker_freezes":           {inject: injectWorkerFreezes},
+	"worker_leaves":            {inject: injectWorkerLeaves},
+	"answers_late":             {inject: injectAnswersLate},
+	"answers_crossed":          {inject: injectAnswersCrossed},
+	"answers_twice":            {inject: injectAnswersTwice},
+	"streams_cut":              {inject: injectStreamsCut},
+	"control_killed":           {inject: injectControlKilled},
+	"control_leader_killed":    {inject: injectLeaderKilled},
+	"control_torn":             {inject: injectControlTorn},
+	"control_freezes":          {inject: injectControlFreezes},
+	"control_majority_killed":  {inject: injectMajorityKilled},
+	"control_cut":              {inject: injectControlCut},
+	"control_cut_one_way":      {inject: injectControlCutOneWay},
+	"control_leader_cut":       {inject: injectLeaderCut},
+	"control_disk_lost":        {inject: injectDiskLost, destructive: true},
+	"control_lost_for_good":    {inject: injectControlLost, destructive: true},
+	"control_stops":            {inject: injectControlStops, planned: true},
+	"dispatcher_killed":        {inject: injectDispatcherKilled},
+	"dispatcher_freezes":       {inject: injectDispatcherFreezes},
+	"dispatcher_cut":           {inject: injectDispatcherCut},
+	"dispatcher_lost_control":  {inject: injectDispatcherLostControl},
+	"dispatcher_stops":         {inject: injectDispatcherStops, planned: true},
+	"gateway_killed":           {inject: injectGatewayKilled},
+	"gateway_freezes":          {inject: injectGatewayFreezes},
+	"gateway_cut":              {inject: injectGatewayCut},
+	"gateway_stops":            {inject: injectGatewayStops, planned: true},
+	"zone_dispatchers_lost":    {inject: injectZoneDispatchersLost, explicitOnly: true},
+	"zone_lost":                {inject: injectZoneLost, explicitOnly: true},
+	"platform_contradicts":     {inject: injectPlatformContradicts},
+	"operators_race":           {inject: injectOperatorsRace},
+	"missed_500_revisions":     {inject: injectMissedRevisions, once: true},
+	"rolling_disk_loss":        {inject: injectRollingLoss, destructive: true, once: true},
+	"second_loss_after_repair": {inject: injectSecondLoss, destructive: true},
 }
 
 const (
-	maxHeavy         = 2
-	changesInARow    = 20
-	secondLossSearch = 50 * time.Millisecond
-	// maxDraws bounds the draws of a schedule whose kinds run out.
+	maxDestructive = 2
+	raceChanges    = 20
+	repairPoll     = 50 * time.Millisecond
+	// maxDraws bounds the draws for a schedule when the limits on the kinds reject most of them.
 	maxDraws = 64
 )
 
-// takesAllHeavy names the kinds that by themselves take as many disks as the
-
-// voters can bear.
-
-var takesAllHeavy = map[string]bool{"second_loss_after_repair": true, "rolling_disk_loss": true}
-
-// FaultKinds returns the names of the kinds of faults that runs draw from.
+// usesAllDestructive names the kinds that alone erase as many disks as the voters can survive.
+var usesAllDestructive = map[string]bool{"second_loss_after_repair": true, "rolling_disk_loss": true}
 
+// DefaultFaultKinds returns the names of the kinds of faults that a run may draw without naming
+// them.
 func DefaultFaultKinds() []string {
 	var names []string
 	for _, name := range AllFaultKinds() {
-		if !faultKinds[name].rare {
+		if !faultKinds[name].explicitOnly {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// KnownFaults returns the names of all kinds of faults.
-
+// AllFaultKinds returns the names of all kinds of faults.
 func AllFaultKinds() []string { return sortedKeys(faultKinds) }
 
-// drawSchedule draws the faults of a run: some alone, some two at a time.
-
+// drawSchedule draws the faults of a run. Faults come alone or in pairs that start together.
 func drawSchedule(random *rand.Rand, kinds []string, from, to time.Duration, count int) []Fault {
 	var schedule []Fault
-	heavy := 0
+	destructive := 0
 	span := int64(to - from)
 	for draws := 0; len(schedule) < count && draws < maxDraws && len(kinds) > 0; draws++ {
 		at := from + time.Duration(random.Int64N(span))
@@ -124,13 +115,13 @@
 			if faultKinds[kind].once && slices.ContainsFunc(schedule, func(earlier Fault) bool { return earlier.Kind == kind }) {
 				continue
 			}
-			if faultKinds[kind].heavy {
-				if heavy == maxHeavy || (takesAllHeavy[kind] && heavy > 0) {
+			if faultKinds[kind].destructive {
+				if destructive == maxDestructive || (usesAllDestructive[kind] && destructive > 0) {
 					continue
 				}
-				heavy++
-				if takesAllHeavy[kind] {
-					heavy = maxHeavy
+				destructive++
+				if usesAllDestructive[kind] {
+					destructive = maxDestructive
 				}
 			}
 			schedule = append(schedule, fault)
@@ -140,118 +131,62 @@
 	return schedule
 }
 
-// faultState counts the faults that struck and those that are on.
-
+// faultState counts the injected faults by kind, and the faults that are active now.
 type faultState struct {
 	counts map[string]int
-	on     int
+	active int
 }
 
-func (f *faultState) struck(kind string) { f.counts[kind]++ }
+func (f *faultState) record(kind string) { f.counts[kind]++ }
 
-// schedule arranges for the faults.
-
-func (w *World) schedule(faults []Fault) {
+// scheduleFaults schedules the faults on the virtual clock.
+func (w *World) scheduleFaults(faults []Fault) {
 	for _, fault := range faults {
-		w.clock.after(epoch.Add(fault.At).Sub(w.clock.now), func() {
+		w.clock.after(simulationStart.Add(fault.At).Sub(w.clock.now), func() {
 			kind := faultKinds[fault.Kind]
-			if !kind.strike(w, fault) {
+			if !kind.inject(w, fault) {
 				return
 			}
-			// Faults in answers count each time they spoil one.
+			// Faults in answers and in the platform's list are counted each time they change one.
 			if !strings.HasPrefix(fault.Kind, "answers_") && fault.Kind != "platform_contradicts" {
-				w.faults.struck(fault.Kind)
+				w.faults.record(fault.Kind)
 			}
-			w.faults.on++
-			w.clock.after(fault.Duration+recoveryTime, func() { w.faults.on-- })
+			w.faults.active++
+			w.clock.after(fault.Duration+recoveryTime, func() { w.faults.active-- })
 		})
 	}
 }
 
-// recoveryTime is how long after a fault's end a run still counts as faulty.
-
+// recoveryTime is how long after its end a fault still counts as active.
 const recoveryTime = 5 * time.Second
 
+// pick returns the member of a list that the fault targets.
 func pick[Target any](from []Target, fault Fault) Target { return from[fault.Target%len(from)] }
 
-func (w *World) freeze(p *process, length time.Duration) bool {
+func (w *World) freeze(p *process, duration time.Duration) bool {
 	if !p.alive || w.clock.now.Before(p.frozenUntil) {
 		return false
 	}
-	p.frozenUntil = w.clock.now.Add(length)
+	p.frozenUntil = w.clock.now.Add(duration)
 	return true
 }
 
-// noteLeaders tells the timings which groups lose their leader.
-
-// killControl ends a control process. Its disk keeps what was synced, and some of
-
-// what was not.
-
-// prepareDisk applies the mutations that concern disks.
-
-// metaLeaderProcess returns the control process that leads the meta group.
-
-// strikeMajorityKilled takes so many control processes away that none can lead.
-
-// majorityLoss is how many of the six control processes leave no majority of
-
-// five voters, whichever of them is the spare.
-
-// strikeControlTorn lets a disk lose power in the middle of one of the next
-
-// writes.
-
-// cutOff cuts a process off from all others: both ways, or only what it sends.
-
-func (w *World) cutOff(p *process, length time.Duration, oneWay bool) bool {
-	for _, other := range w.everyone() {
+// isolate cuts the links between a process and all others: both ways, or only those on which it
+// sends.
+func (w *World) isolate(p *process, duration time.Duration, oneWay bool) bool {
+	for _, other := range w.allProcesses() {
 		if other == p {
 			continue
 		}
 		out, in := [2]string{p.name, other.name}, [2]string{other.name, p.name}
-		w.network.cut[out] = true
+		w.network.cutLinks[out] = true
 		if !oneWay {
-			w.network.cut[in] = true
+			w.network.cutLinks[in] = true
 		}
-		w.clock.after(length, func() {
-			delete(w.network.cut, out)
-			delete(w.network.cut, in)
+		w.clock.after(duration, func() {
+			delete(w.network.cutLinks, out)
+			delete(w.network.cutLinks, in)
 		})
 	}
 	return true
 }
-
-// strikeSecondLoss takes a voter's disk, and another's in the moment in which the
-
-// group has been repaired, or while it is being repaired.
-
-// strikeRollingLoss takes one disk after the other, each once the group has been
-
-// repaired from the loss before.
-
-// whenRepaired waits until no group counts on the lost storage any more.
-
-// forgotten reports whether every group has a leader whose settled membership
-
-// lacks the replica.
-
-// strikeControlStops is a planned stop: leadership is handed over first.
-
-// strikeDispatcherLostControl cuts a dispatcher off from control alone: its
-
-// workers and gateways still hear it.
-
-// strikeZoneDispatchersLost takes all dispatchers of one zone away and leaves
-
-// their workers without an owner.
-
-// strikeZoneLost takes everything in one zone away for good.
-
-// strikeOperators sends changes in a row, in twos with equal numbers.
-
-// maxMissing is how long processes are away that miss changes.
-
-// strikeMissedRevisions takes a control process and a gateway away while hundreds
-
-// of changes pass, then restarts them.
--- a/internal/simulation/faults_control.go
+++ b/internal/simulation/faults_control.go
@@ -7,7 +7,8 @@
 	"github.com/sedgemast/sedgemast/internal/consensus"
 )
 
-func (w *World) noteLeaders(c *controlProcess) {
+// recordLeaderLoss records the groups that lose their leader when the process fails.
+func (w *World) recordLeaderLoss(c *controlProcess) {
 	if c.node == nil {
 		return
 	}
@@ -18,45 +19,51 @@
 	}
 }
 
-func (w *World) killControl(c *controlProcess, emptied bool) {
+// killControl ends a control process. Its disk keeps the synced writes and a random number of the
+// unsynced ones, or nothing if it is erased.
+func (w *World) killControl(c *controlProcess, eraseDisk bool) {
 	if !c.alive {
 		return
 	}
-	w.noteLeaders(c)
+	w.recordLeaderLoss(c)
 	c.alive = false
-	if emptied {
+	if eraseDisk {
 		c.disk = newDisk()
 	} else {
 		c.disk = c.disk.crash(w.random)
 	}
-	w.prepareDisk(c.disk)
+	w.applyDiskMutation(c.disk)
 }
 
-func (w *World) prepareDisk(d *disk) {
-	d.forgetful = w.mutation == MutationNoSync
+// applyDiskMutation applies the mutation of the run if it concerns disks.
+func (w *World) applyDiskMutation(d *disk) {
+	d.skipsSync = w.mutation == MutationNoSync
 }
 
-func (w *World) restartControl(c *controlProcess, after time.Duration) {
-	w.clock.after(after, func() {
-		if !c.alive && !c.gone {
+func (w *World) restartControl(c *controlProcess, delay time.Duration) {
+	w.clock.after(delay, func() {
+		if !c.alive && !c.removed {
 			c.start()
 		}
 	})
 }
 
-func strikeControlKilled(w *World, fault Fault) bool {
-	return w.bounceControl(pick(w.controls, fault), fault.Duration)
+func injectControlKilled(w *World, fault Fault) bool {
+	return w.killAndRestartControl(pick(w.controls, fault), fault.Duration)
 }
 
-func (w *World) bounceControl(c *controlProcess, length time.Duration) bool {
+// killAndRestartControl kills a control process and restarts it on its disk after a delay.
+func (w *World) killAndRestartControl(c *controlProcess, delay time.Duration) bool {
 	if c == nil || !c.alive {
 		return false
 	}
 	w.killControl(c, false)
-	w.restartControl(c, length)
+	w.restartControl(c, delay)
 	return true
 }
 
+// metaLeaderProcess returns the control process that leads the meta group, or nil. If several
+// claim to lead, the one with the highest term is returned.
 func (w *World) metaLeaderProcess() *controlProcess {
 	var leader *controlProcess
 	highest := uint64(0)
@@ -72,60 +79,64 @@
 	return leader
 }
 
-func strikeLeaderKilled(w *World, fault Fault) bool {
-	return w.bounceControl(w.metaLeaderProcess(), fault.Duration)
+func injectLeaderKilled(w *World, fault Fault) bool {
+	return w.killAndRestartControl(w.metaLeaderProcess(), fault.Duration)
 }
 
-func strikeMajorityKilled(w *World, fault Fault) bool {
-	struck := false
-	for number := 0; number < majorityLoss; number++ {
-		if w.bounceControl(w.controls[(fault.Target+number)%controlCount], fault.Duration) {
-			struck = true
+// injectMajorityKilled kills enough control processes that no group can have a leader.
+func injectMajorityKilled(w *World, fault Fault) bool {
+	injected := false
+	for number := 0; number < majorityKills; number++ {
+		if w.killAndRestartControl(w.controls[(fault.Target+number)%controlCount], fault.Duration) {
+			injected = true
 		}
 	}
-	return struck
+	return injected
 }
 
-const majorityLoss = 4
+// majorityKills is how many of the six control processes must fail to leave no majority of the five
+// voters, whichever process is the spare.
+const majorityKills = 4
 
-func strikeControlTorn(w *World, fault Fault) bool {
+// injectControlTorn makes a disk lose power in the middle of one of its next writes.
+func injectControlTorn(w *World, fault Fault) bool {
 	c := pick(w.controls, fault)
 	if !c.alive {
 		return false
 	}
-	c.disk.breakAfter = fault.Target % 7
+	c.disk.writesToPowerLoss = fault.Target % 7
 	return true
 }
 
-func strikeControlFreezes(w *World, fault Fault) bool {
+func injectControlFreezes(w *World, fault Fault) bool {
 	c := pick(w.controls, fault)
 	if !w.freeze(&c.process, fault.Duration) {
 		return false
 	}
-	w.noteLeaders(c)
+	w.recordLeaderLoss(c)
 	return true
 }
 
-func strikeControlCut(w *World, fault Fault) bool {
+func injectControlCut(w *World, fault Fault) bool {
 	c := pick(w.controls, fault)
-	w.noteLeaders(c)
-	return w.cutOff(&c.process, fault.Duration, false)
+	w.recordLeaderLoss(c)
+	return w.isolate(&c.process, fault.Duration, false)
 }
 
-func strikeControlCutOneWay(w *World, fault Fault) bool {
-	return w.cutOff(&pick(w.controls, fault).process, fault.Duration, true)
+func injectControlCutOneWay(w *World, fault Fault) bool {
+	return w.isolate(&pick(w.controls, fault).process, fault.Duration, true)
 }
 
-func strikeLeaderCut(w *World, fault Fault) bool {
+func injectLeaderCut(w *World, fault Fault) bool {
 	c := w.metaLeaderProcess()
 	if c == nil {
 		return false
 	}
-	w.noteLeaders(c)
-	return w.cutOff(&c.process, fault.Duration, fault.Target%2 == 0)
+	w.recordLeaderLoss(c)
+	return w.isolate(&c.process, fault.Duration, fault.Target%2 == 0)
 }
 
-func strikeDiskLost(w *World, fault Fault) bool {
+func injectDiskLost(w *World, fault Fault) bool {
 	c := pick(w.controls, fault)
 	if !c.alive {
 		return false
@@ -135,17 +146,20 @@
 	return true
 }
 
-func strikeControlLost(w *World, fault Fault) bool {
+func injectControlLost(w *World, fault Fault) bool {
 	c := pick(w.controls, fault)
 	if !c.alive {
 		return false
 	}
 	w.killControl(c, true)
-	c.gone = true
+	c.removed = true
 	return true
 }
 
-func strikeSecondLoss(w *World, fault Fault) bool {
+// injectSecondLoss erases the disk of one voter, and that of a second voter as soon as the meta
+// group has been repaired. For an even target it does not wait for the end of the repair: the
+// second loss comes once the group's membership is changing.
+func injectSecondLoss(w *World, fault Fault) bool {
 	first := pick(w.controls, fault)
 	if !first.alive || first == w.controls[controlCount-1] {
 		return false
@@ -153,19 +167,19 @@
 	lost := first.node.ID()
 	w.killControl(first, true)
 	w.restartControl(first, fault.Duration)
-	during := fault.Target%2 == 0
-	var watch func()
-	watch = func() {
+	duringRepair := fault.Target%2 == 0
+	var pollRepair func()
+	pollRepair = func() {
 		leader := w.metaLeaderProcess()
-		if leader == nil || w.clock.now.After(w.settleEnd) {
-			if !w.clock.now.After(w.settleEnd) {
-				w.clock.after(secondLossSearch, watch)
+		if leader == nil || w.clock.now.After(w.recoveryDeadline) {
+			if !w.clock.now.After(w.recoveryDeadline) {
+				w.clock.after(repairPoll, pollRepair)
 			}
 			return
 		}
 		status := leader.node.Statuses(w.clock.now)[0]
 		repaired := status.MembershipStable && !consensus.IsVoter(&status.Membership, lost)
-		if repaired || (during && !status.MembershipStable) {
+		if repaired || (duringRepair && !status.MembershipStable) {
 			second := w.controlByName(status.Membership.Voters[fault.Target%len(status.Membership.Voters)].Address)
 			if second.alive {
 				w.killControl(second, true)
@@ -173,25 +187,27 @@
 			}
 			return
 		}
-		w.clock.after(secondLossSearch, watch)
+		w.clock.after(repairPoll, pollRepair)
 	}
-	w.clock.after(secondLossSearch, watch)
+	w.clock.after(repairPoll, pollRepair)
 	return true
 }
 
-func strikeRollingLoss(w *World, fault Fault) bool {
-	var next func(left int)
-	next = func(left int) {
-		c := w.controls[(fault.Target+left)%controlCount]
-		if left == 0 || !c.alive {
+// injectRollingLoss erases one disk after another, each once all groups have been repaired from the
+// loss before.
+func injectRollingLoss(w *World, fault Fault) bool {
+	var loseNext func(remaining int)
+	loseNext = func(remaining int) {
+		c := w.controls[(fault.Target+remaining)%controlCount]
+		if remaining == 0 || !c.alive {
 			return
 		}
 		lost := c.node.ID()
 		w.killControl(c, true)
 		w.restartControl(c, rollingRestart)
-		w.whenRepaired(lost, c, func() { next(left - 1) })
+		w.whenRepaired(lost, c, func() { loseNext(remaining - 1) })
 	}
-	next(rollingLosses)
+	loseNext(rollingLosses)
 	return true
 }
 
@@ -200,18 +216,21 @@
 	rollingRestart = 200 * time.Millisecond
 )
 
+// whenRepaired calls then once no group has the lost replica as a voter any more.
 func (w *World) whenRepaired(lost uint64, c *controlProcess, then func()) {
-	if w.clock.now.After(w.settleEnd) {
+	if w.clock.now.After(w.recoveryDeadline) {
 		return
 	}
-	if c.alive && (c.node.ID() == lost || w.forgotten(lost)) {
-		w.clock.after(secondLossSearch, then)
+	if c.alive && (c.node.ID() == lost || w.replicaRemoved(lost)) {
+		w.clock.after(repairPoll, then)
 		return
 	}
-	w.clock.after(secondLossSearch, func() { w.whenRepaired(lost, c, then) })
+	w.clock.after(repairPoll, func() { w.whenRepaired(lost, c, then) })
 }
 
-func (w *World) forgotten(id uint64) bool {
+// replicaRemoved reports whether every group has a leader with a stable membership in which the
+// replica is no voter.
+func (w *World) replicaRemoved(id uint64) bool {
 	for group := 0; group <= jobGroups; group++ {
 		found := false
 		for _, c := range w.controls {
@@ -230,40 +249,46 @@
 	return true
 }
 
-func strikeControlStops(w *World, fault Fault) bool {
+// injectControlStops is a planned stop: the process transfers its leadership before it ends.
+func injectControlStops(w *World, fault Fault) bool {
 	c := pick(w.controls, fault)
 	if !c.alive {
 		return false
 	}
 	deadline := w.clock.now.Add(3 * time.Second)
-	var wait func()
-	wait = func() {
+	var transferAndStop func()
+	transferAndStop = func() {
 		done := true
-		c.drive(func() { done = c.node.TransferAllLeadership(w.clock.now) })
+		c.runOnNode(func() { done = c.node.TransferAllLeadership(w.clock.now) })
 		if !done && w.clock.now.Before(deadline) {
-			w.timer(&c.process, tickInterval, wait)
+			w.timer(&c.process, tickInterval, transferAndStop)
 			return
 		}
 		w.killControl(c, false)
 		w.restartControl(c, fault.Duration)
 	}
-	wait()
+	transferAndStop()
 	return true
 }
 
-func strikeOperators(w *World, fault Fault) bool {
-	for i := 0; i < changesInARow; i++ {
+// injectOperatorsRace sends changes in pairs, both of a pair at the same time and most likely based
+// on the same revision.
+func injectOperatorsRace(w *World, fault Fault) bool {
+	for i := 0; i < raceChanges; i++ {
 		w.clock.after(time.Duration(i/2)*50*time.Millisecond, func() {
-			w.races++
-			w.change(w.newCaller(fmt.Sprintf("racer%d", w.races)), fmt.Sprintf("race-%d", w.races), 1+w.races%10)
+			w.raceCount++
+			w.applyChange(w.newCaller(fmt.Sprintf("racer%d", w.raceCount)), fmt.Sprintf("race-%d", w.raceCount), 1+w.raceCount%10)
 		})
 	}
 	return true
 }
 
-const maxMissing = 12 * time.Second
+// maxAbsence bounds how long the processes that miss revisions stay down.
+const maxAbsence = 12 * time.Second
 
-func strikeMissedRevisions(w *World, fault Fault) bool {
+// injectMissedRevisions stops a control process and a gateway while hundreds of changes commit,
+// then restarts them.
+func injectMissedRevisions(w *World, fault Fault) bool {
 	c, g := pick(w.controls, fault), pick(w.gateways, fault)
 	if !c.alive || !g.alive {
 		return false
@@ -284,17 +309,17 @@
 			g.start()
 		}
 	}
-	var next func()
-	next = func() {
+	var changeNext func()
+	changeNext = func() {
 		if count >= missed || restarted {
 			restart()
 			return
 		}
 		count++
-		w.races++
-		w.changeThen(p, fmt.Sprintf("bulk-%d", w.races), 1+w.races%10, next)
+		w.raceCount++
+		w.applyChangeThen(p, fmt.Sprintf("bulk-%d", w.raceCount), 1+w.raceCount%10, changeNext)
 	}
-	next()
-	w.clock.after(maxMissing, restart)
+	changeNext()
+	w.clock.after(maxAbsence, restart)
 	return true
 }
--- a/internal/simulation/faults_daemons.go
+++ b/internal/simulation/faults_daemons.go
@@ -4,13 +4,14 @@
 	"time"
 )
 
+// killEngine ends a worker and breaks its streams.
 func (w *World) killEngine(e *engineProcess) {
 	e.breakStreams()
 	e.alive = false
-	delete(w.ledger.leavingAt, e.name)
+	delete(w.ledger.leavingSince, e.name)
 }
 
-func strikeWorkerDies(w *World, fault Fault) bool {
+func injectWorkerDies(w *World, fault Fault) bool {
 	e := pick(w.engines, fault)
 	if !e.alive {
 		return false
@@ -20,17 +21,19 @@
 	return true
 }
 
-func strikeWorkerFreezes(w *World, fault Fault) bool {
+func injectWorkerFreezes(w *World, fault Fault) bool {
 	return w.freeze(&pick(w.engines, fault).process, fault.Duration)
 }
 
-func strikeWorkerLeaves(w *World, fault Fault) bool {
+// injectWorkerLeaves makes a worker announce that it leaves, and replaces it after the time within
+// which it must no longer get work.
+func injectWorkerLeaves(w *World, fault Fault) bool {
 	e := pick(w.engines, fault)
 	if !e.alive || e.leaving {
 		return false
 	}
 	e.leaving = true
-	w.ledger.leavingAt[e.name] = w.clock.now
+	w.ledger.leavingSince[e.name] = w.clock.now
 	w.clock.after(leavingBound+fault.Duration, func() {
 		if e.alive && e.leaving {
 			w.killEngine(e)
@@ -40,22 +43,22 @@
 	return true
 }
 
-func strikeLate(w *World, fault Fault) bool {
-	pick(w.engines, fault).lateUntil = w.clock.now.Add(fault.Duration)
+func injectAnswersLate(w *World, fault Fault) bool {
+	pick(w.engines, fault).delayedUntil = w.clock.now.Add(fault.Duration)
 	return true
 }
 
-func strikeCrossed(w *World, fault Fault) bool {
-	pick(w.engines, fault).crossedUntil = w.clock.now.Add(fault.Duration)
+func injectAnswersCrossed(w *World, fault Fault) bool {
+	pick(w.engines, fault).misroutedUntil = w.clock.now.Add(fault.Duration)
 	return true
 }
 
-func strikeTwice(w *World, fault Fault) bool {
-	pick(w.engines, fault).twiceUntil = w.clock.now.Add(fault.Duration)
+func injectAnswersTwice(w *World, fault Fault) bool {
+	pick(w.engines, fault).duplicatedUntil = w.clock.now.Add(fault.Duration)
 	return true
 }
 
-func strikeStreamsCut(w *World, fault Fault) bool {
+func injectStreamsCut(w *World, fault Fault) bool {
 	e := pick(w.engines, fault)
 	if !e.alive || e.model.Idle() {
 		return false
@@ -64,20 +67,21 @@
 	return true
 }
 
+// killDispatcher ends a dispatcher, breaks its streams and records its workers as orphaned.
 func (w *World) killDispatcher(d *dispatcherProcess) {
 	d.alive = false
-	for _, broken := range d.streams {
-		w.clock.after(breakNoticeTime, broken)
+	for _, onDisconnect := range d.streams {
+		w.clock.after(disconnectDelay, onDisconnect)
 	}
 	d.streams = nil
 	for name := range d.workers {
-		if e := w.engineByName(name); e.alive && d.workers[name].claimed && !e.leaving && e.fence == d.workers[name].assignment.Epoch {
-			w.ledger.timings.orphaned(w.clock.now, name)
+		if e := w.engineByName(name); e.alive && d.workers[name].claimed && !e.leaving && e.fencingEpoch == d.workers[name].assignment.Epoch {
+			w.ledger.timings.workerOrphaned(w.clock.now, name)
 		}
 	}
 }
 
-func strikeDispatcherKilled(w *World, fault Fault) bool {
+func injectDispatcherKilled(w *World, fault Fault) bool {
 	d := pick(w.dispatchers, fault)
 	if !d.alive {
 		return false
@@ -87,57 +91,60 @@
 	return true
 }
 
-func strikeDispatcherFreezes(w *World, fault Fault) bool {
+func injectDispatcherFreezes(w *World, fault Fault) bool {
 	return w.freeze(&pick(w.dispatchers, fault).process, fault.Duration)
 }
 
-func strikeDispatcherCut(w *World, fault Fault) bool {
-	return w.cutOff(&pick(w.dispatchers, fault).process, fault.Duration, fault.Target%3 == 0)
+func injectDispatcherCut(w *World, fault Fault) bool {
+	return w.isolate(&pick(w.dispatchers, fault).process, fault.Duration, fault.Target%3 == 0)
 }
 
-func strikeDispatcherLostControl(w *World, fault Fault) bool {
+// injectDispatcherLostControl cuts a dispatcher off from the control processes only; its workers
+// and gateways can still reach it.
+func injectDispatcherLostControl(w *World, fault Fault) bool {
 	d := pick(w.dispatchers, fault)
-	length := 5*time.Second + fault.Duration
+	duration := 5*time.Second + fault.Duration
 	for _, c := range w.controls {
 		out, in := [2]string{d.name, c.name}, [2]string{c.name, d.name}
-		w.network.cut[out], w.network.cut[in] = true, true
-		w.clock.after(length, func() {
-			delete(w.network.cut, out)
-			delete(w.network.cut, in)
+		w.network.cutLinks[out], w.network.cutLinks[in] = true, true
+		w.clock.after(duration, func() {
+			delete(w.network.cutLinks, out)
+			delete(w.network.cutLinks, in)
 		})
 	}
 	return d.alive
 }
 
-func strikeDispatcherStops(w *World, fault Fault) bool {
+func injectDispatcherStops(w *World, fault Fault) bool {
 	d := pick(w.dispatchers, fault)
 	if !d.alive || d.session.draining {
 		return false
 	}
-	life := d.life
-	end := func() {
-		if d.alive && d.life == life {
+	generation := d.generation
+	kill := func() {
+		if d.alive && d.generation == generation {
 			w.killDispatcher(d)
 			w.clock.after(fault.Duration, d.start)
 		}
 	}
 	if w.mutation == MutationNoGracefulStop {
-		end()
+		kill()
 		return true
 	}
-	d.stop(end)
+	d.stop(kill)
 	return true
 }
 
+// killGateway ends a gateway and breaks its streams.
 func (w *World) killGateway(g *gatewayProcess) {
 	g.alive = false
-	for _, broken := range g.streams {
-		w.clock.after(breakNoticeTime, broken)
+	for _, onDisconnect := range g.streams {
+		w.clock.after(disconnectDelay, onDisconnect)
 	}
 	g.streams = nil
 }
 
-func strikeGatewayKilled(w *World, fault Fault) bool {
+func injectGatewayKilled(w *World, fault Fault) bool {
 	g := pick(w.gateways, fault)
 	if !g.alive {
 		return false
@@ -147,35 +154,37 @@
 	return true
 }
 
-func strikeGatewayFreezes(w *World, fault Fault) bool {
+func injectGatewayFreezes(w *World, fault Fault) bool {
 	return w.freeze(&pick(w.gateways, fault).process, fault.Duration)
 }
 
-func strikeGatewayCut(w *World, fault Fault) bool {
-	return w.cutOff(&pick(w.gateways, fault).process, fault.Duration, fault.Target%3 == 0)
+func injectGatewayCut(w *World, fault Fault) bool {
+	return w.isolate(&pick(w.gateways, fault).process, fault.Duration, fault.Target%3 == 0)
 }
 
-func strikeGatewayStops(w *World, fault Fault) bool {
+func injectGatewayStops(w *World, fault Fault) bool {
 	g := pick(w.gateways, fault)
 	if !g.alive || g.stopping {
 		return false
 	}
-	life := g.life
-	end := func() {
-		if g.alive && g.life == life {
+	generation := g.generation
+	kill := func() {
+		if g.alive && g.generation == generation {
 			w.killGateway(g)
 			w.clock.after(fault.Duration, g.start)
 		}
 	}
 	if w.mutation == MutationNoGracefulStop {
-		end()
+		kill()
 		return true
 	}
-	g.stop(end)
+	g.stop(kill)
 	return true
 }
 
-func strikeZoneDispatchersLost(w *World, fault Fault) bool {
+// injectZoneDispatchersLost kills all dispatchers of one zone for good, so that their workers have
+// no owner.
+func injectZoneDispatchersLost(w *World, fault Fault) bool {
 	for _, d := range w.dispatchers {
 		if d.zone == fault.Target%w.profile.Zones && d.alive {
 			w.killDispatcher(d)
@@ -184,7 +193,8 @@
 	return true
 }
 
-func strikeZoneLost(w *World, fault Fault) bool {
+// injectZoneLost removes all processes of one zone for good.
+func injectZoneLost(w *World, fault Fault) bool {
 	zone := fault.Target % w.profile.Zones
 	for _, e := range w.engines {
 		if e.zone == zone {
@@ -204,13 +214,13 @@
 	for _, c := range w.controls {
 		if c.zone == zone && c.alive {
 			w.killControl(c, true)
-			c.gone = true
+			c.removed = true
 		}
 	}
 	return true
 }
 
-func strikePlatform(w *World, fault Fault) bool {
-	w.platform.contradictUntil = w.clock.now.Add(fault.Duration)
+func injectPlatformContradicts(w *World, fault Fault) bool {
+	w.platform.inconsistentUntil = w.clock.now.Add(fault.Duration)
 	return true
 }
--- a/internal/simulation/gateway.go
+++ b/internal/simulation/gateway.go
@@ -18,21 +18,21 @@
 	connectTimeout     = 2 * time.Second
 )
 
-// gatewayProcess is a gateway: the real routing and retry cores with a shell.
+// gatewayProcess is a simulated gateway: the real routing and retry packages behind simulated
+// connections.
 type gatewayProcess struct {
 	process
-	world    *World
-	session  *session
-	pipeline *routing.Pipeline
-	budget   *retry.Budget
-	relays   []*relay
-	open     int
-	stopping bool
-	streams  streamSet
+	world        *World
+	session      *session
+	pipeline     *routing.Pipeline
+	budget       *retry.Budget
+	relays       []*relay
+	openRequests int
+	stopping     bool
+	streams      streamSet
 }
 
-// streamSet holds what must be told when a process dies: the other ends of its
-// streams.
+// streamSet holds callbacks that report the end of a process to the other ends of its streams.
 type streamSet []func()
 
 func (w *World) addGateway(number int) {
@@ -43,8 +43,8 @@
 
 func (g *gatewayProcess) start() {
 	g.alive = true
-	g.life++
-	g.relays, g.open, g.stopping, g.streams = nil, 0, false, nil
+	g.generation++
+	g.relays, g.openRequests, g.stopping, g.streams = nil, 0, false, nil
 	g.budget = retry.NewBudget(retryPercent)
 	g.pipeline = routing.NewPipeline(
 		[]routing.Filter{routing.AvailableFilter{}, routing.ModelFilter{}, routing.ExcludeFilter{}},
@@ -53,52 +53,52 @@
 	)
 	previous := g.session
 	g.session = g.world.newSession(&g.process, wire.RoleGateway, previous)
-	g.session.changed = g.checkStreams
+	g.session.onUpdate = g.breakDeadStreams
 }
 
-// checkStreams breaks the streams from dispatchers that control counts as dead.
-func (g *gatewayProcess) checkStreams() {
+// breakDeadStreams breaks the streams from dispatchers that control no longer lists.
+func (g *gatewayProcess) breakDeadStreams() {
 	open := g.relays
 	g.relays = nil
 	for _, r := range open {
-		if r.over {
+		if r.finished {
 			continue
 		}
 		g.relays = append(g.relays, r)
 		if _, listed := g.session.view[r.dispatcher]; !listed && r.dispatcher != "" {
-			r.cut()
+			r.breakStream()
 		}
 	}
 }
 
-// relay runs one online request over one or more dispatchers.
+// relay runs one online request through one dispatcher after another.
 type relay struct {
-	gateway    *gatewayProcess
-	request    wire.GenerateRequest
-	policy     retry.Policy
-	exclude    map[string]bool
-	attempts   int
-	stream     int
-	dispatcher string
-	worker     string
-	attemptID  string
-	tokens     int
-	text       strings.Builder
-	started    bool
-	over       bool
-	deliver    func(text string)
-	done       func(error)
+	gateway      *gatewayProcess
+	request      wire.GenerateRequest
+	policy       retry.Policy
+	exclude      map[string]bool
+	attempts     int
+	streamNumber int
+	dispatcher   string
+	worker       string
+	attemptID    string
+	tokens       int
+	text         strings.Builder
+	started      bool
+	finished     bool
+	deliver      func(text string)
+	done         func(error)
 }
 
-// chat serves an online request. The caller gets text in order, then the end.
-func (g *gatewayProcess) chat(request wire.GenerateRequest, deliver func(string), done func(error)) {
+// serve runs an online request. The caller gets the text in order, then the outcome.
+func (g *gatewayProcess) serve(request wire.GenerateRequest, deliver func(string), done func(error)) {
 	if g.stopping || !g.session.serves() {
 		done(failure.New(failure.NotRun, "send it again", "the gateway takes no new work").WithRetryAfter(time.Second))
 		return
 	}
-	g.world.ledger.acted(g.name, g.session.config.Current().Revision)
+	g.world.ledger.checkRevisionUsed(g.name, g.session.config.Current().Revision)
 	g.budget.Deposit()
-	g.open++
+	g.openRequests++
 	r := &relay{
 		gateway: g,
 		request: request,
@@ -111,7 +111,7 @@
 		},
 	}
 	r.done = func(err error) {
-		g.open--
+		g.openRequests--
 		if g.world.mutation == MutationFalseNotRun && failure.Is(err, failure.OutcomeUnknown) {
 			err = failure.New(failure.NotRun, "send it again", "a lie")
 		}
@@ -119,20 +119,21 @@
 	}
 	g.relays = append(g.relays, r)
 	g.world.timer(&g.process, time.Duration(request.TimeLeftMillis)*time.Millisecond, func() {
-		r.end(failure.New(failure.DeadlineExceeded, "allow more time", "the deadline passed"))
+		r.finish(failure.New(failure.DeadlineExceeded, "allow more time", "the deadline passed"))
 	})
 	r.attempt()
 }
 
+// choose returns the dispatcher for a request, or nil if there is none.
 func (g *gatewayProcess) choose(request *routing.Request) *dispatcherProcess {
 	var candidates []*routing.Candidate
 	for _, name := range sortedKeys(g.session.view) {
-		seen := g.session.view[name]
+		peer := g.session.view[name]
 		models := map[string]bool{}
-		for _, model := range seen.Models {
+		for _, model := range peer.Models {
 			models[model] = true
 		}
-		candidates = append(candidates, &routing.Candidate{Name: name, Zone: seen.Zone, Models: models, Unavailable: seen.Draining, Load: float64(seen.Utilization) / 255})
+		candidates = append(candidates, &routing.Candidate{Name: name, Zone: peer.Zone, Models: models, Unavailable: peer.Draining, Load: float64(peer.Utilization) / 255})
 	}
 	chosen := g.pipeline.Choose(request, candidates, g.world.random)
 	if chosen == nil {
@@ -141,8 +142,9 @@
 	return g.world.dispatcherByName(chosen.Name)
 }
 
+// attempt sends the request to another dispatcher, to continue after the tokens received so far.
 func (r *relay) attempt() {
-	if r.over {
+	if r.finished {
 		return
 	}
 	g, w := r.gateway, r.gateway.world
@@ -150,7 +152,7 @@
 	blocks := engine.PrefixBlocks(r.request.Model, "", r.request.Prompt)
 	d := g.choose(&routing.Request{Model: r.request.Model, Zone: zoneName(g.zone), Blocks: blocks, Exclude: r.exclude})
 	if d == nil {
-		r.failed(failure.New(failure.NotRun, "send it again", "no dispatcher serves the model").WithRetryAfter(time.Second))
+		r.handleFailure(failure.New(failure.NotRun, "send it again", "no dispatcher serves the model").WithRetryAfter(time.Second))
 		return
 	}
 	r.exclude[d.name] = true
@@ -160,74 +162,76 @@
 	request.TimeLeftMillis = r.policy.Deadline.Sub(w.clock.now).Milliseconds()
 	request.ContinueTokens = r.tokens
 	request.ContinueText = r.text.String()
-	r.open(d, func(frames func(*wire.GenerateFrame), done func(error)) { d.serve(&request, frames, done) }, func(err error) { r.failed(err) })
+	r.openStream(d, func(onFrame func(*wire.GenerateFrame), done func(error)) { d.serve(&request, onFrame, done) }, func(err error) { r.handleFailure(err) })
 }
 
-// open opens a stream to a dispatcher. begin runs there; failed runs here once
-// if the stream does not become whole.
-func (r *relay) open(d *dispatcherProcess, begin func(frames func(*wire.GenerateFrame), done func(error)), failed func(error)) {
+// openStream opens a stream to a dispatcher. start runs there; onFailure runs here, once, if the
+// stream fails before its end.
+func (r *relay) openStream(d *dispatcherProcess, start func(onFrame func(*wire.GenerateFrame), done func(error)), onFailure func(error)) {
 	g, w := r.gateway, r.gateway.world
-	r.stream++
-	stream, life := r.stream, g.life
-	current := func() bool { return !r.over && r.stream == stream }
-	frames := w.connect(&d.process, &g.process)
+	r.streamNumber++
+	number, generation := r.streamNumber, g.generation
+	current := func() bool { return !r.finished && r.streamNumber == number }
+	connection := w.connect(&d.process, &g.process)
 	send := func(run func()) {
-		frames.send(func() {
+		connection.send(func() {
 			if current() {
 				run()
 			}
 		})
 	}
-	broken := func() {
+	onDisconnect := func() {
 		if current() {
-			r.stream++
-			failed(errStreamCut)
+			r.streamNumber++
+			onFailure(errStreamCut)
 		}
 	}
 	if w.network.drops(&g.process, &d.process) {
 		w.timer(&g.process, connectTimeout, func() {
 			if current() {
-				r.stream++
-				failed(failure.New(failure.NotRun, "try another peer", "no connection to %s", d.name))
+				r.streamNumber++
+				onFailure(failure.New(failure.NotRun, "try another peer", "no connection to %s", d.name))
 			}
 		})
 		return
 	}
 	w.transmit(&g.process, &d.process, func() {
-		d.streams = append(d.streams, func() { w.enter(&g.process, life, broken) })
-		begin(func(frame *wire.GenerateFrame) { send(func() { r.take(frame) }) }, func(err error) {
+		d.streams = append(d.streams, func() { w.enter(&g.process, generation, onDisconnect) })
+		start(func(frame *wire.GenerateFrame) { send(func() { r.receive(frame) }) }, func(err error) {
 			send(func() {
-				r.stream++
+				r.streamNumber++
 				if err == nil {
-					r.end(nil)
+					r.finish(nil)
 					return
 				}
-				failed(err)
+				onFailure(err)
 			})
 		})
 	}, func() {
 		if current() {
-			r.stream++
-			failed(failure.New(failure.NotRun, "try another peer", "no connection to %s", d.name))
+			r.streamNumber++
+			onFailure(failure.New(failure.NotRun, "try another peer", "no connection to %s", d.name))
 		}
 	})
 }
 
-// cut ends the stream that is being read, because its dispatcher is gone.
-func (r *relay) cut() {
-	r.stream++
+// breakStream ends the current stream, because its dispatcher is lost or an event is out of
+// sequence.
+func (r *relay) breakStream() {
+	r.streamNumber++
 	r.dispatcher = ""
-	r.failed(errStreamCut)
+	r.handleFailure(errStreamCut)
 }
 
-func (r *relay) take(frame *wire.GenerateFrame) {
+// receive handles one frame of the current stream.
+func (r *relay) receive(frame *wire.GenerateFrame) {
 	r.started = true
 	switch frame.Kind {
 	case wire.FrameStarted:
 		r.attemptID, r.worker = frame.AttemptID, frame.Worker
 	case wire.FrameTokens:
 		if frame.Offset != r.tokens && r.gateway.world.mutation != MutationNoSequencer {
-			r.cut()
+			r.breakStream()
 			return
 		}
 		r.tokens += frame.Tokens
@@ -236,10 +240,10 @@
 	}
 }
 
-// failed resumes a cut stream through another dispatcher where there is one to
-// resume, and lets the policy decide otherwise.
-func (r *relay) failed(err error) {
-	if r.over {
+// handleFailure resumes a broken stream through another dispatcher, if there is one and the worker
+// is known. Otherwise it leaves the decision to the retry policy.
+func (r *relay) handleFailure(err error) {
+	if r.finished {
 		return
 	}
 	if !failure.Is(err, failure.NotRun) {
@@ -248,19 +252,20 @@
 	worker, attemptID := r.worker, r.attemptID
 	r.worker = ""
 	if failure.Is(err, failure.OutcomeUnknown) && worker != "" {
-		if other := r.another(); other != nil {
+		if other := r.untriedDispatcher(); other != nil {
 			r.gateway.world.ledger.resumes++
 			r.dispatcher = other.name
-			r.open(other, func(frames func(*wire.GenerateFrame), done func(error)) {
-				other.resume(worker, attemptID, r.tokens, frames, done)
-			}, func(error) { r.next(err) })
+			r.openStream(other, func(onFrame func(*wire.GenerateFrame), done func(error)) {
+				other.resume(worker, attemptID, r.tokens, onFrame, done)
+			}, func(error) { r.retryOrFinish(err) })
 			return
 		}
 	}
-	r.next(err)
+	r.retryOrFinish(err)
 }
 
-func (r *relay) another() *dispatcherProcess {
+// untriedDispatcher returns a dispatcher that got no attempt of this request yet, or nil.
+func (r *relay) untriedDispatcher() *dispatcherProcess {
 	for _, name := range sortedKeys(r.gateway.session.view) {
 		if !r.exclude[name] {
 			return r.gateway.world.dispatcherByName(name)
@@ -269,7 +274,9 @@
 	return nil
 }
 
-func (r *relay) next(err error) {
+// retryOrFinish makes another attempt if the retry policy allows it, and ends the request
+// otherwise.
+func (r *relay) retryOrFinish(err error) {
 	g := r.gateway
 	if r.policy.Next(g.world.clock.now, r.attempts, err, g.budget) == retry.Retry {
 		r.attempt()
@@ -278,31 +285,32 @@
 	if r.started && failure.Is(err, failure.NotRun) {
 		err = failure.New(failure.OutcomeUnknown, "send it again if it may be repeated", "an earlier attempt may have run")
 	}
-	r.end(err)
+	r.finish(err)
 }
 
-func (r *relay) end(err error) {
-	if r.over {
+func (r *relay) finish(err error) {
+	if r.finished {
 		return
 	}
-	r.over = true
+	r.finished = true
 	r.done(err)
 }
 
-// stop is the planned stop of a gateway.
-func (g *gatewayProcess) stop(then func()) {
+// stop is the planned stop: the gateway takes no new requests and waits for the open ones, at most
+// for drainTimeout.
+func (g *gatewayProcess) stop(onStopped func()) {
 	g.stopping = true
 	deadline := g.world.clock.now.Add(drainTimeout)
 	var wait func()
 	wait = func() {
-		if g.open > 0 && g.world.clock.now.Before(deadline) {
+		if g.openRequests > 0 && g.world.clock.now.Before(deadline) {
 			g.world.timer(&g.process, drainPoll, wait)
 			return
 		}
 		g.session.leaving = true
-		g.session.beat()
-		// The last frames reach their callers before the connections close.
-		g.world.timer(&g.process, drainPoll, then)
+		g.session.sendHeartbeat()
+		// The wait lets the last frames reach their callers before the connections close.
+		g.world.timer(&g.process, drainPoll, onStopped)
 	}
 	wait()
 }
--- a/internal/simulation/items.go
+++ b/internal/simulation/items.go
@@ -16,36 +16,36 @@
 	renewInterval  = 750 * time.Millisecond
 	itemRetryDelay = 500 * time.Millisecond
 	itemBacklog    = 4
-	// experimentBacklog is that of the real dispatcher.
+	// experimentBacklog equals the backlog of the real dispatcher.
 	experimentBacklog = 32
 )
 
-// itemSet is a dispatcher's batch items on lease.
+// itemSet holds the batch items that a dispatcher has leased.
 type itemSet struct {
-	dispatcher *dispatcherProcess
-	held       map[wire.ItemRef]*heldItem
-	finished   []wire.ItemResult
-	busy       map[int]bool
-	renewed    map[int]time.Time
-	nextAsk    map[int]time.Time
-	stopped    bool
-	sequence   int
+	dispatcher  *dispatcherProcess
+	leased      map[wire.ItemRef]*trackedItem
+	results     []wire.ItemResult
+	requesting  map[int]bool
+	renewedAt   map[int]time.Time
+	nextRequest map[int]time.Time
+	draining    bool
+	sequence    int
 }
 
-// heldItem is an item from its grant until control has settled its result.
-type heldItem struct {
-	lease membership.Lease
-	task  *task
-	done  bool
+// trackedItem is an item from its lease until control has accepted its result.
+type trackedItem struct {
+	lease    membership.Lease
+	task     *task
+	finished bool
 }
 
 func newItemSet(d *dispatcherProcess) *itemSet {
-	return &itemSet{dispatcher: d, held: map[wire.ItemRef]*heldItem{}, busy: map[int]bool{}, renewed: map[int]time.Time{}, nextAsk: map[int]time.Time{}}
+	return &itemSet{dispatcher: d, leased: map[wire.ItemRef]*trackedItem{}, requesting: map[int]bool{}, renewedAt: map[int]time.Time{}, nextRequest: map[int]time.Time{}}
 }
 
 func (s *itemSet) refs(group int) []wire.ItemRef {
 	var refs []wire.ItemRef
-	for ref := range s.held {
+	for ref := range s.leased {
 		if number, err := jobstate.GroupOf(ref.JobID); err == nil && number == group {
 			refs = append(refs, ref)
 		}
@@ -54,27 +54,27 @@
 	return refs
 }
 
-// pull renews leases and asks for items.
+// pull renews leases and leases more items.
 func (s *itemSet) pull() {
 	d := s.dispatcher
 	for group := 1; group <= jobGroups; group++ {
-		s.stopLapsed(group)
+		s.dropExpired(group)
 		want := 0
 		_, models := d.scheduler.BatchCapacity()
-		if d.session.serves() && !s.stopped {
-			room, _ := d.scheduler.BatchCapacity()
+		if d.session.serves() && !s.draining {
+			capacity, _ := d.scheduler.BatchCapacity()
 			_, queued := d.scheduler.Queued()
-			want = max(0, room+s.backlog()-queued)
+			want = max(0, capacity+s.backlog()-queued)
 		}
-		if d.world.clock.now.Before(s.nextAsk[group]) {
+		if d.world.clock.now.Before(s.nextRequest[group]) {
 			want = 0
 		}
 		held := s.refs(group)
-		renew := len(held) > 0 && d.world.clock.now.Sub(s.renewed[group]) >= renewInterval
-		if s.busy[group] || (want == 0 && !renew) {
+		renew := len(held) > 0 && d.world.clock.now.Sub(s.renewedAt[group]) >= renewInterval
+		if s.requesting[group] || (want == 0 && !renew) {
 			continue
 		}
-		s.ask(group, want, models, held)
+		s.requestItems(group, want, models, held)
 	}
 }
 
@@ -85,31 +85,33 @@
 	return itemBacklog
 }
 
-func (s *itemSet) ask(group, want int, models []string, held []wire.ItemRef) {
+// requestItems leases up to want items of a group and renews the leases of those held.
+func (s *itemSet) requestItems(group, want int, models []string, held []wire.ItemRef) {
 	d := s.dispatcher
-	s.busy[group] = true
-	s.renewed[group] = d.world.clock.now
-	sent := d.world.clock.now
+	s.requesting[group] = true
+	s.renewedAt[group] = d.world.clock.now
+	sentAt := d.world.clock.now
 	request := &wire.LeaseItemsRequest{Group: group, Dispatcher: d.name, Incarnation: d.session.incarnation, Want: want, Models: models, Held: held}
 	callControl(d.world, &d.process, d.session.leaders, group, 0, func(c *controlProcess, answer reply[*wire.LeaseItemsResponse]) {
 		c.leaseItems(request, answer)
 	}, func(response *wire.LeaseItemsResponse, err error) {
-		s.busy[group] = false
+		s.requesting[group] = false
 		if err != nil {
 			return
 		}
-		s.granted(sent, held, response)
+		s.applyLeases(sentAt, held, response)
 		if want > 0 && len(response.Items) == 0 {
-			s.nextAsk[group] = d.world.clock.now.Add(time.Duration(response.IdleMillis) * time.Millisecond)
+			s.nextRequest[group] = d.world.clock.now.Add(time.Duration(response.IdleMillis) * time.Millisecond)
 		}
 	})
 }
 
-func (s *itemSet) granted(sent time.Time, held []wire.ItemRef, response *wire.LeaseItemsResponse) {
-	length := time.Duration(response.LeaseMillis) * time.Millisecond
+// applyLeases renews leases, stops items that control has cancelled, and starts newly leased ones.
+func (s *itemSet) applyLeases(sentAt time.Time, held []wire.ItemRef, response *wire.LeaseItemsResponse) {
+	duration := time.Duration(response.LeaseMillis) * time.Millisecond
 	for _, ref := range held {
-		if item := s.held[ref]; item != nil {
-			item.lease.Renew(sent, length)
+		if item := s.leased[ref]; item != nil {
+			item.lease.Renew(sentAt, duration)
 		}
 	}
 	for _, ref := range response.Stop {
@@ -118,15 +120,16 @@
 		}
 	}
 	for i := range response.Items {
-		s.begin(&response.Items[i], sent, length)
+		s.start(&response.Items[i], sentAt, duration)
 	}
 }
 
-func (s *itemSet) stopLapsed(group int) {
+// dropExpired drops items whose lease has expired.
+func (s *itemSet) dropExpired(group int) {
 	for _, ref := range s.refs(group) {
-		item := s.held[ref]
+		item := s.leased[ref]
 		if item == nil {
-			// Dropping another one has let it go.
+			// Dropping another item has dropped this one too.
 			continue
 		}
 		if !item.lease.Valid(s.dispatcher.world.clock.now) && s.dispatcher.world.mutation != MutationIgnoreCancel {
@@ -135,25 +138,26 @@
 	}
 }
 
+// drop stops an item that has no result yet.
 func (s *itemSet) drop(ref wire.ItemRef) {
-	if item := s.held[ref]; item != nil && !item.done {
-		delete(s.held, ref)
-		item.task.drop()
+	if item := s.leased[ref]; item != nil && !item.finished {
+		delete(s.leased, ref)
+		item.task.abandon()
 	}
 }
 
-func (s *itemSet) begin(leased *wire.LeasedItem, sent time.Time, length time.Duration) {
-	if s.held[leased.Ref] != nil || s.stopped {
+func (s *itemSet) start(leased *wire.LeasedItem, sentAt time.Time, duration time.Duration) {
+	if s.leased[leased.Ref] != nil || s.draining {
 		return
 	}
-	item := &heldItem{}
-	item.lease.Renew(sent, length)
-	s.held[leased.Ref] = item
+	item := &trackedItem{}
+	item.lease.Renew(sentAt, duration)
+	s.leased[leased.Ref] = item
 	s.run(leased, item)
 }
 
-// run makes attempts at an item until it has a result or need not be done.
-func (s *itemSet) run(leased *wire.LeasedItem, item *heldItem) {
+// run makes attempts at an item until it has a result, fails for good or is dropped.
+func (s *itemSet) run(leased *wire.LeasedItem, item *trackedItem) {
 	d := s.dispatcher
 	s.sequence++
 	requestID := fmt.Sprintf("%s-%d", leased.Ref.JobID, leased.Ref.Item)
@@ -171,32 +175,32 @@
 	running := item.task
 	running.done = func(err error) {
 		switch {
-		case s.held[leased.Ref] != item:
+		case s.leased[leased.Ref] != item:
 		case err == nil:
-			item.done = true
-			s.finished = append(s.finished, wire.ItemResult{JobID: leased.Ref.JobID, Item: leased.Ref.Item, CustomID: leased.Line.CustomID, Text: running.text.String()})
+			item.finished = true
+			s.results = append(s.results, wire.ItemResult{JobID: leased.Ref.JobID, Item: leased.Ref.Item, CustomID: leased.Line.CustomID, Text: running.text.String()})
 		case failure.Is(err, failure.OutcomeUnknown):
 			d.world.timer(&d.process, itemRetryDelay, func() {
-				if s.held[leased.Ref] == item {
+				if s.leased[leased.Ref] == item {
 					s.run(leased, item)
 				}
 			})
 		default:
-			delete(s.held, leased.Ref)
+			delete(s.leased, leased.Ref)
 		}
 	}
-	running.begin()
+	running.startAttempt()
 }
 
-// report sends finished items, each group's together.
+// report sends the results of finished items to control, one message per group.
 func (s *itemSet) report() {
-	finished := s.finished
-	s.finished = nil
+	results := s.results
+	s.results = nil
 	byGroup := map[int][]wire.ItemResult{}
-	for i := range finished {
-		// Items come from control, whose ids are well formed.
-		group, _ := jobstate.GroupOf(finished[i].JobID)
-		byGroup[group] = append(byGroup[group], finished[i])
+	for i := range results {
+		// The ids come from control and are well formed.
+		group, _ := jobstate.GroupOf(results[i].JobID)
+		byGroup[group] = append(byGroup[group], results[i])
 	}
 	for group := 1; group <= jobGroups; group++ {
 		if results := byGroup[group]; len(results) > 0 {
@@ -212,23 +216,24 @@
 		c.completeItems(group, request, answer)
 	}, func(_ *wire.JobResult, err error) {
 		if err != nil {
-			s.finished = append(s.finished, results...)
+			s.results = append(s.results, results...)
 			return
 		}
 		for i := range results {
-			delete(s.held, wire.ItemRef{JobID: results[i].JobID, Item: results[i].Item})
+			delete(s.leased, wire.ItemRef{JobID: results[i].JobID, Item: results[i].Item})
 		}
 	})
 }
 
-// giveBack is the items' part of a planned stop.
-func (s *itemSet) giveBack() {
-	s.stopped = true
+// returnAll returns the unfinished items to control and reports the finished ones, at a planned
+// stop.
+func (s *itemSet) returnAll() {
+	s.draining = true
 	for group := 1; group <= jobGroups; group++ {
 		for _, ref := range s.refs(group) {
 			s.drop(ref)
 		}
-		s.ask(group, 0, nil, s.refs(group))
+		s.requestItems(group, 0, nil, s.refs(group))
 	}
 	s.report()
 }
--- a/internal/simulation/ledger.go
+++ b/internal/simulation/ledger.go
@@ -16,48 +16,49 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// Bounds within which a promise that speaks of time must hold.
+// Time bounds of the promises.
 const (
-	// cancelBound is the length of an item's lease with a call's timeout.
+	// cancelBound covers an item's lease and the timeout of a call.
 	cancelBound = 8 * time.Second
-	// leavingBound is the lag of the platform's list, a heartbeat, and room for
-	// a new leader of control.
+	// leavingBound covers the lag of the platform's list, a heartbeat and the election of a new
+	// leader of the meta group.
 	leavingBound = 6 * time.Second
-	// configurationBound is the target: in force everywhere within it.
+	// configurationBound is the target for a revision to be in force at all daemons.
 	configurationBound = 6 * time.Second
-	// blockedBound is room for the loss of a preemption's message, which costs a
-	// retransmission, and for a few steps of the engine.
+	// blockedBound covers a retransmission, in case the message of a preemption is lost, and a few
+	// steps of the engine.
 	blockedBound = 500 * time.Millisecond
-	// calmCancelBound holds while no fault has struck: a renewal with its call.
-	calmCancelBound = 2500 * time.Millisecond
+	// faultFreeCancelBound replaces cancelBound until the first fault: it covers a renewal of
+	// leases with its call.
+	faultFreeCancelBound = 2500 * time.Millisecond
 )
 
-// Violation is a promise that was broken.
+// Violation is a broken promise, with the virtual time at which it was detected.
 type Violation struct {
 	Promise string
 	At      time.Duration
 	Text    string
 }
 
-// ledger records what callers were told, what engines did and what control
-// applied, and compares them with the promises.
+// ledger records the answers that callers got, the work of engines and the entries that control
+// applied, and checks them against the promises.
 type ledger struct {
 	clock      *clock
 	violations []Violation
 
-	requests  map[string]*requestRecord
-	order     []*requestRecord
-	jobs      []*jobRecord
-	jobsByID  map[string]*jobRecord
-	entries   map[entryPosition]entryDigest
-	changes   map[string]*changeRecord
-	byBase    map[uint64]string
-	revisions map[string]uint64
-	accepted  []acceptedRevision
-	leavingAt map[string]time.Time
-
-	// calm reports whether no fault has struck so far.
-	calm        func() bool
+	requests     map[string]*requestRecord
+	requestOrder []*requestRecord
+	jobs         []*jobRecord
+	jobsByID     map[string]*jobRecord
+	entries      map[entryPosition]entryDigest
+	changes      map[string]*changeRecord
+	changeByBase map[uint64]string
+	revisions    map[string]uint64
+	accepted     []acceptedRevision
+	leavingSince map[string]time.Time
+
+	// faultFree reports whether no fault has been injected so far.
+	faultFree   func() bool
 	preemptions int
 	resumes     int
 	timings     timings
@@ -73,7 +74,7 @@
 	hash uint64
 }
 
-// acceptedRevision is a revision with the moment its operator learnt of it.
+// acceptedRevision is a revision with the moment at which its operator got the answer.
 type acceptedRevision struct {
 	revision uint64
 	at       time.Time
@@ -81,139 +82,142 @@
 
 func newLedger(c *clock) *ledger {
 	return &ledger{
-		clock:     c,
-		requests:  map[string]*requestRecord{},
-		jobsByID:  map[string]*jobRecord{},
-		entries:   map[entryPosition]entryDigest{},
-		changes:   map[string]*changeRecord{},
-		byBase:    map[uint64]string{},
-		revisions: map[string]uint64{},
-		leavingAt: map[string]time.Time{},
+		clock:        c,
+		requests:     map[string]*requestRecord{},
+		jobsByID:     map[string]*jobRecord{},
+		entries:      map[entryPosition]entryDigest{},
+		changes:      map[string]*changeRecord{},
+		changeByBase: map[uint64]string{},
+		revisions:    map[string]uint64{},
+		leavingSince: map[string]time.Time{},
 	}
 }
 
+// violate records a violation of a promise.
 func (l *ledger) violate(promise, format string, arguments ...any) {
-	l.violations = append(l.violations, Violation{Promise: promise, At: l.clock.now.Sub(epoch), Text: fmt.Sprintf(format, arguments...)})
+	l.violations = append(l.violations, Violation{Promise: promise, At: l.clock.now.Sub(simulationStart), Text: fmt.Sprintf(format, arguments...)})
 }
 
-// requestRecord is one online request.
+// requestRecord is one online request as its caller knows it.
 type requestRecord struct {
 	ledger        *ledger
 	id            string
-	want          string
+	expected      string
 	text          strings.Builder
 	notRepeatable bool
 	starts        int
-	over          bool
+	finished      bool
 	err           error
-	asked         time.Time
-	last          time.Time
+	sentAt        time.Time
+	lastTokenAt   time.Time
 	experiment    *experiment
 }
 
-func (l *ledger) asked(request *wire.GenerateRequest, want string) *requestRecord {
-	record := &requestRecord{ledger: l, id: request.RequestID, want: want, notRepeatable: request.NotRepeatable, asked: l.clock.now}
+// requestSent records a request with the answer that is expected.
+func (l *ledger) requestSent(request *wire.GenerateRequest, expected string) *requestRecord {
+	record := &requestRecord{ledger: l, id: request.RequestID, expected: expected, notRepeatable: request.NotRepeatable, sentAt: l.clock.now}
 	l.requests[record.id] = record
-	l.order = append(l.order, record)
+	l.requestOrder = append(l.requestOrder, record)
 	return record
 }
 
-// heard takes in text that reached the caller.
-func (r *requestRecord) heard(text string) {
-	if r.over {
+// receiveText records text that reached the caller and checks it.
+func (r *requestRecord) receiveText(text string) {
+	if r.finished {
 		return
 	}
 	r.text.WriteString(text)
-	r.time()
-	if !strings.HasPrefix(r.want, r.text.String()) {
-		r.over = true
+	r.measureToken()
+	if !strings.HasPrefix(r.expected, r.text.String()) {
+		r.finished = true
 		r.err = errStreamCut
-		r.ledger.violate("whole answer", "request %s got text that is not its own", r.id)
+		r.ledger.violate("whole answer", "request %s received text that is not part of its answer", r.id)
 	}
 }
 
-// time takes in when a piece of the answer reached the caller.
-func (r *requestRecord) time() {
+// measureToken records when a part of the answer reached the caller of an experiment.
+func (r *requestRecord) measureToken() {
 	x, now := r.experiment, r.ledger.clock.now
-	if x == nil || r.asked.Before(x.from) || !r.asked.Before(x.till) {
+	if x == nil || r.sentAt.Before(x.start) || !r.sentAt.Before(x.end) {
 		return
 	}
-	if r.last.IsZero() {
-		recordDuration(x.measured.FirstToken, now.Sub(r.asked))
+	if r.lastTokenAt.IsZero() {
+		recordDuration(x.measurement.FirstToken, now.Sub(r.sentAt))
 	} else {
-		recordDuration(x.measured.Gap, now.Sub(r.last))
+		recordDuration(x.measurement.Gap, now.Sub(r.lastTokenAt))
 	}
-	r.last = now
+	r.lastTokenAt = now
 }
 
-// ended takes in the final answer.
-func (r *requestRecord) ended(w *World, err error) {
-	if r.over {
+// finish records the outcome of the request and checks it.
+func (r *requestRecord) finish(w *World, err error) {
+	if r.finished {
 		return
 	}
-	r.over, r.err = true, err
-	r.count()
+	r.finished, r.err = true, err
+	r.measureEnd()
 	switch {
-	case err == nil && r.text.String() != r.want:
-		r.ledger.violate("whole answer", "request %s ended with %d of %d bytes", r.id, r.text.Len(), len(r.want))
+	case err == nil && r.text.String() != r.expected:
+		r.ledger.violate("whole answer", "request %s succeeded with %d of %d bytes", r.id, r.text.Len(), len(r.expected))
 	case failure.Is(err, failure.NotRun) && r.starts > 0:
-		r.ledger.violate("not run is true", "request %s was answered not run after %d starts", r.id, r.starts)
+		r.ledger.violate("not run is true", "request %s failed with NotRun after engines had started it %d times", r.id, r.starts)
 	case err != nil && w.plannedStopsOnly && !failure.Is(err, failure.NotRun):
-		r.ledger.violate("planned stop", "request %s was cut: %v", r.id, err)
+		r.ledger.violate("planned stop", "request %s failed during a planned stop: %v", r.id, err)
 	}
 }
 
-// count takes in the end of a request in an experiment.
-func (r *requestRecord) count() {
+// measureEnd records the end of a request in an experiment.
+func (r *requestRecord) measureEnd() {
 	x, now := r.experiment, r.ledger.clock.now
-	if x == nil || r.asked.Before(x.from) {
+	if x == nil || r.sentAt.Before(x.start) {
 		return
 	}
 	if r.err != nil {
-		recordDuration(x.measured.RejectionLatency, now.Sub(r.asked))
+		recordDuration(x.measurement.RejectionLatency, now.Sub(r.sentAt))
 		return
 	}
-	second := int(now.Sub(x.from) / time.Second)
-	for len(x.measured.Goodput) <= second {
-		x.measured.Goodput = append(x.measured.Goodput, 0)
+	second := int(now.Sub(x.start) / time.Second)
+	for len(x.measurement.Goodput) <= second {
+		x.measurement.Goodput = append(x.measurement.Goodput, 0)
 	}
-	x.measured.Goodput[second]++
+	x.measurement.Goodput[second]++
 }
 
-// engineStarted takes in that an engine began an attempt.
-func (l *ledger) engineStarted(e *engineProcess, request *engine.GenerateRequest) {
-	if request.Epoch < e.fence {
-		l.violate("fencing", "engine %s took epoch %d after %d", e.name, request.Epoch, e.fence)
+// attemptStarted records and checks that an engine has started an attempt.
+func (l *ledger) attemptStarted(e *engineProcess, request *engine.GenerateRequest) {
+	if request.Epoch < e.fencingEpoch {
+		l.violate("fencing", "engine %s accepted an attempt of epoch %d after epoch %d", e.name, request.Epoch, e.fencingEpoch)
 	}
 	if record := l.requests[onlineRequestOf(request.AttemptID)]; record != nil {
 		record.starts++
 		if record.notRepeatable && record.starts > 1 {
-			l.violate("at most once", "request %s, which may not be repeated, was started %d times", record.id, record.starts)
+			l.violate("at most once", "request %s must not be repeated but was started %d times", record.id, record.starts)
 		}
-		if record.over && failure.Is(record.err, failure.NotRun) {
-			l.violate("not run is true", "request %s was started after it was answered not run", record.id)
+		if record.finished && failure.Is(record.err, failure.NotRun) {
+			l.violate("not run is true", "request %s was started after it had failed with NotRun", record.id)
 		}
 		return
 	}
 }
 
-// working takes in that an engine works on a batch attempt.
-func (l *ledger) working(attemptID string) {
+// checkBatchAttempt checks that the job of a batch attempt that an engine runs was not cancelled
+// longer ago than the bound.
+func (l *ledger) checkBatchAttempt(attemptID string) {
 	job := l.jobsByID[jobOf(attemptID)]
 	if job == nil || job.cancelledAt.IsZero() {
 		return
 	}
 	bound := cancelBound
-	if l.calm() {
-		bound = calmCancelBound
+	if l.faultFree() {
+		bound = faultFreeCancelBound
 	}
 	if since := l.clock.now.Sub(job.cancelledAt); since > bound {
-		l.violate("cancel stops", "an item of %s was worked on %s after the cancel", job.id, since)
+		l.violate("cancel stops", "an item of job %s still ran %s after the cancel", job.id, since)
 	}
 }
 
-// onlineRequestOf returns the request that an attempt belongs to: attempt ids
-// add a gateway's and a dispatcher's number to it.
+// onlineRequestOf returns the id of the request that an attempt belongs to. Attempt ids append the
+// numbers of the gateway's and the dispatcher's attempts to it.
 func onlineRequestOf(attemptID string) string {
 	dash := strings.LastIndexByte(attemptID, '-')
 	if dash < 0 {
@@ -222,73 +226,74 @@
 	return attemptID[:dash]
 }
 
-// jobOf returns the job that a batch attempt belongs to.
+// jobOf returns the id of the job that a batch attempt belongs to.
 func jobOf(attemptID string) string {
 	item, _, _ := strings.Cut(attemptID, "@")
 	return item[:max(0, strings.LastIndexByte(item, '-'))]
 }
 
-// sent takes in that a dispatcher gave new work to a worker.
-func (l *ledger) sent(d *dispatcherProcess, worker string) {
-	since, leaving := l.leavingAt[worker]
+// checkWorkSent checks that a worker to which a dispatcher sends work has not been leaving for
+// longer than leavingBound.
+func (l *ledger) checkWorkSent(d *dispatcherProcess, worker string) {
+	since, leaving := l.leavingSince[worker]
 	if leaving && l.clock.now.Sub(since) > leavingBound {
-		l.violate("leaving gets no work", "%s sent work to %s, leaving for %s", d.name, worker, l.clock.now.Sub(since))
+		l.violate("leaving gets no work", "%s sent work to %s, which has been leaving for %s", d.name, worker, l.clock.now.Sub(since))
 	}
 }
 
-// blocked takes in for how long an engine's online work has waited while batch
-// work ran there.
-func (l *ledger) blocked(e *engineProcess, length time.Duration) {
-	if length > blockedBound && !e.world.variant.EnginePriorities {
-		l.violate("online before batch", "online work waited %s on %s while batch ran", length, e.name)
-		e.blocked = l.clock.now
+// checkBlocked checks how long online work has waited on an engine while batch work ran there.
+func (l *ledger) checkBlocked(e *engineProcess, duration time.Duration) {
+	if duration > blockedBound && !e.world.variant.EnginePriorities {
+		l.violate("online before batch", "online work waited %s on %s while batch work ran", duration, e.name)
+		e.onlineBlockedSince = l.clock.now
 	}
 }
 
-// fenced takes in that a dispatcher took a worker over.
-func (l *ledger) fenced(e *engineProcess, fence uint64) {
-	if fence < e.fence {
-		l.violate("fencing", "engine %s went back from epoch %d to %d", e.name, e.fence, fence)
+// workerClaimed records and checks that a dispatcher has become the owner of a worker.
+func (l *ledger) workerClaimed(e *engineProcess, newEpoch uint64) {
+	if newEpoch < e.fencingEpoch {
+		l.violate("fencing", "engine %s had epoch %d and was claimed with the older epoch %d", e.name, e.fencingEpoch, newEpoch)
 	}
-	l.timings.owned(l.clock.now, e.name)
+	l.timings.workerClaimed(l.clock.now, e.name)
 }
 
-// applied takes in an entry that a replica has applied.
-func (l *ledger) applied(_ *replication.Node, group int, entry *wire.LogEntry) {
+// entryApplied records an entry that a replica has applied, and checks that replicas agree on it.
+func (l *ledger) entryApplied(_ *replication.Node, group int, entry *wire.LogEntry) {
 	position := entryPosition{group, entry.Index}
 	digest := entryDigest{entry.Term, xxhash.Sum64(entry.Data)}
 	known, found := l.entries[position]
 	if found && known != digest {
-		l.violate("agreement", "replicas applied different entries at %d of group %d", entry.Index, group)
+		l.violate("agreement", "replicas applied different entries at index %d of group %d", entry.Index, group)
 	}
 	if found {
 		return
 	}
 	l.entries[position] = digest
-	l.timings.committed(l.clock.now, group, entry)
+	l.timings.entryApplied(l.clock.now, group, entry)
 }
 
-// jobRecord is one batch job as its caller knows it.
+// jobRecord is one batch job as its caller knows it. results holds the texts read last, by item.
 type jobRecord struct {
-	key         string
-	tenant      string
-	lines       []wire.BatchLine
-	want        []string
-	id          string
-	cancelling  bool
-	cancelledAt time.Time
-	seen        map[uint32]string
-	succeeded   int
-	done        bool
-}
-
+	key             string
+	tenant          string
+	lines           []wire.BatchLine
+	expected        []string
+	id              string
+	cancelRequested bool
+	cancelledAt     time.Time
+	results         map[uint32]string
+	succeeded       int
+	completed       bool
+}
+
+// newJob makes a job with random items and the results that are expected.
 func (l *ledger) newJob(w *World, key string, items int) *jobRecord {
-	job := &jobRecord{key: key, tenant: fmt.Sprintf("tenant-%d", w.workload.IntN(6)), seen: map[uint32]string{}}
+	job := &jobRecord{key: key, tenant: fmt.Sprintf("tenant-%d", w.workload.IntN(6)), results: map[uint32]string{}}
 	for number := 0; number < items; number++ {
 		prompt := fmt.Sprintf("draft %s item %d", key, number)
 		limit := 8 + w.workload.IntN(24)
 		job.lines = append(job.lines, wire.BatchLine{CustomID: fmt.Sprint(number), Prompt: prompt, MaxTokens: limit})
-		job.want = append(job.want, emulator.NewAnswer(simulatedModel, "", prompt).Text(limit))
+		job.expected = append(job.expected, emulator.NewAnswer(simulatedModel, "", prompt).Text(limit))
 	}
 	l.jobs = append(l.jobs, job)
 	return job
@@ -297,16 +302,17 @@
 func (l *ledger) jobAccepted(_ *World, job *jobRecord, response *wire.JobResponse) {
 	id := response.Job.ID
 	if job.id != "" && job.id != id {
-		l.violate("resend", "job %s is %s and %s", job.key, job.id, id)
+		l.violate("resend", "job %s was accepted under two ids: %s and %s", job.key, job.id, id)
 	}
 	job.id = id
 	l.jobsByID[id] = job
 }
 
-func (l *ledger) jobRefused(job *jobRecord, err error) {
+// jobRejected checks that a job is rejected only with a failure after which it may be sent again.
+func (l *ledger) jobRejected(job *jobRecord, err error) {
 	kind := failure.KindOf(err)
 	if kind != failure.NotRun && kind != failure.OutcomeUnknown {
-		l.violate("resend", "job %s was refused: %v", job.key, err)
+		l.violate("resend", "job %s was rejected: %v", job.key, err)
 	}
 }
 
@@ -316,46 +322,47 @@
 	}
 }
 
-// jobRead compares what a reader saw of a job with what was seen before.
+// jobRead checks a job that was read against the expected results and against the read before.
 func (l *ledger) jobRead(job *jobRecord, view jobView, err error) {
 	if err != nil {
-		l.violate("readable", "job %s, which was accepted, is gone: %v", job.id, err)
+		l.violate("readable", "accepted job %s can't be read: %v", job.id, err)
 		return
 	}
 	if int(view.record.Succeeded) < job.succeeded {
-		l.violate("readable", "job %s had %d items done and has %d", job.id, job.succeeded, view.record.Succeeded)
+		l.violate("readable", "job %s had %d succeeded items and now has %d", job.id, job.succeeded, view.record.Succeeded)
 	}
 	job.succeeded = int(view.record.Succeeded)
-	now := map[uint32]string{}
+	results := map[uint32]string{}
 	for i := range view.results.Results {
 		result := &view.results.Results[i]
-		now[result.Item] = result.Text
-		if result.Text != job.want[result.Item] {
+		results[result.Item] = result.Text
+		if result.Text != job.expected[result.Item] {
 			l.violate("exactly once", "item %d of %s has a wrong result", result.Item, job.id)
 		}
 	}
-	for item := range job.seen {
-		if _, there := now[item]; !there {
-			l.violate("readable", "the result of item %d of %s is gone", item, job.id)
+	for item := range job.results {
+		if _, found := results[item]; !found {
+			l.violate("readable", "the result of item %d of %s was readable before and is missing", item, job.id)
 			return
 		}
 	}
-	job.seen = now
+	job.results = results
 }
 
-// finished reports whether the job has come to the end that it must come to.
-func (job *jobRecord) finished(record *wire.JobRecord) bool {
+// hasFinalState reports whether the stored job has reached a final state that fits what its caller
+// did.
+func (job *jobRecord) hasFinalState(record *wire.JobRecord) bool {
 	if !job.cancelledAt.IsZero() {
 		return record.State == wire.JobCancelled
 	}
-	return record.State == wire.JobCompleted || (job.cancelling && record.State == wire.JobCancelled)
+	return record.State == wire.JobCompleted || (job.cancelRequested && record.State == wire.JobCancelled)
 }
 
 // changeRecord is one change of the configuration as its operator knows it.
 type changeRecord struct {
 	request  *wire.ApplyRequest
 	revision uint64
-	refused  bool
+	rejected bool
 }
 
 func (l *ledger) changeSent(_ *World, request *wire.ApplyRequest) {
@@ -365,51 +372,52 @@
 func (l *ledger) changeAccepted(w *World, request *wire.ApplyRequest, response *wire.ApplyResponse) {
 	change := l.changes[request.ChangeID]
 	if change.revision != 0 && change.revision != response.Revision {
-		l.violate("configuration", "change %s is revision %d and %d", request.ChangeID, change.revision, response.Revision)
+		l.violate("configuration", "change %s was accepted twice, as revisions %d and %d", request.ChangeID, change.revision, response.Revision)
 	}
-	if other := l.byBase[request.ExpectedRevision]; other != "" && other != request.ChangeID {
-		l.violate("configuration", "changes %s and %s were both accepted on revision %d", other, request.ChangeID, request.ExpectedRevision)
+	if other := l.changeByBase[request.ExpectedRevision]; other != "" && other != request.ChangeID {
+		l.violate("configuration", "changes %s and %s were both accepted with expected revision %d", other, request.ChangeID, request.ExpectedRevision)
 	}
-	l.byBase[request.ExpectedRevision] = request.ChangeID
+	l.changeByBase[request.ExpectedRevision] = request.ChangeID
 	if change.revision == 0 {
 		l.accepted = append(l.accepted, acceptedRevision{response.Revision, w.clock.now})
 	}
 	change.revision = response.Revision
 }
 
-func (l *ledger) changeRefused(request *wire.ApplyRequest) {
+func (l *ledger) changeRejected(request *wire.ApplyRequest) {
 	change := l.changes[request.ChangeID]
-	change.refused = true
+	change.rejected = true
 	if change.revision != 0 {
-		l.violate("configuration", "change %s was accepted and then refused", request.ChangeID)
+		l.violate("configuration", "change %s was accepted and later rejected", request.ChangeID)
 	}
 }
 
-// inForce takes in that a daemon moved from one revision to another.
-func (l *ledger) inForce(daemon string, incarnation, before, current uint64) {
+// revisionInForce records and checks that a daemon moved from one revision to another.
+func (l *ledger) revisionInForce(daemon string, incarnation, before, current uint64) {
 	name := fmt.Sprintf("%s/%d", daemon, incarnation)
 	if current < before || current < l.revisions[name] {
-		l.violate("configuration", "%s went back from revision %d to %d", daemon, max(before, l.revisions[name]), current)
+		l.violate("configuration", "%s changed from revision %d to the older revision %d", daemon, max(before, l.revisions[name]), current)
 	}
 	l.revisions[name] = current
 	l.timings.inForce(l.clock.now, daemon, current)
 }
 
-// acted takes in that a daemon acted on a revision.
-func (l *ledger) acted(daemon string, revision uint64) {
+// checkRevisionUsed checks that a daemon doesn't act on a revision if a newer one was accepted more
+// than configurationBound ago.
+func (l *ledger) checkRevisionUsed(daemon string, revision uint64) {
 	for i := len(l.accepted) - 1; i >= 0; i-- {
 		change := &l.accepted[i]
 		if l.clock.now.Sub(change.at) <= configurationBound {
 			continue
 		}
 		if change.revision > revision {
-			l.violate("configuration", "%s acted on revision %d, %s after %d was accepted", daemon, revision, l.clock.now.Sub(change.at), change.revision)
+			l.violate("configuration", "%s used revision %d, %s after revision %d was accepted", daemon, revision, l.clock.now.Sub(change.at), change.revision)
 		}
 		return
 	}
 }
 
-// checkHistory compares the history at the end with what operators were told.
+// checkHistory compares the history at the end of the run with the answers that operators got.
 func (l *ledger) checkHistory(history []wire.Change) {
 	byID := map[string]uint64{}
 	for _, change := range history {
@@ -417,19 +425,19 @@
 	}
 	for _, id := range sortedKeys(l.changes) {
 		change := l.changes[id]
-		revision, there := byID[id]
+		revision, found := byID[id]
 		switch {
 		case change.revision != 0 && revision != change.revision:
-			l.violate("configuration", "change %s was accepted as revision %d; the history has %d", id, change.revision, revision)
-		case change.refused && there:
-			l.violate("configuration", "change %s was refused but stands in the history", id)
+			l.violate("configuration", "change %s was accepted as revision %d, but is revision %d in the history", id, change.revision, revision)
+		case change.rejected && found:
+			l.violate("configuration", "change %s was rejected but is in the history", id)
 		}
 	}
 }
 
-func sortedKeys[Value any](from map[string]Value) []string {
-	keys := make([]string, 0, len(from))
-	for key := range from {
+func sortedKeys[Value any](m map[string]Value) []string {
+	keys := make([]string, 0, len(m))
+	for key := range m {
 		keys = append(keys, key)
 	}
 	sort.Strings(keys)
--- a/internal/simulation/mutation.go
+++ b/internal/simulation/mutation.go
@@ -10,12 +10,10 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// Mutation takes one mechanism away from the simulated fleet, to show that the
-// checks would notice. Mutations live in the simulation's shells; the product
-// has no such switch.
+// Mutation disables one mechanism of the simulated fleet, to show that the checks detect its
+// absence. Mutations are implemented in this package only; the product has no such switch.
 type Mutation string
 
-// The mutations.
 const (
 	MutationNone                 Mutation = ""
 	MutationKeepIdentity         Mutation = "emptied disk keeps its identity"
@@ -35,15 +33,15 @@
 	MutationNoRevisionCheck      Mutation = "changes are not compared with the revision they expect"
 )
 
-// machine wraps a state machine as the mutation wants it.
-func (m Mutation) machine(group int, machine replication.StateMachine) replication.StateMachine {
+// wrap returns the state machine of a group with the mutation applied.
+func (m Mutation) wrap(group int, machine replication.StateMachine) replication.StateMachine {
 	switch {
 	case m == MutationNoRevisionCheck && group == controlclient.MetaGroup:
-		return &mutatedMachine{StateMachine: machine, change: freeRevision()}
+		return &mutatedMachine{StateMachine: machine, mutate: ignoreExpectedRevision()}
 	case m == MutationNoIdempotency && group != controlclient.MetaGroup:
-		return &mutatedMachine{StateMachine: machine, change: freshKeys()}
+		return &mutatedMachine{StateMachine: machine, mutate: uniqueKeys()}
 	case m == MutationLastCompletionWins && group != controlclient.MetaGroup:
-		return &lastCompletion{StateMachine: machine}
+		return &lastCompletionMachine{StateMachine: machine}
 	}
 	return machine
 }
@@ -51,15 +49,16 @@
 // mutatedMachine changes commands before they are applied.
 type mutatedMachine struct {
 	replication.StateMachine
-	change func(command []byte) []byte
+	mutate func(command []byte) []byte
 }
 
 // Apply implements replication.StateMachine.
 func (m *mutatedMachine) Apply(command []byte) ([]byte, []storage.Mutation) {
-	return m.StateMachine.Apply(m.change(command))
+	return m.StateMachine.Apply(m.mutate(command))
 }
 
-func freeRevision() func([]byte) []byte {
+// ignoreExpectedRevision makes every change of the configuration expect the current revision.
+func ignoreExpectedRevision() func([]byte) []byte {
 	revision := uint64(0)
 	return func(encoded []byte) []byte {
 		var command wire.MetaCommand
@@ -72,7 +71,8 @@
 	}
 }
 
-func freshKeys() func([]byte) []byte {
+// uniqueKeys gives every new job an idempotency key of its own.
+func uniqueKeys() func([]byte) []byte {
 	count := 0
 	return func(encoded []byte) []byte {
 		var command wire.JobCommand
@@ -95,14 +95,14 @@
 	return encoded
 }
 
-// lastCompletion lets a later completion of an item replace the first, here by
-// one that says so.
-type lastCompletion struct {
+// lastCompletionMachine lets a later completion of an item replace the first one. The text of the
+// replacement differs, so that it can be detected.
+type lastCompletionMachine struct {
 	replication.StateMachine
 }
 
 // Apply implements replication.StateMachine.
-func (m *lastCompletion) Apply(encoded []byte) ([]byte, []storage.Mutation) {
+func (m *lastCompletionMachine) Apply(encoded []byte) ([]byte, []storage.Mutation) {
 	answer, mutations := m.StateMachine.Apply(encoded)
 	var command wire.JobCommand
 	var result wire.JobResult
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -13,35 +13,36 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// operator changes the configuration again and again: each change is based on
-// the revision read before it, and is sent again when its answer is lost. Two
-// operators race with equal numbers.
+// operator changes the configuration at random intervals. Each change is based on the revision that
+// was read before it, and is sent again if its answer is lost. Two operators may base changes on
+// the same revision.
 func (w *World) operator(number int, until time.Time) {
 	p := w.newCaller(fmt.Sprintf("operator%d", number))
 	count := 0
-	var again func()
-	again = func() {
+	var changeNext func()
+	changeNext = func() {
 		if w.clock.now.After(until) {
 			return
 		}
 		count++
-		w.change(p, fmt.Sprintf("change-%d-%d", number, count), 1+(number*7+count)%10)
-		w.timer(p, time.Duration((0.5+w.workload.Float64())*float64(w.profile.ChangeInterval)), again)
+		w.applyChange(p, fmt.Sprintf("change-%d-%d", number, count), 1+(number*7+count)%10)
+		w.timer(p, time.Duration((0.5+w.workload.Float64())*float64(w.profile.ChangeInterval)), changeNext)
 	}
-	w.timer(p, w.profile.WarmUp/2, again)
+	w.timer(p, w.profile.WarmUp/2, changeNext)
 }
 
-// firstChange makes the tenant that everything is asked for.
-func (w *World) firstChange() {
-	w.change(w.newCaller("operator0"), "change-first", 5)
+// createTenant creates the tenant that all online requests use.
+func (w *World) createTenant() {
+	w.applyChange(w.newCaller("operator0"), "change-first", 5)
 }
 
-func (w *World) change(p *process, id string, rank int) {
-	w.changeThen(p, id, rank, func() {})
+// applyChange makes one change of the configuration.
+func (w *World) applyChange(p *process, id string, rank int) {
+	w.applyChangeThen(p, id, rank, func() {})
 }
 
-// changeThen makes a change and goes on once it is accepted or refused.
-func (w *World) changeThen(p *process, id string, rank int, then func()) {
+// applyChangeThen makes a change and calls then once it is accepted or rejected.
+func (w *World) applyChangeThen(p *process, id string, rank int, then func()) {
 	viaControl(w, p, func(c *controlProcess, answer reply[uint64]) {
 		var revision uint64
 		err := c.readMeta(func(*coordination.MetaLeader) error {
@@ -51,7 +52,7 @@
 		answer(revision, err)
 	}, func(revision uint64, err error) {
 		if err != nil {
-			w.timer(p, resendDelay, func() { w.changeThen(p, id, rank, then) })
+			w.timer(p, resendDelay, func() { w.applyChangeThen(p, id, rank, then) })
 			return
 		}
 		request := &wire.ApplyRequest{Operator: p.name, ChangeID: id, ExpectedRevision: revision, Documents: tenantDocuments(rank)}
@@ -60,7 +61,7 @@
 	})
 }
 
-func (w *World) sendChange(p *process, request *wire.ApplyRequest, tries int, then func()) {
+func (w *World) sendChange(p *process, request *wire.ApplyRequest, attempts int, then func()) {
 	viaControl(w, p, func(c *controlProcess, answer reply[*wire.MetaResult]) {
 		command := *request
 		c.proposeMeta(&wire.MetaCommand{Apply: &command}, answer)
@@ -69,21 +70,21 @@
 		case err == nil:
 			w.ledger.changeAccepted(w, request, result.Apply)
 			then()
-			if tries == 0 && w.workload.IntN(4) == 0 {
-				// As if the answer had been lost.
-				w.timer(p, resendDelay, func() { w.sendChange(p, request, tries+1, func() {}) })
+			if attempts == 0 && w.workload.IntN(4) == 0 {
+				// Sends the change again as if the answer had been lost.
+				w.timer(p, resendDelay, func() { w.sendChange(p, request, attempts+1, func() {}) })
 			}
 		case failure.Is(err, failure.Conflict):
-			w.ledger.changeRefused(request)
+			w.ledger.changeRejected(request)
 			then()
-		case w.clock.now.Before(w.settleEnd):
-			w.timer(p, resendDelay, func() { w.sendChange(p, request, tries+1, then) })
+		case w.clock.now.Before(w.recoveryDeadline):
+			w.timer(p, resendDelay, func() { w.sendChange(p, request, attempts+1, then) })
 		}
 	})
 }
 
-// viaControl is an operator's call: it goes through any living gateway, which
-// needs no configuration of its own for it.
+// viaControl sends an operator's call through a random gateway to the leader of the meta group. The
+// gateway needs no valid configuration to pass it on.
 func viaControl[Answer any](w *World, p *process, serve func(*controlProcess, reply[Answer]), done reply[Answer]) {
 	g := w.gateways[w.workload.IntN(len(w.gateways))]
 	call(w, p, &g.process, submitTimeout, func(answer reply[Answer]) {
@@ -91,7 +92,7 @@
 	}, done)
 }
 
-// tenantDocuments returns a template and a tenant whose rank tells changes apart.
+// tenantDocuments returns a template and a tenant. Changes differ in the rank.
 func tenantDocuments(rank int) []wire.Document {
 	template := metastate.Template{Parameters: map[string]metastate.Parameter{
 		"models":      {Default: json.RawMessage(`["` + simulatedModel + `"]`)},
--- a/internal/simulation/prove.go
+++ b/internal/simulation/prove.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// MutationCheck pairs a promise with the mutation that takes its mechanism away, and the
-// faults under which the check must notice.
+// MutationCheck names a promise, the mutation that disables its mechanism, and the faults under
+// which a check must fail.
 type MutationCheck struct {
 	Promise  string
 	Mutation Mutation
-	// Check is the check that must notice; empty means any.
+	// Check is the promise of the first violation that must be found; empty means any.
 	Check      string
 	FaultKinds []string
-	// BatchOnly leaves the workers to batch items.
+	// BatchOnly leaves nearly all of the fleet to batch items.
 	BatchOnly bool
 }
 
-// MutationChecks returns the mutations to be seen red.
+// MutationChecks returns the checks that VerifyMutations runs.
 func MutationChecks() []MutationCheck {
 	stops := []string{"dispatcher_stops", "gateway_stops"}
 	return []MutationCheck{
@@ -41,9 +41,8 @@
 	}
 }
 
-// proofProfile makes the failure of each mechanism likelier: with more work for
-// fewer workers.
-func proofProfile(profile Profile) Profile {
+// stressProfile makes violations more likely: it gives more work to fewer workers.
+func stressProfile(profile Profile) Profile {
 	profile.Workers = 4
 	profile.OnlineInterval /= 4
 	profile.JobItems *= 3
@@ -53,65 +52,66 @@
 	return profile
 }
 
-// batchProfile leaves nearly all of the fleet to batch items, so that an item
-// whose lease has lapsed is taken up at once.
+// batchProfile leaves nearly all of the fleet to batch items, so that an item whose lease has
+// expired is leased again at once.
 func batchProfile(profile Profile) Profile {
-	profile = proofProfile(profile)
+	profile = stressProfile(profile)
 	profile.OnlineInterval *= 40
 	return profile
 }
 
-// VerifyMutations runs each promise under its faults, whole and with its mutation, over the
-// seeds, and writes a row for each. It reports whether every promise was green
-// and every mutation red.
+// VerifyMutations runs each check over the seeds, without and with its mutation, and writes one row
+// of a table per check. It reports whether no run without a mutation failed, and every mutation was
+// detected.
 func VerifyMutations(out io.Writer, first, last uint64) bool {
-	good := true
-	fmt.Fprintf(out, "| promise | faults | seeds | whole system | mechanism taken away | seen red by |\n|---|---|---|---|---|---|\n")
-	for _, proof := range MutationChecks() {
-		profiles := proof.profiles()
-		whole := Sweep{FirstSeed: first, LastSeed: last, Profiles: profiles, FaultKinds: proof.FaultKinds}.Run()
-		mutated := Sweep{FirstSeed: first, LastSeed: last, Profiles: profiles, FaultKinds: proof.FaultKinds, Mutation: proof.Mutation}.Run()
-		green, red := "green", "NOT RED"
-		if len(whole.Failed) > 0 {
-			green = fmt.Sprintf("RED in %d: %s", len(whole.Failed), describe(whole.Failed[0]))
-			good = false
+	passed := true
+	fmt.Fprintf(out, "| promise | faults | seeds | without mutation | mutation | detected in |\n|---|---|---|---|---|---|\n")
+	for _, check := range MutationChecks() {
+		profiles := check.profiles()
+		baseline := Sweep{FirstSeed: first, LastSeed: last, Profiles: profiles, FaultKinds: check.FaultKinds}.Run()
+		mutated := Sweep{FirstSeed: first, LastSeed: last, Profiles: profiles, FaultKinds: check.FaultKinds, Mutation: check.Mutation}.Run()
+		baselineText, mutatedText := "green", "NOT DETECTED"
+		if len(baseline.Failed) > 0 {
+			baselineText = fmt.Sprintf("RED in %d runs: %s", len(baseline.Failed), describe(baseline.Failed[0]))
+			passed = false
 		}
-		if noticed := noticedBy(mutated.Failed, proof.Check); len(noticed) > 0 {
-			red = fmt.Sprintf("%d of %d runs; %s", len(noticed), mutated.Seeds, describe(noticed[0]))
+		if detected := detectedBy(mutated.Failed, check.Check); len(detected) > 0 {
+			mutatedText = fmt.Sprintf("%d of %d runs; %s", len(detected), mutated.Seeds, describe(detected[0]))
 		} else {
-			good = false
+			passed = false
 		}
-		fmt.Fprintf(out, "| %s | %s | %d..%d, 2 profiles | %s | %s | %s |\n", proof.Promise, orNone(proof.FaultKinds), first, last, green, proof.Mutation, red)
+		fmt.Fprintf(out, "| %s | %s | %d..%d, 2 profiles | %s | %s | %s |\n", check.Promise, faultList(check.FaultKinds), first, last, baselineText, check.Mutation, mutatedText)
 	}
-	return good
+	return passed
 }
 
-// noticedBy returns the results in which the check was the first to turn red.
-func noticedBy(failed []*Result, check string) []*Result {
-	var noticed []*Result
+// detectedBy returns the results whose first violation is of the check; an empty check matches all.
+func detectedBy(failed []*Result, check string) []*Result {
+	var detected []*Result
 	for _, result := range failed {
 		if check == "" || result.Violations[0].Promise == check {
-			noticed = append(noticed, result)
+			detected = append(detected, result)
 		}
 	}
-	return noticed
+	return detected
 }
 
 func (p MutationCheck) profiles() []Profile {
-	shape := proofProfile
+	adjust := stressProfile
 	if p.BatchOnly {
-		shape = batchProfile
+		adjust = batchProfile
 	}
-	return []Profile{shape(Profiles()["stundir"]), shape(Profiles()["kotare"])}
+	return []Profile{adjust(Profiles()["stundir"]), adjust(Profiles()["kotare"])}
 }
 
-func orNone(kinds []string) string {
+func faultList(kinds []string) string {
 	if len(kinds) == 0 {
 		return "load alone"
 	}
 	return strings.Join(kinds, ", ")
 }
 
+// describe returns the first violation of a failed run.
 func describe(result *Result) string {
 	violation := result.Violations[0]
 	return fmt.Sprintf("%q, first in seed %d of %s at %s", violation.Promise, result.Seed, result.Profile, violation.At.Round(time.Millisecond))
--- a/internal/simulation/session.go
+++ b/internal/simulation/session.go
@@ -14,29 +14,31 @@
 	heartbeatTimeout  = time.Second
 )
 
-// session keeps a daemon's leases and configuration, as controlclient.Session
-// does in the real daemons.
+// session keeps a daemon's leases, configuration and view, like controlclient.Session in the real
+// daemons.
 type session struct {
-	world        *World
-	process      *process
-	role         wire.Role
-	incarnation  uint64
-	leaders      map[int]string
-	config       *configuration.Store
-	lease        membership.Lease
-	configLease  membership.Lease
-	viewVersion  uint64
-	view         map[string]wire.DaemonView
-	viewChanges  int
-	assignments  []wire.Assignment
-	assignmentID uint64
-	draining     bool
-	leaving      bool
-	report       func(*wire.HeartbeatRequest)
-	changed      func()
-	busy         bool
+	world             *World
+	process           *process
+	role              wire.Role
+	incarnation       uint64
+	leaders           map[int]string
+	config            *configuration.Store
+	lease             membership.Lease
+	configLease       membership.Lease
+	viewVersion       uint64
+	view              map[string]wire.DaemonView
+	viewChanges       int
+	assignments       []wire.Assignment
+	assignmentVersion uint64
+	draining          bool
+	leaving           bool
+	fillHeartbeat     func(*wire.HeartbeatRequest)
+	onUpdate          func()
+	heartbeatPending  bool
 }
 
+// newSession starts the heartbeats of a restarted daemon. previous is its session before the
+// restart, which only a mutation uses.
 func (w *World) newSession(p *process, role wire.Role, previous *session) *session {
 	w.incarnations++
 	s := &session{
@@ -54,12 +56,13 @@
 		s.lease.Renew(w.clock.now, time.Hour)
 		s.view = previous.view
 	}
-	w.timer(p, time.Millisecond, s.beat)
-	w.every(p, heartbeatInterval, s.beat)
+	w.timer(p, time.Millisecond, s.sendHeartbeat)
+	w.every(p, heartbeatInterval, s.sendHeartbeat)
 	return s
 }
 
-// serves reports whether the daemon may act on its configuration.
+// serves reports whether the daemon holds valid leases and is not draining, so that it may serve
+// requests with its configuration.
 func (s *session) serves() bool {
 	now := s.world.clock.now
 	if s.world.mutation == MutationNoConfigurationLease {
@@ -68,11 +71,12 @@
 	return s.lease.Valid(now) && s.configLease.Valid(now) && !s.draining
 }
 
-func (s *session) beat() {
-	if s.busy {
+// sendHeartbeat sends a heartbeat unless one is under way.
+func (s *session) sendHeartbeat() {
+	if s.heartbeatPending {
 		return
 	}
-	s.busy = true
+	s.heartbeatPending = true
 	request := &wire.HeartbeatRequest{
 		Daemon:            s.process.name,
 		Incarnation:       s.incarnation,
@@ -83,41 +87,43 @@
 		Leaving:           s.leaving,
 		ConfigRevision:    s.config.Current().Revision,
 		ViewVersion:       s.viewVersion,
-		AssignmentVersion: s.assignmentID,
+		AssignmentVersion: s.assignmentVersion,
 	}
-	if s.report != nil {
-		s.report(request)
+	if s.fillHeartbeat != nil {
+		s.fillHeartbeat(request)
 	}
-	sent := s.world.clock.now
+	sentAt := s.world.clock.now
 	callControl(s.world, s.process, s.leaders, controlclient.MetaGroup, heartbeatTimeout, func(c *controlProcess, answer reply[*wire.HeartbeatResponse]) {
 		c.heartbeat(request, answer)
 	}, func(response *wire.HeartbeatResponse, err error) {
-		s.busy = false
+		s.heartbeatPending = false
 		if err == nil {
-			s.accept(sent, response)
+			s.handleResponse(sentAt, response)
 		}
 	})
 }
 
-func (s *session) accept(sent time.Time, response *wire.HeartbeatResponse) {
+// handleResponse applies the answer to the heartbeat that was sent at sentAt, from which its leases
+// run.
+func (s *session) handleResponse(sentAt time.Time, response *wire.HeartbeatResponse) {
 	before := s.config.Current().Revision
 	if _, err := s.config.Apply(response.Config); err != nil {
-		s.world.ledger.violate("configuration", "%s can't apply revision %d: %v", s.process.name, response.ConfigRevision, err)
+		s.world.ledger.violate("configuration", "%s could not apply revision %d: %v", s.process.name, response.ConfigRevision, err)
 		return
 	}
 	current := s.config.Current().Revision
-	s.world.ledger.inForce(s.process.name, s.incarnation, before, current)
-	s.lease.Renew(sent, time.Duration(response.LeaseMillis)*time.Millisecond)
+	s.world.ledger.revisionInForce(s.process.name, s.incarnation, before, current)
+	s.lease.Renew(sentAt, time.Duration(response.LeaseMillis)*time.Millisecond)
 	if current >= response.ConfigRevision {
-		s.configLease.Renew(sent, time.Duration(response.ConfigLeaseMillis)*time.Millisecond)
+		s.configLease.Renew(sentAt, time.Duration(response.ConfigLeaseMillis)*time.Millisecond)
 	}
 	s.applyView(response.View)
-	if response.AssignmentVersion != s.assignmentID {
-		s.assignmentID = response.AssignmentVersion
+	if response.AssignmentVersion != s.assignmentVersion {
+		s.assignmentVersion = response.AssignmentVersion
 		s.assignments = response.Assignments
 	}
-	if s.changed != nil {
-		s.changed()
+	if s.onUpdate != nil {
+		s.onUpdate()
 	}
 }
 
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -6,14 +6,15 @@
 	"testing"
 )
 
-// seedsInCI is how many seeds of each profile CI runs; `make sim-long` runs more.
+// seedsInCI is the number of seeds that CI runs of each profile; `make sim-long` runs more.
 const seedsInCI = 100
 
 func bothProfiles() []Profile {
 	return []Profile{Profiles()["stundir"], Profiles()["kotare"]}
 }
 
-// TestPromisesUnderAllFaults runs whole fleets with all kinds of faults.
+// TestPromisesUnderAllFaults runs fleets with all default kinds of faults. It expects no violation,
+// and that every kind of fault is injected at least once.
 func TestPromisesUnderAllFaults(t *testing.T) {
 	summary := Sweep{FirstSeed: 1, LastSeed: seedsInCI, Profiles: bothProfiles(), FaultKinds: DefaultFaultKinds()}.Run()
 	var text strings.Builder
@@ -26,14 +27,15 @@
 	}
 	for _, kind := range DefaultFaultKinds() {
 		if summary.Injected[kind] == 0 {
-			t.Errorf("%s never struck", kind)
+			t.Errorf("fault %s was never injected", kind)
 		}
 	}
 }
 
-// TestBusyFleet runs overloaded fleets: batch work is preempted all the time.
+// TestBusyFleet runs overloaded fleets, in which batch work is preempted often, and expects no
+// violation.
 func TestBusyFleet(t *testing.T) {
-	profiles := []Profile{proofProfile(Profiles()["stundir"]), proofProfile(Profiles()["kotare"])}
+	profiles := []Profile{stressProfile(Profiles()["stundir"]), stressProfile(Profiles()["kotare"])}
 	summary := Sweep{FirstSeed: 1, LastSeed: 10, Profiles: profiles, FaultKinds: DefaultFaultKinds()}.Run()
 	for _, failed := range summary.Failed {
 		var details strings.Builder
@@ -41,11 +43,11 @@
 		t.Errorf("seed %d of %s:\n%s", failed.Seed, failed.Profile, details.String())
 	}
 	if summary.Totals.Preemptions == 0 {
-		t.Error("nothing was preempted")
+		t.Error("no batch item was preempted")
 	}
 }
 
-// TestSameSeedSameRun checks that a seed can be replayed.
+// TestSameSeedSameRun checks that two runs of a seed have the same result.
 func TestSameSeedSameRun(t *testing.T) {
 	options := Options{Profile: Profiles()["kotare"], Seed: 7, FaultKinds: DefaultFaultKinds()}
 	first, second := Run(options), Run(options)
@@ -54,21 +56,22 @@
 	}
 }
 
-// TestMutationsTurnRed takes each mechanism away and expects its check to notice.
+// TestMutationsTurnRed disables each mechanism and expects its check to fail in some run.
 func TestMutationsTurnRed(t *testing.T) {
-	for _, proof := range MutationChecks() {
-		t.Run(string(proof.Mutation), func(t *testing.T) {
-			summary := Sweep{FirstSeed: 1, LastSeed: 10, Profiles: proof.profiles(), FaultKinds: proof.FaultKinds, Mutation: proof.Mutation, StopAtFailure: proof.Check == ""}.Run()
-			if len(noticedBy(summary.Failed, proof.Check)) == 0 {
-				t.Errorf("no check %q noticed in %d runs", proof.Check, summary.Seeds)
+	for _, check := range MutationChecks() {
+		t.Run(string(check.Mutation), func(t *testing.T) {
+			summary := Sweep{FirstSeed: 1, LastSeed: 10, Profiles: check.profiles(), FaultKinds: check.FaultKinds, Mutation: check.Mutation, StopAtFailure: check.Check == ""}.Run()
+			if len(detectedBy(summary.Failed, check.Check)) == 0 {
+				t.Errorf("check %q was not the first to fail in any of %d runs", check.Check, summary.Seeds)
 			}
 		})
 	}
 }
 
-// TestShrink checks that a failing schedule shrinks to what matters.
+// TestShrink checks that a shrunk schedule is not empty or longer than before and still breaks a
+// promise.
 func TestShrink(t *testing.T) {
-	options := Options{Profile: proofProfile(Profiles()["stundir"]), Seed: 1, Mutation: MutationFalseNotRun, FaultKinds: []string{"worker_dies", "platform_contradicts", "operators_race"}}
+	options := Options{Profile: stressProfile(Profiles()["stundir"]), Seed: 1, Mutation: MutationFalseNotRun, FaultKinds: []string{"worker_dies", "platform_contradicts", "operators_race"}}
 	for ; options.Seed < 20; options.Seed++ {
 		failing := Run(options)
 		if len(failing.Violations) == 0 {
@@ -76,9 +79,9 @@
 		}
 		smallest := Shrink(options, failing)
 		if len(smallest.Schedule) == 0 || len(smallest.Schedule) > len(failing.Schedule) || len(smallest.Violations) == 0 {
-			t.Errorf("shrunk %d faults to %d with %d violations", len(failing.Schedule), len(smallest.Schedule), len(smallest.Violations))
+			t.Errorf("schedule of %d faults shrank to %d faults with %d violations", len(failing.Schedule), len(smallest.Schedule), len(smallest.Violations))
 		}
 		return
 	}
-	t.Fatal("no seed failed")
+	t.Fatal("no seed breaks a promise, so there is nothing to shrink")
 }
--- a/internal/simulation/sweep.go
+++ b/internal/simulation/sweep.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Sweep is a run of many seeds.
+// Sweep runs each profile with each seed from FirstSeed to LastSeed.
 type Sweep struct {
 	FirstSeed, LastSeed uint64
 	Profiles            []Profile
@@ -18,11 +18,11 @@
 	Mutation            Mutation
 	// StopAtFailure ends the sweep at the first violation.
 	StopAtFailure bool
-	// Parallel is how many seeds run at a time; zero means one per processor.
+	// Parallel is the number of concurrent runs; zero means one per processor.
 	Parallel int
 }
 
-// Summary adds up the results of a sweep.
+// Summary holds the totals of a sweep and its failed runs.
 type Summary struct {
 	Seeds    int
 	Failed   []*Result
@@ -31,8 +31,8 @@
 	Profiles []string
 }
 
-// Run runs the sweep. Results are added up in the order of seeds, so that the
-// summary of a sweep is always the same.
+// Run runs the sweep. Results are added up in the order of seeds, so that a sweep always has the
+// same summary.
 func (s Sweep) Run() *Summary {
 	jobs := make(chan int)
 	results := make([]*Result, int(s.LastSeed-s.FirstSeed+1)*len(s.Profiles))
@@ -127,7 +127,7 @@
 	fmt.Fprintf(out, "in force, with fault: %s\n", spread(t.InForceUnderFault))
 	fmt.Fprintf(out, "calls to control:     most in a second %d\n", t.PeakControlCalls)
 	for _, kind := range sortedKeys(s.Injected) {
-		fmt.Fprintf(out, "fault %-26s struck %d\n", kind, s.Injected[kind])
+		fmt.Fprintf(out, "fault %-26s injected %d\n", kind, s.Injected[kind])
 	}
 }
 
@@ -144,8 +144,8 @@
 	return fmt.Sprintf("n=%d median=%s p99=%s max=%s", len(sorted), at(0.5), at(0.99), at(1))
 }
 
-// Shrink returns the smallest part of a failing result's schedule, as far as
-// leaving out one fault at a time finds it, that still breaks a promise.
+// Shrink removes faults from the schedule of a failing run, one at a time, as long as a promise is
+// still broken. It returns the result of the run with the shortest schedule found.
 func Shrink(options Options, failing *Result) *Result {
 	best := failing
 	for index := 0; index < len(best.Schedule); {
--- a/internal/simulation/task.go
+++ b/internal/simulation/task.go
@@ -20,25 +20,25 @@
 
 var errStreamCut = failure.New(failure.OutcomeUnknown, "resume at the offset reached", "the stream was cut")
 
-// task is one request or batch item at a dispatcher; its attempts follow one
-// another, each going on where the one before it stopped.
+// task is one request or batch item at a dispatcher. It makes one attempt after another, each of
+// which continues after the tokens received so far.
 type task struct {
 	dispatcher *dispatcherProcess
 	request    *wire.GenerateRequest
 	policy     retry.Policy
 	budget     *retry.Budget
-	number     int
+	nextNumber int
 	attempts   int
 	exclude    map[string]bool
 	attemptID  string
 	worker     string
-	order      engine.Sequencer
+	sequencer  engine.Sequencer
 	resumes    int
 	started    bool
-	over       bool
+	finished   bool
 	tokens     int
 	text       strings.Builder
-	frames     func(*wire.GenerateFrame)
+	onFrame    func(*wire.GenerateFrame)
 	done       func(error)
 }
 
@@ -59,13 +59,13 @@
 	return t
 }
 
-// begin makes the next attempt.
-func (t *task) begin() {
-	if t.over {
+// startAttempt queues the next attempt at the scheduler.
+func (t *task) startAttempt() {
+	if t.finished {
 		return
 	}
-	t.attemptID = fmt.Sprintf("%s.%d", t.request.AttemptID, t.number)
-	t.number++
+	t.attemptID = fmt.Sprintf("%s.%d", t.request.AttemptID, t.nextNumber)
+	t.nextNumber++
 	t.worker = ""
 	excluded := map[string]bool{}
 	if t.request.Class == wire.Online {
@@ -88,11 +88,11 @@
 	}})
 }
 
-// generate hands the attempt to its worker.
+// generate sends the attempt to the worker that the scheduler has chosen.
 func (t *task) generate(start scheduling.Action) {
 	d, id := t.dispatcher, t.attemptID
 	t.worker = start.Worker
-	t.order = engine.Sequencer{AttemptID: id, Offset: t.tokens}
+	t.sequencer = engine.Sequencer{AttemptID: id, Offset: t.tokens}
 	t.resumes = 0
 	e := d.world.engineByName(start.Worker)
 	priority := engine.PriorityBatch
@@ -110,45 +110,47 @@
 		ContinueText:   t.text.String(),
 	}
 	call(d.world, &d.process, &e.process, engineCallTimeout, func(answer reply[string]) {
-		answer(e.generate(request, t.reader(e, id)), nil)
+		answer(e.generate(request, t.newReader(e, id)), nil)
 	}, func(code string, err error) {
 		switch {
-		case t.over || t.attemptID != id:
+		case t.finished || t.attemptID != id:
 		case failure.Is(err, failure.NotRun):
-			t.failed(err)
+			t.attemptFailed(err)
 		case err != nil:
 			t.started = true
 			t.resume(err)
 		case code != "":
-			t.failed(failure.New(failure.NotRun, "send it again", "the engine refused: %s", code))
+			t.attemptFailed(failure.New(failure.NotRun, "send it again", "the engine refused: %s", code))
 		default:
-			t.announce()
+			t.sendStarted()
 		}
 	})
 }
 
-func (t *task) announce() {
+// sendStarted sends the frame that names the attempt and its worker.
+func (t *task) sendStarted() {
 	t.started = true
-	if t.frames != nil {
-		t.frames(&wire.GenerateFrame{Kind: wire.FrameStarted, AttemptID: t.attemptID, Offset: t.tokens, Worker: t.worker})
+	if t.onFrame != nil {
+		t.onFrame(&wire.GenerateFrame{Kind: wire.FrameStarted, AttemptID: t.attemptID, Offset: t.tokens, Worker: t.worker})
 	}
 }
 
-func (t *task) reader(e *engineProcess, id string) *engineReader {
+// newReader returns a reader that ignores the events of the attempt once it is not the current one.
+func (t *task) newReader(e *engineProcess, id string) *engineReader {
 	d := t.dispatcher
 	return &engineReader{connection: d.world.connect(&e.process, &d.process), deliver: func(event *engine.Event, err error) {
-		if t.over || t.attemptID != id {
+		if t.finished || t.attemptID != id {
 			return
 		}
-		t.take(event, err)
+		t.receive(event, err)
 	}}
 }
 
-// take takes in one event of the stream.
-func (t *task) take(event *engine.Event, err error) {
+// receive handles one event or the failure of the stream.
+func (t *task) receive(event *engine.Event, err error) {
 	keep := err == nil
 	if keep && t.dispatcher.world.mutation != MutationNoSequencer {
-		keep, err = t.order.Accept(event)
+		keep, err = t.sequencer.Accept(event)
 	}
 	switch {
 	case err != nil:
@@ -159,38 +161,38 @@
 		offset := t.tokens
 		t.tokens += event.Tokens
 		t.text.WriteString(event.Text)
-		if t.frames != nil {
-			t.frames(&wire.GenerateFrame{Kind: wire.FrameTokens, AttemptID: t.attemptID, Offset: offset, Tokens: event.Tokens, Text: event.Text})
+		if t.onFrame != nil {
+			t.onFrame(&wire.GenerateFrame{Kind: wire.FrameTokens, AttemptID: t.attemptID, Offset: offset, Tokens: event.Tokens, Text: event.Text})
 		}
 	default:
-		t.finish(nil)
+		t.complete(nil)
 	}
 }
 
-// resume picks a cut stream up where it stopped.
+// resume continues a broken stream of the current attempt after the tokens received so far.
 func (t *task) resume(cause error) {
 	d, id := t.dispatcher, t.attemptID
 	t.resumes++
 	if t.resumes > maxResumes {
 		t.cancelOnEngine()
-		t.failed(cause)
+		t.attemptFailed(cause)
 		return
 	}
 	e := d.world.engineByName(t.worker)
-	t.order = engine.Sequencer{AttemptID: id, Offset: t.tokens}
+	t.sequencer = engine.Sequencer{AttemptID: id, Offset: t.tokens}
 	call(d.world, &d.process, &e.process, engineCallTimeout, func(answer reply[bool]) {
-		answer(e.resume(id, t.tokens, t.reader(e, id)), nil)
+		answer(e.resume(id, t.tokens, t.newReader(e, id)), nil)
 	}, func(known bool, err error) {
-		if t.over || t.attemptID != id || (err == nil && known) {
+		if t.finished || t.attemptID != id || (err == nil && known) {
 			return
 		}
 		t.cancelOnEngine()
-		t.failed(cause)
+		t.attemptFailed(cause)
 	})
 }
 
-// leaveWorker ends an attempt that the scheduler has taken off its worker.
-func (t *task) leaveWorker(cancel bool) {
+// detachAttempt ends an attempt that the scheduler has removed from its worker.
+func (t *task) detachAttempt(cancel bool) {
 	if cancel {
 		t.cancelOnEngine()
 	}
@@ -198,25 +200,25 @@
 	t.attemptID = ""
 }
 
+// cancelOnEngine cancels the current attempt on its worker, if it has one.
 func (t *task) cancelOnEngine() {
 	d, id := t.dispatcher, t.attemptID
 	if t.worker == "" {
 		return
 	}
 	e := d.world.engineByName(t.worker)
-	decided := d.world.clock.now
+	decidedAt := d.world.clock.now
 	d.world.transmit(&d.process, &e.process, func() {
 		e.cancel(id)
 		if t.request.Class == wire.Batch && d.world.measuring() {
-			recordDuration(d.world.experiment.measured.PreemptionLatency, d.world.clock.now.Sub(decided))
+			recordDuration(d.world.experiment.measurement.PreemptionLatency, d.world.clock.now.Sub(decidedAt))
 		}
 	}, nil)
 }
 
-// failed ends an attempt that did not become whole, and lets the policy decide
-// what follows.
-func (t *task) failed(err error) {
-	if t.over {
+// attemptFailed ends a failed attempt and leaves the decision to the retry policy.
+func (t *task) attemptFailed(err error) {
+	if t.finished {
 		return
 	}
 	d := t.dispatcher
@@ -231,39 +233,39 @@
 		t.exclude[t.worker] = true
 	}
 	if t.policy.Next(d.world.clock.now, t.attempts, err, t.budget) == retry.Retry {
-		d.world.timer(&d.process, 0, t.begin)
+		d.world.timer(&d.process, 0, t.startAttempt)
 		return
 	}
 	if t.started && failure.Is(err, failure.NotRun) {
 		err = failure.New(failure.OutcomeUnknown, "send it again if it may be repeated", "an earlier attempt may have run")
 	}
-	t.end(err)
+	t.finish(err)
 }
 
-// finish ends a whole answer.
-func (t *task) finish(err error) {
+// complete ends a task whose answer is complete.
+func (t *task) complete(err error) {
 	id := t.attemptID
 	delete(t.dispatcher.tasks, id)
 	t.attemptID = ""
 	t.dispatcher.step(scheduling.AttemptEnded{AttemptID: id, CachedBlocks: 0})
-	t.end(err)
+	t.finish(err)
 }
 
-func (t *task) end(err error) {
-	t.over = true
+func (t *task) finish(err error) {
+	t.finished = true
 	t.done(err)
 }
 
-// drop gives the task up without an answer.
-func (t *task) drop() {
-	if t.over {
+// abandon ends the task without an answer.
+func (t *task) abandon() {
+	if t.finished {
 		return
 	}
-	t.over = true
+	t.finished = true
 	id := t.attemptID
 	if id == "" {
 		return
 	}
-	t.leaveWorker(true)
+	t.detachAttempt(true)
 	t.dispatcher.step(scheduling.AttemptEnded{AttemptID: id, CachedBlocks: -1})
 }
--- a/internal/simulation/timings.go
+++ b/internal/simulation/timings.go
@@ -7,27 +7,28 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// timings measures how long the fleet takes to get over a failure.
+// timings measures how long the fleet takes to recover from failures and to apply changes of the
+// configuration.
 type timings struct {
-	// LeaderFailover holds the times from a leader's failure to the first entry
-	// that its successor has committed.
+	// LeaderFailover holds the times from a leader's failure to the first entry of a later term
+	// that a replica applies.
 	LeaderFailover []time.Duration
-	// WorkerReassignment holds the times from a dispatcher's death until each of its
-	// workers is owned again.
+	// WorkerReassignment holds, for each worker of a failed dispatcher, the time from the failure
+	// until a dispatcher claims the worker again.
 	WorkerReassignment []time.Duration
-	// InForce holds the times from a change's commit until it is in force at
-	// every living daemon; with faults and without.
+	// InForce holds the times from a change's commit until it is in force at every daemon that
+	// serves, of changes during which no fault was active.
 	InForce []time.Duration
 
-	leaderless map[int]leaderLoss
-	orphans    map[string]time.Time
-	pending    []*pendingRevision
-	living     func() []string
-	faulty     func() bool
-	// InForceUnderFault are those of InForce during which a fault was on.
+	leaderless     map[int]leaderLoss
+	orphans        map[string]time.Time
+	pending        []*pendingRevision
+	servingDaemons func() []string
+	faulty         func() bool
+	// InForceUnderFault holds the same times of changes during which a fault was active.
 	InForceUnderFault []time.Duration
 	lastRevision      uint64
-	reached           map[string]uint64
+	revisionOf        map[string]uint64
 }
 
 type leaderLoss struct {
@@ -51,7 +52,7 @@
 	}
 }
 
-func (t *timings) committed(now time.Time, group int, entry *wire.LogEntry) {
+func (t *timings) entryApplied(now time.Time, group int, entry *wire.LogEntry) {
 	if loss, lost := t.leaderless[group]; lost && entry.Term > loss.term {
 		delete(t.leaderless, group)
 		t.LeaderFailover = append(t.LeaderFailover, now.Sub(loss.at))
@@ -69,14 +70,14 @@
 	}
 }
 
-func (t *timings) orphaned(now time.Time, worker string) {
+func (t *timings) workerOrphaned(now time.Time, worker string) {
 	if t.orphans == nil {
 		t.orphans = map[string]time.Time{}
 	}
 	t.orphans[worker] = now
 }
 
-func (t *timings) owned(now time.Time, worker string) {
+func (t *timings) workerClaimed(now time.Time, worker string) {
 	if since, orphan := t.orphans[worker]; orphan {
 		delete(t.orphans, worker)
 		t.WorkerReassignment = append(t.WorkerReassignment, now.Sub(since))
@@ -84,20 +85,20 @@
 }
 
 func (t *timings) inForce(now time.Time, daemon string, revision uint64) {
-	if t.reached == nil {
-		t.reached = map[string]uint64{}
+	if t.revisionOf == nil {
+		t.revisionOf = map[string]uint64{}
 	}
-	t.reached[daemon] = revision
-	t.check(now)
+	t.revisionOf[daemon] = revision
+	t.checkPending(now)
 }
 
-// check ends the changes that are in force at every daemon that serves.
-func (t *timings) check(now time.Time) {
-	var waiting []*pendingRevision
+// checkPending records the pending changes that are now in force at every daemon that serves.
+func (t *timings) checkPending(now time.Time) {
+	var stillPending []*pendingRevision
 	for _, change := range t.pending {
 		change.faulty = change.faulty || t.faulty()
-		if !t.everywhere(change.revision) {
-			waiting = append(waiting, change)
+		if !t.inForceEverywhere(change.revision) {
+			stillPending = append(stillPending, change)
 			continue
 		}
 		if change.faulty {
@@ -106,12 +107,12 @@
 			t.InForce = append(t.InForce, now.Sub(change.at))
 		}
 	}
-	t.pending = waiting
+	t.pending = stillPending
 }
 
-func (t *timings) everywhere(revision uint64) bool {
-	for _, name := range t.living() {
-		if t.reached[name] < revision {
+func (t *timings) inForceEverywhere(revision uint64) bool {
+	for _, name := range t.servingDaemons() {
+		if t.revisionOf[name] < revision {
 			return false
 		}
 	}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -8,14 +8,15 @@
 	"github.com/sedgemast/sedgemast/internal/failure"
 )
 
-// event is something that will happen.
+// event is an action that is due at a moment of virtual time.
 type event struct {
 	at       time.Time
 	sequence uint64
 	run      func()
 }
 
-// eventQueue orders events by time, and by their making where times are equal.
+// eventQueue orders events by time, and events of the same time by the order in which they were
+// added.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -39,22 +40,23 @@
 	return popped
 }
 
-// clock is virtual time with the events to come.
+// clock holds the virtual time and the events that are due.
 type clock struct {
 	now      time.Time
 	queue    eventQueue
 	sequence uint64
 }
 
-// epoch is the moment at which every simulation begins.
-var epoch = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
+// simulationStart is the virtual time at which every run begins.
+var simulationStart = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
+// after adds an event that is due after a delay; a negative delay counts as zero.
 func (c *clock) after(delay time.Duration, run func()) {
 	c.sequence++
 	heap.Push(&c.queue, event{at: c.now.Add(max(delay, 0)), sequence: c.sequence, run: run})
 }
 
-// runUntil runs events until the moment given, or until stop says so.
+// runUntil runs the events that are due by a moment, or fewer if stop returns true.
 func (c *clock) runUntil(until time.Time, stop func() bool) {
 	for len(c.queue) > 0 && !c.queue[0].at.After(until) && !stop() {
 		next := heap.Pop(&c.queue).(event)
@@ -66,17 +68,17 @@
 	}
 }
 
-// process is one simulated process. Its events are lost when it dies and wait
-// while it is frozen.
+// process is one simulated process. Its events are dropped when it ends and delayed while it is
+// frozen. generation counts the starts of the process.
 type process struct {
 	name        string
 	zone        int
 	alive       bool
-	life        int
+	generation  int
 	frozenUntil time.Time
 }
 
-// latencies of one way, by where the two ends are.
+// latencies holds one-way latencies by the location of the two ends, and the mean of the jitter.
 type latencies struct {
 	sameZone  time.Duration
 	otherZone time.Duration
@@ -84,20 +86,22 @@
 	jitter    time.Duration
 }
 
-// retransmission is what the loss of a packet costs on a connection.
-const retransmission = 200 * time.Millisecond
+// retransmitDelay is the delay that the loss of a packet adds.
+const retransmitDelay = 200 * time.Millisecond
 
-// network carries messages between processes.
+// network models latency, loss of packets and cut links. A key of cutLinks names sender and
+// receiver.
 type network struct {
 	latencies latencies
 	loss      float64
-	cut       map[[2]string]bool
+	cutLinks  map[[2]string]bool
 	random    *rand.Rand
 }
 
-// clientZone marks callers, who are outside every zone.
+// clientZone is the zone of callers, which are outside every zone.
 const clientZone = -1
 
+// delay draws the one-way latency of a message.
 func (n *network) delay(from, to *process) time.Duration {
 	base := n.latencies.otherZone
 	switch {
@@ -108,34 +112,35 @@
 	}
 	delay := base + time.Duration(n.random.ExpFloat64()*float64(n.latencies.jitter))
 	if n.random.Float64() < n.loss {
-		delay += retransmission
+		delay += retransmitDelay
 	}
 	return delay
 }
 
+// drops reports whether the link is cut in this direction.
 func (n *network) drops(from, to *process) bool {
-	return n.cut[[2]string{from.name, to.name}]
+	return n.cutLinks[[2]string{from.name, to.name}]
 }
 
-// timer runs an action in a process after a delay, unless it has died.
+// timer runs an action in a process after a delay, unless the process has ended since.
 func (w *World) timer(p *process, delay time.Duration, run func()) {
-	life := p.life
-	w.clock.after(delay, func() { w.enter(p, life, run) })
+	generation := p.generation
+	w.clock.after(delay, func() { w.enter(p, generation, run) })
 }
 
-// enter runs an action in a process: later if it is frozen, not at all if it is
-// no longer the same process.
-func (w *World) enter(p *process, life int, run func()) {
+// enter runs an action in a process. A frozen process runs it when it thaws; a process that has
+// ended or restarted since doesn't run it.
+func (w *World) enter(p *process, generation int, run func()) {
 	switch {
-	case !p.alive || p.life != life:
+	case !p.alive || p.generation != generation:
 	case w.clock.now.Before(p.frozenUntil):
-		w.clock.after(p.frozenUntil.Sub(w.clock.now), func() { w.enter(p, life, run) })
+		w.clock.after(p.frozenUntil.Sub(w.clock.now), func() { w.enter(p, generation, run) })
 	default:
 		run()
 	}
 }
 
-// every runs an action in a process again and again.
+// every runs an action in a process at an interval, until the process ends.
 func (w *World) every(p *process, interval time.Duration, run func()) {
 	w.timer(p, interval, func() {
 		run()
@@ -143,28 +148,28 @@
 	})
 }
 
-// transmit sends a message. refused, if it is set, runs at the sender when
-// nobody listens at the other end.
-func (w *World) transmit(from, to *process, deliver, refused func()) {
+// transmit sends a message. onRefused, if set, runs at the sender if no process listens at the
+// other end.
+func (w *World) transmit(from, to *process, deliver, onRefused func()) {
 	if w.network.drops(from, to) {
 		return
 	}
 	w.clock.after(w.network.delay(from, to), func() {
 		if to.alive {
-			w.enter(to, to.life, deliver)
+			w.enter(to, to.generation, deliver)
 			return
 		}
-		if refused != nil && !w.network.drops(to, from) {
-			w.timer(from, w.network.delay(to, from), refused)
+		if onRefused != nil && !w.network.drops(to, from) {
+			w.timer(from, w.network.delay(to, from), onRefused)
 		}
 	})
 }
 
-// reply ends a call with an answer or a failure.
+// reply receives the answer or the failure of a call.
 type reply[Answer any] func(answer Answer, err error)
 
-// call makes a call from one process to another. done runs once: with the
-// answer, with NotRun if nobody listens, or with OutcomeUnknown after timeout.
+// call makes a call from one process to another. done runs at most once: with the answer, with
+// NotRun if no process listens, or with OutcomeUnknown after the timeout.
 func call[Answer any](w *World, from, to *process, timeout time.Duration, serve func(reply[Answer]), done reply[Answer]) {
 	finished := false
 	finish := func(answer Answer, err error) {
@@ -173,15 +178,15 @@
 			done(answer, err)
 		}
 	}
-	var none Answer
+	var zero Answer
 	w.timer(from, timeout, func() {
-		finish(none, failure.New(failure.OutcomeUnknown, "ask again for the state", "no answer from %s in time", to.name))
+		finish(zero, failure.New(failure.OutcomeUnknown, "ask again for the state", "no answer from %s in time", to.name))
 	})
 	w.transmit(from, to, func() {
 		serve(func(answer Answer, err error) {
 			w.transmit(to, from, func() { finish(answer, err) }, nil)
 		})
 	}, func() {
-		finish(none, failure.New(failure.NotRun, "try another peer", "no connection to %s", to.name))
+		finish(zero, failure.New(failure.NotRun, "try another peer", "no connection to %s", to.name))
 	})
 }
--- a/internal/simulation/world_run.go
+++ b/internal/simulation/world_run.go
@@ -13,7 +13,7 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// Profile is one deployment of the users' with its load.
+// Profile is a deployment with its load.
 type Profile struct {
 	Name           string
 	Zones          int
@@ -29,10 +29,12 @@
 	ChangeInterval time.Duration
 	ReservePercent int
 	EngineStep     time.Duration
-	// Engine replaces the small engines of failure runs; may be nil.
+	// Engine is the capacity of engines in experiments; nil means the small engines of failure
+	// runs.
 	Engine *emulator.Capacity
-	// WarmUp is when load begins, FaultsFrom and FaultsTo when faults strike,
-	// and Settle how long the fleet has afterwards to get over everything.
+	// WarmUp is when load begins. Faults are injected from FaultsFrom to FaultsTo, all since the
+	// start of the run. Recovery is how long the fleet may take afterwards to recover and finish
+	// its work.
 	WarmUp     time.Duration
 	FaultsFrom time.Duration
 	FaultsTo   time.Duration
@@ -64,8 +66,8 @@
 	}
 }
 
-// Profiles returns the deployments by name. Heaps come as often as the users
-// say, from two senders.
+// Profiles returns the deployments by name. The rates of batch jobs are those that the users gave,
+// from two callers.
 func Profiles() map[string]Profile {
 	return map[string]Profile{
 		"stundir": profile("stundir", 3, 12, 8*time.Second),
@@ -74,8 +76,8 @@
 	}
 }
 
-// targetProfile is the fleet that the system is built towards, with little load:
-// it shows what control and the daemons do at that size.
+// targetProfile is a fleet of the size that the system is designed for, with little load. It shows
+// the behaviour of control and the daemons at that size.
 func targetProfile() Profile {
 	target := profile("target", 9, 600, 8*time.Second)
 	target.Dispatchers = 200
@@ -86,7 +88,7 @@
 	return target
 }
 
-// Options say what to run.
+// Options configure one run.
 type Options struct {
 	Profile    Profile
 	Seed       uint64
@@ -94,38 +96,39 @@
 	Mutation   Mutation
 	// Variant is set in experiments.
 	Variant Variant
-	// Schedule replaces the schedule drawn from the seed.
+	// Schedule replaces the schedule that is drawn from the seed if it is not nil.
 	Schedule []Fault
 }
 
 // World is one simulated fleet.
 type World struct {
-	profile          Profile
-	variant          Variant
-	experiment       *experiment
-	mutation         Mutation
-	clock            clock
-	random           *rand.Rand
-	workload         *rand.Rand
-	network          network
-	faults           faultState
-	ledger           *ledger
-	controls         []*controlProcess
-	engines          []*engineProcess
-	dispatchers      []*dispatcherProcess
-	gateways         []*gatewayProcess
-	platform         *platformProcess
-	identities       uint64
-	incarnations     uint64
-	enginesByName    map[string]*engineProcess
-	dispatchersNamed map[string]*dispatcherProcess
-	controlLoad      map[int64]int
-	races            int
-	settleEnd        time.Time
-	plannedStopsOnly bool
+	profile           Profile
+	variant           Variant
+	experiment        *experiment
+	mutation          Mutation
+	clock             clock
+	random            *rand.Rand
+	workload          *rand.Rand
+	network           network
+	faults            faultState
+	ledger            *ledger
+	controls          []*controlProcess
+	engines           []*engineProcess
+	dispatchers       []*dispatcherProcess
+	gateways          []*gatewayProcess
+	platform          *platformProcess
+	identities        uint64
+	incarnations      uint64
+	enginesByName     map[string]*engineProcess
+	dispatchersByName map[string]*dispatcherProcess
+	controlCalls      map[int64]int
+	raceCount         int
+	recoveryDeadline  time.Time
+	plannedStopsOnly  bool
 }
 
-// Result is what a run showed.
+// Result holds the outcome of a run. Rejected counts all requests without a complete answer, Items
+// the results of batch items that were read.
 type Result struct {
 	Seed        uint64
 	Profile     string
@@ -140,21 +143,20 @@
 	Changes     int
 	Preemptions int
 	Resumes     int
-	// LeaderFailover, HandOver, InForce and FaultyInForce are explained in
-	// timings.
+	// LeaderFailover, WorkerReassignment, InForce and InForceUnderFault are described at timings.
 	LeaderFailover     []time.Duration
 	WorkerReassignment []time.Duration
 	InForce            []time.Duration
 	InForceUnderFault  []time.Duration
-	// PeakControlCalls is the most calls to control in one second, once faults can
-	// strike.
+	// PeakControlCalls is the highest number of calls to control in one second, from
+	// Profile.FaultsFrom on.
 	PeakControlCalls int
 	// VirtualTime is the simulated time.
 	VirtualTime time.Duration
 }
 
-// streams of random numbers that one seed is split into, so that leaving a fault
-// out does not change the load.
+// Streams of random numbers that are derived from one seed. They are separate so that a run with
+// one fault less has the same load.
 const (
 	streamNetwork = iota + 1
 	streamWorkload
@@ -173,10 +175,10 @@
 	for _, fault := range schedule {
 		w.plannedStopsOnly = w.plannedStopsOnly && faultKinds[fault.Kind].planned
 	}
-	w.schedule(schedule)
+	w.scheduleFaults(schedule)
 	w.startLoad()
-	w.clock.runUntil(epoch.Add(w.profile.FaultsTo), w.broken)
-	w.settle()
+	w.clock.runUntil(simulationStart.Add(w.profile.FaultsTo), w.hasViolation)
+	w.awaitRecovery()
 	return w.result(options, schedule)
 }
 
@@ -185,32 +187,32 @@
 		profile:  options.Profile,
 		mutation: options.Mutation,
 		variant:  options.Variant,
-		clock:    clock{now: epoch},
+		clock:    clock{now: simulationStart},
 		random:   rand.New(rand.NewPCG(options.Seed, streamFleet)),
 		workload: rand.New(rand.NewPCG(options.Seed, streamWorkload)),
 		network: network{
 			latencies: options.Profile.Latencies,
 			loss:      0.0005,
-			cut:       map[[2]string]bool{},
+			cutLinks:  map[[2]string]bool{},
 			random:    rand.New(rand.NewPCG(options.Seed, streamNetwork)),
 		},
-		faults:           faultState{counts: map[string]int{}},
-		enginesByName:    map[string]*engineProcess{},
-		dispatchersNamed: map[string]*dispatcherProcess{},
-		controlLoad:      map[int64]int{},
+		faults:            faultState{counts: map[string]int{}},
+		enginesByName:     map[string]*engineProcess{},
+		dispatchersByName: map[string]*dispatcherProcess{},
+		controlCalls:      map[int64]int{},
 	}
 	w.ledger = newLedger(&w.clock)
-	w.ledger.calm = func() bool { return len(w.faults.counts) == 0 }
-	w.ledger.timings.living = w.livingDaemons
-	w.ledger.timings.faulty = func() bool { return w.faults.on > 0 }
-	w.settleEnd = epoch.Add(w.profile.FaultsTo + w.profile.Recovery)
+	w.ledger.faultFree = func() bool { return len(w.faults.counts) == 0 }
+	w.ledger.timings.servingDaemons = w.servingDaemons
+	w.ledger.timings.faulty = func() bool { return w.faults.active > 0 }
+	w.recoveryDeadline = simulationStart.Add(w.profile.FaultsTo + w.profile.Recovery)
 	w.addPlatform()
 	for number := 0; number < w.profile.Workers; number++ {
 		w.addEngine(number)
 	}
 	for number := 0; number < controlCount; number++ {
 		w.addControl(number)
-		w.prepareDisk(w.controls[number].disk)
+		w.applyDiskMutation(w.controls[number].disk)
 	}
 	for _, c := range w.controls {
 		c.start()
@@ -225,9 +227,9 @@
 }
 
 func (w *World) startLoad() {
-	w.every(&w.platform.process, timingInterval, func() { w.ledger.timings.check(w.clock.now) })
-	end := epoch.Add(w.profile.FaultsTo)
-	w.clock.after(w.profile.WarmUp/3, w.firstChange)
+	w.every(&w.platform.process, timingInterval, func() { w.ledger.timings.checkPending(w.clock.now) })
+	end := simulationStart.Add(w.profile.FaultsTo)
+	w.clock.after(w.profile.WarmUp/3, w.createTenant)
 	for number := 0; number < w.profile.OnlineCallers; number++ {
 		w.onlineCaller(number, end)
 	}
@@ -239,10 +241,11 @@
 	}
 }
 
-// broken stops a run at its first violation.
-func (w *World) broken() bool { return len(w.ledger.violations) > 0 }
+// hasViolation reports whether a promise has been broken, which ends the run.
+func (w *World) hasViolation() bool { return len(w.ledger.violations) > 0 }
 
-func (w *World) everyone() []*process {
+// allProcesses returns all processes except callers.
+func (w *World) allProcesses() []*process {
 	var all []*process
 	for _, c := range w.controls {
 		all = append(all, &c.process)
@@ -259,9 +262,9 @@
 	return append(all, &w.platform.process)
 }
 
-// livingDaemons returns the daemons that serve: the others refuse work, so that
-// no configuration is acted on there.
-func (w *World) livingDaemons() []string {
+// servingDaemons returns the names of the daemons that serve. The others reject work, so that they
+// don't use their configuration.
+func (w *World) servingDaemons() []string {
 	var names []string
 	for _, d := range w.dispatchers {
 		if w.serving(&d.process, d.session) {
@@ -282,37 +285,39 @@
 
 const (
 	timingInterval = 20 * time.Millisecond
-	settlePoll     = 500 * time.Millisecond
+	recoveryPoll   = 500 * time.Millisecond
 	readRounds     = 15
 	readInterval   = 2 * time.Second
 )
 
-// settle lets the fleet get over everything and checks that it does.
-func (w *World) settle() {
-	for !w.broken() {
-		w.clock.runUntil(w.clock.now.Add(settlePoll), w.broken)
-		missing := w.missing()
+// awaitRecovery runs the fleet until all work has ended, which must happen within Profile.Recovery,
+// and checks the final state.
+func (w *World) awaitRecovery() {
+	for !w.hasViolation() {
+		w.clock.runUntil(w.clock.now.Add(recoveryPoll), w.hasViolation)
+		missing := w.unfinished()
 		if missing == "" {
 			break
 		}
-		if w.clock.now.After(w.settleEnd) {
-			w.ledger.violate("recovery", "%s after the faults: %s", w.profile.Recovery, missing)
+		if w.clock.now.After(w.recoveryDeadline) {
+			w.ledger.violate("recovery", "not recovered %s after the faults: %s", w.profile.Recovery, missing)
 			return
 		}
 	}
-	if w.broken() {
+	if w.hasViolation() {
 		return
 	}
 	if leader := w.metaLeaderProcess(); leader != nil {
 		w.ledger.checkHistory(leader.meta.History(1 << 20))
 	}
-	w.readEverything()
+	w.readAllResults()
 }
 
-// missing says what has not come to its end yet; nothing if all has.
-func (w *World) missing() string {
-	for _, record := range w.ledger.order {
-		if !record.over {
+// unfinished describes one request, job or change that has not ended yet. It is empty if there is
+// none.
+func (w *World) unfinished() string {
+	for _, record := range w.ledger.requestOrder {
+		if !record.finished {
 			return "request " + record.id + " has no answer"
 		}
 	}
@@ -321,16 +326,16 @@
 			return "job " + job.key + " is not accepted"
 		}
 		group := jobstate.GroupOfTenant(job.tenant, jobGroups)
-		record, err := w.jobRecord(group, job.id)
+		record, err := w.readJobRecord(group, job.id)
 		if err != nil {
 			return fmt.Sprintf("job %s: %v", job.id, err)
 		}
-		if !job.finished(&record) {
+		if !job.hasFinalState(&record) {
 			return fmt.Sprintf("job %s is %s with %d of %d items", job.id, record.State, record.Succeeded, record.Items)
 		}
 	}
 	for _, id := range sortedKeys(w.ledger.changes) {
-		if change := w.ledger.changes[id]; change.revision == 0 && !change.refused {
+		if change := w.ledger.changes[id]; change.revision == 0 && !change.rejected {
 			return "change " + id + " has no answer"
 		}
 	}
@@ -340,8 +345,8 @@
 	return ""
 }
 
-// jobRecord reads a job where its group is led.
-func (w *World) jobRecord(group int, id string) (wire.JobRecord, error) {
+// readJobRecord reads a job at the leader of its group.
+func (w *World) readJobRecord(group int, id string) (wire.JobRecord, error) {
 	var record wire.JobRecord
 	err := errNoLeader
 	for _, c := range w.controls {
@@ -361,26 +366,28 @@
 
 var errNoLeader = fmt.Errorf("no %s of its group", consensus.Leader)
 
-// readEverything reads all results once more.
-func (w *World) readEverything() {
+// readAllResults reads all jobs several times and checks that every result of a job that was not
+// cancelled is readable.
+func (w *World) readAllResults() {
 	p := w.newCaller("reader")
 	for _, job := range w.ledger.jobs {
 		w.readJob(p, job)
 	}
-	w.clock.runUntil(w.clock.now.Add(readInterval), w.broken)
+	w.clock.runUntil(w.clock.now.Add(readInterval), w.hasViolation)
 	for round := 0; round < readRounds; round++ {
 		for _, job := range w.ledger.jobs {
 			w.readJob(p, job)
 		}
-		w.clock.runUntil(w.clock.now.Add(readInterval), w.broken)
+		w.clock.runUntil(w.clock.now.Add(readInterval), w.hasViolation)
 	}
 	for _, job := range w.ledger.jobs {
-		if job.cancelledAt.IsZero() && !job.cancelling && len(job.seen) != len(job.lines) && !w.broken() {
-			w.ledger.violate("readable", "job %s has %d of %d results readable", job.id, len(job.seen), len(job.lines))
+		if job.cancelledAt.IsZero() && !job.cancelRequested && len(job.results) != len(job.lines) && !w.hasViolation() {
+			w.ledger.violate("readable", "job %s has %d of %d results readable", job.id, len(job.results), len(job.lines))
 		}
 	}
 }
 
+// result collects the outcome of the run.
 func (w *World) result(options Options, schedule []Fault) *Result {
 	result := &Result{
 		Seed:               options.Seed,
@@ -388,7 +395,7 @@
 		Schedule:           schedule,
 		Violations:         w.ledger.violations,
 		Injected:           w.faults.counts,
-		Requests:           len(w.ledger.order),
+		Requests:           len(w.ledger.requestOrder),
 		Jobs:               len(w.ledger.jobs),
 		Changes:            len(w.ledger.accepted),
 		Preemptions:        w.ledger.preemptions,
@@ -397,21 +404,21 @@
 		WorkerReassignment: w.ledger.timings.WorkerReassignment,
 		InForce:            w.ledger.timings.InForce,
 		InForceUnderFault:  w.ledger.timings.InForceUnderFault,
-		VirtualTime:        w.clock.now.Sub(epoch),
+		VirtualTime:        w.clock.now.Sub(simulationStart),
 	}
-	for second, calls := range w.controlLoad {
-		if second >= epoch.Add(w.profile.FaultsFrom).Unix() {
+	for second, calls := range w.controlCalls {
+		if second >= simulationStart.Add(w.profile.FaultsFrom).Unix() {
 			result.PeakControlCalls = max(result.PeakControlCalls, calls)
 		}
 	}
-	for _, record := range w.ledger.order {
-		if record.over && record.err == nil {
+	for _, record := range w.ledger.requestOrder {
+		if record.finished && record.err == nil {
 			result.Completed++
 		}
 	}
 	result.Rejected = result.Requests - result.Completed
 	for _, job := range w.ledger.jobs {
-		result.Items += len(job.seen)
+		result.Items += len(job.results)
 	}
 	return result
 }
