--- a/internal/simulation/experiment.go
+++ b/internal/simulation/experiment.go
@@ -257,7 +257,7 @@
 	})
 }
 
-// keepItemsWaiting submits batch jobs so that at least minWaitingItems wait at any time.
+// keepItemsWaiting submits another batch job whenever fewer than minWaitingItems items wait.
 func (w *World) keepItemsWaiting() {
 	p := w.newCaller("term")
 	count := 0
