--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -74,9 +74,9 @@
 // exactFiles are the files of leaseFiles that measure leases.
 var exactFiles = []string{"../replication/host.go", "../replication/reads.go", "../controlclient/session.go"}
 
-// TestLeasesGoByThisClock checks that leases are not measured with the monotonic clock of time.Now.
+// TestLeasesUseThisClock checks that leases are not measured with the monotonic clock of time.Now.
 // It searches the source, because a test can't suspend the machine on which it runs.
-func TestLeasesGoByThisClock(t *testing.T) {
+func TestLeasesUseThisClock(t *testing.T) {
 	for _, name := range leaseFiles {
 		source, err := os.ReadFile(name)
 		if err != nil {
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -49,8 +49,8 @@
 	})
 }
 
-// plan expires daemon leases and commits the resulting assignments. It plans from committed state
-// only; the state machine issues the epochs.
+// plan ends the expired daemon leases and commits the resulting assignments. It plans from committed
+// state only; the state machine issues the epochs.
 func (c *Control) plan(ctx context.Context) {
 	var expired []string
 	var command wire.AssignCommand
--- a/internal/coordination/jobs.go
+++ b/internal/coordination/jobs.go
@@ -14,12 +14,15 @@
 	adoptionTime = 1500 * time.Millisecond
 	// maxLeasedItems limits the items, and thus the size, of one response.
 	maxLeasedItems = 256
-	// idlePerDispatcher limits the requests that find no items to 200 per second in each job group,
-	// whatever the number of dispatchers.
-	idlePerDispatcher = 5 * time.Millisecond
-	minIdle           = 100 * time.Millisecond
-	maxIdle           = 5 * time.Second
-	lastRequestTTL    = 10 * time.Second
+	// idleTimePerDispatcher is what each dispatcher adds to the idle time of all. It limits the
+	// requests that find no items to 200 per second in each job group, whatever the number of
+	// dispatchers.
+	idleTimePerDispatcher = 5 * time.Millisecond
+	minIdleTime           = 100 * time.Millisecond
+	maxIdleTime           = 5 * time.Second
+	// lastRequestTTL is the shortest time for which a dispatcher counts for the idle time after its
+	// last request.
+	lastRequestTTL = 10 * time.Second
 )
 
 // JobLeader is the unreplicated state of a job group's leader in one term.
@@ -74,7 +77,7 @@
 			}
 		}
 	}
-	return min(max(time.Duration(len(j.lastRequests))*idlePerDispatcher, minIdle), maxIdle)
+	return min(max(time.Duration(len(j.lastRequests))*idleTimePerDispatcher, minIdleTime), maxIdleTime)
 }
 
 func (j *JobLeader) readItem(reader storage.Reader, ref wire.ItemRef) (wire.LeasedItem, error) {
--- a/internal/coordination/meta.go
+++ b/internal/coordination/meta.go
@@ -92,8 +92,8 @@
 	m.workers.ApplyList(now, rows)
 }
 
-// Plan expires daemon leases, whose holders it returns, and computes the resulting assignments. An
-// empty command changes nothing.
+// Plan ends the expired daemon leases and computes the resulting assignments. It returns the former
+// holders of these leases, and the command to commit; an empty command changes nothing.
 func (m *MetaLeader) Plan(now time.Time) (expired []string, command wire.AssignCommand) {
 	expired = m.daemonLeases.Expire(now)
 	if m.daemonLeases.Ready(now) {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
 // Package daemon provides what all processes have in common: a kratos application with an
-// HTTP server, health and readiness checks, metrics, logs and a graceful shutdown.
+// HTTP server, health and readiness checks, metrics, logs and a planned stop (graceful shutdown).
 package daemon
 
 import (
@@ -225,10 +225,10 @@
 // Ready reports whether /readyz reports the process as ready.
 func (d *Daemon) Ready() bool { return d.ready.Load() }
 
-// Stopping reports whether a graceful shutdown has begun.
+// Stopping reports whether a planned stop has begun.
 func (d *Daemon) Stopping() bool { return d.stopping.Load() }
 
-// BeforeStop adds a step to the graceful shutdown. The steps run in the order in which they
+// BeforeStop adds a step to the planned stop. The steps run in the order in which they
 // were added, before the servers stop, and share the stop timeout.
 func (d *Daemon) BeforeStop(step func(context.Context)) {
 	d.beforeStop = append(d.beforeStop, step)
@@ -290,11 +290,11 @@
 	}
 }
 
-// Stop begins the graceful shutdown.
+// Stop begins the planned stop.
 func (d *Daemon) Stop() error { return d.application().Stop() }
 
 // Kill ends an embedded process as if its machine had failed: open connections break, and no
-// step of the graceful shutdown runs.
+// step of the planned stop runs.
 func (d *Daemon) Kill() error {
 	d.cancel()
 	return d.Server.Close()
--- a/internal/daemon/steps.go
+++ b/internal/daemon/steps.go
@@ -36,7 +36,7 @@
 // processStartedAt is when this operating-system process started, to within a few milliseconds.
 var processStartedAt = clock.Now()
 
-// startupSteps records which startupSteps of the startup are complete. It is safe for concurrent use.
+// startupSteps records which steps of the startup are complete. It is safe for concurrent use.
 type startupSteps struct {
 	startedAt time.Time
 	seconds   *prometheus.GaugeVec
@@ -80,8 +80,9 @@
 	}
 }
 
-// SetFleetKnown completes the steps for an update of the fleet group's leader, after which a
-// configuration and workers are known or not.
+// SetFleetKnown is called after an update of the fleet group's leader and completes the steps that
+// follow from it: StepLeader always, StepConfiguration and StepWorkers if the process now has a
+// configuration and workers.
 func (d *Daemon) SetFleetKnown(configuration, workers bool) {
 	d.CompleteStep(StepLeader)
 	if configuration {
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -39,7 +39,7 @@
 	})
 }
 
-// FuzzBatchLine checks that the decoder of batch files turns any line into a valid item or a typed
+// FuzzBatchLine checks that the decoder of input files turns any line into a valid item or a typed
 // failure, and rejects a repeated custom_id.
 func FuzzBatchLine(f *testing.F) {
 	f.Add([]byte(`{"custom_id":"1","method":"POST","url":"/v1/chat/completions","body":{"model":"heron-8b","messages":[{"role":"user","content":"hello"}]}}`))
--- a/internal/httpheader/httpheader.go
+++ b/internal/httpheader/httpheader.go
@@ -27,8 +27,8 @@
 	NotRun string
 	// LastEvent carries the id of the last event that was received of a stream.
 	LastEvent string
-	// Load carries the load that a worker reports: running, waiting, slots and pace, separated by
-	// commas. The last two are optional.
+	// Load carries the load that a worker reports, see capacity.Report: running, waiting, slots and
+	// pace, separated by commas. The last two are optional.
 	Load string
 	// PromptParts lists the parts of the prompt as ID:TOKENS, separated by commas.
 	PromptParts string
--- a/internal/jobstate/file.go
+++ b/internal/jobstate/file.go
@@ -33,7 +33,7 @@
 	}
 	end := request.FirstLine + uint32(len(request.Lines))
 	if end <= record.Lines {
-		// The chunk was stored before: the caller resends it because the answer was lost.
+		// The chunk was stored before: the caller resends it because the response was lost.
 		return &wire.FileResponse{File: *record}, nil
 	}
 	if request.FirstLine != record.Lines {
--- a/internal/jobstate/job.go
+++ b/internal/jobstate/job.go
@@ -65,8 +65,8 @@
 }
 
 // answerRepeat answers a request whose idempotency key was used before: with the existing job if the
-// content is the same, with a conflict otherwise. Where the request names a file that no longer
-// exists (file is nil), it is the same content if the job was created from that file.
+// content is the same, with a conflict otherwise. A nil file means that the file in the request no
+// longer exists. The content then counts as the same if the job was created from a file with that id.
 func (m *Machine) answerRepeat(id string, file *wire.FileRecord, request *wire.CreateJobRequest) (*wire.JobResponse, error) {
 	first := m.jobs[id]
 	same := first.record.FileID == request.FileID && file == nil
--- a/internal/jobstate/leases.go
+++ b/internal/jobstate/leases.go
@@ -38,8 +38,9 @@
 	grantsFrom time.Time
 }
 
-// itemQueue holds the items of a running job that are not leased: the returned ones, whose lease was
-// given up or has expired, and all from next on. After a renewal it may also contain leased items.
+// itemQueue is the queue of a running job's items that wait for a lease. returned holds items whose
+// lease was given up or has expired; all items from next on have never been leased. After a renewal
+// adopts a lease, the queue may also contain the leased item; dequeue skips such items.
 type itemQueue struct {
 	next     uint32
 	returned []uint32
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -97,7 +97,7 @@
 	applyRetryInterval = 200 * time.Millisecond
 )
 
-// ApplyWithRetry sends a change, and sends it again with the same id while the answer is lost or
+// ApplyWithRetry sends a change, and sends it again with the same id while the response is lost or
 // control can't execute it, up to maxApplyAttempts times.
 func ApplyWithRetry(ctx context.Context, client *Client, change *Change) (*Applied, error) {
 	for attempt := 1; ; attempt++ {
--- a/internal/operator/types.go
+++ b/internal/operator/types.go
@@ -1,5 +1,5 @@
 // Package operator defines the operators' API: the JSON bodies of requests to gateways and of their
-// answers, and a client for the command line and automation.
+// responses, and a client for the command line and automation.
 package operator
 
 import (
@@ -40,7 +40,7 @@
 	Documents        []Document `json:"documents"`
 }
 
-// Applied is the answer to an accepted change.
+// Applied is the response to an accepted change.
 type Applied struct {
 	Revision uint64 `json:"revision"`
 	Repeated bool   `json:"repeated"`
--- a/internal/runlog/runlog.go
+++ b/internal/runlog/runlog.go
@@ -24,8 +24,9 @@
 type Second struct {
 	// At is the number of the second since the first event.
 	At int
-	// Arrived counts requests by their arrival. Rejected and Overloaded count those that were not
-	// run: Overloaded those rejected for lack of capacity, on arrival or while queued.
+	// Arrived counts the requests that arrived in the second and were answered later. Rejected and
+	// Overloaded count those that were not run: Overloaded those rejected for lack of capacity, on
+	// arrival or while queued.
 	Arrived    int
 	Rejected   int
 	Overloaded int
--- a/internal/settings/fleet.go
+++ b/internal/settings/fleet.go
@@ -179,8 +179,8 @@
 	Seeds []string `json:"seeds"`
 	// Callers is the IP:port on which callers are served, empty for none.
 	Callers string `json:"callers"`
-	// FreezeTime is how long an edge serves requests by its last configuration while it reaches no
-	// coordinator; zero means without limit.
+	// FreezeTime is how long an edge serves requests with its last configuration while it reaches
+	// no coordinator; zero means without limit.
 	FreezeTime Duration `json:"freeze_time"`
 	// UnreadyTime is how long a stopping edge still accepts requests after it has become unready, so
 	// that callers can be directed to other edges.
--- a/internal/settings/roles.go
+++ b/internal/settings/roles.go
@@ -87,9 +87,9 @@
 	MaxRequests int `json:"max_requests"`
 	// MaxBodyBytes bounds the body of an online request.
 	MaxBodyBytes int `json:"max_body_bytes"`
-	// MaxLineBytes bounds the length of a line of a job's file.
+	// MaxLineBytes bounds the length of a line of a job's input file.
 	MaxLineBytes int `json:"max_line_bytes"`
-	// MaxFileLines bounds the number of lines of a job's file.
+	// MaxFileLines bounds the number of lines of a job's input file.
 	MaxFileLines int `json:"max_file_lines"`
 	// MaxUploads bounds the uploads in progress; each buffers one chunk of lines.
 	MaxUploads int `json:"max_uploads"`
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -38,14 +38,14 @@
 
 // Check records that the process runs now. It returns the start and the end of the last stall, both
 // zero if there was none, and whether this call detected it.
-func (d *Detector) Check(now time.Time) (from, until time.Time, noticed bool) {
+func (d *Detector) Check(now time.Time) (from, until time.Time, detected bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if now.Sub(d.lastCheck) >= MinDuration {
-		d.stallStart, d.stallEnd, noticed = d.lastCheck, now, true
+		d.stallStart, d.stallEnd, detected = d.lastCheck, now, true
 	}
 	if now.After(d.lastCheck) {
 		d.lastCheck = now
 	}
-	return d.stallStart, d.stallEnd, noticed
+	return d.stallStart, d.stallEnd, detected
 }
--- a/internal/stall/stall_test.go
+++ b/internal/stall/stall_test.go
@@ -11,7 +11,7 @@
 	for _, step := range []struct {
 		name             string
 		now, from, until int
-		noticed          bool
+		detected         bool
 	}{
 		{"regular check", 50, -1, -1, false},
 		{"delay below the minimum", 549, -1, -1, false},
@@ -20,15 +20,15 @@
 		{"check with an earlier time, delayed by the lock", 1055, 549, 1049, false},
 		{"second stall", 9000, 1060, 9000, true},
 	} {
-		from, until, noticed := detector.Check(at(step.now))
+		from, until, detected := detector.Check(at(step.now))
 		want := func(millis int) time.Time {
 			if millis < 0 {
 				return time.Time{}
 			}
 			return at(millis)
 		}
-		if !from.Equal(want(step.from)) || !until.Equal(want(step.until)) || noticed != step.noticed {
-			t.Errorf("%s: from %v until %v, noticed %t", step.name, from, until, noticed)
+		if !from.Equal(want(step.from)) || !until.Equal(want(step.until)) || detected != step.detected {
+			t.Errorf("%s: from %v until %v, detected %t", step.name, from, until, detected)
 		}
 	}
 }
--- a/internal/storeclient/client_test.go
+++ b/internal/storeclient/client_test.go
@@ -177,10 +177,10 @@
 	return func() *wire.FleetView { return view }
 }
 
-// TestTheLeaderOfTheViewIsAskedFirst calls a group in a fleet with many stores that are not members
+// TestLeaderInViewIsCalledFirst calls a group in a fleet with many stores that are not members
 // of it. The leader in the view must be called first. If it no longer leads, the new leader must be
 // found among the members, without calls to the other stores.
-func TestTheLeaderOfTheViewIsAskedFirst(t *testing.T) {
+func TestLeaderInViewIsCalledFirst(t *testing.T) {
 	accept := func(*store) (msgp.Marshaler, error) { return &wire.BatchResult{}, nil }
 	nonMember := startStore(t, func(*store) (msgp.Marshaler, error) {
 		return nil, failure.New(failure.NotRun, "ask the leader", "it does not lead")
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -68,8 +68,9 @@
 	maps.Copy(m.zones, zones)
 }
 
-// maxZones bounds the number of known addresses, which take about 2 MB. Beyond it all addresses are
-// dropped and learned again; until then, exchanges count for an unknown zone.
+// maxZones bounds the number of known addresses, so that they take about 2 MB. When there are more,
+// AddZones drops all of them and starts over. Exchanges with an address count for an unknown zone
+// until the address is added again.
 const maxZones = 1 << 15
 
 // Add counts an exchange with the process at the address, with the bytes sent and received.
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -142,7 +142,7 @@
 	}
 }
 
-func TestBrokenAnswersAreNeverWhole(t *testing.T) {
+func TestBrokenResponseIsNeverComplete(t *testing.T) {
 	cases := map[string]string{
 		"cut within the length": "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab",
 		"cut within a chunk":    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab",
@@ -213,9 +213,10 @@
 	}
 }
 
-// TestEarlyAnswer checks that a connection is not reused if the worker responded before it had read
-// the whole body. Otherwise the worker would take the rest of the body for the next request.
-func TestEarlyAnswer(t *testing.T) {
+// TestEarlyResponseClosesConnection checks that a connection is not reused if the worker responded
+// before it had read the whole body. Otherwise the worker would take the rest of the body for the
+// next request.
+func TestEarlyResponseClosesConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/wire/batch.go
+++ b/internal/wire/batch.go
@@ -56,7 +56,7 @@
 	ItemAbandoned
 )
 
-// String returns the state as used in answers to callers and in logs.
+// String returns the state as used in responses to callers and in logs.
 func (s ItemState) String() string {
 	names := [...]string{"waiting", "completed", "abandoned"}
 	if int(s) >= len(names) {
@@ -85,8 +85,8 @@
 	// Failures is the number of failed attempts.
 	Failures int `msg:"failures"`
 	// Chain identifies a sequence of runs of the item at one store, each of which continues
-	// where the previous one stopped. Opens is set in the first record of a chain, which
-	// continues from the progress in the log.
+	// where the previous one stopped. Opens is set in the first record of a chain: the
+	// chain's first run continues from the progress that was in the log.
 	Chain uint64 `msg:"chain"`
 	Opens bool   `msg:"opens"`
 }
@@ -96,7 +96,7 @@
 	ID string `msg:"id"`
 }
 
-// BatchResult is the answer to a BatchCommand.
+// BatchResult is the response to a BatchCommand.
 type BatchResult struct {
 	Failure *Failure `msg:"failure"`
 	// Repeated is set if the job had been accepted before.
@@ -138,7 +138,7 @@
 	Since int    `msg:"since"`
 	// WaitMillis is how long the call may wait for a result.
 	WaitMillis int64 `msg:"wait_millis"`
-	// MaxBytes limits the total size of the answer's texts. The answer holds at least one
+	// MaxBytes limits the total size of the response's texts. The response holds at least one
 	// result if there is any.
 	MaxBytes int `msg:"max_bytes"`
 }
--- a/internal/wire/configuration.go
+++ b/internal/wire/configuration.go
@@ -22,7 +22,7 @@
 
 // ApplyRequest changes configuration documents atomically: all or none.
 type ApplyRequest struct {
-	// ChangeID identifies the change; sending it again returns the first answer.
+	// ChangeID identifies the change; sending it again returns the first response.
 	ChangeID string `msg:"change"`
 	// ExpectedRevision is the revision that the change is based on.
 	ExpectedRevision uint64     `msg:"expected_revision"`
@@ -30,7 +30,7 @@
 	Documents        []Document `msg:"documents"`
 }
 
-// ApplyResponse is the answer to an accepted change.
+// ApplyResponse is the response to an accepted change.
 type ApplyResponse struct {
 	Revision uint64 `msg:"revision" json:"revision"`
 	// Repeated is set if the change had been accepted before.
@@ -84,7 +84,7 @@
 	Forget      []string     `msg:"forget"`
 }
 
-// MetaResult is the answer of the meta group's state machine to a command.
+// MetaResult is the response of the meta group's state machine to a command.
 type MetaResult struct {
 	Failure     *Failure       `msg:"failure"`
 	Apply       *ApplyResponse `msg:"apply"`
--- a/internal/wire/control.go
+++ b/internal/wire/control.go
@@ -74,7 +74,7 @@
 	Assignments []Assignment `msg:"assignments"`
 	// JobGroups is the number of job groups.
 	JobGroups int `msg:"job_groups"`
-	// Gateways is the number of running gateways, which share tenants' limits; zero if
+	// Gateways is the number of live gateways, which share tenants' limits; zero if
 	// control does not know it.
 	Gateways int  `msg:"gateways"`
 	Drain    bool `msg:"drain"`
--- a/internal/wire/fleet.go
+++ b/internal/wire/fleet.go
@@ -38,7 +38,7 @@
 	Counted int `msg:"counted"`
 }
 
-// FleetResult is the answer to a FleetCommand.
+// FleetResult is the response to a FleetCommand.
 type FleetResult struct {
 	Failure *Failure `msg:"failure"`
 	// Version is the configuration in force after the command.
@@ -140,7 +140,7 @@
 	Coordinators []string     `msg:"coordinators"`
 	// Relays lists the coordinators that answer polls of edges, including the leader.
 	Relays []ProcessAddress `msg:"relays"`
-	// Stores lists the running stores, ordered by name.
+	// Stores lists the live stores, ordered by name.
 	Stores []ProcessAddress `msg:"stores"`
 	// Groups holds the addresses of the store groups, indexed by the group's number, as far as
 	// they are known. A leader may have changed since.
--- a/internal/wire/generation.go
+++ b/internal/wire/generation.go
@@ -6,7 +6,7 @@
 //
 // New fields may be added to a message, because older readers ignore them; a released field
 // keeps its name and type. A sender checks the generation of the reader, which comes with each
-// call (package rpc), only where an older reader needs a different answer.
+// call (package rpc), only where an older reader needs a different response.
 type Generation uint8
 
 const (
--- a/internal/wire/jobs.go
+++ b/internal/wire/jobs.go
@@ -59,7 +59,7 @@
 	Tenant string `msg:"tenant"`
 }
 
-// FileResponse is the answer to the requests that create, change or read a file's record.
+// FileResponse is the response to the requests that create, change or read a file's record.
 type FileResponse struct {
 	File FileRecord `msg:"file"`
 }
@@ -247,7 +247,7 @@
 	Items       []LeasedItem `msg:"items"`
 	Stop        []ItemRef    `msg:"stop"`
 	LeaseMillis int64        `msg:"lease"`
-	// IdleMillis is the time to wait before the next request after an answer without items.
+	// IdleMillis is the time to wait before the next request after a response without items.
 	IdleMillis int64 `msg:"idle"`
 }
 
@@ -280,7 +280,7 @@
 	Expire       bool                  `msg:"expire"`
 }
 
-// JobResult is the answer of a job group's state machine to a command.
+// JobResult is the response of a job group's state machine to a command.
 type JobResult struct {
 	Failure  *Failure               `msg:"failure"`
 	File     *FileResponse          `msg:"file"`
--- a/internal/wire/load.go
+++ b/internal/wire/load.go
@@ -10,10 +10,10 @@
 	// Source is the hash of the sender's name.
 	Source  uint32
 	Workers []WorkerLoad
-	// Hub is set in answers of a process that is not the hub: the address of the hub.
+	// Hub is set in responses of a process that is not the hub: the address of the hub.
 	Hub string
 	// Sources is the number of processes that report loads: all of them in the top hub's
-	// answers, those of the zone in a zone's sums.
+	// responses, those of the zone in a zone's sums.
 	Sources uint16
 	// Waiting is set by stores: the number of items that could start.
 	Waiting uint32
@@ -27,38 +27,38 @@
 	// Quiet is set in reports that the hub must not answer.
 	Quiet bool
 	// Zone is set in reports of processes that serve callers: the zone whose workers each
-	// answer covers.
+	// response covers.
 	Zone string
-	// Part is set in answers that omit workers of other zones.
+	// Part is set in responses that omit workers of other zones.
 	Part bool
 	// Tokens are the requests of a process that serves callers for tokens of tenants' limits,
-	// and Verdicts the answers.
+	// and Verdicts the responses.
 	Tokens   []TokenQuestion
 	Verdicts []TokenVerdict
 	// Tenants is the update on tenants' limits that a zone's hub and the top hub send each
 	// other, nil for none.
 	Tenants *TenantNews
 	// Choosing is set in reports of processes that are about to choose a worker. In a large
-	// zone, only the answers to these reports hold loads of workers. Asked holds the hashes of
-	// the ids of workers whose loads the process needs.
+	// zone, only the responses to these reports hold loads of workers. Asked holds the hashes
+	// of the ids of workers whose loads the process needs.
 	Choosing bool
 	Asked    []uint32
-	// Drawn is set in answers that hold only a sample of the workers: they say nothing about
+	// Drawn is set in responses that hold only a sample of the workers: they say nothing about
 	// workers that are not listed.
 	Drawn bool
-	// Rest is set in the top hub's answers. It covers the workers that are not listed because
-	// they have no load: the number of online requests that they answer in ten seconds.
+	// Rest is set in the top hub's responses: the number of online requests that the workers
+	// without load, which are not listed, answer in ten seconds in total.
 	Rest uint32
 	// Proofs is set in reports to hubs: the results of probes, that is, of requests that were
 	// sent to avoided workers to find out whether they are healthy again.
 	Proofs []WorkerProof
 	// Repeatable is set in reports of processes that are about to choose a worker for a request
-	// that may run more than once. Probes is set in answers to these: the hashes of the ids of
+	// that may run more than once. Probes is set in the responses: the hashes of the ids of
 	// avoided workers, one of which the request may probe.
 	Repeatable bool
 	Probes     []uint32
 	// Claims are the claims on scarce capacity by requests of a process that serves callers,
-	// and Standings the answers to claims of tenants that are over their share.
+	// and Standings the responses to claims of tenants that are over their share.
 	Claims    []RoomClaim
 	Standings []RoomStanding
 	// Begun and Short count the requests of such a process since its start: Begun those that a
@@ -173,7 +173,7 @@
 	Back bool
 }
 
-// TokenVerdict is the answer to a TokenQuestion.
+// TokenVerdict is the response to a TokenQuestion.
 //
 //msgp:tuple TokenVerdict
 type TokenVerdict struct {
@@ -197,11 +197,11 @@
 	Rank   int32
 }
 
-// RoomRateParts is the number by which a rate of one request per second is sent in a
-// RoomStanding.
+// RoomRateParts is the number of units of a RoomStanding's rates that make up one request per
+// second.
 const RoomRateParts = 10
 
-// RoomStanding is the answer to a RoomClaim of a tenant that is over its share. If a claim gets
+// RoomStanding is the response to a RoomClaim of a tenant over its share. If a claim gets
 // no standing, the tenant is within its share or the hub is of an older build.
 //
 //msgp:tuple RoomStanding
@@ -291,14 +291,14 @@
 	// Rate is set by the hub: the number of online requests that the worker answers in ten
 	// seconds.
 	Rate uint16
-	// Start and Stop are set by the hub in answers to stores: the number of items that the
+	// Start and Stop are set by the hub in responses to stores: the number of items that the
 	// store may start at the worker until its next report, and the number that it must stop
-	// there. Start is also set in answers to zones' hubs, for an avoided worker that no item
+	// there. Start is also set in responses to zones' hubs, for an avoided worker that no item
 	// probes: one online request may then probe it.
 	Start uint16
 	Stop  uint16
 	// Orphans is set by the hub: the estimated number of requests at the worker that belong
-	// to no running process.
+	// to no live process.
 	Orphans uint16
 	// Failing is set by the hub if the worker fails too many requests.
 	Failing bool
--- a/internal/wire/quarantine.go
+++ b/internal/wire/quarantine.go
@@ -32,7 +32,7 @@
 	Known uint64 `msg:"known"`
 }
 
-// QuarantineAnswer is the answer to a QuarantineReport.
+// QuarantineAnswer is the response to a QuarantineReport.
 type QuarantineAnswer struct {
 	News QuarantineNews `msg:"news"`
 	// Granted is set if the requesting process may try the request once. Otherwise WaitMillis
@@ -50,7 +50,7 @@
 }
 
 // Urgent reports whether the update may change which requests are rejected. Changes of requests
-// that are only suspected can wait for the next answer.
+// that are only suspected can wait for the next response.
 func (n *QuarantineNews) Urgent() bool {
 	return n.Whole || slices.ContainsFunc(n.Rows, func(row QuarantineRow) bool { return row.Refused || len(row.Ended) == 0 })
 }
