--- a/internal/simulation/connection.go
+++ b/internal/simulation/connection.go
@@ -41,7 +41,7 @@
 		return
 	}
 	for len(c.pending) > 0 && !c.retrying {
-		if w.network.drops(c.from, c.to) {
+		if w.network.isCut(c.from, c.to) {
 			c.retrying = true
 			w.clock.after(retransmitDelay, func() {
 				c.retrying = false
--- a/internal/simulation/control.go
+++ b/internal/simulation/control.go
@@ -224,8 +224,8 @@
 	})
 }
 
-// plan proposes the changes of assignments that the leader of the meta group plans, one command at
-// a time.
+// plan proposes the next changes of assignments if this process leads the meta group. It waits for
+// the result of one command before it proposes another.
 func (c *controlProcess) plan() {
 	if c.planning {
 		return
--- a/internal/simulation/experiment_report.go
+++ b/internal/simulation/experiment_report.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// millisOf returns a percentile of the time to the first token, or else between tokens, in
-// milliseconds.
+// millisOf returns a percentile in milliseconds: of the time to the first token if first is set,
+// otherwise of the time between tokens.
 func millisOf(m *Measurement, first bool, percentile float64) float64 {
 	if m == nil {
 		return 0
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -86,8 +86,7 @@
 // usesAllDestructive names the kinds that alone erase as many disks as the voters can survive.
 var usesAllDestructive = map[string]bool{"second_loss_after_repair": true, "rolling_disk_loss": true}
 
-// DefaultFaultKinds returns the names of the kinds of faults that a run may draw without naming
-// them.
+// DefaultFaultKinds returns the names of all kinds of faults except the explicitOnly ones.
 func DefaultFaultKinds() []string {
 	var names []string
 	for _, name := range AllFaultKinds() {
@@ -147,7 +146,8 @@
 			if !kind.inject(w, fault) {
 				return
 			}
-			// Faults in answers and in the platform's list are counted each time they change one.
+			// Faults in answers and in the platform's list are counted where they take effect: once for
+			// each event or list that they change.
 			if !strings.HasPrefix(fault.Kind, "answers_") && fault.Kind != "platform_contradicts" {
 				w.faults.record(fault.Kind)
 			}
--- a/internal/simulation/faults_control.go
+++ b/internal/simulation/faults_control.go
@@ -216,7 +216,9 @@
 	rollingRestart = 200 * time.Millisecond
 )
 
-// whenRepaired calls then once no group has the lost replica as a voter any more.
+// whenRepaired calls then once the process runs again and no group has the lost replica as a voter
+// any more. It doesn't wait for the groups if the process came back with the lost identity, as under
+// MutationKeepIdentity, and it gives up at the recovery deadline.
 func (w *World) whenRepaired(lost uint64, c *controlProcess, then func()) {
 	if w.clock.now.After(w.recoveryDeadline) {
 		return
@@ -271,8 +273,8 @@
 	return true
 }
 
-// injectOperatorsRace sends changes in pairs, both of a pair at the same time and most likely based
-// on the same revision.
+// injectOperatorsRace sends pairs of changes. The two of a pair are sent at the same time, so that
+// they are most likely based on the same revision.
 func injectOperatorsRace(w *World, fault Fault) bool {
 	for i := 0; i < raceChanges; i++ {
 		w.clock.after(time.Duration(i/2)*50*time.Millisecond, func() {
--- a/internal/simulation/gateway.go
+++ b/internal/simulation/gateway.go
@@ -71,7 +71,8 @@
 	}
 }
 
-// relay runs one online request through one dispatcher after another.
+// relay runs one online request through one dispatcher after another. streamNumber numbers its
+// streams: what arrives on any but the current one is ignored.
 type relay struct {
 	gateway      *gatewayProcess
 	request      wire.GenerateRequest
@@ -186,7 +187,7 @@
 			onFailure(errStreamCut)
 		}
 	}
-	if w.network.drops(&g.process, &d.process) {
+	if w.network.isCut(&g.process, &d.process) {
 		w.timer(&g.process, connectTimeout, func() {
 			if current() {
 				r.streamNumber++
--- a/internal/simulation/items.go
+++ b/internal/simulation/items.go
@@ -129,7 +129,8 @@
 	for _, ref := range s.refs(group) {
 		item := s.leased[ref]
 		if item == nil {
-			// Dropping another item has dropped this one too.
+			// Dropping an earlier item steps the scheduler, which may reject the attempt of this one.
+			// A rejected item is no longer in leased.
 			continue
 		}
 		if !item.lease.Valid(s.dispatcher.world.clock.now) && s.dispatcher.world.mutation != MutationIgnoreCancel {
--- a/internal/simulation/ledger.go
+++ b/internal/simulation/ledger.go
@@ -74,7 +74,7 @@
 	hash uint64
 }
 
-// acceptedRevision is a revision with the moment at which its operator got the answer.
+// acceptedRevision is an accepted revision and when its operator got the answer.
 type acceptedRevision struct {
 	revision uint64
 	at       time.Time
@@ -183,7 +183,9 @@
 	x.measurement.Goodput[second]++
 }
 
-// attemptStarted records and checks that an engine has started an attempt.
+// attemptStarted records that an engine starts an attempt. It checks the epoch of the attempt, that
+// a request that must not be repeated is started at most once, and that no request is started after it has
+// failed with NotRun.
 func (l *ledger) attemptStarted(e *engineProcess, request *engine.GenerateRequest) {
 	if request.Epoch < e.fencingEpoch {
 		l.violate("fencing", "engine %s accepted an attempt of epoch %d after epoch %d", e.name, request.Epoch, e.fencingEpoch)
@@ -200,8 +202,8 @@
 	}
 }
 
-// checkBatchAttempt checks that the job of a batch attempt that an engine runs was not cancelled
-// longer ago than the bound.
+// checkBatchAttempt checks a batch attempt that still runs on an engine: its job must not have been
+// cancelled more than cancelBound ago, or faultFreeCancelBound before the first fault.
 func (l *ledger) checkBatchAttempt(attemptID string) {
 	job := l.jobsByID[jobOf(attemptID)]
 	if job == nil || job.cancelledAt.IsZero() {
@@ -228,12 +230,12 @@
 
 // jobOf returns the id of the job that a batch attempt belongs to.
 func jobOf(attemptID string) string {
-	item, _, _ := strings.Cut(attemptID, "@")
-	return item[:max(0, strings.LastIndexByte(item, '-'))]
+	requestID, _, _ := strings.Cut(attemptID, "@")
+	return requestID[:max(0, strings.LastIndexByte(requestID, '-'))]
 }
 
-// checkWorkSent checks that a worker to which a dispatcher sends work has not been leaving for
-// longer than leavingBound.
+// checkWorkSent checks that no dispatcher sends work to a worker that began to leave more than
+// leavingBound ago.
 func (l *ledger) checkWorkSent(d *dispatcherProcess, worker string) {
 	since, leaving := l.leavingSince[worker]
 	if leaving && l.clock.now.Sub(since) > leavingBound {
@@ -241,7 +243,8 @@
 	}
 }
 
-// checkBlocked checks how long online work has waited on an engine while batch work ran there.
+// checkBlocked checks that online work waits on an engine at most for blockedBound while batch work
+// runs there. Variants that leave the order of work to the engines are not checked.
 func (l *ledger) checkBlocked(e *engineProcess, duration time.Duration) {
 	if duration > blockedBound && !e.world.variant.EnginePriorities {
 		l.violate("online before batch", "online work waited %s on %s while batch work ran", duration, e.name)
@@ -249,7 +252,8 @@
 	}
 }
 
-// workerClaimed records and checks that a dispatcher has become the owner of a worker.
+// workerClaimed records that a dispatcher has claimed a worker, and checks that the epoch of the
+// claim is not older than the worker's.
 func (l *ledger) workerClaimed(e *engineProcess, newEpoch uint64) {
 	if newEpoch < e.fencingEpoch {
 		l.violate("fencing", "engine %s had epoch %d and was claimed with the older epoch %d", e.name, e.fencingEpoch, newEpoch)
@@ -349,8 +353,9 @@
 	job.results = results
 }
 
-// hasFinalState reports whether the stored job has reached a final state that fits what its caller
-// did.
+// hasFinalState reports whether the stored job has reached its final state: cancelled if
+// the answer to a cancel confirmed it, otherwise completed. If a cancel was requested but not
+// confirmed, both are allowed.
 func (job *jobRecord) hasFinalState(record *wire.JobRecord) bool {
 	if !job.cancelledAt.IsZero() {
 		return record.State == wire.JobCancelled
@@ -392,7 +397,8 @@
 	}
 }
 
-// revisionInForce records and checks that a daemon moved from one revision to another.
+// revisionInForce records the revision that a daemon has in force, and checks that it never goes
+// back while the daemon runs.
 func (l *ledger) revisionInForce(daemon string, incarnation, before, current uint64) {
 	name := fmt.Sprintf("%s/%d", daemon, incarnation)
 	if current < before || current < l.revisions[name] {
@@ -402,8 +408,8 @@
 	l.timings.inForce(l.clock.now, daemon, current)
 }
 
-// checkRevisionUsed checks that a daemon doesn't act on a revision if a newer one was accepted more
-// than configurationBound ago.
+// checkRevisionUsed checks a revision on which a daemon acts: no newer one may have been accepted
+// more than configurationBound ago.
 func (l *ledger) checkRevisionUsed(daemon string, revision uint64) {
 	for i := len(l.accepted) - 1; i >= 0; i-- {
 		change := &l.accepted[i]
--- a/internal/simulation/prove.go
+++ b/internal/simulation/prove.go
@@ -96,9 +96,9 @@
 	return detected
 }
 
-func (p MutationCheck) profiles() []Profile {
+func (c MutationCheck) profiles() []Profile {
 	adjust := stressProfile
-	if p.BatchOnly {
+	if c.BatchOnly {
 		adjust = batchProfile
 	}
 	return []Profile{adjust(Profiles()["stundir"]), adjust(Profiles()["kotare"])}
--- a/internal/simulation/session.go
+++ b/internal/simulation/session.go
@@ -30,11 +30,12 @@
 	viewChanges       int
 	assignments       []wire.Assignment
 	assignmentVersion uint64
-	draining          bool
-	leaving           bool
-	fillHeartbeat     func(*wire.HeartbeatRequest)
-	onUpdate          func()
-	heartbeatPending  bool
+	// draining is set when a dispatcher begins a planned stop, leaving when a daemon ends one.
+	draining         bool
+	leaving          bool
+	fillHeartbeat    func(*wire.HeartbeatRequest)
+	onUpdate         func()
+	heartbeatPending bool
 }
 
 // newSession starts the heartbeats of a restarted daemon. previous is its session before the
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// TestBusyFleet runs overloaded fleets, in which batch work is preempted often, and expects no
-// violation.
+// TestBusyFleet runs overloaded fleets, in which batch work is preempted all the time. It expects no
+// violation, and at least one preemption.
 func TestBusyFleet(t *testing.T) {
 	profiles := []Profile{stressProfile(Profiles()["stundir"]), stressProfile(Profiles()["kotare"])}
 	summary := Sweep{FirstSeed: 1, LastSeed: 10, Profiles: profiles, FaultKinds: DefaultFaultKinds()}.Run()
@@ -47,7 +47,8 @@
 	}
 }
 
-// TestSameSeedSameRun checks that two runs of a seed have the same result.
+// TestSameSeedSameRun checks that two runs of a seed have the same result, so that a failing seed
+// can be replayed.
 func TestSameSeedSameRun(t *testing.T) {
 	options := Options{Profile: Profiles()["kotare"], Seed: 7, FaultKinds: DefaultFaultKinds()}
 	first, second := Run(options), Run(options)
@@ -56,7 +57,8 @@
 	}
 }
 
-// TestMutationsTurnRed disables each mechanism and expects its check to fail in some run.
+// TestMutationsTurnRed disables each mechanism and expects that its check is the first to fail in
+// some run.
 func TestMutationsTurnRed(t *testing.T) {
 	for _, check := range MutationChecks() {
 		t.Run(string(check.Mutation), func(t *testing.T) {
--- a/internal/simulation/timings.go
+++ b/internal/simulation/timings.go
@@ -17,7 +17,7 @@
 	// until a dispatcher claims the worker again.
 	WorkerReassignment []time.Duration
 	// InForce holds the times from a change's commit until it is in force at every daemon that
-	// serves, of changes during which no fault was active.
+	// serves, for changes during which no fault was active.
 	InForce []time.Duration
 
 	leaderless     map[int]leaderLoss
@@ -25,7 +25,7 @@
 	pending        []*pendingRevision
 	servingDaemons func() []string
 	faulty         func() bool
-	// InForceUnderFault holds the same times of changes during which a fault was active.
+	// InForceUnderFault holds the same times for changes during which a fault was active.
 	InForceUnderFault []time.Duration
 	lastRevision      uint64
 	revisionOf        map[string]uint64
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -117,8 +117,8 @@
 	return delay
 }
 
-// drops reports whether the link is cut in this direction.
-func (n *network) drops(from, to *process) bool {
+// isCut reports whether the link is cut in this direction.
+func (n *network) isCut(from, to *process) bool {
 	return n.cutLinks[[2]string{from.name, to.name}]
 }
 
@@ -148,10 +148,10 @@
 	})
 }
 
-// transmit sends a message. onRefused, if set, runs at the sender if no process listens at the
-// other end.
+// transmit sends a message, which is lost if the link is cut. onRefused, if set, runs at the sender
+// if no process listens at the other end.
 func (w *World) transmit(from, to *process, deliver, onRefused func()) {
-	if w.network.drops(from, to) {
+	if w.network.isCut(from, to) {
 		return
 	}
 	w.clock.after(w.network.delay(from, to), func() {
@@ -159,7 +159,7 @@
 			w.enter(to, to.generation, deliver)
 			return
 		}
-		if onRefused != nil && !w.network.drops(to, from) {
+		if onRefused != nil && !w.network.isCut(to, from) {
 			w.timer(from, w.network.delay(to, from), onRefused)
 		}
 	})
--- a/internal/simulation/world_run.go
+++ b/internal/simulation/world_run.go
@@ -262,8 +262,8 @@
 	return append(all, &w.platform.process)
 }
 
-// servingDaemons returns the names of the daemons that serve. The others reject work, so that they
-// don't use their configuration.
+// servingDaemons returns the names of the daemons that serve. The others reject work, and so don't
+// use their configuration.
 func (w *World) servingDaemons() []string {
 	var names []string
 	for _, d := range w.dispatchers {
