--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -36,7 +36,7 @@
 }
 
 // crash returns the disk as the restarted process finds it: a random number of the unsynced writes
-// has survived.
+// has survived, or none if the disk skips syncs.
 func (d *disk) crash(random *rand.Rand) *disk {
 	surviving := random.IntN(d.Unsynced() + 1)
 	if d.skipsSync {
--- a/internal/simulation/session.go
+++ b/internal/simulation/session.go
@@ -38,8 +38,8 @@
 	heartbeatPending bool
 }
 
-// newSession starts the heartbeats of a restarted daemon. previous is its session before the
-// restart, which only a mutation uses.
+// newSession returns the session of a daemon that starts, and begins its heartbeats. previous is the
+// session before a restart, or nil; only MutationStaleConfiguration uses it.
 func (w *World) newSession(p *process, role wire.Role, previous *session) *session {
 	w.incarnations++
 	s := &session{
