--- a/internal/simulation/session.go
+++ b/internal/simulation/session.go
@@ -30,15 +30,16 @@
 	viewChanges       int
 	assignments       []wire.Assignment
 	assignmentVersion uint64
-	draining          bool
-	leaving           bool
-	fillHeartbeat     func(*wire.HeartbeatRequest)
-	onUpdate          func()
-	heartbeatPending  bool
+	// draining is set when a dispatcher begins a planned stop, leaving when a daemon ends one.
+	draining         bool
+	leaving          bool
+	fillHeartbeat    func(*wire.HeartbeatRequest)
+	onUpdate         func()
+	heartbeatPending bool
 }
 
-// newSession starts the heartbeats of a restarted daemon. previous is its session before the
-// restart, which only a mutation uses.
+// newSession returns the session of a daemon that starts, and begins its heartbeats. previous is the
+// session before a restart, or nil; only MutationStaleConfiguration uses it.
 func (w *World) newSession(p *process, role wire.Role, previous *session) *session {
 	w.incarnations++
 	s := &session{
