--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -67,7 +67,7 @@
 // processes.
 var leaseFiles = []string{
 	"../replication/host.go", "../replication/reads.go", "../controlclient/session.go",
-	"../fleetwatch/watcher.go", "../batchstore/runner.go", "../batchstore/spread.go",
+	"../fleetwatch/watcher.go", "../batchstore/runner.go", "../batchstore/rebalance.go",
 	"../loadshare/datagrams.go",
 }
 
