--- a/internal/fleetsim/builds.go
+++ b/internal/fleetsim/builds.go
@@ -108,7 +108,7 @@
 		applied, table := statuses[0].AppliedIndex, coordinator.fleet.Quarantine().State()
 		other, found := states[applied]
 		if found && !reflect.DeepEqual(other.quarantine, table) {
-			w.ledger.violate("%s and %s have different quarantine states at log index %d: %+v, %+v", coordinator.name, other.name, applied, table, other.quarantine)
+			w.ledger.recordViolation("%s and %s have different quarantine states at log index %d: %+v, %+v", coordinator.name, other.name, applied, table, other.quarantine)
 		}
 		states[applied] = state{coordinator.name, table}
 	}
--- a/internal/fleetsim/edges.go
+++ b/internal/fleetsim/edges.go
@@ -26,9 +26,9 @@
 	// is sent again after reportTimeout.
 	reportInterval = 20 * time.Millisecond
 	reportTimeout  = 300 * time.Millisecond
-	// maxLateSends limits how often the edges of a run may send the crashing request too late. A
-	// send is too late if it comes more than settleTime after the exit that reaches
-	// quarantine.Threshold, and the edge and the coordinators have been undisturbed for settleTime.
+	// A send of the crashing request is late if it comes more than settleTime after the exit that
+	// reaches quarantine.Threshold. Only the sends of an edge that, like the coordinators, has been
+	// undisturbed for settleTime are counted: all edges of a run may make maxLateSends late ones.
 	settleTime   = 3 * time.Second
 	maxLateSends = 3
 	// coordinatorsOffAt is when all coordinators lose power once more, after the heal.
@@ -106,9 +106,9 @@
 	w.after(coordinatorsOffAt, w.powerOffCoordinators)
 }
 
-// powerOffCoordinators takes the power of all coordinators once more while there is no other
-// fault: what they knew about the crashing request must be on their disks. The bound on late
-// sends holds during this fault, too.
+// powerOffCoordinators powers off all coordinators once more while there is no other fault. What
+// they knew about the crashing request must be on their disks, so the bound on late sends holds
+// during this fault, too.
 func (w *World) powerOffCoordinators() {
 	w.log("power off all coordinators")
 	for _, coordinator := range w.machinesOf(kindCoordinator) {
@@ -204,7 +204,7 @@
 func (e *edge) reject(request quarantine.Fingerprint) {
 	at := e.world.now.Sub(startTime)
 	if request == harmlessRequest && at > serveCheckFrom && at < serveCheckUntil {
-		e.world.ledger.violate("%s rejects the harmless request", e.name)
+		e.world.ledger.recordViolation("%s rejects the harmless request", e.name)
 	}
 }
 
@@ -241,14 +241,14 @@
 }
 
 // recordCrashingSend counts the sends of the crashing request and checks the bound on those that
-// come too late after the exit that reached quarantine.Threshold.
+// are late.
 func (w *World) recordCrashingSend(e *edge) {
 	w.crashingSent++
 	if w.crashExits < quarantine.Threshold || !e.isUndisturbed() || w.now.Sub(w.thresholdExitAt) <= settleTime {
 		return
 	}
 	if w.crashingSentLate++; w.crashingSentLate > maxLateSends {
-		w.ledger.violate("after %d worker exits, %s sends the crashing request to another worker; late sends: %d", w.crashExits, e.name, w.crashingSentLate)
+		w.ledger.recordViolation("after %d worker exits, %s sends the crashing request to another worker; late sends: %d", w.crashExits, e.name, w.crashingSentLate)
 	}
 }
 
--- a/internal/fleetsim/faults.go
+++ b/internal/fleetsim/faults.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// freeze stops the process of a machine whose clocks go on. The process handles the messages that
-// arrive meanwhile after the freeze.
+// freeze stops the process of a machine while the machine's clocks continue. Messages that arrive
+// during the freeze are handled after it.
 func (w *World) freeze(m *machine, down time.Duration) {
 	if !m.alive {
 		return
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -25,8 +25,9 @@
 	}
 }
 
-// TestSeedsOnceRed runs seeds that once failed; each text names the fault that the seed found.
-func TestSeedsOnceRed(t *testing.T) {
+// TestSeedsThatFoundFaults runs seeds that once failed. Each text names the fault that the seed
+// found.
+func TestSeedsThatFoundFaults(t *testing.T) {
 	for seed, was := range map[uint64]string{
 		10184: "two stores were asked to drain at the same time, each as if it were the only one",
 		40821: "a store lost 2 s before counted as remaining when another one was asked to drain",
@@ -40,24 +41,24 @@
 	}
 }
 
-// TestSomethingHappens checks that a run changes configurations, accepts jobs, returns results and
+// TestRunsAreNotEmpty checks that a run changes configurations, accepts jobs, returns results and
 // injects faults, since the promises hold trivially in a run that does nothing.
-func TestSomethingHappens(t *testing.T) {
+func TestRunsAreNotEmpty(t *testing.T) {
 	world, _ := Run(1, MutationNone)
-	accepted, listed := 0, 0
+	accepted, resultCount := 0, 0
 	for _, known := range world.ledger.jobs {
 		if known.accepted {
 			accepted++
 		}
-		listed += len(known.results)
+		resultCount += len(known.results)
 	}
-	if world.ledger.acknowledged < 10 || accepted < 10 || listed < 20 || len(world.Log) < 10 {
-		t.Errorf("too little happened: version %d acknowledged, %d jobs accepted, %d results, %d log lines", world.ledger.acknowledged, accepted, listed, len(world.Log))
+	if world.ledger.acknowledged < 10 || accepted < 10 || resultCount < 20 || len(world.Log) < 10 {
+		t.Errorf("too little happened: version %d acknowledged, %d jobs accepted, %d results, %d log lines", world.ledger.acknowledged, accepted, resultCount, len(world.Log))
 	}
 }
 
-// TestMutationsAreSeen checks that for each mutation some seed reports a violation.
-func TestMutationsAreSeen(t *testing.T) {
+// TestMutationsAreDetected checks that for each mutation some seed reports a violation.
+func TestMutationsAreDetected(t *testing.T) {
 	for _, mutation := range Mutations {
 		t.Run(string(mutation), func(t *testing.T) {
 			for seed := uint64(1); seed <= 4*seeds; seed++ {
--- a/internal/fleetsim/ledger.go
+++ b/internal/fleetsim/ledger.go
@@ -56,8 +56,8 @@
 	return &ledger{world: w, jobs: map[string]*jobRecord{}, chains: newChains()}
 }
 
-// violate records a violation with its time in the run. Only the first five are kept.
-func (l *ledger) violate(format string, arguments ...any) {
+// recordViolation records a violation with its time in the run. Only the first five are kept.
+func (l *ledger) recordViolation(format string, arguments ...any) {
 	if len(l.violations) < 5 {
 		l.violations = append(l.violations, fmt.Sprintf("%.3f s: ", l.world.now.Sub(startTime).Seconds())+fmt.Sprintf(format, arguments...))
 	}
@@ -120,10 +120,10 @@
 func (l *ledger) checkConfiguration(m *machine) {
 	routes := m.fleet.Routes()
 	if routes.Version < l.acknowledged {
-		l.violate("%s reads version %d after %d was acknowledged", m.name, routes.Version, l.acknowledged)
+		l.recordViolation("%s reads version %d after %d was acknowledged", m.name, routes.Version, l.acknowledged)
 	}
 	if routes.Source != nil && string(routes.Source) != fmt.Sprintf("source %d", routes.Version) {
-		l.violate("%s reads %q under version %d", m.name, routes.Source, routes.Version)
+		l.recordViolation("%s reads %q under version %d", m.name, routes.Source, routes.Version)
 	}
 }
 
@@ -153,13 +153,13 @@
 			return
 		}
 		if _, err := result.UnmarshalMsg(answer); err != nil {
-			l.violate("the answer to a submission can't be decoded: %v", err)
+			l.recordViolation("the answer to a submission can't be decoded: %v", err)
 			return
 		}
 		if result.Failure == nil {
 			known.accepted = true
 		} else if known.accepted && !known.endRequested {
-			l.violate("%s was accepted before and is now rejected: %s", id, result.Failure.Message)
+			l.recordViolation("%s was accepted before and is now rejected: %s", id, result.Failure.Message)
 		}
 	})
 }
@@ -247,12 +247,12 @@
 		read, err := m.batch[group].Read(reader, id, 0, 1<<20)
 		if failure.Is(err, failure.NotFound) {
 			if known.accepted || len(known.results) > 0 {
-				l.violate("%s has lost job %s", m.name, id)
+				l.recordViolation("%s has lost job %s", m.name, id)
 			}
 			continue
 		}
 		if err != nil {
-			l.violate("%s can't read %s: %v", m.name, id, err)
+			l.recordViolation("%s can't read %s: %v", m.name, id, err)
 			continue
 		}
 		l.checkResults(m, id, known, read.Results)
@@ -265,7 +265,7 @@
 // checkOwner checks that a job belongs to the tenant that submitted it.
 func (l *ledger) checkOwner(m *machine, id string, known *jobRecord) {
 	if job, err := m.batch[groupOf(id)].Job(id); err == nil && job.Owner != known.owner {
-		l.violate("%s says that %q belongs to %q, not to %q", m.name, id, job.Owner, known.owner)
+		l.recordViolation("%s says that %q belongs to %q, not to %q", m.name, id, job.Owner, known.owner)
 	}
 }
 
@@ -284,7 +284,7 @@
 	})
 	for owner, tokens := range waiting {
 		if tokens > maxTokens {
-			l.violate("%s has %d waiting tokens of tenant %q, more than the quota of %d", m.name, tokens, owner, maxTokens)
+			l.recordViolation("%s has %d waiting tokens of tenant %q, more than the quota of %d", m.name, tokens, owner, maxTokens)
 		}
 	}
 }
@@ -293,7 +293,7 @@
 // item has two results.
 func (l *ledger) checkResults(m *machine, id string, known *jobRecord, results []wire.BatchResultRow) {
 	if len(results) < len(known.results) {
-		l.violate("%s lists %d results of %s, %d were read before", m.name, len(results), id, len(known.results))
+		l.recordViolation("%s lists %d results of %s, %d were read before", m.name, len(results), id, len(known.results))
 		return
 	}
 	if known.ended && len(results) > len(known.results) && len(known.results) > 0 && l.jobs[id].ended {
@@ -304,10 +304,10 @@
 	items := map[string]bool{}
 	for position, row := range results {
 		if position < len(known.results) && known.results[position] != row {
-			l.violate("result %d of %s changed from %+v to %+v", position, id, known.results[position], row)
+			l.recordViolation("result %d of %s changed from %+v to %+v", position, id, known.results[position], row)
 		}
 		if items[row.ID] {
-			l.violate("item %s has two results in %s", row.ID, id)
+			l.recordViolation("item %s has two results in %s", row.ID, id)
 		}
 		items[row.ID] = true
 		if row.State == wire.ItemCompleted {
@@ -321,7 +321,7 @@
 // text of the previous one ends.
 func (l *ledger) checkText(row wire.BatchResultRow) {
 	if fault := l.chains.textFault(row.ID, row.Text); fault != "" {
-		l.violate("%s has the text %q: %s", row.ID, row.Text, fault)
+		l.recordViolation("%s has the text %q: %s", row.ID, row.Text, fault)
 	}
 }
 
@@ -336,7 +336,7 @@
 		}
 		content, err := m.batch[groupOf(id)].Content(reader, id, number)
 		if err != nil || string(content.Body) != id {
-			l.violate("%s has lost the body of %s-%d: %v", m.name, id, number, err)
+			l.recordViolation("%s has lost the body of %s-%d: %v", m.name, id, number, err)
 		}
 	}
 }
@@ -346,15 +346,15 @@
 func (l *ledger) checkFinalState() {
 	for _, kind := range []kind{kindCoordinator, kindStore} {
 		if !l.world.repaired(kind) {
-			l.violate("at the end, a group lacks a leader or stable voters whose disks are all present")
+			l.recordViolation("at the end, a group lacks a leader or stable voters whose disks are all present")
 		}
 	}
 	if !l.checkReads(kindCoordinator, 0, func(m *machine, _ storage.Reader) { l.checkConfiguration(m) }) {
-		l.violate("no coordinator answers reads at the end")
+		l.recordViolation("no coordinator answers reads at the end")
 	}
 	for group := range groups {
 		if !l.checkReads(kindStore, group, func(m *machine, reader storage.Reader) { l.checkJobs(m, group, reader) }) {
-			l.violate("no store answers reads of group %d at the end", group)
+			l.recordViolation("no store answers reads of group %d at the end", group)
 		}
 	}
 }
--- a/internal/fleetsim/machine.go
+++ b/internal/fleetsim/machine.go
@@ -30,7 +30,7 @@
 	electionTimeout   = 500 * time.Millisecond
 	replaceAfter      = 1500 * time.Millisecond
 	rebalanceInterval = 700 * time.Millisecond
-	// groups is the number of store groups that placement.GroupsFor returns for this number of
+	// groups is the number of store groups that placement.GroupCount returns for this number of
 	// stores.
 	groups = 3
 	// logBytes is small, so that replicas that were down need snapshots.
@@ -152,7 +152,7 @@
 	}
 	node, err := replication.Open(options, m.clock())
 	if err != nil {
-		w.ledger.violate("%s can't open its disk: %v", m.name, err)
+		w.ledger.recordViolation("%s can't open its disk: %v", m.name, err)
 		m.alive = false
 		return
 	}
--- a/internal/fleetsim/suspend_test.go
+++ b/internal/fleetsim/suspend_test.go
@@ -8,7 +8,7 @@
 // the suspension, was then still in force seconds later. Meanwhile the others had elected a new
 // leader, which had committed a change. The resumed leader answered reads with the configuration
 // before that change until it learned of the new term, and a process took updates from before its
-// suspension for current.
+// suspension for current. With a clock that counts the suspension, the same seeds show no old read.
 func TestSuspendedMachines(t *testing.T) {
 	for seed := uint64(seeds + 1); seed <= 2*seeds; seed++ {
 		if world, violations := Run(seed, MutationNone); len(violations) > 0 {
--- a/test/cluster_test.go
+++ b/test/cluster_test.go
@@ -93,7 +93,7 @@
 	return p
 }
 
-// launch starts the program, after a restart at the same address as before.
+// launch starts or restarts the program. A restarted program listens at the same address as before.
 func (p *process) launch(t *testing.T) {
 	t.Helper()
 	logFile, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -116,7 +116,7 @@
 	exited := make(chan struct{})
 	p.exited = exited
 	go func() {
-		// The exit status is taken from ProcessState.
+		// The error of Wait is ignored, because ProcessState holds the exit status.
 		_ = p.command.Wait()
 		p.state = p.command.ProcessState
 		close(exited)
--- a/test/control_test.go
+++ b/test/control_test.go
@@ -19,8 +19,8 @@
 // fullSize is the fleet of the failure tests: five voters and one spare control process.
 var fullSize = clusterSize{controls: 6, engines: 6, dispatchers: 3, gateways: 3}
 
-// configWriter changes the configuration repeatedly and records the longest time between two accepted
-// changes.
+// configWriter changes the configuration repeatedly and records the longest time between two
+// accepted changes.
 type configWriter struct {
 	mutex      sync.Mutex
 	accepted   int
@@ -260,9 +260,9 @@
 	}
 }
 
-// TestTimeToForce measures the time from the acceptance of a change until it is in force at every
-// daemon. It logs the times and sets no bound.
-func TestTimeToForce(t *testing.T) {
+// TestTimeUntilInForce measures the time from the acceptance of a change until it is in force at
+// every daemon. It logs the times and sets no bound.
+func TestTimeUntilInForce(t *testing.T) {
 	ctx := testContext(t)
 	c := newCluster(t, ctx, fullSize)
 	c.waitVoters(t, ctx, 5)
--- a/test/engine_exits_test.go
+++ b/test/engine_exits_test.go
@@ -9,10 +9,10 @@
 	"github.com/sedgemast/sedgemast/internal/loadgen"
 )
 
-// TestPromptThatEndsEngines repeats a prompt that makes each engine exit that starts it. After
+// TestPromptThatMakesEnginesExit repeats a prompt that makes each engine exit that starts it. After
 // three exits the prompt must be quarantined, so most of the eight engines survive and serve other
 // prompts.
-func TestPromptThatEndsEngines(t *testing.T) {
+func TestPromptThatMakesEnginesExit(t *testing.T) {
 	ctx := testContext(t)
 	started, _, key := startEmbeddedWith(t, ctx, fleet.Options{Engines: 8, ExitOnPrompt: "ends its engine"})
 	client := loadgen.NewClient(started.Gateways[0].Address(), key)
--- a/test/hosted_test.go
+++ b/test/hosted_test.go
@@ -33,7 +33,7 @@
 // tolerate.
 func TestHostedFleet(t *testing.T) {
 	f := newHostedFleet(t, hostedWorkers)
-	front := f.address(f.machines["front-21"], portCallers)
+	edge := f.address(f.machines["front-21"], portCallers)
 	second := f.address(f.machines["front-22"], portCallers)
 	eventually(t, "the first configuration", func() bool { return f.putConfiguration("core-2", f.configuration(5, "")) == http.StatusOK })
 	for _, name := range []string{"front-21", "front-22"} {
@@ -43,15 +43,15 @@
 		})
 	}
 	t.Run("configuration", f.testConfiguration)
-	t.Run("stream", func(t *testing.T) { f.testStream(t, front) })
-	t.Run("resumed", func(t *testing.T) { f.testResumed(t, front) })
-	t.Run("once", func(t *testing.T) { f.testNotResumable(t, front) })
-	t.Run("not run", func(t *testing.T) { f.testNotRun(t, front) })
-	t.Run("wrong input", func(t *testing.T) { f.testWrongInput(t, front) })
-	t.Run("job over a killed store", func(t *testing.T) { f.testJob(t, front, second) })
-	t.Run("in force", func(t *testing.T) { f.testRouteUpdate(t, front, second) })
-	t.Run("failing worker", func(t *testing.T) { f.testFailingWorker(t, front) })
-	t.Run("leaving worker", func(t *testing.T) { f.testDraining(t, front) })
+	t.Run("stream", func(t *testing.T) { f.testStream(t, edge) })
+	t.Run("resumed", func(t *testing.T) { f.testResumed(t, edge) })
+	t.Run("once", func(t *testing.T) { f.testNotResumable(t, edge) })
+	t.Run("not run", func(t *testing.T) { f.testNotRun(t, edge) })
+	t.Run("wrong input", func(t *testing.T) { f.testWrongInput(t, edge) })
+	t.Run("job over a killed store", func(t *testing.T) { f.testJob(t, edge, second) })
+	t.Run("in force", func(t *testing.T) { f.testRouteUpdate(t, edge, second) })
+	t.Run("failing worker", func(t *testing.T) { f.testFailingWorker(t, edge) })
+	t.Run("leaving worker", func(t *testing.T) { f.testDraining(t, edge) })
 	t.Run("planned stop", func(t *testing.T) { f.testPlannedStop(t) })
 }
 
@@ -84,9 +84,9 @@
 	}
 }
 
-func (f *hostedFleet) testStream(t *testing.T, front string) {
+func (f *hostedFleet) testStream(t *testing.T, edge string) {
 	headers := map[string]string{"Request-Id": "r-1", "Token-Count": "10,6", "Deadline-Ms": "15000", "X-Other": "kept"}
-	status, header, body, err := f.call(http.MethodPost, front, "/stream/a?b=c%20d", headers, "prompt")
+	status, header, body, err := f.call(http.MethodPost, edge, "/stream/a?b=c%20d", headers, "prompt")
 	if err != nil || status != http.StatusOK || body != events("r-1", 1, 6) {
 		t.Fatalf("%d, %v: %q", status, err, body)
 	}
@@ -124,7 +124,7 @@
 
 // testResumed closes the connection of the first run after three events. Another worker must
 // continue, and the caller must get each event once.
-func (f *hostedFleet) testResumed(t *testing.T, front string) {
+func (f *hostedFleet) testResumed(t *testing.T, edge string) {
 	f.injectFaults(func(request *emulator.HostedRequest) emulator.HostedFault {
 		if request.LastEventID == 0 {
 			return emulator.HostedFault{BreakAfter: 3}
@@ -133,7 +133,7 @@
 	})
 	defer f.injectFaults(nil)
 	headers := map[string]string{"Request-Id": "r-2", "Token-Count": "10,7"}
-	status, _, body, err := f.call(http.MethodPost, front, "/stream/a", headers, "p")
+	status, _, body, err := f.call(http.MethodPost, edge, "/stream/a", headers, "p")
 	if err != nil || status != http.StatusOK || body != events("r-2", 1, 7) {
 		t.Errorf("%d, %v: %q", status, err, body)
 	}
@@ -144,11 +144,11 @@
 
 // testNotResumable closes the connection of a stream that may not be resumed. The answer must not
 // look complete, and the request must not run again.
-func (f *hostedFleet) testNotResumable(t *testing.T, front string) {
+func (f *hostedFleet) testNotResumable(t *testing.T, edge string) {
 	f.injectFaults(func(*emulator.HostedRequest) emulator.HostedFault { return emulator.HostedFault{BreakAfter: 2} })
 	defer f.injectFaults(nil)
 	headers := map[string]string{"Request-Id": "r-3", "Token-Count": "10,7"}
-	_, _, body, err := f.call(http.MethodPost, front, "/once/a", headers, "p")
+	_, _, body, err := f.call(http.MethodPost, edge, "/once/a", headers, "p")
 	if err == nil {
 		t.Errorf("the answer of a broken stream looks complete: %q", body)
 	}
@@ -157,12 +157,12 @@
 	}
 }
 
-func (f *hostedFleet) testNotRun(t *testing.T, front string) {
+func (f *hostedFleet) testNotRun(t *testing.T, edge string) {
 	f.injectFaults(func(*emulator.HostedRequest) emulator.HostedFault { return emulator.HostedFault{NotRun: true} })
 	defer f.injectFaults(nil)
 	for _, path := range []string{"/stream/a", "/once/a"} {
 		headers := map[string]string{"Request-Id": "r-4" + path, "Token-Count": "10,7"}
-		status, header, _, err := f.call(http.MethodPost, front, path, headers, "p")
+		status, header, _, err := f.call(http.MethodPost, edge, path, headers, "p")
 		if err != nil || status != http.StatusServiceUnavailable || header.Get("Retry-After") == "" {
 			t.Errorf("%s: %d, Retry-After %q, %v", path, status, header.Get("Retry-After"), err)
 		}
@@ -170,7 +170,7 @@
 }
 
 // testWrongInput sends requests that can't be served. Each must get its status, and none may run.
-func (f *hostedFleet) testWrongInput(t *testing.T, front string) {
+func (f *hostedFleet) testWrongInput(t *testing.T, edge string) {
 	long := strings.Repeat("x", 1_000_001)
 	cases := []struct {
 		name, method, target, id, body string
@@ -196,7 +196,7 @@
 		if test.id != "" {
 			headers["Request-Id"] = test.id
 		}
-		status, _, _, err := f.call(test.method, front, test.target, headers, test.body)
+		status, _, _, err := f.call(test.method, edge, test.target, headers, test.body)
 		if err != nil || status != test.status {
 			t.Errorf("%s: %d, %v; want %d", test.name, status, err, test.status)
 		}
@@ -204,12 +204,12 @@
 			t.Errorf("%s: the request ran", test.name)
 		}
 	}
-	f.testRawInput(t, front)
+	f.testRawInput(t, edge)
 }
 
 // testRawInput sends bytes that are not a valid HTTP request. No answer may be a success, and no
 // request may run.
-func (f *hostedFleet) testRawInput(t *testing.T, front string) {
+func (f *hostedFleet) testRawInput(t *testing.T, edge string) {
 	cases := map[string]string{
 		"no HTTP":                 "hello\r\n\r\n",
 		"no host":                 "POST /stream/a HTTP/1.1\r\nRequest-Id: q-1\r\n\r\n",
@@ -223,7 +223,7 @@
 		"version that is unknown": "POST /stream/a HTTP/9.9\r\nHost: h.example\r\nRequest-Id: q-9\r\n\r\n",
 	}
 	for name, text := range cases {
-		connection, err := net.Dial("tcp", front)
+		connection, err := net.Dial("tcp", edge)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -250,8 +250,8 @@
 	Results   []struct{ ID, State, Message string }
 }
 
-func (f *hostedFleet) readResults(front, id string, since int) (*hostedPage, int) {
-	status, _, body, err := f.call(http.MethodGet, front, fmt.Sprintf("/-/lots/%s?sinceRev=%d", id, since), map[string]string{"Wait-Ms": "200"}, "")
+func (f *hostedFleet) readResults(edge, id string, since int) (*hostedPage, int) {
+	status, _, body, err := f.call(http.MethodGet, edge, fmt.Sprintf("/-/lots/%s?sinceRev=%d", id, since), map[string]string{"Wait-Ms": "200"}, "")
 	if err != nil || status != http.StatusOK {
 		return nil, status
 	}
@@ -282,10 +282,10 @@
 
 // testJob submits a job twice, kills and restarts the leading store while items run, and reads all
 // results. Results that were read before must keep their positions.
-func (f *hostedFleet) testJob(t *testing.T, front, second string) {
+func (f *hostedFleet) testJob(t *testing.T, edge, second string) {
 	const items, tokens = 12, 120
 	document := jobDocument("j1", items, tokens)
-	for _, address := range []string{front, second} {
+	for _, address := range []string{edge, second} {
 		eventually(t, "the job accepted", func() bool {
 			status, _, _, err := f.call(http.MethodPost, address, "/batch/j1", map[string]string{"Request-Id": "j1"}, document)
 			return err == nil && status == http.StatusAccepted
@@ -313,7 +313,7 @@
 		}
 		return len(page.Results) == items
 	})
-	page, _ := f.readResults(front, "j1", 0)
+	page, _ := f.readResults(edge, "j1", 0)
 	for _, row := range page.Results {
 		var want []string
 		for number := 1; number <= tokens; number++ {
@@ -323,12 +323,12 @@
 			t.Errorf("item %s is %s with a result of %d bytes", row.ID, row.State, len(row.Message))
 		}
 	}
-	f.testEnd(t, front, second)
+	f.testEndJob(t, edge, second)
 }
 
-// testEnd checks that items which fail permanently are abandoned, and that ending the job
+// testEndJob checks that items which fail permanently are abandoned, and that ending the job
 // can be repeated and adds no results.
-func (f *hostedFleet) testEnd(t *testing.T, front, second string) {
+func (f *hostedFleet) testEndJob(t *testing.T, edge, second string) {
 	f.injectFaults(func(request *emulator.HostedRequest) emulator.HostedFault {
 		if strings.HasPrefix(request.ID, "j2") {
 			return emulator.HostedFault{Status: http.StatusUnprocessableEntity}
@@ -337,7 +337,7 @@
 	})
 	defer f.injectFaults(nil)
 	eventually(t, "the second job accepted", func() bool {
-		status, _, _, err := f.call(http.MethodPost, front, "/batch/j2", map[string]string{"Request-Id": "j2"}, jobDocument("j2", 2, 5))
+		status, _, _, err := f.call(http.MethodPost, edge, "/batch/j2", map[string]string{"Request-Id": "j2"}, jobDocument("j2", 2, 5))
 		return err == nil && status == http.StatusAccepted
 	})
 	eventually(t, "abandonment of the failing items", func() bool {
@@ -350,7 +350,7 @@
 			return err == nil && status == http.StatusOK
 		})
 	}
-	if page, _ := f.readResults(front, "j2", 1); page == nil || len(page.Results) != 1 {
+	if page, _ := f.readResults(edge, "j2", 1); page == nil || len(page.Results) != 1 {
 		t.Errorf("results from position 1 after the job was ended: %+v, want one", page)
 	}
 }
@@ -372,10 +372,10 @@
 	return leader
 }
 
-func (f *hostedFleet) testRouteUpdate(t *testing.T, front, second string) {
+func (f *hostedFleet) testRouteUpdate(t *testing.T, edge, second string) {
 	added := fmt.Sprintf(`,{"name":"added","host":%q,"pathPrefix":"/added/","routeKind":"safe","timeoutMs":20000,"service":%q,"maxAttempts":1}`, hostedHost, hostedService)
 	eventually(t, "the change", func() bool { return f.putConfiguration("core-1", f.configuration(20, added)) == http.StatusOK })
-	for _, address := range []string{front, second} {
+	for _, address := range []string{edge, second} {
 		eventually(t, "the added route", func() bool {
 			status, _, _, err := f.call(http.MethodPost, address, "/added/a", map[string]string{"Request-Id": "c-1", "Token-Count": "1,1"}, "p")
 			return err == nil && status == http.StatusOK
@@ -385,13 +385,13 @@
 
 // testDraining lists a worker as draining and checks that it gets no new requests once the edge
 // has applied that.
-func (f *hostedFleet) testDraining(t *testing.T, front string) {
+func (f *hostedFleet) testDraining(t *testing.T, edge string) {
 	draining := f.workers[0]
 	draining.Drain()
 	number := 0
 	send := func() {
 		number++
-		_, _, _, _ = f.call(http.MethodPost, front, "/stream/a", map[string]string{"Request-Id": fmt.Sprintf("l-%d", number), "Token-Count": "1,1"}, "p")
+		_, _, _, _ = f.call(http.MethodPost, edge, "/stream/a", map[string]string{"Request-Id": fmt.Sprintf("l-%d", number), "Token-Count": "1,1"}, "p")
 	}
 	eventually(t, "no more requests to the draining worker", func() bool {
 		before := len(draining.Requests())
@@ -415,7 +415,7 @@
 // may run more than once, so no caller may see a failure. After the recovery the worker must get
 // its share of requests again; the time that this takes is logged, not bounded, as the machine may
 // be busy.
-func (f *hostedFleet) testFailingWorker(t *testing.T, front string) {
+func (f *hostedFleet) testFailingWorker(t *testing.T, edge string) {
 	failing := f.workers[1]
 	failing.InjectFaults(func(*emulator.HostedRequest) emulator.HostedFault {
 		return emulator.HostedFault{Status: http.StatusInternalServerError}
@@ -426,7 +426,7 @@
 		for range count {
 			number++
 			headers := map[string]string{"Request-Id": fmt.Sprintf("f-%d", number), "Token-Count": "1,1"}
-			if status, _, _, err := f.call(http.MethodPost, front, "/stream/a", headers, "p"); err != nil || status != http.StatusOK {
+			if status, _, _, err := f.call(http.MethodPost, edge, "/stream/a", headers, "p"); err != nil || status != http.StatusOK {
 				t.Errorf("call %d: %d, %v", number, status, err)
 			}
 		}
--- a/test/inventory_test.go
+++ b/test/inventory_test.go
@@ -14,10 +14,10 @@
 // inventoryPage is the page that lists the messages and log commands that different builds exchange.
 const inventoryPage = "../docs/design/0015-builds-side-by-side.md"
 
-// TestInventoryIsWhole checks that the inventory has a row for each method between processes and
+// TestInventoryIsComplete checks that the inventory has a row for each method between processes and
 // for each command in the logs of coordinators and stores. The row must say how older and newer
 // builds handle it.
-func TestInventoryIsWhole(t *testing.T) {
+func TestInventoryIsComplete(t *testing.T) {
 	page, err := os.ReadFile(inventoryPage)
 	if err != nil {
 		t.Fatal(err)
--- a/test/restart_test.go
+++ b/test/restart_test.go
@@ -49,13 +49,13 @@
 	rounds, _ := strconv.Atoi(os.Getenv("SEDGEMAST_RESTARTS"))
 	f := newHostedFleetWith(t, measuredBuild(t), 6)
 	f.add("front", "edge", 23)
-	fronts := append(f.configure(t), f.address(f.machines["front-23"], portCallers))
-	f.waitServing(t, fronts[2])
+	edges := append(f.configure(t), f.address(f.machines["front-23"], portCallers))
+	f.waitServing(t, edges[2])
 	random := rand.New(rand.NewPCG(1, 1))
 	var firstServed, recoveries []time.Duration
 	unserved, all := 0, 0
 	for round := range max(rounds, 1) {
-		callers, first := f.restart(t, random, round, fronts)
+		callers, first := f.restart(t, random, round, edges)
 		for _, caller := range callers {
 			all++
 			if caller.unexpected > 0 {
@@ -109,7 +109,8 @@
 	return lines
 }
 
-// measuredBuild returns the program set in SEDGEMAST_RESTART_BINARY, else builds this one.
+// measuredBuild returns the path of the program to test: SEDGEMAST_RESTART_BINARY if it is set, else
+// a build of the current source.
 func measuredBuild(t *testing.T) string {
 	t.Helper()
 	if binary := os.Getenv("SEDGEMAST_RESTART_BINARY"); binary != "" {
@@ -119,11 +120,11 @@
 }
 
 // waitServing waits until the edge at the address serves a request.
-func (f *hostedFleet) waitServing(t *testing.T, front string) {
+func (f *hostedFleet) waitServing(t *testing.T, edge string) {
 	t.Helper()
 	headers := map[string]string{"Request-Id": "first", "Token-Count": "10,3", "Deadline-Ms": "3000"}
-	eventually(t, front+" serving", func() bool {
-		status, _, _, err := f.call(http.MethodPost, front, "/stream/a", headers, "prompt")
+	eventually(t, edge+" serving", func() bool {
+		status, _, _, err := f.call(http.MethodPost, edge, "/stream/a", headers, "prompt")
 		return err == nil && status == http.StatusOK
 	})
 }
@@ -157,7 +158,7 @@
 
 // restart kills and restarts all processes under load. It returns the callers and when the first
 // request was served after the last process start.
-func (f *hostedFleet) restart(t *testing.T, random *rand.Rand, round int, fronts []string) ([]restartCaller, time.Duration) {
+func (f *hostedFleet) restart(t *testing.T, random *rand.Rand, round int, edges []string) ([]restartCaller, time.Duration) {
 	var names []string
 	for name := range f.machines {
 		names = append(names, name)
@@ -170,15 +171,15 @@
 		<-f.machines[name].exited
 	}
 	time.Sleep(restartDowntime)
-	began := time.Now()
+	startedAt := time.Now()
 	var mutex sync.Mutex
 	var callers []restartCaller
 	var calling sync.WaitGroup
 	calling.Go(func() {
-		for number := 0; time.Since(began) < restartLoad; number++ {
+		for number := 0; time.Since(startedAt) < restartLoad; number++ {
 			time.Sleep(restartInterval)
 			calling.Go(func() {
-				caller := f.restartCall(fronts, fmt.Sprintf("r-%d-%d", round, number), number, began)
+				caller := f.restartCall(edges, fmt.Sprintf("r-%d-%d", round, number), number, startedAt)
 				mutex.Lock()
 				defer mutex.Unlock()
 				callers = append(callers, caller)
@@ -190,7 +191,7 @@
 		time.Sleep(restartSpread / time.Duration(len(names)))
 		f.start(f.machines[name], false)
 	}
-	last := time.Since(began)
+	last := time.Since(startedAt)
 	calling.Wait()
 	first := restartLoad
 	for i := range callers {
@@ -202,12 +203,12 @@
 	}
 	for end := time.Now().Add(restartTimeout); ; time.Sleep(50 * time.Millisecond) {
 		served := 0
-		for i := range fronts {
-			if f.restartCall(fronts, fmt.Sprintf("after-%d-%d-%d", round, i, time.Now().UnixNano()), i, began).served {
+		for i := range edges {
+			if f.restartCall(edges, fmt.Sprintf("after-%d-%d-%d", round, i, time.Now().UnixNano()), i, startedAt).served {
 				served++
 			}
 		}
-		if served == len(fronts) {
+		if served == len(edges) {
 			return callers, first
 		}
 		if time.Now().After(end) {
@@ -218,12 +219,12 @@
 
 // restartCall sends a request. If an edge does not answer, the caller tries the next one, up to 40
 // attempts. If rejected, it retries once after the Retry-After time.
-func (f *hostedFleet) restartCall(fronts []string, id string, number int, began time.Time) restartCaller {
+func (f *hostedFleet) restartCall(edges []string, id string, number int, startedAt time.Time) restartCaller {
 	headers := map[string]string{"Request-Id": id, "Token-Count": "10,3", "Deadline-Ms": "3000"}
-	caller := restartCaller{sent: time.Since(began)}
+	caller := restartCaller{sent: time.Since(startedAt)}
 	for try := 0; try < 40 && caller.rejected < 2; try++ {
-		status, header, body, err := f.callWithin(4*time.Second, http.MethodPost, fronts[(number+try)%len(fronts)], "/stream/a", headers, "prompt")
-		caller.answered = time.Since(began)
+		status, header, body, err := f.callWithin(4*time.Second, http.MethodPost, edges[(number+try)%len(edges)], "/stream/a", headers, "prompt")
+		caller.answered = time.Since(startedAt)
 		caller.lastAnswer = fmt.Sprintf("%d %v %q", status, err, body)
 		retry, _ := strconv.ParseFloat(header.Get("Retry-After"), 64)
 		switch {
@@ -244,19 +245,19 @@
 }
 
 const (
-	// freezeDuration is how long TestHostedStandstill freezes an edge.
+	// freezeDuration is how long TestHostedFreeze freezes an edge.
 	freezeDuration = 2 * time.Second
 	// frozenRequests is the number of requests sent meanwhile, every other one with a deadline
 	// that expires before the edge resumes.
 	frozenRequests = 6
 )
 
-// TestHostedStandstill freezes an edge while requests arrive. When it resumes, it must reject those
+// TestHostedFreeze freezes an edge while requests arrive. When it resumes, it must reject those
 // whose deadline has expired without sending them to a worker, and serve the others.
-func TestHostedStandstill(t *testing.T) {
+func TestHostedFreeze(t *testing.T) {
 	f := newHostedFleetWith(t, measuredBuild(t), hostedWorkers)
-	fronts := f.configure(t)
-	f.waitServing(t, fronts[0])
+	edges := f.configure(t)
+	f.waitServing(t, edges[0])
 	process := f.machines["front-21"].command.Process
 	if err := process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
@@ -269,7 +270,7 @@
 		}
 		callers.Go(func() {
 			headers := map[string]string{"Request-Id": id, "Token-Count": "10,3", "Deadline-Ms": deadlineMillis}
-			status, header, body, err := f.call(http.MethodPost, fronts[0], "/stream/a", headers, "prompt")
+			status, header, body, err := f.call(http.MethodPost, edges[0], "/stream/a", headers, "prompt")
 			switch {
 			case err != nil || status != want:
 				t.Errorf("%s: %d, %v, %q", id, status, err, body)
--- a/test/roll_test.go
+++ b/test/roll_test.go
@@ -55,7 +55,7 @@
 // roll replaces one machine every two seconds, in the given order, under load.
 func (f *hostedFleet) roll(t *testing.T, to string, machines []string) *rollStats {
 	stats := &rollStats{}
-	fronts := f.configure(t)
+	edges := f.configure(t)
 	time.Sleep(2 * time.Second)
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
@@ -71,9 +71,9 @@
 			}
 		})
 	}
-	every(25*time.Millisecond, func(number int) { f.rollCall(fronts, number, stats) })
-	every(time.Second, func(number int) { f.rollRoute(fronts, firstRollVersion+number, stats) })
-	every(200*time.Millisecond, func(number int) { f.rollJob(fronts, number, stats) })
+	every(25*time.Millisecond, func(number int) { f.rollCall(edges, number, stats) })
+	every(time.Second, func(number int) { f.rollRoute(edges, firstRollVersion+number, stats) })
+	every(200*time.Millisecond, func(number int) { f.rollJob(edges, number, stats) })
 	for _, name := range machines {
 		time.Sleep(2 * time.Second)
 		f.replace(f.machines[name], to)
@@ -86,10 +86,10 @@
 
 // rollCall sends a request as callers do: if an edge rejects it or does not answer, the caller
 // tries the other edge, up to three attempts in all.
-func (f *hostedFleet) rollCall(fronts []string, number int, stats *rollStats) {
+func (f *hostedFleet) rollCall(edges []string, number int, stats *rollStats) {
 	headers := map[string]string{"Request-Id": fmt.Sprintf("r-%d", number), "Token-Count": "10,6", "Deadline-Ms": "3000"}
 	for try := range 3 {
-		status, _, body, err := f.call(http.MethodPost, fronts[(number+try)%len(fronts)], "/stream/a", headers, "p")
+		status, _, body, err := f.call(http.MethodPost, edges[(number+try)%len(edges)], "/stream/a", headers, "p")
 		switch {
 		case err == nil && status == http.StatusOK && strings.HasSuffix(body, fmt.Sprintf("r-%d-6\n\n", number)):
 			stats.served.Add(1)
@@ -104,7 +104,7 @@
 }
 
 // rollRoute adds a route and calls it at both edges 2 s after the configuration was acknowledged.
-func (f *hostedFleet) rollRoute(fronts []string, version int, stats *rollStats) {
+func (f *hostedFleet) rollRoute(edges []string, version int, stats *rollStats) {
 	added := ""
 	for earlier := firstRollVersion; earlier <= version; earlier++ {
 		added += fmt.Sprintf(`,{"name":"added-%d","host":%q,"pathPrefix":"/added-%d/","routeKind":"safe","timeoutMs":20000,"service":%q,"maxAttempts":3}`, earlier, hostedHost, earlier, hostedService)
@@ -119,8 +119,8 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	time.Sleep(2 * time.Second)
-	for _, front := range fronts {
-		status, _, _, err := f.call(http.MethodPost, front, fmt.Sprintf("/added-%d/a", version), map[string]string{"Request-Id": fmt.Sprintf("c-%d", version), "Token-Count": "1,1"}, "p")
+	for _, edge := range edges {
+		status, _, _, err := f.call(http.MethodPost, edge, fmt.Sprintf("/added-%d/a", version), map[string]string{"Request-Id": fmt.Sprintf("c-%d", version), "Token-Count": "1,1"}, "p")
 		switch {
 		case err != nil || status == http.StatusServiceUnavailable:
 		case status == http.StatusNotFound:
@@ -132,13 +132,13 @@
 }
 
 // rollJob submits a job of four items and waits for its results.
-func (f *hostedFleet) rollJob(fronts []string, number int, stats *rollStats) {
+func (f *hostedFleet) rollJob(edges []string, number int, stats *rollStats) {
 	const items = 4
 	job := fmt.Sprintf("rj-%d", number)
 	stats.jobs.Add(1)
 	accepted := false
 	for try := 0; try < 10 && !accepted; try++ {
-		status, _, _, err := f.call(http.MethodPost, fronts[(number+try)%len(fronts)], "/batch/a", map[string]string{"Request-Id": job}, jobDocument(job, items, 10))
+		status, _, _, err := f.call(http.MethodPost, edges[(number+try)%len(edges)], "/batch/a", map[string]string{"Request-Id": job}, jobDocument(job, items, 10))
 		if accepted = err == nil && status == http.StatusAccepted; !accepted {
 			time.Sleep(200 * time.Millisecond)
 		}
@@ -148,7 +148,7 @@
 	}
 	stats.accepted.Add(1)
 	for try := range 100 {
-		if page, _ := f.readResults(fronts[try%len(fronts)], job, 0); page != nil && len(page.Results) == items {
+		if page, _ := f.readResults(edges[try%len(edges)], job, 0); page != nil && len(page.Results) == items {
 			stats.completed.Add(1)
 			return
 		}
--- a/test/soak_clients_test.go
+++ b/test/soak_clients_test.go
@@ -18,7 +18,7 @@
 	transport := &http.Transport{MaxIdleConnsPerHost: 1, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport, Timeout: 20 * time.Second}
-	front := s.fronts()[number%3]
+	edge := s.edges()[number%3]
 	for sent := 0; ; sent++ {
 		select {
 		case <-stop:
@@ -33,19 +33,19 @@
 			s.atMostOnce = append(s.atMostOnce, id)
 			s.mutex.Unlock()
 		}
-		if !s.send(client, front, path, id, 1+random.Intn(30)) {
+		if !s.send(client, edge, path, id, 1+random.Intn(30)) {
 			transport.CloseIdleConnections()
-			front = s.fronts()[random.Intn(3)]
+			edge = s.edges()[random.Intn(3)]
 		}
 	}
 }
 
 // send sends a request, checks the answer and reports whether the edge served it.
-func (s *soak) send(client *http.Client, front, path, id string, events int) bool {
+func (s *soak) send(client *http.Client, edge, path, id string, events int) bool {
 	s.mutex.Lock()
-	incarnation, sentAt := s.incarnations[front], time.Now()
+	incarnation, sentAt := s.incarnations[edge], time.Now()
 	s.mutex.Unlock()
-	request, err := http.NewRequest(http.MethodPost, "http://"+s.address(s.machines[front], portCallers)+path, strings.NewReader("p"))
+	request, err := http.NewRequest(http.MethodPost, "http://"+s.address(s.machines[edge], portCallers)+path, strings.NewReader("p"))
 	if err != nil {
 		s.recordViolation("%v", err)
 		return false
@@ -59,7 +59,7 @@
 	response, err := client.Do(request)
 	if err != nil {
 		if !strings.Contains(err.Error(), "refused") && !strings.Contains(err.Error(), "dial") {
-			s.recordNoAnswer(front, id, incarnation, sentAt, err)
+			s.recordNoAnswer(edge, id, incarnation, sentAt, err)
 		}
 		return false
 	}
@@ -76,7 +76,7 @@
 		s.recordViolation("%s got %d: %s", id, response.StatusCode, body)
 		return false
 	case err != nil:
-		s.recordNoAnswer(front, id, incarnation, sentAt, err)
+		s.recordNoAnswer(edge, id, incarnation, sentAt, err)
 		return false
 	}
 	s.count("complete answers")
@@ -91,18 +91,18 @@
 // recordNoAnswer records that a request got no complete answer. That is allowed if its edge was
 // killed after the request was sent, or at most a second before. Around a planned stop it is allowed
 // for a few requests that were sent while the edge closed the connection.
-func (s *soak) recordNoAnswer(front, id string, incarnation int, sentAt time.Time, err error) {
+func (s *soak) recordNoAnswer(edge, id string, incarnation int, sentAt time.Time, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	killed := s.killed[front]
+	killed := s.killed[edge]
 	switch {
 	case killed.After(sentAt.Add(-time.Second)):
 		s.counts["cut"]++
-	case s.incarnations[front] != incarnation || s.faulty[front]:
+	case s.incarnations[edge] != incarnation || s.faulty[edge]:
 		s.counts["crossed"]++
-		s.crossed[fmt.Sprintf("%s/%d", front, max(incarnation, s.incarnations[front]))]++
+		s.sentDuringClose[fmt.Sprintf("%s/%d", edge, max(incarnation, s.incarnations[edge]))]++
 	default:
-		s.violations = append(s.violations, fmt.Sprintf("%8.3f %s got no complete answer from %s, which had no fault: %v", time.Since(s.began).Seconds(), id, front, err))
+		s.violations = append(s.violations, fmt.Sprintf("%8.3f %s got no complete answer from %s, which had no fault: %v", time.Since(s.startedAt).Seconds(), id, edge, err))
 	}
 }
 
@@ -122,8 +122,8 @@
 			s.ackedVersion = version
 			s.mutex.Unlock()
 		}
-		for _, front := range s.fronts() {
-			s.checkRoutes(front, version, newestServed)
+		for _, edge := range s.edges() {
+			s.checkRoutes(edge, version, newestServed)
 		}
 	}
 }
@@ -140,18 +140,18 @@
 
 // checkRoutes calls the newest route that an edge has served since its last start, which must still
 // be served, and the newest route of all.
-func (s *soak) checkRoutes(front string, version int, newestServed map[string]int) {
+func (s *soak) checkRoutes(edge string, version int, newestServed map[string]int) {
 	s.mutex.Lock()
-	incarnation := fmt.Sprintf("%s/%d", front, s.incarnations[front])
+	incarnation := fmt.Sprintf("%s/%d", edge, s.incarnations[edge])
 	s.mutex.Unlock()
 	call := func(route int) int {
 		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * time.Second}
-		request, err := http.NewRequest(http.MethodPost, fmt.Sprintf("http://%s/added-%d/a", s.address(s.machines[front], portCallers), route), strings.NewReader("p"))
+		request, err := http.NewRequest(http.MethodPost, fmt.Sprintf("http://%s/added-%d/a", s.address(s.machines[edge], portCallers), route), strings.NewReader("p"))
 		if err != nil {
 			return 0
 		}
 		request.Host = hostedHost
-		request.Header.Set("Request-Id", fmt.Sprintf("c-%s-%d-%d", front, route, version))
+		request.Header.Set("Request-Id", fmt.Sprintf("c-%s-%d-%d", edge, route, version))
 		request.Header.Set("Token-Count", "1,1")
 		response, err := client.Do(request)
 		if err != nil {
@@ -164,10 +164,10 @@
 	if served > version-30 && served > 0 {
 		status := call(served)
 		s.mutex.Lock()
-		same := incarnation == fmt.Sprintf("%s/%d", front, s.incarnations[front])
+		same := incarnation == fmt.Sprintf("%s/%d", edge, s.incarnations[edge])
 		s.mutex.Unlock()
 		if status == http.StatusNotFound && same {
-			s.recordViolation("%s answers 404 for route %d, which it served before", front, served)
+			s.recordViolation("%s answers 404 for route %d, which it served before", edge, served)
 		}
 		if status == http.StatusOK {
 			s.count("routes in force")
@@ -188,8 +188,8 @@
 		}
 		job, items := fmt.Sprintf("sj-%d", number), 1+number%5
 		for try := range 20 {
-			front := s.fronts()[(number+try)%3]
-			status, _, _, err := s.callWithin(2*time.Second, http.MethodPost, s.address(s.machines[front], portCallers), "/batch/a", map[string]string{"Request-Id": job}, jobDocument(job, items, 20))
+			edge := s.edges()[(number+try)%3]
+			status, _, _, err := s.callWithin(2*time.Second, http.MethodPost, s.address(s.machines[edge], portCallers), "/batch/a", map[string]string{"Request-Id": job}, jobDocument(job, items, 20))
 			if err == nil && status == http.StatusAccepted {
 				s.mutex.Lock()
 				s.jobs[job] = &soakJob{items: items}
@@ -200,7 +200,7 @@
 		}
 		for name := range s.acceptedJobs() {
 			if number%3 == 0 {
-				s.readJob(name, s.fronts()[number%3])
+				s.readJob(name, s.edges()[number%3])
 			}
 		}
 	}
@@ -219,11 +219,11 @@
 
 // readJob reads a job's results, checks them, and checks that those that were read before have kept
 // their positions. It reports whether the results are complete.
-func (s *soak) readJob(name, front string) bool {
-	status, _, body, err := s.callWithin(2*time.Second, http.MethodGet, s.address(s.machines[front], portCallers), "/-/lots/"+name+"?sinceRev=0", map[string]string{"Wait-Ms": "0"}, "")
+func (s *soak) readJob(name, edge string) bool {
+	status, _, body, err := s.callWithin(2*time.Second, http.MethodGet, s.address(s.machines[edge], portCallers), "/-/lots/"+name+"?sinceRev=0", map[string]string{"Wait-Ms": "0"}, "")
 	if err != nil || status != http.StatusOK {
 		if err == nil && status != http.StatusServiceUnavailable {
-			s.recordViolation("%s answers %d for the accepted job %s", front, status, name)
+			s.recordViolation("%s answers %d for the accepted job %s", edge, status, name)
 		}
 		return false
 	}
@@ -258,7 +258,7 @@
 // checkJobs waits until all accepted jobs are complete, and checks that no item has two results.
 func (s *soak) checkJobs() {
 	for name, job := range s.acceptedJobs() {
-		eventually(s.t, "the results of "+name, func() bool { return s.readJob(name, s.fronts()[0]) })
+		eventually(s.t, "the results of "+name, func() bool { return s.readJob(name, s.edges()[0]) })
 		s.count("completed jobs")
 		seen := map[string]bool{}
 		for _, item := range job.results {
@@ -284,9 +284,9 @@
 		}
 		return true
 	})
-	for _, front := range s.fronts() {
-		eventually(s.t, "the newest route at "+front, func() bool {
-			status, _, _, err := s.callWithin(2*time.Second, http.MethodPost, s.address(s.machines[front], portCallers), fmt.Sprintf("/added-%d/a", s.ackedVersion), map[string]string{"Request-Id": "last-" + front, "Token-Count": "1,1"}, "p")
+	for _, edge := range s.edges() {
+		eventually(s.t, "the newest route at "+edge, func() bool {
+			status, _, _, err := s.callWithin(2*time.Second, http.MethodPost, s.address(s.machines[edge], portCallers), fmt.Sprintf("/added-%d/a", s.ackedVersion), map[string]string{"Request-Id": "last-" + edge, "Token-Count": "1,1"}, "p")
 			return err == nil && status == http.StatusOK
 		})
 	}
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -27,9 +27,9 @@
 	// wipeInterval is how long after the loss of a disk no machine of the same class gets another
 	// fault, so that the process that lost its disk is a full member again by then.
 	wipeInterval = 9 * time.Second
-	// maxCrossed is the maximum number of requests without an answer per planned stop: those
+	// maxSentDuringClose is the maximum number of requests without an answer per planned stop: those
 	// that were sent while the edge closed their connection.
-	maxCrossed = 3
+	maxSentDuringClose = 3
 	// allDown is how long all machines are down at once, thirdFrozen how long a third of them
 	// is frozen.
 	allDown     = 600 * time.Millisecond
@@ -39,9 +39,9 @@
 // soak is the state of one run.
 type soak struct {
 	*hostedFleet
-	t      *testing.T
-	random *rand.Rand
-	began  time.Time
+	t         *testing.T
+	random    *rand.Rand
+	startedAt time.Time
 	// newest is the path of this build. released is that of the released build, empty if the
 	// history does not hold it.
 	released, newest string
@@ -52,11 +52,11 @@
 	faults     []string
 	violations []string
 	// incarnations counts the stops of each machine, by kill or as planned. killed is when it
-	// was last killed. crossed counts, by machine and incarnation, the requests that were sent
+	// was last killed. sentDuringClose counts, by machine and incarnation, the requests that were sent
 	// while a planned stop closed their connection.
-	incarnations map[string]int
-	killed       map[string]time.Time
-	crossed      map[string]int
+	incarnations    map[string]int
+	killed          map[string]time.Time
+	sentDuringClose map[string]int
 	// faulty holds the machines that have a fault now. wiped is when a class last lost a disk.
 	faulty map[string]bool
 	wiped  map[string]time.Time
@@ -111,26 +111,26 @@
 func newSoak(t *testing.T, seed int) *soak {
 	newest := buildHosted(t)
 	s := &soak{
-		hostedFleet:  newHostedFleetWith(t, newest, 6),
-		t:            t,
-		random:       rand.New(rand.NewSource(int64(seed))),
-		began:        time.Now(),
-		newest:       newest,
-		counts:       map[string]int{},
-		incarnations: map[string]int{},
-		killed:       map[string]time.Time{},
-		crossed:      map[string]int{},
-		faulty:       map[string]bool{},
-		wiped:        map[string]time.Time{},
-		jobs:         map[string]*soakJob{},
+		hostedFleet:     newHostedFleetWith(t, newest, 6),
+		t:               t,
+		random:          rand.New(rand.NewSource(int64(seed))),
+		startedAt:       time.Now(),
+		newest:          newest,
+		counts:          map[string]int{},
+		incarnations:    map[string]int{},
+		killed:          map[string]time.Time{},
+		sentDuringClose: map[string]int{},
+		faulty:          map[string]bool{},
+		wiped:           map[string]time.Time{},
+		jobs:            map[string]*soakJob{},
 	}
 	s.add("front", "edge", 23)
 	s.released = tryBuildReleased(t)
 	return s
 }
 
-// fronts returns the edges' names.
-func (s *soak) fronts() []string { return []string{"front-21", "front-22", "front-23"} }
+// edges returns the edges' names.
+func (s *soak) edges() []string { return []string{"front-21", "front-22", "front-23"} }
 
 // run runs the clients and injects faults for the given duration.
 func (s *soak) run(duration time.Duration) {
@@ -144,9 +144,9 @@
 	clients.Go(func() { s.runOperator(stop) })
 	clients.Go(func() { s.runBatches(stop) })
 	var faults sync.WaitGroup
-	began, fleetFaults := time.Now(), []func(){s.killAll, s.freezeThird}
-	for parts := len(fleetFaults) + 1; time.Since(began) < duration; {
-		if len(fleetFaults) > 0 && time.Since(began) > duration*time.Duration(parts-len(fleetFaults))/time.Duration(parts) {
+	startedAt, fleetFaults := time.Now(), []func(){s.killAll, s.freezeThird}
+	for parts := len(fleetFaults) + 1; time.Since(startedAt) < duration; {
+		if len(fleetFaults) > 0 && time.Since(startedAt) > duration*time.Duration(parts-len(fleetFaults))/time.Duration(parts) {
 			// Such a fault affects all classes of machines, so it waits until no other is active.
 			faults.Wait()
 			fleetFaults[0]()
@@ -166,13 +166,13 @@
 func (s *soak) logFault(format string, arguments ...any) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.faults = append(s.faults, fmt.Sprintf("%8.3f ", time.Since(s.began).Seconds())+fmt.Sprintf(format, arguments...))
+	s.faults = append(s.faults, fmt.Sprintf("%8.3f ", time.Since(s.startedAt).Seconds())+fmt.Sprintf(format, arguments...))
 }
 
 func (s *soak) recordViolation(format string, arguments ...any) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.violations = append(s.violations, fmt.Sprintf("%8.3f ", time.Since(s.began).Seconds())+fmt.Sprintf(format, arguments...))
+	s.violations = append(s.violations, fmt.Sprintf("%8.3f ", time.Since(s.startedAt).Seconds())+fmt.Sprintf(format, arguments...))
 }
 
 func (s *soak) count(promise string) {
@@ -241,7 +241,7 @@
 
 // names returns the machines' names in a fixed order, so that a seed draws the same ones.
 func (s *soak) names() []string {
-	return append([]string{"core-1", "core-2", "core-3", "store-11", "store-12", "store-13"}, s.fronts()...)
+	return append([]string{"core-1", "core-2", "core-3", "store-11", "store-12", "store-13"}, s.edges()...)
 }
 
 // rejectAtWorkers makes all workers reject requests for 300 ms. Requests that are answered as not
@@ -298,7 +298,7 @@
 	for _, name := range s.names() {
 		s.start(s.machines[name], false)
 	}
-	for _, name := range s.fronts() {
+	for _, name := range s.edges() {
 		s.waitServing(s.t, s.address(s.machines[name], portCallers))
 	}
 	s.logFault("all serve again")
@@ -346,8 +346,8 @@
 	}
 	s.mutex.Lock()
 	s.counts["planned stops"]++
-	if crossed := s.crossed[incarnation]; crossed > maxCrossed {
-		s.violations = append(s.violations, fmt.Sprintf("%d requests got no answer at a planned stop of %s", crossed, machine.name))
+	if sentDuringClose := s.sentDuringClose[incarnation]; sentDuringClose > maxSentDuringClose {
+		s.violations = append(s.violations, fmt.Sprintf("%d requests got no answer at a planned stop of %s", sentDuringClose, machine.name))
 	}
 	s.mutex.Unlock()
 	machine.binary = binary
@@ -356,7 +356,7 @@
 
 // checkEnd checks what must hold once all faults are over.
 func (s *soak) checkEnd() {
-	for _, name := range s.fronts() {
+	for _, name := range s.edges() {
 		eventually(s.t, name+" ready", func() bool {
 			status, _, _, err := s.call(http.MethodGet, s.address(s.machines[name], portReady), "/-/ready", nil, "")
 			return err == nil && status == http.StatusOK
--- a/test/two_builds_test.go
+++ b/test/two_builds_test.go
@@ -74,17 +74,17 @@
 		t.Run(order.name, func(t *testing.T) {
 			f := newHostedFleetWith(t, released, hostedWorkers)
 			newest := buildHosted(t)
-			fronts, version := f.configure(t), 20
+			edges, version := f.configure(t), 20
 			machines := strings.Fields(order.machines)
 			for _, name := range machines {
 				f.replace(f.machines[name], newest)
 				version++
-				f.checkStep(t, fronts, version, name+" on the newer build")
+				f.checkStep(t, edges, version, name+" on the newer build")
 			}
 			for _, name := range machines[:len(machines)/2] {
 				f.replace(f.machines[name], released)
 				version++
-				f.checkStep(t, fronts, version, name+" back on the older build")
+				f.checkStep(t, edges, version, name+" back on the older build")
 			}
 			f.checkAllDecoded(t)
 		})
@@ -93,7 +93,7 @@
 
 // checkStep adds a route and submits a job, and checks that all edges serve the route and that the
 // job completes.
-func (f *hostedFleet) checkStep(t *testing.T, fronts []string, version int, step string) {
+func (f *hostedFleet) checkStep(t *testing.T, edges []string, version int, step string) {
 	t.Helper()
 	added := fmt.Sprintf(`,{"name":"added","host":%q,"pathPrefix":"/added-%d/","routeKind":"safe","timeoutMs":20000,"service":%q,"maxAttempts":3}`, hostedHost, version, hostedService)
 	eventually(t, step+": the change", func() bool {
@@ -104,20 +104,20 @@
 		}
 		return false
 	})
-	for i, front := range fronts {
+	for i, edge := range edges {
 		eventually(t, fmt.Sprintf("%s: the added route at edge %d", step, i), func() bool {
-			status, _, _, err := f.call(http.MethodPost, front, fmt.Sprintf("/added-%d/a", version), map[string]string{"Request-Id": fmt.Sprintf("c-%d", version), "Token-Count": "1,1"}, "p")
+			status, _, _, err := f.call(http.MethodPost, edge, fmt.Sprintf("/added-%d/a", version), map[string]string{"Request-Id": fmt.Sprintf("c-%d", version), "Token-Count": "1,1"}, "p")
 			return err == nil && status == http.StatusOK
 		})
 	}
 	const items = 4
 	job := fmt.Sprintf("j-%d", version)
 	eventually(t, step+": a job accepted", func() bool {
-		status, _, _, err := f.call(http.MethodPost, fronts[version%len(fronts)], "/batch/a", map[string]string{"Request-Id": job}, jobDocument(job, items, 10))
+		status, _, _, err := f.call(http.MethodPost, edges[version%len(edges)], "/batch/a", map[string]string{"Request-Id": job}, jobDocument(job, items, 10))
 		return err == nil && status == http.StatusAccepted
 	})
 	eventually(t, step+": the job's results", func() bool {
-		page, _ := f.readResults(fronts[0], job, 0)
+		page, _ := f.readResults(edges[0], job, 0)
 		return page != nil && len(page.Results) == items
 	})
 }
--- a/test/upload_test.go
+++ b/test/upload_test.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// TestBadLineRefusesWholeFile uploads a long file whose last line is invalid. The upload must fail,
+// TestBadLineRejectsWholeFile uploads a long file whose last line is invalid. The upload must fail,
 // and no job can be created from it.
-func TestBadLineRefusesWholeFile(t *testing.T) {
+func TestBadLineRejectsWholeFile(t *testing.T) {
 	ctx := testContext(t)
 	c := newCluster(t, ctx, clusterSize{engines: 1, dispatchers: 1, gateways: 1})
 	job := &loadgen.BatchJob{Model: testModel, Items: 1500, MaxTokens: 16, Words: 4, Name: "bad"}
--- a/test/worker_exits_test.go
+++ b/test/worker_exits_test.go
@@ -14,10 +14,12 @@
 
 // These tests guard against one request that makes many workers exit. If an edge forgets the exits
 // when its call ends, a request (same path, caller and body, a new id each time) makes one worker
-// exit per attempt: the edge retries on the next worker, the caller gets 502 and retries at another
-// edge. 20 such calls with two attempts each caused 40 exits, about 0.1 s after each start, and
-// restarted workers exited again; only a quarter of all requests were served meanwhile.
-// Harmless requests under the same load caused no exits.
+// exit per attempt, about 0.1 s after it starts there: the edge retries on the next worker, which
+// exits too; the caller gets 502 and retries at another edge, which knows nothing of the exits.
+// Workers restarted after a second and exited again, for as long as the request was repeated, and
+// only a quarter of all requests in those ten seconds were served. The exits stop when the request
+// stops: 20 calls with two attempts each caused 40 exits, and harmless requests under the same load
+// caused none.
 
 const (
 	exitBody     = "ends its worker"
@@ -60,9 +62,9 @@
 }
 
 // sendAndCount sends a request to an edge and counts the outcome.
-func (f *hostedFleet) sendAndCount(front, id, body string, count *answerCounts) {
+func (f *hostedFleet) sendAndCount(edge, id, body string, count *answerCounts) {
 	headers := map[string]string{"Request-Id": id, "Token-Count": "10,6", "Deadline-Ms": "15000"}
-	status, _, text, err := f.call(http.MethodPost, front, "/stream/a", headers, body)
+	status, _, text, err := f.call(http.MethodPost, edge, "/stream/a", headers, body)
 	switch {
 	case err == nil && status == http.StatusOK && text == events(id, 1, 6):
 		count.completed.Add(1)
@@ -73,17 +75,17 @@
 	}
 }
 
-// TestRequestThatEndsWorkers sends such a request repeatedly to both edges, beside a harmless one
-// that is sent as often and others that are sent once. It must be quarantined, also after edges and
-// coordinators were killed, and the harmless requests must be served.
-func TestRequestThatEndsWorkers(t *testing.T) {
+// TestRequestThatMakesWorkersExit sends such a request repeatedly to both edges, beside a harmless
+// one that is sent as often and others that are sent once. It must be quarantined, also after edges
+// and coordinators were killed, and the harmless requests must be served.
+func TestRequestThatMakesWorkersExit(t *testing.T) {
 	f := newHostedFleet(t, 8)
-	fronts := f.configure(t)
+	edges := f.configure(t)
 	f.injectExits(restartDelay)
 	var repeated, frequent, others answerCounts
 	var callers sync.WaitGroup
 	for round := range exitRounds {
-		front := fronts[round%len(fronts)]
+		edge := edges[round%len(edges)]
 		for _, caller := range []struct {
 			id, body string
 			count    *answerCounts
@@ -91,10 +93,10 @@
 			{fmt.Sprintf("f-%d", round), frequentBody, &frequent},
 			{fmt.Sprintf("o-%d", round), fmt.Sprintf("harmless %d", round), &others},
 		} {
-			callers.Go(func() { f.sendAndCount(front, caller.id, caller.body, caller.count) })
+			callers.Go(func() { f.sendAndCount(edge, caller.id, caller.body, caller.count) })
 		}
 		// Once its caller has the answer, it retries at the other edge.
-		f.sendAndCount(front, fmt.Sprintf("e-%d", round), exitBody, &repeated)
+		f.sendAndCount(edge, fmt.Sprintf("e-%d", round), exitBody, &repeated)
 		time.Sleep(roundInterval)
 	}
 	callers.Wait()
@@ -118,16 +120,16 @@
 			f.start(machine, false)
 		}
 	}
-	fronts = f.configure(t)
+	edges = f.configure(t)
 	for round := range 8 {
-		f.sendAndCount(fronts[round%len(fronts)], fmt.Sprintf("again-%d", round), exitBody, &repeated)
+		f.sendAndCount(edges[round%len(edges)], fmt.Sprintf("again-%d", round), exitBody, &repeated)
 	}
 	if more := f.exits() - before; more > 1 {
 		t.Errorf("%d more exits after a restart, want at most 1, in a trial", more)
 	}
 	eventually(t, "the frequent request is served", func() bool {
 		var now answerCounts
-		f.sendAndCount(fronts[0], "last", frequentBody, &now)
+		f.sendAndCount(edges[0], "last", frequentBody, &now)
 		return now.completed.Load() == 1
 	})
 }
@@ -136,24 +138,24 @@
 // their addresses.
 func (f *hostedFleet) configure(t *testing.T) []string {
 	eventually(t, "the first configuration", func() bool { return f.putConfiguration("core-2", f.configuration(5, "")) == http.StatusOK })
-	var fronts []string
+	var edges []string
 	for _, name := range []string{"front-21", "front-22"} {
-		fronts = append(fronts, f.address(f.machines[name], portCallers))
+		edges = append(edges, f.address(f.machines[name], portCallers))
 		eventually(t, name+" ready", func() bool {
 			status, _, _, err := f.call(http.MethodGet, f.address(f.machines[name], portReady), "/-/ready", nil, "")
 			return err == nil && status == http.StatusOK
 		})
 	}
-	return fronts
+	return edges
 }
 
-// TestItemThatEndsWorkers submits a job with one item that makes workers exit. The other items must
-// complete, and that one must be held back. It must not be abandoned, because no worker reported
-// that it failed.
-func TestItemThatEndsWorkers(t *testing.T) {
+// TestItemThatMakesWorkersExit submits a job with one item that makes workers exit. The other items
+// must complete, and that one must be held back. It must not be abandoned, because no worker
+// reported that it failed.
+func TestItemThatMakesWorkersExit(t *testing.T) {
 	const items, tokens = 12, 20
 	f := newHostedFleet(t, 8)
-	fronts := f.configure(t)
+	edges := f.configure(t)
 	f.injectFaults(func(request *emulator.HostedRequest) emulator.HostedFault {
 		if request.ID == "j1-3" {
 			return emulator.HostedFault{ExitAfter: 15 * time.Millisecond, RestartAfter: 60 * time.Millisecond}
@@ -161,14 +163,14 @@
 		return emulator.HostedFault{}
 	})
 	eventually(t, "the job accepted", func() bool {
-		status, _, _, err := f.call(http.MethodPost, fronts[0], "/batch/j1", map[string]string{"Request-Id": "j1"}, jobDocument("j1", items, tokens))
+		status, _, _, err := f.call(http.MethodPost, edges[0], "/batch/j1", map[string]string{"Request-Id": "j1"}, jobDocument("j1", items, tokens))
 		return err == nil && status == http.StatusAccepted
 	})
 	eventually(t, "all other results", func() bool {
-		page, _ := f.readResults(fronts[1], "j1", 0)
+		page, _ := f.readResults(edges[1], "j1", 0)
 		return page != nil && len(page.Results) == items-1
 	})
-	page, _ := f.readResults(fronts[0], "j1", 0)
+	page, _ := f.readResults(edges[0], "j1", 0)
 	for _, row := range page.Results {
 		if row.ID == "j1-3" || row.State != "completed" {
 			t.Errorf("item %s is %s", row.ID, row.State)
@@ -184,22 +186,22 @@
 	}
 }
 
-// TestWorkersBackUnderTheirIDs repeats the request with two workers that restart under the same id,
-// after 60 ms or almost at once. Each exit must count. It guards against two faults: several exits
-// of one worker count as one, so the request is never quarantined; or an exit does not count
+// TestWorkersRestartUnderTheirIDs repeats the request with two workers that restart under the same
+// id, after 60 ms or almost at once. Each exit must count. It guards against two faults: several
+// exits of one worker count as one, so the request is never quarantined; or an exit does not count
 // because the worker has restarted by the time the edge checks it.
-func TestWorkersBackUnderTheirIDs(t *testing.T) {
+func TestWorkersRestartUnderTheirIDs(t *testing.T) {
 	for _, back := range []time.Duration{restartDelay, 500 * time.Microsecond} {
 		t.Run(back.String(), func(t *testing.T) {
 			f := newHostedFleet(t, 2)
 			for _, worker := range f.workers {
 				worker.KeepID = true
 			}
-			fronts := f.configure(t)
+			edges := f.configure(t)
 			f.injectExits(back)
 			var repeated answerCounts
 			for round := range exitRounds {
-				f.sendAndCount(fronts[round%len(fronts)], fmt.Sprintf("e-%d", round), exitBody, &repeated)
+				f.sendAndCount(edges[round%len(edges)], fmt.Sprintf("e-%d", round), exitBody, &repeated)
 				time.Sleep(roundInterval + back)
 			}
 			t.Logf("%d exits of workers in %d rounds; the request: %s", f.exits(), exitRounds, &repeated)
@@ -208,7 +210,7 @@
 			}
 			eventually(t, "another request is served", func() bool {
 				var now answerCounts
-				f.sendAndCount(fronts[0], "last", frequentBody, &now)
+				f.sendAndCount(edges[0], "last", frequentBody, &now)
 				return now.completed.Load() == 1
 			})
 		})
