--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -71,7 +71,7 @@
 	weightRate        = 256 << 20
 	weightBytes       = 64 << 20
 	resumeGrace       = 5 * time.Second
-	readyPoll         = 10 * time.Millisecond
+	readyPollInterval = 10 * time.Millisecond
 	stopTimeout       = 20 * time.Second
 	zones             = 3
 	heartbeatInterval = 100 * time.Millisecond
@@ -257,7 +257,7 @@
 			select {
 			case <-ctx.Done():
 				return errors.Wrapf(ctx.Err(), "%s is not ready", member.Name)
-			case <-time.After(readyPoll):
+			case <-time.After(readyPollInterval):
 			}
 		}
 	}
--- a/internal/fleetsim/ledger.go
+++ b/internal/fleetsim/ledger.go
@@ -298,7 +298,7 @@
 	}
 	if known.ended && len(results) > len(known.results) && len(known.results) > 0 && l.jobs[id].ended {
 		// Results that were committed before the job ended may be read for the first time after
-		// its end.
+		// its end. The list must not grow again after that, which this check does not detect.
 		known.results = results
 	}
 	items := map[string]bool{}
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -108,21 +108,21 @@
 }
 
 func (r *Run) takeReading(ctx context.Context) (*reading, error) {
-	taken := &reading{processes: map[string]usage{}}
+	current := &reading{processes: map[string]usage{}}
 	for _, process := range r.Processes {
 		read, err := readUsage(ctx, process)
 		if err != nil {
 			return nil, err
 		}
-		taken.processes[process.Name] = read
+		current.processes[process.Name] = read
 	}
 	var err error
-	if taken.own, err = ownUsage(); err != nil {
+	if current.own, err = ownUsage(); err != nil {
 		return nil, err
 	}
-	taken.daemons = r.daemons.counts()
-	taken.takenAt = time.Now()
-	return taken, nil
+	current.daemons = r.daemons.counts()
+	current.takenAt = time.Now()
+	return current, nil
 }
 
 // point computes the measurements between two readings.
--- a/test/restart_test.go
+++ b/test/restart_test.go
@@ -81,7 +81,7 @@
 // step completed, over the given number of last starts of each process.
 func (f *hostedFleet) startSteps(t *testing.T, starts int) []string {
 	t.Helper()
-	taken := map[string][]time.Duration{}
+	stepTimes := map[string][]time.Duration{}
 	for _, machine := range f.machines {
 		text, err := os.ReadFile(filepath.Join(machine.folder, "log"))
 		if err != nil {
@@ -98,11 +98,11 @@
 		}
 		for name, times := range byStep {
 			// Skip the first start, which bootstrapped the fleet.
-			taken[name] = append(taken[name], times[max(0, len(times)-starts):]...)
+			stepTimes[name] = append(stepTimes[name], times[max(0, len(times)-starts):]...)
 		}
 	}
 	var lines []string
-	for name, times := range taken {
+	for name, times := range stepTimes {
 		lines = append(lines, fmt.Sprintf("%s: median %s, slowest %s of %d", name, median(times), slices.Max(times), len(times)))
 	}
 	slices.Sort(lines)
--- a/test/worker_exits_test.go
+++ b/test/worker_exits_test.go
@@ -191,18 +191,18 @@
 // exits of one worker count as one, so the request is never quarantined; or an exit does not count
 // because the worker has restarted by the time the edge checks it.
 func TestWorkersRestartUnderTheirIDs(t *testing.T) {
-	for _, back := range []time.Duration{restartDelay, 500 * time.Microsecond} {
-		t.Run(back.String(), func(t *testing.T) {
+	for _, restartAfter := range []time.Duration{restartDelay, 500 * time.Microsecond} {
+		t.Run(restartAfter.String(), func(t *testing.T) {
 			f := newHostedFleet(t, 2)
 			for _, worker := range f.workers {
 				worker.KeepID = true
 			}
 			edges := f.configure(t)
-			f.injectExits(back)
+			f.injectExits(restartAfter)
 			var repeated answerCounts
 			for round := range exitRounds {
 				f.sendAndCount(edges[round%len(edges)], fmt.Sprintf("e-%d", round), exitBody, &repeated)
-				time.Sleep(roundInterval + back)
+				time.Sleep(roundInterval + restartAfter)
 			}
 			t.Logf("%d exits of workers in %d rounds; the request: %s", f.exits(), exitRounds, &repeated)
 			if count := f.exits(); count > maxExits {
