--- a/internal/balance/forecast_test.go
+++ b/internal/balance/forecast_test.go
@@ -157,8 +157,8 @@
 	}
 }
 
-// BenchmarkOutlooks measures what forecasts add to the cost of a plan.
-func BenchmarkOutlooks(b *testing.B) {
+// BenchmarkForecasts measures what forecasts add to the cost of a plan.
+func BenchmarkForecasts(b *testing.B) {
 	benchmark(b, func(b *testing.B, table *Table, _ int) {
 		workers := table.Workers(start, noWait)
 		for b.Loop() {
--- a/internal/balance/free_test.go
+++ b/internal/balance/free_test.go
@@ -40,9 +40,9 @@
 	t.SetPeerLoads(start, loads, ScopeAll)
 }
 
-// TestLookFindsFreeSlots calls FindCandidate on random pools of one zone: it finds a worker with
-// a free slot whenever there is one, and acquires nothing.
-func TestLookFindsFreeSlots(t *testing.T) {
+// TestFindCandidateFindsFreeSlots calls FindCandidate on random pools of one zone: it finds a
+// worker with a free slot whenever there is one, and acquires nothing.
+func TestFindCandidateFindsFreeSlots(t *testing.T) {
 	proptest.Run(t, "free slots", func(random *rand.Rand) error {
 		online := make([]int, 1+random.Intn(60))
 		free := 0
@@ -238,9 +238,9 @@
 	}
 }
 
-// TestWaitsAtMost checks how many simulated waits exceed MaxWait, for a worker with eight slots
-// that are held for 0.75 s.
-func TestWaitsAtMost(t *testing.T) {
+// TestMaxWaitIsRarelyExceeded checks how many simulated waits exceed MaxWait, for a worker with
+// eight slots that are held for 0.75 s.
+func TestMaxWaitIsRarelyExceeded(t *testing.T) {
 	const holdTime = 750 * time.Millisecond
 	table := tableOfZones(1, 1)
 	random := rand.New(rand.NewSource(1))
@@ -267,8 +267,8 @@
 	}
 }
 
-// BenchmarkLook measures FindCandidate in a pool whose slots are all in use.
-func BenchmarkLook(b *testing.B) {
+// BenchmarkFindCandidate measures FindCandidate in a pool whose slots are all in use.
+func BenchmarkFindCandidate(b *testing.B) {
 	for _, workers := range []int{72, 2000} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
 			online := make([]int, workers)
--- a/internal/balance/pace.go
+++ b/internal/balance/pace.go
@@ -170,7 +170,7 @@
 }
 
 // maxWaitDeviations is the number of standard deviations from the mean to the predicted maximum:
-// 19 of 20 waits stay below it (TestWaitsAtMost).
+// 19 of 20 waits stay below it (TestMaxWaitIsRarelyExceeded).
 const maxWaitDeviations = 2.05
 
 // predictMaxWait predicts a bound that nearly all waits for a slot at the worker stay below. The
--- a/internal/balance/size_test.go
+++ b/internal/balance/size_test.go
@@ -37,9 +37,9 @@
 	return loads
 }
 
-// TestAChoiceLooksAtAFew checks how many workers a choice compares, and how many the batch
+// TestChoiceComparesFewWorkers checks how many workers a choice compares, and how many the batch
 // planner gets one by one, at two sizes of the fleet with the same load.
-func TestAChoiceLooksAtAFew(t *testing.T) {
+func TestChoiceComparesFewWorkers(t *testing.T) {
 	for _, count := range []int{10_000, 20_000} {
 		table := fleetTable(count)
 		if table.Acquire(start, &Request{Pool: "p"}); len(table.candidates) > 2*maxCandidates+affinityCount {
@@ -60,10 +60,10 @@
 	}
 }
 
-// TestLeftWorkersAreNotChosen removes a tenth of the original fleet per round: idle workers,
+// TestRemovedWorkersAreNotChosen removes a tenth of the original fleet per round: idle workers,
 // workers with peer loads, suspects and busy ones. None of them may be chosen, sampled or passed
 // to the planner any more, and the counts must match the list.
-func TestLeftWorkersAreNotChosen(t *testing.T) {
+func TestRemovedWorkersAreNotChosen(t *testing.T) {
 	random := rand.New(rand.NewPCG(9, 9))
 	rows := fleetRows(1000)
 	table := fleetTable(1000)
@@ -175,8 +175,8 @@
 	})
 }
 
-// BenchmarkNews measures SetPeerLoads with 34 rows.
-func BenchmarkNews(b *testing.B) {
+// BenchmarkSetPeerLoads measures SetPeerLoads with 34 rows.
+func BenchmarkSetPeerLoads(b *testing.B) {
 	benchmark(b, func(b *testing.B, table *Table, count int) {
 		loads := peerLoads(fleetRows(count), 34)
 		for b.Loop() {
--- a/internal/balance/times_test.go
+++ b/internal/balance/times_test.go
@@ -65,10 +65,10 @@
 	}
 }
 
-// TestItemsLeaveRoomByTimes lets batch items fill idle slots: comparison by predicted times must
-// have fewer late requests than by cost. It may stop more items, since requests don't wait at
-// full workers instead.
-func TestItemsLeaveRoomByTimes(t *testing.T) {
+// TestPredictedTimesReduceLateRequestsBesideItems lets batch items fill idle slots: comparison by
+// predicted times must have fewer late requests than by cost. It may stop more items, since
+// requests don't wait at full workers instead.
+func TestPredictedTimesReduceLateRequestsBesideItems(t *testing.T) {
 	t.Parallel()
 	var fleets []*unevenFleet
 	for _, mode := range []scoring{scoringCost, scoringPredictedTime} {
@@ -124,10 +124,11 @@
 	}
 }
 
-// TestNoHerdByTimes lets many edges choose at once by the same peer loads, with one worker idle
-// and fast and all others loaded and slow, at a rate of ten requests per second and edge: the
-// idle worker must get only few of the requests. It then simulates waves with that many edges.
-func TestNoHerdByTimes(t *testing.T) {
+// TestNoHerdingByPredictedTimes lets many edges choose at once by the same peer loads, with one
+// worker idle and fast and all others loaded and slow, at a rate of ten requests per second and
+// edge: the idle worker must get only few of the requests. It then simulates waves with that many
+// edges.
+func TestNoHerdingByPredictedTimes(t *testing.T) {
 	t.Parallel()
 	for _, edges := range []int{67, 800} {
 		const workers = 72
@@ -165,9 +166,9 @@
 	}
 }
 
-// TestZonesDoNotSwap counts the requests that two zones send each other within the same 100 ms:
-// they must be a small part of all requests between zones.
-func TestZonesDoNotSwap(t *testing.T) {
+// TestZonesDoNotSwapRequests counts the requests that two zones send each other within the same 100
+// ms: they must be a small part of all requests between zones.
+func TestZonesDoNotSwapRequests(t *testing.T) {
 	t.Parallel()
 	const window = 100 * time.Millisecond
 	scenario := fourZones()
@@ -191,9 +192,9 @@
 	}
 }
 
-// TestZonesKeepWhatTheyCanCarry simulates a demand that each zone can serve itself: next to no
+// TestZonesKeepRequestsTheyCanServe simulates a demand that each zone can serve itself: next to no
 // requests may leave their zone.
-func TestZonesKeepWhatTheyCanCarry(t *testing.T) {
+func TestZonesKeepRequestsTheyCanServe(t *testing.T) {
 	t.Parallel()
 	scenario := fourZones()
 	scenario.reportPace, scenario.demand = true, []float64{52, 48, 44, 40}
@@ -282,9 +283,9 @@
 	}
 }
 
-// TestFrozenWorkersAreLeft freezes three workers in a wave while they still report a good pace:
+// TestFrozenWorkersAreAvoided freezes three workers in a wave while they still report a good pace:
 // few requests may be lost to each.
-func TestFrozenWorkersAreLeft(t *testing.T) {
+func TestFrozenWorkersAreAvoided(t *testing.T) {
 	t.Parallel()
 	scenario := fourZones()
 	scenario.reportPace, scenario.waves = true, 2
@@ -310,9 +311,9 @@
 	}
 }
 
-// TestNewsStopInAWave stops all load reports for 400 ms at the peak of a wave: not many more
+// TestLoadReportsStopInWave stops all load reports for 400 ms at the peak of a wave: not many more
 // requests may be late, and no worker may be overloaded.
-func TestNewsStopInAWave(t *testing.T) {
+func TestLoadReportsStopInWave(t *testing.T) {
 	t.Parallel()
 	play := func(mode scoring, stop bool) *unevenFleet {
 		scenario := fourZones()
@@ -349,9 +350,9 @@
 	}
 }
 
-// TestZoneThatLosesRoomSpills removes a third of the busiest zone's workers in a wave, or doubles
-// its demand: fewer requests may be late than with comparison by cost.
-func TestZoneThatLosesRoomSpills(t *testing.T) {
+// TestZoneThatLosesCapacitySpills removes a third of the busiest zone's workers in a wave, or
+// doubles its demand: fewer requests may be late than with comparison by cost.
+func TestZoneThatLosesCapacitySpills(t *testing.T) {
 	t.Parallel()
 	for name, change := range map[string]func(f *unevenFleet){
 		"a third leaves":     func(f *unevenFleet) { f.removeThird(0) },
--- a/internal/batchplan/stops_test.go
+++ b/internal/batchplan/stops_test.go
@@ -33,10 +33,10 @@
 	}
 }
 
-// TestStopsAreEnoughAndNoMore checks for random workers that after the stops all waiting online
-// requests get a slot within maxWait, or that no item is left to stop, and that one stop fewer
-// would not be enough.
-func TestStopsAreEnoughAndNoMore(t *testing.T) {
+// TestStopsAreSufficientAndMinimal checks for random workers that after the stops all waiting
+// online requests get a slot within maxWait, or that no item is left to stop, and that one stop
+// fewer would not be enough.
+func TestStopsAreSufficientAndMinimal(t *testing.T) {
 	inTime := func(worker Worker, stops int, holdTime, maxWait time.Duration) bool {
 		waiting := worker.Online + worker.Items - stops - worker.Slots
 		running := worker.Slots - (worker.Items - stops)
--- a/internal/batchroom/waves_test.go
+++ b/internal/batchroom/waves_test.go
@@ -128,8 +128,8 @@
 	}
 }
 
-// TestNoPeriod simulates waves without a period, and a constant rate.
-func TestNoPeriod(t *testing.T) {
+// TestWavesWithoutPeriod simulates waves without a period, and a constant rate.
+func TestWavesWithoutPeriod(t *testing.T) {
 	t.Parallel()
 	for _, fleet := range []*scenario{fleet360(), fleet576()} {
 		erratic, flat := *fleet, *fleet
--- a/internal/batchstore/capacity_test.go
+++ b/internal/batchstore/capacity_test.go
@@ -73,10 +73,10 @@
 	}
 }
 
-// TestZoneWithoutTenantsIsAnsweredAsBefore sends the same reports to a hub without a configuration
+// TestClaimsWithoutTenantsChangeNoAnswer sends the same reports to a hub without a configuration
 // and to one whose configuration has no tenants. Their answers must equal, byte for byte, those
 // of a hub to reports without claims and counts.
-func TestZoneWithoutTenantsIsAnsweredAsBefore(t *testing.T) {
+func TestClaimsWithoutTenantsChangeNoAnswer(t *testing.T) {
 	now := clock.Now()
 	plain := &Store{logger: logging.Discard(), loads: newLoads(ratelimit.Tolerance{})}
 	var want [][]byte
--- a/internal/batchstore/forecast_test.go
+++ b/internal/batchstore/forecast_test.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// TestPlansWithoutTenantsAreAsBefore compares the orders of a store to those of a planner that
+// TestPlansWithoutTenantsUseNoForecasts compares the orders of a store to those of a planner that
 // has no forecasts.
-func TestPlansWithoutTenantsAreAsBefore(t *testing.T) {
+func TestPlansWithoutTenantsUseNoForecasts(t *testing.T) {
 	r := testRunner(t, 1)
 	now := start
 	for online := range 2 * slots {
--- a/internal/batchstore/loads.go
+++ b/internal/batchstore/loads.go
@@ -196,7 +196,7 @@
 		s.logHealthChanges(s.loads.zoneHub)
 	}
 	// An edge of wire.GenerationFirst would assume that workers missing from a sample are idle.
-	if loadshare.Large(&s.loads.zoneWorkers) && !report.First {
+	if loadshare.IsLargeZone(&s.loads.zoneWorkers) && !report.First {
 		answer.Drawn = true
 		if report.Choosing {
 			sampled := loadshare.Sample(s.loads.random, report.Asked, &s.loads.zoneWorkers, &s.loads.otherWorkers)
--- a/internal/batchstore/loads_test.go
+++ b/internal/batchstore/loads_test.go
@@ -62,10 +62,10 @@
 	return s
 }
 
-// TestTheTopHubIsFoundByTheView guards against a store that is a member of no group naming no
+// TestTopHubIsFoundByFleetView guards against a store that is a member of no group naming no
 // top hub, which sent its callers from store to store. It must look for the hub at the leader of
 // the hub group first, then at its members, then at all stores, and refer callers to the leader.
-func TestTheTopHubIsFoundByTheView(t *testing.T) {
+func TestTopHubIsFoundByFleetView(t *testing.T) {
 	hubPlace := wire.GroupPlace{Leader: "c:1", Members: []string{"b:1", "c:1"}}
 	stores := []wire.ProcessAddress{{Address: "a:1"}, {Address: "b:1"}, {Address: "c:1"}, {Address: "d:1"}}
 	s := newStoreWithFleet(t, &wire.FleetView{Stores: stores, Groups: []wire.GroupPlace{hubPlace}})
@@ -106,10 +106,10 @@
 	}
 }
 
-// TestFirstGenerationIsToldOfTheZone sends reports of edges of both generations to a hub in a
+// TestFirstGenerationGetsNoSample sends reports of edges of both generations to a hub in a
 // large zone. An edge of the first generation assumes that a worker missing from the answer is
 // idle, so it must never get a sample of the workers.
-func TestFirstGenerationIsToldOfTheZone(t *testing.T) {
+func TestFirstGenerationGetsNoSample(t *testing.T) {
 	s := &Store{loads: newLoads(ratelimit.Tolerance{})}
 	var rows []wire.PoolWorker
 	for number := range 200 {
--- a/internal/batchstore/plan.go
+++ b/internal/batchstore/plan.go
@@ -175,7 +175,7 @@
 		return nil
 	}
 	prepared := r.prepare(ctx, key, job, route, content, lease)
-	prepared.goal = table.TightestGoal(request.Pool)
+	prepared.goal = table.ShortestGoal(request.Pool)
 	prepared.pool, prepared.progress.lastWorker = request.Pool, lease.Endpoint.ID
 	return prepared
 }
--- a/internal/batchstore/planner.go
+++ b/internal/batchstore/planner.go
@@ -17,7 +17,7 @@
 
 // planOrdersWith plans the orders for a runner with the given configuration.
 func (s *Store) planOrdersWith(now time.Time, table *routetable.Table, source uint32, waiting int, items map[uint32]int) map[uint32]batchroom.Order {
-	workers := s.workers.Workers(now, func(pool string) time.Duration { return table.TightestGoal(pool) / maxWaitDivisor })
+	workers := s.workers.Workers(now, func(pool string) time.Duration { return table.ShortestGoal(pool) / maxWaitDivisor })
 	for i := range workers.Busy {
 		worker := &workers.Busy[i]
 		worker.Probe = worker.Probe && s.loads.topHub.ProbeDue(now, worker.ShortName)
--- a/internal/batchstore/runner_test.go
+++ b/internal/batchstore/runner_test.go
@@ -81,9 +81,9 @@
 	return count
 }
 
-// TestItemsGiveWayAtOnce overloads a worker with online requests. All items that occupy the needed
-// slots must stop at once, and no others. Items that have just begun must not stop.
-func TestItemsGiveWayAtOnce(t *testing.T) {
+// TestItemsArePreemptedAtOnce overloads a worker with online requests. All items that occupy the
+// needed slots must stop at once, and no others. Items that have just begun must not stop.
+func TestItemsArePreemptedAtOnce(t *testing.T) {
 	r := testRunner(t, 4)
 	for number := range 4 {
 		r.runItem(t, number, start)
@@ -111,9 +111,9 @@
 	}
 }
 
-// TestUrgencyDoesNotHoldOnlineUp checks that an item that can finish in time only if it goes on
+// TestUrgentItemsArePreempted checks that an item that can finish in time only if it goes on
 // stops for online requests like any other.
-func TestUrgencyDoesNotHoldOnlineUp(t *testing.T) {
+func TestUrgentItemsArePreempted(t *testing.T) {
 	r := testRunner(t, 2)
 	urgent := r.runItem(t, 0, start)
 	r.runItem(t, 1, start)
--- a/internal/consensus/replica_test.go
+++ b/internal/consensus/replica_test.go
@@ -172,10 +172,10 @@
 	return c
 }
 
-// TestLearnerStandsWhereNobodyElseCan checks that a learner campaigns if its log is the only
+// TestLearnerCampaignsIfOnlyItCanWin checks that a learner campaigns if its log is the only
 // one that can win; otherwise the group would stay without a leader for ever. In the end a
 // voter leads, and the entry that a majority may have stored is kept.
-func TestLearnerStandsWhereNobodyElseCan(t *testing.T) {
+func TestLearnerCampaignsIfOnlyItCanWin(t *testing.T) {
 	c := newClusterLostDuringChange(t)
 	c.advance(20 * testElection)
 	leader := uint64(0)
@@ -267,10 +267,10 @@
 	}
 }
 
-// TestLeaderIsStoredBeforeItIsAnswered checks that the hard state that names the leader is
+// TestLeaderIsStoredBeforeFirstResponse checks that the hard state that names the leader is
 // stored no later than the first response to the leader is sent, and that a new term resets
 // it.
-func TestLeaderIsStoredBeforeItIsAnswered(t *testing.T) {
+func TestLeaderIsStoredBeforeFirstResponse(t *testing.T) {
 	for _, kind := range []wire.MessageKind{wire.MessageHeartbeat, wire.MessageAppend} {
 		r := testReplica(1, PersistedState{Base: threeVoterBase(), HardState: wire.HardState{Term: 3}})
 		r.Step(testStart, &wire.PeerMessage{Kind: kind, From: 2, To: 1, Term: 3})
--- a/internal/controlclient/session.go
+++ b/internal/controlclient/session.go
@@ -21,8 +21,8 @@
 	Timeout  time.Duration
 	// Report sets the fields of a heartbeat that describe the daemon.
 	Report func(*wire.HeartbeatRequest)
-	// OnChange is called after each heartbeat whose response was applied; may be nil.
-	OnChange func(*wire.HeartbeatResponse)
+	// OnResponse is called after each heartbeat whose response was applied; may be nil.
+	OnResponse func(*wire.HeartbeatResponse)
 }
 
 // Session keeps a daemon's lease, its view of the dispatchers and its copy of the configuration.
@@ -199,8 +199,8 @@
 	s.applyView(response.View)
 	s.assignmentVersion = response.AssignmentVersion
 	s.mutex.Unlock()
-	if s.options.OnChange != nil {
-		s.options.OnChange(response)
+	if s.options.OnResponse != nil {
+		s.options.OnResponse(response)
 	}
 }
 
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -75,12 +75,12 @@
 		quarantine:  quarantine.NewLocal(),
 	}
 	dispatcher.session = controlclient.NewSession(controlclient.SessionOptions{
-		Client:   dispatcher.control,
-		Logger:   d.Logger,
-		Interval: config.Heartbeat.Interval.Std(),
-		Timeout:  config.Heartbeat.Timeout.Std(),
-		Report:   dispatcher.fillHeartbeat,
-		OnChange: dispatcher.applyHeartbeat,
+		Client:     dispatcher.control,
+		Logger:     d.Logger,
+		Interval:   config.Heartbeat.Interval.Std(),
+		Timeout:    config.Heartbeat.Timeout.Std(),
+		Report:     dispatcher.fillHeartbeat,
+		OnResponse: dispatcher.applyHeartbeat,
 	})
 	dispatcher.metrics = newMetrics(d.Registry, dispatcher)
 	dispatcher.workers = newWorkerSet(dispatcher)
--- a/internal/dispatcher/workers.go
+++ b/internal/dispatcher/workers.go
@@ -177,7 +177,7 @@
 func (d *Dispatcher) runningOn(worker string, startedBy time.Time) int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.scheduler.RunningSince(worker, startedBy)
+	return d.scheduler.RunningStartedBy(worker, startedBy)
 }
 
 func (w *workerSet) readCacheEvents(ctx context.Context, owned *ownedWorker) {
--- a/internal/edge/jobs.go
+++ b/internal/edge/jobs.go
@@ -125,7 +125,7 @@
 	_, err := callAsOwner(e, request, id, func(ctx context.Context, name string) (*wire.BatchResult, error) {
 		ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 		defer cancel()
-		return e.Stores.End(ctx, name)
+		return e.Stores.EndJob(ctx, name)
 	})
 	return err
 }
--- a/internal/fleetsim/builds.go
+++ b/internal/fleetsim/builds.go
@@ -44,7 +44,7 @@
 func (m *machine) hello() wire.Hello {
 	hello := m.node.Hello()
 	if m.firstGeneration {
-		hello.WrittenBy(wire.GenerationFirst)
+		hello.SetGeneration(wire.GenerationFirst)
 	}
 	return hello
 }
--- a/internal/fleetsim/machine.go
+++ b/internal/fleetsim/machine.go
@@ -348,7 +348,7 @@
 			return
 		}
 		store.knownTerm, store.knownView = term, number
-		store.fleetView = answer.Upon(&store.fleetView)
+		store.fleetView = answer.ApplyTo(&store.fleetView)
 		fleet := store.fleetView
 		store.runOnNode(func() {
 			store.node.SetPeers(store.clock(), fleet.StoreAddresses())
--- a/internal/fleetview/generation_test.go
+++ b/internal/fleetview/generation_test.go
@@ -33,11 +33,10 @@
 	}
 }
 
-// TestFirstGenerationFollows changes workers and stores at random, starting with a partial list
-// of workers, and lets processes of the first generation poll. After an answer a process must
-// have the leader's view, and the answer must not contain a field that its generation can't
-// read.
-func TestFirstGenerationFollows(t *testing.T) {
+// TestFirstGenerationGetsCurrentView changes workers and stores at random, starting with a partial
+// list of workers, and lets processes of the first generation poll. After an answer a process must
+// have the leader's view, and the answer must not contain a field that its generation can't read.
+func TestFirstGenerationGetsCurrentView(t *testing.T) {
 	random := rand.New(rand.NewPCG(8, 8))
 	v, now := New(1), start
 	readers := make([]firstGenReader, 5)
--- a/internal/fleetview/mirror_test.go
+++ b/internal/fleetview/mirror_test.go
@@ -47,7 +47,7 @@
 		}
 		f.workers = updated
 	}
-	f.fleet = update.Upon(&f.fleet)
+	f.fleet = update.ApplyTo(&f.fleet)
 	f.term, f.view = term, view
 	return wentBack
 }
@@ -148,11 +148,11 @@
 	}
 }
 
-// TestNobodyGoesBack restarts leaders, relays and edges at random. Edges poll the leader and the
-// relays in any order; relays lag, lose their state, or have a view that the next leader does
-// not know. No edge may go back to an older view, and once changes stop all must reach the
+// TestNoEdgeReturnsToOlderView restarts leaders, relays and edges at random. Edges poll the leader
+// and the relays in any order; relays lag, lose their state, or have a view that the next leader
+// does not know. No edge may go back to an older view, and once changes stop all must reach the
 // leader's view.
-func TestNobodyGoesBack(t *testing.T) {
+func TestNoEdgeReturnsToOlderView(t *testing.T) {
 	for seed := range uint64(100) {
 		f := &mirrorFleet{t: t, random: rand.New(rand.NewPCG(seed, 7)), now: start, leader: New(1), rows: map[int]wire.PoolWorker{}}
 		f.relays, f.mirrors, f.edges = make([]follower, 3), []*Mirror{NewMirror(), NewMirror(), NewMirror()}, make([]follower, 6)
--- a/internal/fleetview/since_test.go
+++ b/internal/fleetview/since_test.go
@@ -11,9 +11,9 @@
 	"github.com/sedgemast/sedgemast/internal/workerset"
 )
 
-// TestWhatDiffersMakesTheWholeView changes workers, stores and edges at random and lets callers
+// TestViewPlusUpdateIsCurrentView changes workers, stores and edges at random and lets callers
 // with views of any age poll: the view they had plus the update must equal the current view.
-func TestWhatDiffersMakesTheWholeView(t *testing.T) {
+func TestViewPlusUpdateIsCurrentView(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 5))
 	v, now := New(1), start
 	type caller struct {
@@ -41,7 +41,7 @@
 		if update.News != nil {
 			c.workers = c.workers.Apply(update.News)
 		}
-		c.known = update.Upon(&c.known)
+		c.known = update.ApplyTo(&c.known)
 		c.number = v.Number
 		want := v.Current
 		if len(want.Stores) == 0 {
--- a/internal/fleetview/view.go
+++ b/internal/fleetview/view.go
@@ -176,7 +176,7 @@
 	update.News = nil
 	switch {
 	case !update.Listed:
-	case number > 0 && changes.Nothing():
+	case number > 0 && changes.IsEmpty():
 		update.SameWorkers, update.Listed = true, false
 	default:
 		update.Workers = v.Workers().Rows()
--- a/internal/fleetview/view_test.go
+++ b/internal/fleetview/view_test.go
@@ -130,10 +130,10 @@
 	}
 }
 
-// TestEmptiedNeedsAllGroups checks that a store counts as drained once the leaders of all groups
-// have reported so within ProcessTTL, and no longer once one of them reports the store as a
+// TestDrainedNeedsReportsOfAllGroups checks that a store counts as drained once the leaders of all
+// groups have reported so within ProcessTTL, and no longer once one of them reports the store as a
 // member.
-func TestEmptiedNeedsAllGroups(t *testing.T) {
+func TestDrainedNeedsReportsOfAllGroups(t *testing.T) {
 	v := New(5)
 	v.Refresh(start, nil, nil, []string{"a"})
 	drainedCount := func(now time.Time, group int, members ...string) int {
--- a/internal/fleetwatch/targets_test.go
+++ b/internal/fleetwatch/targets_test.go
@@ -49,10 +49,10 @@
 	}
 }
 
-// TestAFailedRelayIsLeft checks which address an edge polls when its relays fail one after the
+// TestFailedRelayIsAvoided checks which address an edge polls when its relays fail one after the
 // other: the next relay of its zone, then one of another zone, then the seeds, and its own relay
 // again after avoidTime.
-func TestAFailedRelayIsLeft(t *testing.T) {
+func TestFailedRelayIsAvoided(t *testing.T) {
 	relays := relaysIn(2, 2)
 	edge := targets{name: "e", zone: "z1", relays: true}
 	first := edge.pick(now, []string{"seed:1"}, relays)
--- a/internal/fleetwatch/watcher.go
+++ b/internal/fleetwatch/watcher.go
@@ -240,7 +240,7 @@
 		}
 	}
 	w.listMismatches = 0
-	after.Fleet = fleet.Upon(&before.Fleet)
+	after.Fleet = fleet.ApplyTo(&before.Fleet)
 	after.Term, after.View = response.Term, response.View
 	w.setZones(before, after)
 	logging.Info(w.logger, "fleet_view", "from", target, "term", response.Term, "view", response.View, "workers", after.Workers.Len(), "rows", rows, "gone", removed, "stores", len(after.Fleet.Stores), "edges", after.Fleet.Edges, "age_ms", response.AgeMillis)
--- a/internal/forecast/forecast_test.go
+++ b/internal/forecast/forecast_test.go
@@ -194,9 +194,9 @@
 	return sum / float64(count)
 }
 
-// TestWaysAreWeighed compares the forecast 200 ms ahead with other methods: its error must be the
-// smallest with waves, and about that of the current demand without.
-func TestWaysAreWeighed(t *testing.T) {
+// TestForecastErrorAgainstOtherMethods compares the forecast 200 ms ahead with other methods: its
+// error must be the smallest with waves, and about that of the current demand without.
+func TestForecastErrorAgainstOtherMethods(t *testing.T) {
 	constant := &shape{perSecond: 171, holdTime: 760 * time.Millisecond}
 	for _, test := range []struct {
 		name  string
@@ -281,9 +281,9 @@
 	})
 }
 
-// TestPatternIsGivenUp stops the waves, and shifts them by half a cycle: the pattern must be
+// TestPatternIsAbandoned stops the waves, and shifts them by half a cycle: the pattern must be
 // abandoned after two misses, and learned again after the shift.
-func TestPatternIsGivenUp(t *testing.T) {
+func TestPatternIsAbandoned(t *testing.T) {
 	random := rand.New(rand.NewSource(1))
 	waveShape := waves()
 	cycle := waveShape.lowTime + waveShape.highTime
@@ -371,8 +371,8 @@
 	}
 }
 
-// BenchmarkTake measures one observation and one forecast with a known pattern.
-func BenchmarkTake(b *testing.B) {
+// BenchmarkObserveAndPeak measures one observation and one forecast with a known pattern.
+func BenchmarkObserveAndPeak(b *testing.B) {
 	f := New()
 	trace := waves().trace(rand.New(rand.NewSource(1)), 60*time.Second)
 	feed(f, start, trace)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -66,12 +66,12 @@
 		budget:      retry.NewBudget(config.RetryPercent),
 	}
 	g.session = controlclient.NewSession(controlclient.SessionOptions{
-		Client:   g.control,
-		Logger:   d.Logger,
-		Interval: config.Heartbeat.Interval.Std(),
-		Timeout:  config.Heartbeat.Timeout.Std(),
-		Report:   g.report,
-		OnChange: func(*wire.HeartbeatResponse) { d.SetReady(!g.draining.Load()) },
+		Client:     g.control,
+		Logger:     d.Logger,
+		Interval:   config.Heartbeat.Interval.Std(),
+		Timeout:    config.Heartbeat.Timeout.Std(),
+		Report:     g.report,
+		OnResponse: func(*wire.HeartbeatResponse) { d.SetReady(!g.draining.Load()) },
 	})
 	g.chooser = newChooser(g.session, config.Zone, rand.New(rand.NewPCG(g.incarnation, 1)))
 	g.metrics = newMetrics(d.Registry, g)
--- a/internal/listreader/incarnations_test.go
+++ b/internal/listreader/incarnations_test.go
@@ -67,8 +67,9 @@
 	}
 }
 
-// TestLivesFollowOneAnother reads lists that contradict the known incarnation of a worker.
-func TestLivesFollowOneAnother(t *testing.T) {
+// TestListsContradictKnownIncarnation reads lists that contradict the known incarnation of a
+// worker.
+func TestListsContradictKnownIncarnation(t *testing.T) {
 	row := func(started int64, leaving bool) wire.PoolWorker {
 		return wire.PoolWorker{ID: incarnation.Name("w", started), Pool: "p", Zone: "z", Address: "1", Leaving: leaving}
 	}
--- a/internal/loadshare/claim_test.go
+++ b/internal/loadshare/claim_test.go
@@ -71,9 +71,9 @@
 	return x
 }
 
-// TestRoomIsClaimed sends claims to a hub that doesn't know standings, to one that sends them, and
+// TestQueryClaim sends claims to a hub that doesn't know standings, to one that sends them, and
 // together with a token request.
-func TestRoomIsClaimed(t *testing.T) {
+func TestQueryClaim(t *testing.T) {
 	const timeout = 10 * time.Second
 	h := &claimHub{}
 	x := exchangeWith(t, h, Interval)
--- a/internal/loadshare/hubselector_test.go
+++ b/internal/loadshare/hubselector_test.go
@@ -8,9 +8,9 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// TestSilentHubIsReplacedInTime makes the preferred hub unresponsive: the next one must be
+// TestUnresponsiveHubIsReplacedInTime makes the preferred hub unresponsive: the next one must be
 // selected before the known loads expire, and the preferred one again after it is back.
-func TestSilentHubIsReplacedInTime(t *testing.T) {
+func TestUnresponsiveHubIsReplacedInTime(t *testing.T) {
 	hubs := []string{"a", "b", "c"}
 	selector := hubSelector{preferFirst: true}
 	var now, lostAt, switchedAt, returnedAt time.Duration
--- a/internal/loadshare/large_test.go
+++ b/internal/loadshare/large_test.go
@@ -80,10 +80,10 @@
 	}
 }
 
-// TestDrawnStaysTheSame measures the answer to an edge that is about to choose, with all workers
-// loaded, at 10,000 and 20,000 workers. It must fit into a packet and contain the workers that
-// were asked for; over many answers every worker of the zone must appear.
-func TestDrawnStaysTheSame(t *testing.T) {
+// TestSampledAnswerFitsPacket measures the answer to an edge that is about to choose, with all
+// workers loaded, at 10,000 and 20,000 workers. It must fit into a packet and contain the workers
+// that were asked for; over many answers every worker of the zone must appear.
+func TestSampledAnswerFitsPacket(t *testing.T) {
 	random := rand.New(rand.NewPCG(6, 6))
 	for _, count := range []int{10_000, 20_000} {
 		h := NewHub()
@@ -98,7 +98,7 @@
 			rows = append(rows, wire.WorkerLoad{Worker: worker, Online: 3, Batch: 2, Unread: 700, Answered: 1})
 		}
 		h.ApplyReport(start, &wire.LoadReport{Source: 1, Workers: rows})
-		if !Large(&near) {
+		if !IsLargeZone(&near) {
 			t.Fatal("the zone is not large")
 		}
 		seen, maxBytes := map[uint32]bool{}, 0
@@ -179,7 +179,7 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for b.Loop() {
-				if !Large(&near) {
+				if !IsLargeZone(&near) {
 					Subset(h.PeerLoads(start, 2), "a", func(worker uint32) string { return zone[worker] }, random)
 					continue
 				}
--- a/internal/loadshare/probe_test.go
+++ b/internal/loadshare/probe_test.go
@@ -97,10 +97,10 @@
 	return readmitted
 }
 
-// TestWellWorkersComeBackSoon makes a worker fail all requests for a while, by errors or timeouts.
-// After recovery it must receive requests again after about a second, plus at most about a fifth
-// of the time that it was failing.
-func TestWellWorkersComeBackSoon(t *testing.T) {
+// TestRecoveredWorkersAreReadmittedSoon makes a worker fail all requests for a while, by errors or
+// timeouts. After recovery it must receive requests again after about a second, plus at most about
+// a fifth of the time that it was failing.
+func TestRecoveredWorkersAreReadmittedSoon(t *testing.T) {
 	for _, test := range []struct {
 		failingFor time.Duration
 		timesOut   bool
@@ -125,9 +125,9 @@
 	}
 }
 
-// TestIllWorkersCostFewProbes makes a worker fail for good: failed probes grow with the logarithm
-// of the time, and later by fifteen a minute.
-func TestIllWorkersCostFewProbes(t *testing.T) {
+// TestFailingWorkersGetFewProbes makes a worker fail for good: failed probes grow with the
+// logarithm of the time, and later by fifteen a minute.
+func TestFailingWorkersGetFewProbes(t *testing.T) {
 	for _, timesOut := range []bool{false, true} {
 		worker := newSimulatedWorker(func(time.Time) bool { return true })
 		worker.timesOut = timesOut
@@ -141,9 +141,9 @@
 	}
 }
 
-// TestHalfIllWorkersStayAvoided makes a worker fail one in three requests: it must be avoided most
-// of the time, because each relapse requires more successes.
-func TestHalfIllWorkersStayAvoided(t *testing.T) {
+// TestPartlyFailingWorkersStayAvoided makes a worker fail one in three requests: it must be avoided
+// most of the time, because each relapse requires more successes.
+func TestPartlyFailingWorkersStayAvoided(t *testing.T) {
 	failures := rand.New(rand.NewPCG(3, 3))
 	worker := newSimulatedWorker(func(time.Time) bool { return failures.IntN(3) == 0 })
 	avoided, all := 0, 0
--- a/internal/loadshare/sample.go
+++ b/internal/loadshare/sample.go
@@ -150,8 +150,9 @@
 	return sampled
 }
 
-// Large reports whether a zone has so many workers that an edge receives only a sample of them.
-func Large(near *Set) bool { return near.Len() > maxSmallZone }
+// IsLargeZone reports whether a zone has so many workers that an edge receives only a sample of
+// them.
+func IsLargeZone(near *Set) bool { return near.Len() > maxSmallZone }
 
 // Sample returns the workers, sorted by hash, whose loads an edge that is about to choose
 // receives: those it asked for and a random sample of its zone and of the others.
--- a/internal/loadshare/sums_test.go
+++ b/internal/loadshare/sums_test.go
@@ -58,17 +58,17 @@
 	return counts
 }
 
-// TestZonesKnowWhatOneHubKnows checks with random reports that, once the zones have exchanged
+// TestZoneHubsMatchSingleHub checks with random reports that, once the zones have exchanged
 // their sums, every process receives the same loads as from a single hub: no report is missed, and
 // none counts twice.
-func TestZonesKnowWhatOneHubKnows(t *testing.T) {
+func TestZoneHubsMatchSingleHub(t *testing.T) {
 	if err := simulateZones(""); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestZoneChecksTurnRed is a mutation check: simulateZones must fail under each mutation.
-func TestZoneChecksTurnRed(t *testing.T) {
+// TestZoneMutationsAreDetected is a mutation check: simulateZones must fail under each mutation.
+func TestZoneMutationsAreDetected(t *testing.T) {
 	for _, mutation := range []string{"own sums are returned", "leaving is not reported", "the top hub is unreachable"} {
 		if simulateZones(mutation) == nil {
 			t.Errorf("mutation not detected: %s", mutation)
@@ -124,9 +124,9 @@
 	return nil
 }
 
-// TestSilentProcessAgesOutEverywhere stops the reports of a process: no hub may count it after one
+// TestReportsExpireOnAllHubs stops the reports of a process: no hub may count it after one
 // ReportTTL of its zone's hub and one of the top hub.
-func TestSilentProcessAgesOutEverywhere(t *testing.T) {
+func TestReportsExpireOnAllHubs(t *testing.T) {
 	z, now := newZones(), start
 	z.hubs[0].ApplyReport(now, report(1, 7, 3))
 	z.exchange(now, "")
@@ -144,9 +144,9 @@
 	}
 }
 
-// TestZoneGoesOnWithoutTheTop makes the top hub unresponsive: the processes of a zone must still
+// TestZoneContinuesWithoutTopHub makes the top hub unresponsive: the processes of a zone must still
 // know each other's loads, and the speed of workers from their own observations.
-func TestZoneGoesOnWithoutTheTop(t *testing.T) {
+func TestZoneContinuesWithoutTopHub(t *testing.T) {
 	z, now := newZones(), start
 	z.hubs[1].ApplyReport(now, report(2, 7, 2))
 	z.exchange(now, "")
@@ -161,9 +161,9 @@
 	}
 }
 
-// TestLeavingCountsNoMore checks that a process that announces that it reports elsewhere is no
-// longer counted.
-func TestLeavingCountsNoMore(t *testing.T) {
+// TestLeavingProcessIsNotCounted checks that a process that announces that it reports elsewhere is
+// no longer counted.
+func TestLeavingProcessIsNotCounted(t *testing.T) {
 	hub := NewHub()
 	hub.ApplyReport(start, report(1, 7, 3))
 	hub.ApplyReport(start, report(2, 7, 1))
--- a/internal/quarantine/cache_test.go
+++ b/internal/quarantine/cache_test.go
@@ -91,10 +91,10 @@
 	}
 }
 
-// TestBookCountsEndsOfOneWorker lets a worker exit repeatedly under the same id. A run that
+// TestCacheCountsExitsOfOneWorker lets a worker exit repeatedly under the same id. A run that
 // started after an exit is evidence of another exit; runs that were broken off together count as
 // one.
-func TestBookCountsEndsOfOneWorker(t *testing.T) {
+func TestCacheCountsExitsOfOneWorker(t *testing.T) {
 	cache, now := NewCache(), time.Unix(1000, 0)
 	for _, step := range []struct {
 		name  string
--- a/internal/quarantine/gate_test.go
+++ b/internal/quarantine/gate_test.go
@@ -13,7 +13,7 @@
 func TestGate(t *testing.T) {
 	process := func(address string, generation wire.Generation) wire.Process {
 		known := wire.Process{Hello: wire.Hello{Replica: wire.Replica{Address: address}}}
-		known.Hello.WrittenBy(generation)
+		known.Hello.SetGeneration(generation)
 		return known
 	}
 	own, newer, older := process("a", 0), process("b", wire.GenerationCurrent), process("c", wire.GenerationFirst)
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -237,9 +237,9 @@
 	}
 }
 
-// TestShareIsGivenUp disconnects a hub from the top for a while: it continues with its share, and
-// with the whole bucket once it is connected again, even if nothing has changed.
-func TestShareIsGivenUp(t *testing.T) {
+// TestDisconnectedHubUsesItsShare disconnects a hub from the top for a while: it continues with its
+// share, and with the whole bucket once it is connected again, even if nothing has changed.
+func TestDisconnectedHubUsesItsShare(t *testing.T) {
 	f := newFleet(rand.New(rand.NewSource(1)), Limit{Rate: 0.1, Burst: 100})
 	wait := func(time time.Duration) {
 		for end := f.now.Add(time); f.now.Before(end); {
--- a/internal/replication/discovery_test.go
+++ b/internal/replication/discovery_test.go
@@ -188,10 +188,10 @@
 	}
 }
 
-// TestNothingIsTakenInBeforeForming checks that a process that belongs to no cluster yet does
+// TestNoResponseBeforeBootstrap checks that a process that belongs to no cluster yet does
 // not respond to messages. Bootstrapping replaces its log, so that entries which it had
 // acknowledged before would be lost.
-func TestNothingIsTakenInBeforeForming(t *testing.T) {
+func TestNoResponseBeforeBootstrap(t *testing.T) {
 	sent := 0
 	node, err := Open(Options{
 		Store:           storage.NewMemory(),
--- a/internal/routetable/routetable_test.go
+++ b/internal/routetable/routetable_test.go
@@ -244,9 +244,9 @@
 	}
 }
 
-// TestOlderDocumentsAreAsBefore checks that a configuration without share settings is encoded
+// TestUnsetShareFieldsAreNotEncoded checks that a configuration without share settings is encoded
 // without their fields, as builds that don't know them encode it.
-func TestOlderDocumentsAreAsBefore(t *testing.T) {
+func TestUnsetShareFieldsAreNotEncoded(t *testing.T) {
 	configuration := validConfiguration()
 	configuration.Tenants = []Tenant{{Name: "a"}}
 	document, err := configuration.Encode()
--- a/internal/routetable/table.go
+++ b/internal/routetable/table.go
@@ -105,9 +105,9 @@
 	}
 }
 
-// TightestGoal returns the shortest goal of the online routes to the pool, zero if
+// ShortestGoal returns the shortest goal of the online routes to the pool, zero if
 // there is none. A nil table has none.
-func (t *Table) TightestGoal(pool string) time.Duration {
+func (t *Table) ShortestGoal(pool string) time.Duration {
 	if t == nil {
 		return 0
 	}
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -76,7 +76,7 @@
 
 // originSetter is a message that records the generation of the build that sent it.
 type originSetter interface {
-	WrittenBy(generation wire.Generation)
+	SetGeneration(generation wire.Generation)
 }
 
 // generationOf returns the generation of the build that sent the header: GenerationFirst,
@@ -122,7 +122,7 @@
 		return failure.Wrap(&decodeError{errors.New("the message is followed by others")}, failure.BadRequest, "send one message per call", "%d bytes follow the message", len(rest))
 	}
 	if message, ok := message.(originSetter); ok {
-		message.WrittenBy(generationOf(header))
+		message.SetGeneration(generationOf(header))
 	}
 	return nil
 }
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -73,12 +73,12 @@
 	}
 	h.client = controlclient.New(d.control)
 	h.session = controlclient.NewSession(controlclient.SessionOptions{
-		Client:   h.client,
-		Logger:   logging.Discard(),
-		Interval: heartbeatInterval,
-		Timeout:  heartbeatTimeout,
-		Report:   func(request *wire.HeartbeatRequest) { h.report(request, number, d.model) },
-		OnChange: h.handleResponse,
+		Client:     h.client,
+		Logger:     logging.Discard(),
+		Interval:   heartbeatInterval,
+		Timeout:    heartbeatTimeout,
+		Report:     func(request *wire.HeartbeatRequest) { h.report(request, number, d.model) },
+		OnResponse: h.handleResponse,
 	})
 	d.all = append(d.all, h)
 	d.run(ctx, h.session.Run)
--- a/internal/scheduling/scheduler.go
+++ b/internal/scheduling/scheduler.go
@@ -352,9 +352,9 @@
 // SetReserve sets ReservePercent.
 func (s *Scheduler) SetReserve(percent int) { s.config.ReservePercent = percent }
 
-// RunningSince returns the number of attempts in flight on a worker that were started at or before
-// startedBy.
-func (s *Scheduler) RunningSince(worker string, startedBy time.Time) int {
+// RunningStartedBy returns the number of attempts in flight on a worker that were started at or
+// before startedBy.
+func (s *Scheduler) RunningStartedBy(worker string, startedBy time.Time) int {
 	w := s.workers[worker]
 	if w == nil {
 		return 0
--- a/internal/simulation/dispatcher.go
+++ b/internal/simulation/dispatcher.go
@@ -148,7 +148,7 @@
 	}
 	previousOwnerSlots := 0
 	if !owned.previousOwnerDone {
-		previousOwnerSlots = load.Running + load.Waiting - d.scheduler.RunningSince(owned.assignment.Worker, d.world.clock.now.Add(-2*loadLag))
+		previousOwnerSlots = load.Running + load.Waiting - d.scheduler.RunningStartedBy(owned.assignment.Worker, d.world.clock.now.Add(-2*loadLag))
 		owned.previousOwnerDone = previousOwnerSlots <= 0
 	}
 	d.step(scheduling.WorkerUpdated{Spec: scheduling.WorkerSpec{
--- a/internal/storeclient/client.go
+++ b/internal/storeclient/client.go
@@ -208,7 +208,7 @@
 	return read[wire.ItemBody](ctx, c, request.Job, MethodBody, request, 0)
 }
 
-// End ends the job with the id.
-func (c *Client) End(ctx context.Context, id string) (*wire.BatchResult, error) {
+// EndJob ends the job with the id.
+func (c *Client) EndJob(ctx context.Context, id string) (*wire.BatchResult, error) {
 	return call[wire.BatchResult](ctx, c, id, MethodEnd, &wire.BatchName{ID: id}, 0)
 }
--- a/internal/storeclient/client_test.go
+++ b/internal/storeclient/client_test.go
@@ -67,7 +67,7 @@
 	follower := startStore(t, func(*store) (msgp.Marshaler, error) { return nil, notLeader(leader.address) })
 	client := New(nil, "z", fleet(storesAt("y", follower.address)()...))
 	for i := 0; i < 3; i++ {
-		if _, err := client.End(context.Background(), "j"); err != nil {
+		if _, err := client.EndJob(context.Background(), "j"); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -103,7 +103,7 @@
 		{"definite failure", []string{notFound.address}, failure.NotFound},
 	} {
 		ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
-		_, err := New(nil, "z", fleet(storesAt("y", test.stores...)()...)).End(ctx, "j")
+		_, err := New(nil, "z", fleet(storesAt("y", test.stores...)()...)).EndJob(ctx, "j")
 		cancel()
 		if failure.KindOf(err) != test.want {
 			t.Errorf("%s: %v", test.name, err)
@@ -111,10 +111,10 @@
 	}
 }
 
-// TestReadsStayNearby checks that reads go to a store in the client's own zone and that a definite
-// failure from it is returned. If that store can't serve a read, the leader must be called instead
-// for a while.
-func TestReadsStayNearby(t *testing.T) {
+// TestReadsPreferOwnZone checks that reads go to a store in the client's own zone and that a
+// definite failure from it is returned. If that store can't serve a read, the leader must be called
+// instead for a while.
+func TestReadsPreferOwnZone(t *testing.T) {
 	answer := func(*store) (msgp.Marshaler, error) { return &wire.ItemBody{Body: []byte("b")}, nil }
 	leader := startStore(t, answer)
 	for name, test := range map[string]struct {
@@ -202,7 +202,7 @@
 				place.Leader = other.address
 			}
 			stores := storesAt("y", nonMember.address, nonMember.address, nonMember.address, leader.address, other.address)()
-			if _, err := New(nil, "z", fleetWithGroups(place, stores...)).End(context.Background(), "j"); err != nil {
+			if _, err := New(nil, "z", fleetWithGroups(place, stores...)).EndJob(context.Background(), "j"); err != nil {
 				t.Fatal(err)
 			}
 			if leader.calls.Load() != 1 || other.calls.Load() != test.otherCalls || nonMember.calls.Load() != 0 {
--- a/internal/wire/fleet.go
+++ b/internal/wire/fleet.go
@@ -153,10 +153,10 @@
 	Retiring []string `msg:"retiring"`
 }
 
-// Upon returns the complete view, without the list of workers, that results from applying this
+// ApplyTo returns the complete view, without the list of workers, that results from applying this
 // update to the previous view. While a new leader has received no report of any store, the
 // stores of the previous view are kept.
-func (v *FleetView) Upon(previous *FleetView) FleetView {
+func (v *FleetView) ApplyTo(previous *FleetView) FleetView {
 	view := *v
 	view.SameStores, view.News = false, nil
 	view.SameWorkers, view.Workers = false, nil
@@ -185,8 +185,8 @@
 	Digest uint64 `msg:"digest"`
 }
 
-// Nothing reports whether the update leaves the reader's list unchanged.
-func (n *WorkerNews) Nothing() bool {
+// IsEmpty reports whether the update leaves the reader's list unchanged.
+func (n *WorkerNews) IsEmpty() bool {
 	return !n.Whole && len(n.Rows) == 0 && len(n.Gone) == 0 && len(n.Buckets) == 0
 }
 
--- a/internal/wire/generation.go
+++ b/internal/wire/generation.go
@@ -22,9 +22,9 @@
 // sent them. Zero stands for the generation of this build.
 type Origin Generation
 
-// WrittenBy sets the generation of the sender's build. Package rpc calls it for each received
+// SetGeneration sets the generation of the sender's build. Package rpc calls it for each received
 // message.
-func (o *Origin) WrittenBy(generation Generation) { *o = Origin(generation) }
+func (o *Origin) SetGeneration(generation Generation) { *o = Origin(generation) }
 
 // Generation returns the generation of the sender's build.
 func (o Origin) Generation() Generation {
--- a/internal/workerset/set_test.go
+++ b/internal/workerset/set_test.go
@@ -54,10 +54,10 @@
 	number uint64
 }
 
-// TestReadersFollow changes a list at random, with more removals than are remembered, and lets
-// readers poll with a list of any age, with the digests of an unknown list, or with none: after
-// the update a reader must have the list.
-func TestReadersFollow(t *testing.T) {
+// TestReadersGetCurrentList changes a list at random, with more removals than are remembered, and
+// lets readers poll with a list of any age, with the digests of an unknown list, or with none:
+// after the update a reader must have the list.
+func TestReadersGetCurrentList(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
 	log := NewLog(0)
 	readers := make([]reader, 8)
@@ -118,10 +118,10 @@
 	}
 }
 
-// TestAChangeCostsTheSame counts the bytes sent and the buckets copied when one worker joins,
-// one changes and one leaves, at two lengths of the list. The bytes must not grow with the list.
-// An update with the whole list would take 56 bytes a row.
-func TestAChangeCostsTheSame(t *testing.T) {
+// TestUpdateSizeDoesNotGrowWithList counts the bytes sent and the buckets copied when one worker
+// joins, one changes and one leaves, at two lengths of the list. The bytes must not grow with the
+// list. An update with the whole list would take 56 bytes a row.
+func TestUpdateSizeDoesNotGrowWithList(t *testing.T) {
 	cost := func(count int) (bytes, buckets int) {
 		rows := rowsOf(count)
 		log := NewLog(0)
