--- a/internal/balance/answers.go
+++ b/internal/balance/answers.go
@@ -6,9 +6,9 @@
 	"github.com/sedgemast/sedgemast/internal/capacity"
 )
 
-// noiseDivisor sets the tolerated difference between what a worker reports and what is known of
-// it: 1/noiseDivisor of its slots. Requests in transit and reports a moment old cause such
-// differences.
+// noiseDivisor sets the tolerated difference between the requests that a worker reports and the
+// requests that are known to be there: 1/noiseDivisor of its slots. Requests in transit and
+// slightly outdated reports cause such differences.
 const noiseDivisor = 8
 
 // ApplyReport applies what the worker reported about itself in the head of an answer. Loads
@@ -56,7 +56,7 @@
 }
 
 // mostFailing reports whether more than half of the pool's workers are failing. Then no worker is
-// avoided: the cause lies elsewhere, or there is no better worker.
+// avoided: the workers themselves are probably not the cause, or there is no better worker.
 func (t *Table) mostFailing(now time.Time, pool string) bool {
 	failing := 0
 	for _, candidate := range t.peerLoaded {
--- a/internal/balance/answers_test.go
+++ b/internal/balance/answers_test.go
@@ -29,8 +29,8 @@
 }
 
 // TestFailingWorkersAreAvoided checks that no request goes to a worker that the hub marks as
-// failing while others are available, unless most of the pool is failing; and that a failure
-// observed by this process counts at once.
+// failing while others are available, unless most of the pool is failing. It also checks that a
+// failure observed by this process counts at once.
 func TestFailingWorkersAreAvoided(t *testing.T) {
 	table := tableOf(poolWorker("a", "z1"), poolWorker("b", "z2"), poolWorker("c", "z2"))
 	setFailing := func(failing ...string) {
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// TestBlockedWorkerReturns guards against a worker that is blocked forever: it may start again
-// under its id at the address where another one answered.
+// TestBlockedWorkerReturns checks that a worker is not blocked forever after another worker
+// answered at its address, because it may start again at that address under its id.
 func TestBlockedWorkerReturns(t *testing.T) {
 	table := tableOf(poolWorker("a", "z1"))
 	for round := range 3 {
--- a/internal/balance/cold_test.go
+++ b/internal/balance/cold_test.go
@@ -11,10 +11,10 @@
 	"github.com/sedgemast/sedgemast/internal/workerset"
 )
 
-// TestColdStartSpreadsRequests lets many edges choose that have just started and received no peer
-// loads: requests with a shared beginning of the prompt must not overload its affinity workers.
-// Once there are peer loads, or there have been none for long, these requests go to the affinity
-// workers.
+// TestColdStartSpreadsRequests lets many edges choose that have just started and have received no
+// peer loads. Requests with a shared beginning of the prompt must not overload its affinity
+// workers. Once an edge has peer loads, or has had none for long, these requests must go to the
+// affinity workers.
 func TestColdStartSpreadsRequests(t *testing.T) {
 	const slots = 8
 	parts := []httpheader.Part{{ID: "shared", Tokens: 300}, {ID: "own", Tokens: 50}}
--- a/internal/balance/cost.go
+++ b/internal/balance/cost.go
@@ -36,8 +36,7 @@
 	}
 	cost += float64(t.orphansAt(now, candidate))
 	cost += slots * pending / (float64(memory) * pendingTokensShare)
-	// On a slow worker everything takes longer by this factor, the requests already there and the
-	// new one.
+	// On a slow worker both the requests already there and the new one take longer by this factor.
 	slowness := candidate.thresholdedSlowness(now)
 	cost = slowness*(cost+slots) - slots
 	if candidate.listed.Zone != t.zone {
@@ -65,13 +64,13 @@
 	return ids
 }
 
-// coldStartTime is how long after Start a process without any peer loads may still be about to
-// receive some. A process that receives none for longer has no hub.
+// coldStartTime is how long after Start a process without any peer loads may still expect to
+// receive some. A process that has received none after this time has no hub.
 const coldStartTime = 2 * time.Second
 
-// isColdStart reports whether this process has just started and has no peer loads yet. All
-// processes that started with it know as little, and would overload the affinity workers of
-// prompts.
+// isColdStart reports whether this process has just started and has no peer loads yet. Processes
+// that started at the same time have no peer loads either; if all of them preferred the affinity
+// workers of prompts, they would overload these workers.
 func (t *Table) isColdStart(now time.Time) bool {
 	return t.allLoadsAt.IsZero() && t.zoneLoadsAt.IsZero() && len(t.peerLoaded) == 0 && now.Sub(t.startedAt) < coldStartTime
 }
--- a/internal/balance/forecast_test.go
+++ b/internal/balance/forecast_test.go
@@ -12,7 +12,7 @@
 	"github.com/sedgemast/sedgemast/internal/workerset"
 )
 
-// forecastTable holds two pools: one of three workers with four slots each, the last of which is
+// forecastTable holds two pools: one of three workers with four slots each, of which worker c is
 // leaving, and one of a single worker.
 func forecastTable() *Table {
 	table := NewTable("z", rand.New(rand.NewPCG(1, 1)))
@@ -27,8 +27,8 @@
 
 func noWait(string) time.Duration { return 0 }
 
-// TestForecastsCountByPool checks demand and slots of pools: waiting requests count, requests at
-// a leaving worker too, and demand is capped at the number of slots.
+// TestForecastsCountByPool checks demand and slots of pools. Waiting requests and requests at a
+// leaving worker count as demand, and demand is capped at the number of slots.
 func TestForecastsCountByPool(t *testing.T) {
 	table := forecastTable()
 	online := func(id string, count int) wire.WorkerLoad {
@@ -112,9 +112,9 @@
 	}
 }
 
-// TestForecastsUseReportedSlots has a worker report fewer slots than listed: the whole forecast
-// uses the same number as the planner's workers, whether the worker is idle or not, and the
-// listed one again once that equals the reported one.
+// TestForecastsUseReportedSlots has a worker report fewer slots than listed. The whole forecast
+// must use the same number of slots as the planner's workers do, whether the worker is idle or not.
+// Once the list gives the reported number too, the forecast uses the listed number again.
 func TestForecastsUseReportedSlots(t *testing.T) {
 	table := forecastTable()
 	lease := table.Acquire(start, &Request{Pool: "p", Exclude: map[string]bool{"b": true}})
--- a/internal/balance/free.go
+++ b/internal/balance/free.go
@@ -44,9 +44,9 @@
 	Full    bool
 	Wait    time.Duration
 	MaxWait time.Duration
-	// Spare is set if more slots are free than the requests waiting elsewhere are about to take.
-	// LeftToPeers is set if a slot is free, but this process leaves it to its peers by a random
-	// draw.
+	// Spare is set if more slots are free than the requests waiting in other processes are about to
+	// take. LeftToPeers is set if a slot is free, but this process leaves it to its peers by a
+	// random draw.
 	Spare       bool
 	LeftToPeers bool
 	// PeerLoadAge is the age of the peer load behind these predictions, negative if there is
@@ -61,9 +61,10 @@
 
 // FindCandidate chooses a worker for a request that can also wait in this process. It chooses as
 // Acquire does, but prefers a worker with a slot free for online requests. If few slots are free,
-// all processes see the same ones; a request then takes one with some probability and leaves it
-// to peers otherwise. Slots in other zones are known from older reports, and a random draw
-// decides about them too. It returns nil if there is no worker.
+// all processes see the same ones. The request then takes a slot with some probability, and
+// otherwise leaves it to the peers. Slots in other zones are known only from older reports, so a
+// second random draw decides whether the request may go there (mayUseFar). FindCandidate returns
+// nil if there is no worker.
 func (t *Table) FindCandidate(now time.Time, request *Request, search SearchOptions) *Candidate {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -122,8 +123,8 @@
 	candidate.LeftToPeers = candidate.Worker != search.ReleasedWorker && !mostlyFree(near, p.nearSlots) && t.leavesToPeers(near, p.nearPeers(search.Peers))
 }
 
-// mostlyFree reports whether more than half of the slots are free. Then no request waits, and one
-// that left a slot to peers would wait although slots are free.
+// mostlyFree reports whether more than half of the slots are free. Then no request needs to wait,
+// and a request that left its slot to peers would wait although slots are free.
 func mostlyFree(free float64, slots int) bool { return 2*free > float64(slots) }
 
 // nearPeers estimates how many processes compete for the slots of one zone. Their zones are
@@ -136,9 +137,9 @@
 // not taken them yet. The rate is in requests per rateSeconds.
 func turnoverSlots(rate int) float64 { return float64(rate) / rateSeconds * turnoverTime.Seconds() }
 
-// reservedSlots returns how many free slots to leave to waiting requests: the turnover, up to a
-// share of the slots. Without that limit, the turnover of very short requests could cover all
-// free slots, and no process would ever find a spare one.
+// reservedSlots returns how many free slots to leave to waiting requests: the turnover
+// (turnoverSlots), but at most 1/reservedDivisor of the slots. Without this limit, the turnover of
+// very short requests could cover all free slots, and no process would ever find a spare slot.
 func reservedSlots(rate, slots int) float64 {
 	return min(turnoverSlots(rate), float64(slots)/reservedDivisor)
 }
@@ -196,17 +197,18 @@
 	return chosen
 }
 
-// leavesToPeers decides at random whether to leave a free slot to the peers. While a choice is
-// invisible, a part of the peers polls too; if these may outnumber the free slots, each takes one
-// with the probability slots / pollers.
+// leavesToPeers decides at random whether to leave a free slot to the peers. While this choice is
+// still invisible to them (visibilityDelay), some of the peers poll too. If there may be more
+// pollers than free slots, each poller takes a slot with the probability slots / pollers.
 func (t *Table) leavesToPeers(slots, peers float64) bool {
 	pollers := 1 + (peers-1)*float64(visibilityDelay)/float64(PollInterval)
 	return t.random.Float64()*pollers > slots
 }
 
-// mayUseFar decides at random whether the request may go to another zone. It always may while
-// most slots there are free, or while nothing is known of them. Otherwise the probability is such
-// that all peers together take about as many slots per reporting interval as are spare.
+// mayUseFar reports whether the request may go to another zone. While most slots in other zones are
+// free, or nothing is known of them, it always may. Otherwise a random draw decides: the
+// probability is chosen so that all peers together take about as many slots per reporting interval
+// as are free in other zones beyond the reserve (reservedSlots).
 func (t *Table) mayUseFar(now time.Time, request *Request, p *pool, peers int) bool {
 	elapsed := min(now.Sub(p.lastFarDraw), loadshare.Interval)
 	p.lastFarDraw = now
@@ -260,9 +262,9 @@
 	return float64(slots) * float64(groupSize) / float64(len(t.candidates))
 }
 
-// chooseFree chooses among the workers with a free slot. Unlike choose, it considers every worker
-// of a pool of up to maxCandidates, so that no request waits beside a free slot because of
-// sampling alone.
+// chooseFree chooses among the workers with a free slot. In a pool of up to maxCandidates workers
+// it considers every worker, unlike choose: otherwise a request could wait although a slot is free,
+// only because the slot's worker was not sampled.
 func (t *Table) chooseFree(now time.Time, request *Request, p *pool) *worker {
 	fit := func(w *worker) bool { return t.hasSlotFor(now, request, w) }
 	t.findAffinity(request, fit)
@@ -271,8 +273,9 @@
 	return t.pick(now, p, request)
 }
 
-// sampleFree samples the workers that fit. If the peer loads name only some workers, the others
-// would look idle and are left out, unless nothing is known of any.
+// sampleFree samples the workers that fit. If the peer loads name only some workers, the unnamed
+// ones would look idle and are left out. If no load is known of any worker of the pool, workers of
+// all zones are sampled.
 func (t *Table) sampleFree(now time.Time, name string, p *pool, fit func(w *worker) bool) {
 	nearKnown := isFresh(now, later(t.allLoadsAt, t.zoneLoadsAt))
 	if nearKnown {
@@ -319,9 +322,9 @@
 	return now.Sub(t.peerLoadTime(w))
 }
 
-// Throughput estimates how many online requests per second this process, one of the given number
-// of peers, can send to the pool: an equal share of the pool's slots, or the slots that it uses
-// now if these are more. It returns zero if the hold time is unknown.
+// Throughput estimates how many online requests per second this process can send to the pool; peers
+// is the number of processes that share the pool. Its slots are an equal share of the pool's slots,
+// or the slots that it uses now if these are more. It returns zero if the hold time is unknown.
 func (t *Table) Throughput(pool string, peers int) float64 {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/balance/free_test.go
+++ b/internal/balance/free_test.go
@@ -72,8 +72,8 @@
 }
 
 // TestFewFreeSlotsAreSharedAtRandom lets many processes see the same free slot: each of them
-// usually leaves it to the others. The process that released the slot takes it, and so does one
-// without peers.
+// usually leaves it to the others. The process that released the slot takes it, and so does a
+// process without peers.
 func TestFewFreeSlotsAreSharedAtRandom(t *testing.T) {
 	const polls = 1000
 	online := []int{freeSlots, freeSlots - 1, freeSlots}
--- a/internal/balance/pace.go
+++ b/internal/balance/pace.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// slownessThreshold is the factor over the median event interval of the pool from which a
-	// worker counts as slow. A full worker, or one that processes a long prompt, is somewhat
-	// slower than an idle one without being faulty.
+	// slownessThreshold is the factor over the pool's median event interval from which a worker
+	// counts as slow. It is well above 1 because a full worker, or one that processes a long
+	// prompt, is somewhat slower than an idle one without being faulty.
 	slownessThreshold = 1.6
-	// slownessTTL is how long a slow worker stays marked without new measurements: a worker that
-	// is avoided produces no events to measure.
+	// slownessTTL is how long a slow worker stays marked as slow without new measurements. The mark
+	// must expire because a worker that is avoided produces no events to measure.
 	slownessTTL = 3 * time.Second
 	// rateSeconds is the period, in seconds, that reported request rates refer to.
 	rateSeconds = 10
--- a/internal/balance/pace_test.go
+++ b/internal/balance/pace_test.go
@@ -13,9 +13,9 @@
 	return wire.WorkerLoad{Worker: loadshare.Hash(id), Online: online, Step: step, Rate: rate}
 }
 
-// TestSlowWorkersComeLast checks that a request avoids a worker whose events take much longer
-// than elsewhere, even if that worker is idle and in the same zone; that the worker is still used
-// once all others are overloaded; and that it is tried again some time after its last
+// TestSlowWorkersComeLast checks three things. A request avoids a worker whose events take much
+// longer than at other workers, even if that worker is idle and in the same zone. The slow worker
+// is still used once all other workers are overloaded. It is tried again some time after its last
 // measurement.
 func TestSlowWorkersComeLast(t *testing.T) {
 	table := tableOf(poolWorker("slow", "z1"), poolWorker("b", "z2"), poolWorker("c", "z2"))
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestSlownessThreshold checks that a worker that is only somewhat slower than the others, as a
-// full one is, doesn't count as slow.
+// TestSlownessThreshold checks that a worker doesn't count as slow if it is only somewhat slower
+// than the other workers, as a full worker is.
 func TestSlownessThreshold(t *testing.T) {
 	table := tableOf(poolWorker("a", "z1"), poolWorker("b", "z2"), poolWorker("c", "z2"))
 	table.SetPeerLoads(start, []wire.WorkerLoad{peerLoad("a", 0, 33_000, 0), peerLoad("b", 0, 24_000, 0), peerLoad("c", 0, 22_000, 0)}, ScopeAll)
@@ -59,10 +59,10 @@
 	}
 }
 
-// TestWaitIsPredicted checks the use of Little's law: 4 running requests and 8 answered per
-// second mean a hold time of 0.5 s. With 2 requests too many at a worker of 4 slots, one more
-// waits for the third release, after 3/5 of the hold time. Waiting requests hold no slot: if they
-// counted, the hold time would seem to be 0.75 s.
+// TestWaitIsPredicted checks the use of Little's law: 4 running requests and 8 answered requests
+// per second mean a hold time of 0.5 s. If a worker of 4 slots has 2 requests too many, one more
+// request waits for the third release, after 3/5 of the hold time. Waiting requests hold no slot:
+// if they counted, the hold time would seem to be 0.75 s.
 func TestWaitIsPredicted(t *testing.T) {
 	table := tableOf(poolWorker("a", "z1"))
 	table.SetPeerLoads(start, []wire.WorkerLoad{peerLoad("a", 3, 0, 400)}, ScopeAll)
--- a/internal/balance/peers.go
+++ b/internal/balance/peers.go
@@ -17,10 +17,11 @@
 	// ScopeZone means that workers of this zone that are not named have no requests; nothing is
 	// implied about other zones.
 	ScopeZone
-	// ScopeNamed means that nothing is implied about workers that are not named. Such loads
-	// replace the previous ones: they are sampled anew for each choice, and without the
-	// replacement the outdated samples would far outnumber the current ones. Keeping the old ones
-	// raised the requests of a wave that met a full worker from 1 to 19 in 100 (TestWavesSpread).
+	// ScopeNamed means that nothing is implied about workers that are not named. The named loads
+	// still replace all earlier peer loads. The named workers are a new sample for each choice; if
+	// the earlier samples were kept, these outdated loads would far outnumber the current ones.
+	// Keeping them raised the requests of a wave that met a full worker from 1 to 19 in 100
+	// (TestWavesSpread).
 	ScopeNamed
 )
 
@@ -33,10 +34,10 @@
 }
 
 // SetPeerLoads replaces what is known of other processes' requests at the workers. The cost is
-// proportional to the number of rows in these loads and the previous ones.
+// proportional to the number of rows in the new loads and in the loads that they replace.
 func (t *Table) SetPeerLoads(now time.Time, loads []wire.WorkerLoad, scope Scope) {
 	if scope == ScopeNamed && len(loads) == 0 {
-		// This answers a report that was not about a choice, and carries no information.
+		// This answers a report that was not about a choice, so it carries no loads.
 		return
 	}
 	t.mutex.Lock()
@@ -61,7 +62,8 @@
 	t.updatePools(now)
 }
 
-// markPeerLoaded adds the worker to the list of those with a peer load.
+// markPeerLoaded adds the worker to t.peerLoaded, the list of workers at which other processes have
+// reported a load.
 func (t *Table) markPeerLoaded(w *worker) {
 	if !w.hasPeerLoad {
 		w.hasPeerLoad = true
@@ -69,8 +71,8 @@
 	}
 }
 
-// dropPeerLoads removes the peer loads that loads of the given scope replace, and those that have
-// expired.
+// dropPeerLoads removes the peer loads that have expired, and those that new loads of the given
+// scope replace.
 func (t *Table) dropPeerLoads(now time.Time, scope Scope) {
 	kept := t.peerLoaded[:0]
 	for _, w := range t.peerLoaded {
@@ -108,8 +110,8 @@
 	t.withOrders = t.withOrders[:0]
 }
 
-// SetOrders replaces the orders of the batch planner, keyed by the workers' short names,
-// including those that came with peer loads.
+// SetOrders replaces all orders of the batch planner, also those that came with peer loads. The new
+// orders are keyed by the workers' short names.
 func (t *Table) SetOrders(orders map[uint32]batchroom.Order) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -8,14 +8,15 @@
 	"github.com/sedgemast/sedgemast/internal/capacity"
 )
 
-// pool holds the usable workers of one pool: in two groups to sample from, so that a choice need
-// not visit all of them, and those of this zone on a hash ring for prompt affinity.
+// pool holds the usable workers of one pool. They are in two groups, from which a choice takes
+// samples so that it need not visit all workers. The workers of this zone are also on a hash ring
+// for prompt affinity.
 type pool struct {
-	// near holds the workers of this process's zone, far those of all other zones.
+	// near holds the workers of this process's zone, and far holds those of all other zones.
 	near group
 	far  group
 	ring ring
-	// slots is the total number of slots of the workers, zoneSlots the same by zone.
+	// slots is the total number of slots of the workers. zoneSlots is the number of slots by zone.
 	slots     int
 	zoneSlots map[string]int
 	// nearSlots is the number of slots in this process's zone.
@@ -30,7 +31,7 @@
 	holdTime time.Duration
 	nearRate int
 	farRate  int
-	// lastFarDraw is when mayUseFar was last called.
+	// lastFarDraw is when mayUseFar last decided whether a request may go to another zone.
 	lastFarDraw time.Time
 }
 
@@ -91,8 +92,9 @@
 	}
 }
 
-// poolSlots returns the number of slots of all the pool's workers, in total and by zone. Workers
-// that reported fewer slots than listed count with those if the pool reports its pace.
+// poolSlots returns the number of slots of all the pool's workers, in total and by zone. If the
+// pool reports its pace, a worker that reported fewer slots than listed is counted with the
+// reported number.
 func (t *Table) poolSlots(p *pool, name string) (slots int, byZone map[string]int) {
 	slots, byZone = p.slots, maps.Clone(p.zoneSlots)
 	if !t.poolReportsPace(name) {
--- a/internal/balance/probe.go
+++ b/internal/balance/probe.go
@@ -76,8 +76,8 @@
 // whether the worker has recovered.
 func (l *Lease) IsProbe() bool { return l.probe }
 
-// ProbeTimeout returns how long to wait for the answer to a probe: least after an answered probe,
-// and twice as long after each one that was not, up to most, because a healthy worker may need
+// ProbeTimeout returns how long to wait for the answer to a probe. After an answered probe it is
+// least. It doubles with each unanswered probe, up to most, because a healthy worker may need
 // longer than usual.
 func (l *Lease) ProbeTimeout(least, most time.Duration) time.Duration {
 	l.table.mutex.Lock()
--- a/internal/balance/sample.go
+++ b/internal/balance/sample.go
@@ -18,8 +18,8 @@
 	// workers in 96 of 100 choices, and a choice takes 53 us at 10,000 workers
 	// (BenchmarkChooseOnline).
 	maxCandidates = 64
-	// minLag is the minimum age of peer loads on arrival: a choice is reported at once, and the
-	// answer that another process relies on takes as long.
+	// minLag is the minimum age of peer loads on arrival. A choice is reported at once, but the
+	// report and the answer by which another process learns of it take this long.
 	minLag = 5 * time.Millisecond
 )
 
@@ -68,13 +68,13 @@
 	t.sampleGroup(p.far, maxCandidates, fit)
 }
 
-// sampleOnline collects the candidates for an online request: samples of the near and of the far
-// workers, and the affinity workers of the prompt. If other processes have sent many requests
-// since they reported their loads, the worker that looks best to one process looks best to all,
-// and would be overloaded if each of them took it. So the more requests may be unseen, the fewer
-// workers are compared. Near workers are sampled separately, because the processes with the same
-// view of them are those of the same zone, and because in a large fleet they are enough to choose
-// among.
+// sampleOnline collects the candidates for an online request: a sample of the near workers, a
+// sample of the far workers, and the affinity workers of the prompt. All processes see the same
+// reported loads, so the worker that looks best to one process looks best to all, and would be
+// overloaded if each of them took it. Therefore the more requests may have been sent since the
+// loads were reported, the fewer workers are compared. Near workers are sampled separately for two
+// reasons: the processes with the same view of them are those of the same zone, and in a large
+// fleet they are enough to choose among.
 func (t *Table) sampleOnline(now time.Time, name string, p *pool, fit func(w *worker) bool) {
 	nearKnown := t.sampleNear(now, name, p, fit)
 	near := len(t.candidates)
@@ -103,8 +103,8 @@
 }
 
 // sampleFar samples workers of other zones. If the load of any worker, near or far, is known, it
-// takes only those with a known load, because one without would look idle beside the others. Loads
-// of other zones pass through one more report, which adds an interval to their age.
+// samples only workers with a known load, because a worker without one would look idle beside them.
+// Loads of other zones pass through one more report, which adds an interval to their age.
 func (t *Table) sampleFar(now time.Time, name string, p *pool, fit func(w *worker) bool, nearKnown bool) {
 	if isFresh(now, t.allLoadsAt) {
 		t.sampleGroup(p.far, candidateCount(len(p.far), unseenRequests(p.farRate, now.Sub(t.allLoadsAt), loadshare.Interval)), fit)
@@ -116,8 +116,8 @@
 }
 
 // samplePeerLoaded samples the workers with a fresh peer load, of this zone (distance 0) or of
-// others (1). It returns how many of them fit. extraLag is the additional delay of their loads
-// over those of this zone.
+// other zones (distance 1). It returns how many workers with a fresh load fit. extraLag is how much
+// older their loads are than the loads of this zone.
 func (t *Table) samplePeerLoaded(now time.Time, name string, distance int, extraLag time.Duration, fit func(w *worker) bool) int {
 	var loaded group
 	rate, age := 0, time.Duration(0)
@@ -190,10 +190,11 @@
 }
 
 // unseenRequests estimates how many requests workers have received that peers have not reported
-// yet, from the rate of requests per rateSeconds: those since the last update, and those that
-// were unreported when it arrived. A process that queries the hub before each choice has fresh
-// loads, and so do the others; if the loads are old, the hub didn't answer, perhaps not to others
-// either. extraLag is the additional delay of the loads over those of this zone.
+// yet, from the rate of requests per rateSeconds. It counts the requests since the last update of
+// the loads, and those that were not yet reported when the update arrived. A process that queries
+// the hub before each choice has fresh loads, and so do its peers. If its loads are old, the hub
+// didn't answer, and perhaps didn't answer the peers either. extraLag is how much older the loads
+// are than the loads of this zone.
 func unseenRequests(rate int, age, extraLag time.Duration) float64 {
 	lag := min(max(age, minLag), loadshare.Interval)
 	return float64(rate) / rateSeconds * (age + lag + extraLag).Seconds()
--- a/internal/balance/sample_test.go
+++ b/internal/balance/sample_test.go
@@ -52,8 +52,9 @@
 }
 
 // TestZoneIsSampledSeparately lets five hundred processes of one zone choose once each among many
-// workers of all zones, without seeing each other's choices: nearly all requests stay in the zone
-// if it has free slots, and overload no worker there; if the zone is full, they go elsewhere.
+// workers of all zones, without seeing each other's choices. If the zone has free slots, nearly all
+// requests must stay there and overload no worker. If the zone is full, they must go to other
+// zones.
 func TestZoneIsSampledSeparately(t *testing.T) {
 	const processes, zones, perZone = 500, 5, 20
 	for name, test := range map[string]struct {
@@ -100,8 +101,9 @@
 	}
 }
 
-// TestUnknownLoadsComeLast names some workers of other zones only: the others, whose load is
-// unknown, must not count as idle, but are chosen if there is nothing else.
+// TestUnknownLoadsComeLast names only some workers of other zones in the peer loads. The load of
+// the unnamed workers of these zones is unknown: they must not count as idle, but must be chosen if
+// there is no other worker.
 func TestUnknownLoadsComeLast(t *testing.T) {
 	table := tableOf(poolWorker("a", "z1"), poolWorker("b", "z2"), poolWorker("c", "z2"))
 	full := func(id string) wire.WorkerLoad { return wire.WorkerLoad{Worker: loadshare.Hash(id), Online: 8} }
--- a/internal/balance/share.go
+++ b/internal/balance/share.go
@@ -18,8 +18,8 @@
 	batchPendingDivisor = 64
 )
 
-// Loads returns this process's load at each worker, and what it has observed of the workers and
-// they have reported since the last call.
+// Loads returns this process's load at each worker, what this process has observed of the workers
+// since the last call, and what the workers have reported about themselves since then.
 func (t *Table) Loads() []wire.WorkerLoad {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -55,8 +55,8 @@
 	return loads
 }
 
-// admitsBatch reports whether the worker may start one more batch item, that is, whether the
-// batch planner has granted one. Without fresh loads from the planner, items use at most share
+// admitsBatch reports whether the worker may start one more batch item. With fresh loads from the
+// batch planner, it may if the planner has granted one. Without them, items use at most share
 // hundredths of the slots.
 func (t *Table) admitsBatch(now time.Time, w *worker, share int) bool {
 	load, ok := t.peerLoadOf(now, w)
@@ -88,9 +88,9 @@
 	return stops
 }
 
-// Workers returns the batch planner's view of the workers: those with requests one by one, and
-// the idle ones as totals. maxWait returns how long an online request of a pool may wait for
-// items to be preempted.
+// Workers returns the batch planner's view of the workers: each worker with requests in a row of
+// its own, and the idle workers as totals. maxWait returns how long an online request of a pool may
+// wait for items to be preempted.
 func (t *Table) Workers(now time.Time, maxWait func(pool string) time.Duration) batchroom.Workers {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/balance/size_test.go
+++ b/internal/balance/size_test.go
@@ -127,9 +127,9 @@
 	}
 }
 
-// benchmark runs action at 100, 10,000 and 20,000 workers, with up to 300 of them loaded.
-// A choice that visits every worker took 0.026, 3.26 and 9.46 ms, for an item 0.024, 1.98 and
-// 3.90 ms.
+// benchmark runs action at 100, 10,000 and 20,000 workers, with up to 300 of them loaded. At these
+// sizes, a choice that visits every worker took 0.026, 3.26 and 9.46 ms; such a choice for an item
+// took 0.024, 1.98 and 3.90 ms.
 func benchmark(b *testing.B, action func(b *testing.B, table *Table, count int)) {
 	for _, count := range []int{100, 10_000, 20_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
--- a/internal/balance/slowness.go
+++ b/internal/balance/slowness.go
@@ -29,8 +29,8 @@
 }
 
 // decayedSlowness returns the worker's event interval relative to the median of its pool, decayed
-// by its age. It doesn't use the pace that workers report: at the age that such a report has on
-// arrival, it says less about a request than these measurements (docs/design/0020).
+// by its age. It doesn't use the pace that workers report: a reported pace is so old on arrival
+// that it says less about a request than these measurements (docs/design/0020).
 func (w *worker) decayedSlowness(now time.Time) float64 {
 	if w.intervalRatio == 0 {
 		return 1
--- a/internal/balance/table.go
+++ b/internal/balance/table.go
@@ -13,8 +13,9 @@
 	"github.com/sedgemast/sedgemast/internal/workerset"
 )
 
-// Table holds the workers of all pools. The cost of a choice, of peer loads and of a change of
-// the worker list depends on the number of workers that these name, not on the size of the list.
+// Table holds the workers of all pools. The cost of a choice depends on the number of workers that
+// it compares, the cost of peer loads or of a change of the worker list on the number of workers
+// that these name. None depends on the size of the list.
 type Table struct {
 	mutex  sync.Mutex
 	random *rand.Rand
@@ -30,8 +31,9 @@
 	// zone.
 	allLoadsAt  time.Time
 	zoneLoadsAt time.Time
-	// busy lists the workers at which this process has requests or something to report,
-	// peerLoaded those with a peer load, withOrders those with orders of the batch planner.
+	// busy lists the workers at which this process has requests or something to report. peerLoaded
+	// lists the workers with a peer load, which is the load that other processes reported.
+	// withOrders lists the workers with orders of the batch planner.
 	busy       []*worker
 	peerLoaded []*worker
 	withOrders []*worker
@@ -40,8 +42,8 @@
 	unlistedRate int
 	// suspects lists the workers that gave this process no answer, until suspectTime has passed.
 	suspects []*worker
-	// blocked lists the workers at whose address another worker answered, until blockTime has
-	// passed.
+	// blocked lists the workers at whose address another worker answered. A worker stays in the
+	// list until blockTime has passed.
 	blocked []*worker
 	// probeWorkers lists the avoided workers that a request may probe, as the hub granted at
 	// probesAt.
@@ -103,7 +105,7 @@
 		// Another worker answered at the previous address; the new one may be right.
 		w.blocked = false
 	}
-	// Leaving is final for an incarnation, even if an outdated list says otherwise.
+	// Once an incarnation is leaving, it remains so, even if an outdated list says otherwise.
 	leaving := row.Leaving || w.listed.Leaving
 	w.listed = *row
 	w.listed.Leaving = leaving
@@ -201,8 +203,8 @@
 	pendingCleared  bool
 	stopping        bool
 	released        bool
-	// probe is set if the worker was avoided when it was chosen, probeSucceeded once the request
-	// has shown that it has recovered.
+	// probe is set if the worker was avoided when it was chosen. probeSucceeded is set once the
+	// request has shown that the worker has recovered.
 	probe          bool
 	probeSucceeded bool
 }
--- a/internal/balance/times.go
+++ b/internal/balance/times.go
@@ -13,7 +13,8 @@
 
 const (
 	// scoringAuto compares by cost, or by predicted times if the workers of the pool report their
-	// pace. All processes use it; tests compare it with the others.
+	// pace. All processes use it. The other modes exist for tests, which compare scoringAuto with
+	// them.
 	scoringAuto scoring = iota
 	scoringCost
 	scoringPredictedTime
@@ -33,9 +34,10 @@
 	// the mean of waits from zero to several times its value.
 	waitWeight = 3
 	// minSpareSlots is the number of slots that some worker of a zone must have left after the
-	// request for the zone to have spare slots: the last one may be taken by a request that is
-	// not reported yet. Workers with one slot need none left. Only a zone without spare slots
-	// sends requests to one with them, so no two zones send to each other.
+	// request for the zone to have spare slots. It is not zero because the last slot may be taken
+	// by a request that is not reported yet. Workers with one slot need none left. Only a zone
+	// without spare slots sends requests to a zone with spare slots, so no two zones send to each
+	// other.
 	minSpareSlots = 1
 	// defaultHoldTime is assumed until a pool's hold time is known, so that workers are compared
 	// by request counts meanwhile.
@@ -122,8 +124,8 @@
 	return capacity.Pool{HoldTime: holdTime, EventInterval: p.medianInterval, PrefillTime: time.Duration(math.Min(prefill, float64(time.Second))), PreemptionTime: preemptionTime}
 }
 
-// normalHoldTime returns how long an online request holds a slot at a worker of median speed,
-// zero if unknown. The measured hold time is that at the mean speed of the workers.
+// normalHoldTime returns how long an online request holds a slot at a worker of median speed, zero
+// if unknown. It is derived from the measured hold time, which applies to a worker of mean speed.
 func (p *pool) normalHoldTime() time.Duration {
 	return time.Duration(float64(p.holdTime) * p.nearSum.Plus(p.farSum).Speed())
 }
--- a/internal/balance/times_test.go
+++ b/internal/balance/times_test.go
@@ -13,11 +13,11 @@
 	"github.com/sedgemast/sedgemast/internal/workerset"
 )
 
-// TestUnevenWorkersAreFilled simulates waves with workers of which a quarter has 0.55 of the
-// speed of the others and each is slow at times, with scoringCost and scoringAuto. The second
-// must halve the share of late requests and the slots that idle while requests queue. Over all
-// waves the busiest worker may get 1.15 times the mean for its slots and speed; in a single wave
-// one request more or less makes a twentieth.
+// TestUnevenWorkersAreFilled simulates waves with scoringCost and with scoringAuto. A quarter of
+// the workers has 0.55 of the speed of the others, and each worker has slow spells. scoringAuto
+// must halve both the share of late requests and the number of slots that idle while requests
+// queue. Over all waves, the busiest worker may get 1.15 times the mean for its slots and speed. A
+// single wave is too short for this limit: there, one request more or less makes a twentieth.
 func TestUnevenWorkersAreFilled(t *testing.T) {
 	t.Parallel()
 	const seeds = 3
@@ -48,8 +48,9 @@
 	}
 }
 
-// TestScoreBeatsWait simulates the same waves with comparison by score, and by the time to a free
-// slot alone. The score must not be worse in late requests or in the load of the busiest worker.
+// TestScoreBeatsWait simulates the same waves twice: with comparison by score, and with comparison
+// only by the time until a slot is free. The score must not be worse in late requests or in the
+// load of the busiest worker.
 func TestScoreBeatsWait(t *testing.T) {
 	t.Parallel()
 	var fleets []*unevenFleet
@@ -65,9 +66,9 @@
 	}
 }
 
-// TestPredictedTimesReduceLateRequestsBesideItems lets batch items fill idle slots: comparison by
-// predicted times must have fewer late requests than by cost. It may stop more items, since
-// requests don't wait at full workers instead.
+// TestPredictedTimesReduceLateRequestsBesideItems lets batch items fill idle slots. Comparison by
+// predicted times must have fewer late requests than comparison by cost. It may stop more items,
+// because requests take slots of items instead of waiting at full workers.
 func TestPredictedTimesReduceLateRequestsBesideItems(t *testing.T) {
 	t.Parallel()
 	var fleets []*unevenFleet
@@ -205,8 +206,9 @@
 	}
 }
 
-// TestLyingPaceChangesNothing has slow workers report that they are fast, fast ones that they are
-// slow, and all of them impossible values: nothing may change, because only measurements count.
+// TestLyingPaceChangesNothing has slow workers report that they are fast, fast workers report that
+// they are slow, and all workers report impossible values. Nothing may change, because only
+// measurements count.
 func TestLyingPaceChangesNothing(t *testing.T) {
 	t.Parallel()
 	simulate := func(pace func(f *unevenFleet, w *unevenWorker) int) *unevenFleet {
@@ -226,8 +228,8 @@
 	}
 }
 
-// TestFalseSlotsAreNotBelieved checks how reported slots are used: only to record a mismatch as
-// long as no worker of the pool reports its pace.
+// TestFalseSlotsAreNotBelieved checks how reported slots are used. As long as no worker of the pool
+// reports its pace, they are used only to record a mismatch.
 func TestFalseSlotsAreNotBelieved(t *testing.T) {
 	for _, test := range []struct {
 		report     capacity.Report
@@ -258,8 +260,8 @@
 	}
 }
 
-// TestReportedPaceExpires checks that a pool counts as reporting its pace from the first report
-// of one until a minute after the last.
+// TestReportedPaceExpires checks that a pool counts as reporting its pace from the first report of
+// a pace until a minute after the last one.
 func TestReportedPaceExpires(t *testing.T) {
 	table := tableOf(poolWorker("a", "z1"))
 	for _, test := range []struct {
@@ -333,8 +335,8 @@
 	}
 }
 
-// TestZoneCutOff disconnects one zone's hub from the others: not more of the zone's requests may
-// be late than with comparison by cost.
+// TestZoneCutOff disconnects one zone's hub from the hubs of the other zones. No more of the zone's
+// requests may be late than with comparison by cost.
 func TestZoneCutOff(t *testing.T) {
 	t.Parallel()
 	play := func(mode scoring) *unevenFleet {
@@ -395,9 +397,9 @@
 	}
 }
 
-// TestOneSlotWorkersSpill checks that a request goes to another zone if the only worker of its
-// own is full and the other zone has an idle one, also with one slot per worker, and that it
-// stays if its zone's worker is idle or the other one is full too.
+// TestOneSlotWorkersSpill has one worker in each of two zones, with one slot or more. A request
+// must go to the other zone if the worker of its own zone is full and the other worker is idle. It
+// must stay if the worker of its own zone is idle or both workers are full.
 func TestOneSlotWorkersSpill(t *testing.T) {
 	for _, slots := range []int{1, 2, 8} {
 		for _, test := range []struct {
@@ -417,9 +419,9 @@
 	}
 }
 
-// TestSlownessIsBounded checks that the slowness of a lease stays in a plausible range, as
-// callers divide times by it: for a worker whose events take no time, and for one whose events
-// take an hour.
+// TestSlownessIsBounded checks that the slowness of a lease stays in a plausible range for a worker
+// whose events take no time, and for one whose events take an hour. The range matters because
+// callers divide times by the slowness.
 func TestSlownessIsBounded(t *testing.T) {
 	for _, test := range []struct {
 		step uint32
@@ -453,8 +455,8 @@
 	}
 }
 
-// TestCapacityIsSummedUp checks the capacity of this zone and of the others: slots weighted by
-// speed, without those of workers that are leaving or failing.
+// TestCapacityIsSummedUp checks the capacity of this zone and of the other zones. Slots are
+// weighted by speed, and the slots of workers that are leaving or failing are left out.
 func TestCapacityIsSummedUp(t *testing.T) {
 	leaving := poolWorker("e", "z1")
 	leaving.Leaving = true
--- a/internal/balance/uneven_test.go
+++ b/internal/balance/uneven_test.go
@@ -14,19 +14,20 @@
 	"github.com/sedgemast/sedgemast/internal/workerset"
 )
 
-// Costs of a request in the simulated fleet, at a worker of speed 1, and the limit for its first
-// event to count as in time.
+// These are the costs of a request in the simulated fleet at a worker of speed 1, and the time
+// limit within which its first event counts as in time.
 const (
 	unevenPrefill = 20 * time.Millisecond
 	unevenEvent   = 36 * time.Millisecond
 	unevenEvents  = 20
 	unevenGoal    = 250 * time.Millisecond
 	unevenStep    = 2 * time.Millisecond
-	// inZoneDelay is the transit time of a message within a zone, crossZoneDelay that between zones.
+	// inZoneDelay is the transit time of a message within a zone. crossZoneDelay is the transit
+	// time between zones.
 	inZoneDelay    = time.Millisecond
 	crossZoneDelay = 25 * time.Millisecond
-	// minSpell and maxSpell bound the duration of a slow spell of a worker, spellSlowdown is the
-	// factor by which the worker is slower in it.
+	// minSpell and maxSpell bound the duration of a slow spell of a worker. spellSlowdown is the
+	// factor by which the worker is slower during the spell.
 	minSpell      = 90 * time.Millisecond
 	maxSpell      = 600 * time.Millisecond
 	spellSlowdown = 2.5
@@ -43,7 +44,7 @@
 	// spellFraction is the fraction of time that a worker spends in slow spells.
 	spellFraction float64
 	edges         int
-	// demand is the mean number of requests per second in each zone, waves the number of waves.
+	// demand is the mean number of requests per second in each zone. waves is the number of waves.
 	demand []float64
 	waves  int
 	// reportPace is set if workers report their slots and pace. pace overrides the reported pace.
@@ -51,7 +52,7 @@
 	pace       func(f *unevenFleet, w *unevenWorker) int
 	// items is set if batch items fill idle slots, and are preempted where requests queue.
 	items bool
-	// faults are changes to the fleet by the time of their occurrence.
+	// faults maps a time of the run to the change that is made to the fleet at that time.
 	faults map[time.Duration]func(f *unevenFleet)
 	// scoring selects how workers are compared.
 	scoring scoring
@@ -67,8 +68,8 @@
 	edge      int
 	arrivedAt time.Duration
 	lease     *Lease
-	// remainingWork is the remaining time at a worker of speed 1, events the number of events so
-	// far, lastAt the time of the last one.
+	// remainingWork is the remaining time at a worker of speed 1. events is the number of events so
+	// far, and lastAt is the time of the last event.
 	remainingWork time.Duration
 	events        int
 	lastAt        time.Duration
@@ -86,7 +87,8 @@
 	frozen        bool
 	slow          bool
 	spellChangeAt time.Duration
-	// items counts the running batch items, stopping those of them that are about to stop.
+	// items counts the running batch items. stopping counts the items among them that are about to
+	// stop.
 	items, stopping int
 	running         []*unevenRequest
 	queue           []*unevenRequest
@@ -120,8 +122,8 @@
 	stopped                              int
 	requests, inTime, changedZones, lost int
 	byZone, inTimeByZone                 []int
-	// idled sums up, over all steps in waves, the idle slots for which as many requests queued at
-	// other workers. queued sums up the queued requests, and waveSteps counts the steps.
+	// idled sums up, over all steps in waves, the idle slots, up to the number of requests that
+	// queued at other workers. queued sums up the queued requests, and waveSteps counts the steps.
 	idled, queued, waveSteps int
 	// sent counts requests by zone of origin and zone of the worker.
 	sent map[[2]int]int
--- a/internal/balance/wave_test.go
+++ b/internal/balance/wave_test.go
@@ -72,8 +72,8 @@
 	far      []loadshare.Set
 	running  map[string]int
 	got      map[string]int
-	// requests and full count, by zone of the edge, all requests and those whose worker had no
-	// free slot on arrival.
+	// requests counts all requests by zone of the edge. full counts, in the same way, the requests
+	// whose worker had no free slot when they arrived there.
 	requests [waveZones]int
 	full     [waveZones]int
 	// fullUpdates is set if edges receive the loads of all loaded workers of their zone.
@@ -199,10 +199,11 @@
 	}
 }
 
-// TestWavesSpread simulates a wave with 89% of the slots in use at its peak, in zones so large
-// that edges receive the loads of some workers only, and again with edges that receive those of
-// all loaded workers. In no zone may the first meet a full worker in more requests, apart from
-// 1%, and no worker may get more than twice the mean.
+// TestWavesSpread simulates a wave with 89% of the slots in use at its peak, in zones so large that
+// edges receive the loads of only some workers. It repeats the run with edges that receive the
+// loads of all loaded workers. With only some loads, the requests of a zone that meet a full worker
+// may exceed those of the other run by at most 1% of the zone's requests, and no worker may get
+// more than twice the mean number of requests.
 func TestWavesSpread(t *testing.T) {
 	sum := func(counts [waveZones]int) (all int) {
 		for _, count := range counts {
--- a/internal/balance/worker.go
+++ b/internal/balance/worker.go
@@ -1,7 +1,7 @@
-// Package balance chooses workers for opaque requests by the load at each worker, in requests in
-// flight and pending prompt tokens: that of this process, and that of its peers as they reported
-// it. It does no I/O and takes its time and randomness from the caller; a lock makes it safe for
-// concurrent use.
+// Package balance chooses workers for opaque requests by the load at each worker, measured in
+// requests in flight and pending prompt tokens. The load is the sum of this process's own and that
+// which its peers reported. The package does no I/O and takes its time and randomness from the
+// caller; a lock makes it safe for concurrent use.
 package balance
 
 import (
@@ -14,9 +14,10 @@
 	// maxParts is the number of prompt parts remembered for one worker above which old ones are
 	// dropped.
 	maxParts = 4096
-	// blockTime is how long a worker gets no requests after another one answered at its address.
-	// The list is usually correct by then. A worker that restarts under its id at that address is
-	// found again, at the price of one request that has to be sent elsewhere.
+	// blockTime is how long a worker gets no requests after another worker answered at its address.
+	// The list is usually corrected within this time. If the worker itself restarts at that address
+	// under its old id, it gets requests again after blockTime; if another worker still answers
+	// there, one request has to be sent elsewhere.
 	blockTime = 5 * time.Second
 	// suspectTime is how long a worker is avoided after it gave no answer.
 	suspectTime = time.Second
@@ -25,7 +26,7 @@
 // worker holds what this process knows of one worker.
 type worker struct {
 	listed wire.PoolWorker
-	// hash is the worker's short name, point its position on the ring.
+	// hash is the worker's short name. point is its position on the ring.
 	hash  uint32
 	point uint64
 	// groupIndex is the worker's index in its group, valid while inGroup is set.
@@ -36,15 +37,15 @@
 	busy        bool
 	hasPeerLoad bool
 	hasOrder    bool
-	// inFlight counts this process's requests, batch those of them that are batch items.
-	// pendingTokens counts the prompt tokens of requests without a first event.
+	// inFlight counts this process's requests here, including batch items. batch counts only the
+	// batch items. pendingTokens counts the prompt tokens of requests without a first event.
 	inFlight      int
 	batch         int
 	pendingTokens int64
 	// stopping counts the items that are about to stop.
 	stopping int
-	// startGrants and pendingStops are how many items the batch planner lets start here, and how
-	// many it wants stopped.
+	// startGrants is how many items the batch planner lets start here. pendingStops is how many
+	// items it wants stopped here.
 	startGrants  int
 	pendingStops int
 	// blocked is set after another worker answered at the address, until blockedUntil, and for
@@ -73,8 +74,8 @@
 	slowFactor   float64
 	slowFactorAt time.Time
 	// probeSuccesses counts the probes answered well since the last call of ProbeResults.
-	// activeProbes counts those in progress, unansweredProbes the consecutive ones without an
-	// answer.
+	// activeProbes counts the probes in progress. unansweredProbes counts the consecutive probes
+	// without an answer.
 	probeSuccesses   int
 	activeProbes     int
 	unansweredProbes int
--- a/internal/capacity/sum.go
+++ b/internal/capacity/sum.go
@@ -4,8 +4,8 @@
 
 // Sum is the total capacity of some workers.
 type Sum struct {
-	// Slots is the number of their slots. NormalizedSlots counts them in slots of a worker of
-	// median speed.
+	// Slots is the number of the workers' slots. NormalizedSlots is the same capacity in slots of a
+	// worker of median speed.
 	Slots           int
 	NormalizedSlots float64
 	// AsOf is when the data behind the sum was reported.
--- a/internal/capacity/worker.go
+++ b/internal/capacity/worker.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// countNoise is about how many requests a worker's count is off: some requests are on their way
-	// to it, others have just ended. So a slot that is free by the counts still carries some risk of
-	// a wait.
+	// countNoise is the usual error of the number of requests counted at a worker: some requests
+	// are on their way to it, and others have just ended. So even a slot that is free by the counts
+	// carries some risk of a wait.
 	countNoise = 0.75
 	// minSlowness and maxSlowness bound a worker's slowness. Values beyond them are impossible, or
 	// indicate a fault that is detected by other means.
@@ -23,8 +23,8 @@
 type Worker struct {
 	// Slots is how many requests it runs at once.
 	Slots int
-	// Online and Items are the numbers of online requests and of batch items there. Items are
-	// preempted by online requests.
+	// Online is the number of online requests there, and Items the number of batch items. Online
+	// requests preempt batch items.
 	Online int
 	Items  int
 	// PendingPromptTokens is how many prompt tokens are still to be prefilled there.
@@ -37,8 +37,8 @@
 // Pool holds what is known of the requests of a pool, for a worker of median speed. Unknown values are
 // zero.
 type Pool struct {
-	// HoldTime is how long an online request holds a slot, EventInterval the time between two
-	// events, and PrefillTime the time to process a thousand prompt tokens.
+	// HoldTime is how long an online request holds a slot. EventInterval is the time between two
+	// events. PrefillTime is the time to process a thousand prompt tokens.
 	HoldTime      time.Duration
 	EventInterval time.Duration
 	PrefillTime   time.Duration
@@ -48,13 +48,14 @@
 
 // Prediction is the predicted timing of one more online request at a worker, counted from now.
 type Prediction struct {
-	// Wait is the time to a slot, FirstEvent the time to the first event, LastEvent to the last one.
+	// Wait is the time to a slot, FirstEvent is the time to the first event, and LastEvent is the
+	// time to the last event.
 	Wait       time.Duration
 	FirstEvent time.Duration
 	LastEvent  time.Duration
-	// RiskAdjustedWait is the expected wait if the counts are off by the usual error. AddedDelay is
-	// how long the request delays those that come after it. Both grow without a step from an idle to
-	// a fully loaded worker.
+	// RiskAdjustedWait is the expected wait if the counts of requests are off by the usual error
+	// (countNoise). AddedDelay is how long the request delays those that come after it. Both grow
+	// gradually, without a jump, from an idle to a fully loaded worker.
 	RiskAdjustedWait time.Duration
 	AddedDelay       time.Duration
 	// FreeSlots is how many slots stay free; it is negative if requests queue.
@@ -82,8 +83,9 @@
 	return p
 }
 
-// smoothExcess returns the expected number of requests in excess of the slots, given the excess by
-// the counts: its positive part, smoothed by countNoise.
+// smoothExcess returns the expected number of requests in excess of the slots. The argument is the
+// excess by the counts, which may be negative; the result is its positive part, smoothed by
+// countNoise.
 func smoothExcess(excess float64) float64 {
 	if excess > maxSmoothedExcess*countNoise {
 		return excess
--- a/internal/edge/admit.go
+++ b/internal/edge/admit.go
@@ -59,8 +59,9 @@
 	c.edge.withRouteStats(c.route, func(stats *admission.Route) { stats.ObserveFirstEvent(firstEventTime) })
 }
 
-// rejectedByAdmission rejects the request before it goes to any worker, if its first event would
-// come too late there, or its tenant is over its share, and the caller can retry later.
+// rejectedByAdmission rejects the request before it goes to any worker. It does so if the caller
+// can retry later, and either the first event would come too late at this worker or the tenant is
+// over its share.
 func (c *call) rejectedByAdmission(lease *balance.Lease) bool {
 	if c.attempts > 0 || c.failedDials > 0 {
 		return false
@@ -94,10 +95,10 @@
 	return failure.New(failure.NotRun, "come back after the time in Retry-After", "all workers are busy for longer than the request has")
 }
 
-// rejectedByLimit rejects the request if its tenant exceeds its rate limit. The token comes from
-// the hub of the zone, whose answer also carries its current worker loads. Where no hub answers,
-// this edge's reserve decides, and a request that the reserve does not cover may be retried
-// immediately at another edge.
+// rejectedByLimit rejects the request if its tenant exceeds its rate limit. The request needs a
+// token from the hub of the zone, whose answer also carries the hub's current worker loads. If no
+// hub answers, this edge's reserve decides; a request that the reserve does not cover may be
+// retried immediately at another edge.
 func (c *call) rejectedByLimit() bool {
 	if !c.tenant.Limited() {
 		return false
--- a/internal/edge/api.go
+++ b/internal/edge/api.go
@@ -40,7 +40,7 @@
 
 // JobPage holds the results of a job from a position on.
 type JobPage struct {
-	// Total is the number of items in the job, Next the position after the last result.
+	// Total is the number of items in the job. Next is the position after the last result.
 	Total   int         `json:"total"`
 	Next    int         `json:"next"`
 	Results []JobResult `json:"results"`
--- a/internal/edge/call.go
+++ b/internal/edge/call.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	// maxFailedDials limits the number of workers that could not be connected to,
-	// maxFailedDialTime the time spent on them: a closed port fails immediately, an unreachable
-	// machine only at a timeout.
+	// maxFailedDials limits the number of workers that could not be connected to. maxFailedDialTime
+	// limits the time spent on them. Both are needed: a closed port fails immediately, an
+	// unreachable machine only at a timeout.
 	maxFailedDials    = 10
 	maxFailedDialTime = 1200 * time.Millisecond
 	// While another worker may be tried, an unresponsive worker is given up after
@@ -79,8 +79,8 @@
 	// status is the HTTP status of the last worker's answer.
 	status int
 	// cachedFingerprint identifies the request for quarantine, zero until it is first needed.
-	// onTrial is set if the request is quarantined but was granted a trial, workerExited if a
-	// worker exited while it ran this call.
+	// onTrial is set if the request is quarantined but was granted a trial. workerExited is set if
+	// a worker exited while it ran this call.
 	cachedFingerprint quarantine.Fingerprint
 	onTrial           bool
 	workerExited      bool
@@ -144,9 +144,10 @@
 	failed
 )
 
-// releasedSlotWorker returns the worker whose slot, released by this attempt, a request queued
-// here may take without a load update; empty for none. After a failure or a rejection the worker
-// is no better for the next request, and other processes may know more about it.
+// releasedSlotWorker returns the worker at which this attempt released a slot, if a request queued
+// here may take the slot without first updating the loads; otherwise it returns an empty string.
+// After a failure or a rejection the worker is no better for the next request than before, and
+// other processes may know more about it.
 func releasedSlotWorker(worker string, result outcome, status int) string {
 	if result != delivered || status >= http.StatusInternalServerError {
 		return ""
@@ -201,10 +202,9 @@
 // goal.
 const loadQueryTimeout = 6 * time.Millisecond
 
-// acquire chooses a worker by the loads that the hub of the zone has now, and reports the choice
-// to the hub at once, so that the next choice can take it into account. Otherwise all edges of a
-// zone would choose by loads as old as a report interval and overload the workers that looked
-// idle.
+// acquire chooses a worker by the loads that the hub of the zone has now. It reports the choice to
+// the hub at once, so that the next choice can take it into account. Otherwise all edges of a zone
+// would choose by loads as old as a report interval, and overload the workers that looked idle.
 func (c *call) acquire() *balance.Lease {
 	c.refreshLoads()
 	lease := c.edge.workers.Acquire(clock.Now(), &c.demand)
@@ -225,9 +225,9 @@
 	c.demand.Repeatable = c.canProbe()
 }
 
-// canProbe reports whether the request may be sent to an avoided worker: another worker can take
-// over if that one fails. canFailOver does not fit here, as it is called after the attempt was
-// counted.
+// canProbe reports whether the request may be sent to an avoided worker, because another worker can
+// take over if this one fails. canFailOver can't be used here: it expects that the attempt has been
+// counted already, and here it has not.
 func (c *call) canProbe() bool {
 	return c.attempts == 0 && c.failedDials == 0 && c.route.Idempotent() && c.route.MaxAttempts > 1
 }
--- a/internal/edge/claim.go
+++ b/internal/edge/claim.go
@@ -19,7 +19,8 @@
 	divided bool
 	claim   wire.RoomClaim
 	class   fairshare.Class
-	// claimSent is set once the claim was sent to the hub, answered once the hub has answered it.
+	// claimSent is set once the claim was sent to the hub. answered is set once the hub has
+	// answered the claim.
 	claimSent bool
 	answered  bool
 	standing  fairshare.Standing
@@ -43,8 +44,9 @@
 	}
 }
 
-// queueEntry returns the request's entry in the queue, by which scarce capacity is assigned. Its
-// times are on the clock that includes suspensions of this machine.
+// queueEntry returns the request's entry in the queue, which decides by such entries who gets
+// scarce capacity. The times in the entry are on the clock that includes suspensions of this
+// machine.
 func (c *call) queueEntry() admission.Entry {
 	maxTimeLeft := time.Duration(0)
 	c.edge.withRouteStats(c.route, func(stats *admission.Route) { maxTimeLeft = stats.MaxTimeLeft() })
@@ -63,8 +65,8 @@
 	if goal > 0 && c.route.Kind == routetable.KindStream {
 		entry.Deadline = earliest(c.bootDeadline, arrived.Add(admission.FirstEventTimeout(goal, c.route.GapGoal())))
 	}
-	// A caller with much less time than usual has sent the request before: its first attempt was
-	// earlier by about the difference.
+	// A caller whose time left is much less than usual has sent the request before. Its first
+	// attempt was earlier by about the difference between the two times.
 	if sinceFirstAttempt, retried := admission.DetectRetry(maxTimeLeft, timeAllowed, goal); goal > 0 && retried {
 		entry.Retried = true
 		entry.GoalDeadline = entry.GoalDeadline.Add(-sinceFirstAttempt)
@@ -79,8 +81,8 @@
 	return a
 }
 
-// capacityClaim returns the claim that is sent to the hub with a query, nil for none. Unlike
-// queueEntry it is evaluated by the hub, and does not depend on this process's queue.
+// capacityClaim returns the claim that is sent to the hub with a query, nil for none. The hub
+// evaluates the claim, so unlike queueEntry it does not depend on this process's queue.
 func (c *call) capacityClaim() *wire.RoomClaim {
 	if !c.share.divided {
 		return nil
@@ -89,8 +91,9 @@
 	return &c.share.claim
 }
 
-// setStanding records the hub's answer to the claim; a nil standing means within the share. If
-// the hub did not answer, the standing is derived from earlier answers.
+// setStanding records the hub's answer to the claim: the standing, which says whether the tenant is
+// over its share. A nil standing means within the share. If the hub did not answer, the standing is
+// derived from earlier answers.
 func (c *call) setStanding(standing *wire.RoomStanding, answered bool) {
 	if !c.share.divided {
 		return
--- a/internal/edge/claim_test.go
+++ b/internal/edge/claim_test.go
@@ -67,9 +67,10 @@
 	return counts
 }
 
-// TestRequestsClaimCapacity checks that each request claims capacity once, under its tenant's
-// rank or else its route's, and that started requests are counted. Its callers are tenants with
-// and without a limit, and one without a key.
+// TestRequestsClaimCapacity checks that each request claims capacity once and that started requests
+// are counted. The claim has the rank of the tenant, or the rank of the route if the tenant has no
+// rank or there is no tenant. The callers are a tenant with a limit, a tenant without one, and a
+// caller without a key.
 func TestRequestsClaimCapacity(t *testing.T) {
 	f := startTenants(t)
 	f.reconfigure(t, func(c *routetable.Configuration) {
@@ -182,9 +183,9 @@
 	}
 }
 
-// TestQueueCountsOverShareRejections checks that a request that the queue rejects because its
-// tenant is over its share gets that reason in the answer and is counted, and that one that is
-// rejected because it would be late is not.
+// TestQueueCountsOverShareRejections checks a request that the queue rejects because its tenant is
+// over its share: its answer gives that reason, and it is counted. A request that is rejected
+// because it would be late is not counted.
 func TestQueueCountsOverShareRejections(t *testing.T) {
 	f := startTenants(t)
 	tenant := f.edge.Table().Tenant("a")
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -50,8 +50,8 @@
 	gate *startGate
 	// stallDetector detects that this process did not run for a while.
 	stallDetector *stall.Detector
-	// startedRequests counts requests that began to run, shortages those that found no worker with
-	// a free slot. Both count only where capacity is divided among tenants.
+	// startedRequests counts requests that began to run. shortages counts requests that found no
+	// worker with a free slot. Both count only where capacity is divided among tenants.
 	startedRequests atomic.Uint32
 	shortages       atomic.Uint32
 
@@ -69,7 +69,8 @@
 	byPredictedTime map[string]bool
 	// reserve is what tenants may send while no hub answers.
 	reserve *ratelimit.Reserve
-	// shareFallback derives standings from earlier answers while the hub doesn't answer.
+	// shareFallback derives standings (whether a tenant is over its share) from the hub's earlier
+	// answers while the hub doesn't answer.
 	shareFallback *fairshare.Fallback
 	// poolQueues holds the queues of requests that wait for workers, by pool name. queuesClosed is
 	// set once no request may be queued any more.
@@ -120,7 +121,7 @@
 }
 
 // runLoadExchange reports this process's requests in flight to the hub of the zone, and receives
-// those of its peers.
+// the requests in flight of its peers.
 func (e *Edge) runLoadExchange(ctx context.Context) {
 	if err := e.loads.Run(ctx); err != nil {
 		logging.Warn(e.logger, "loads_not_shared", "error", err)
@@ -275,12 +276,12 @@
 	tenants  *prometheus.CounterVec
 	// capacity counts requests by rank and outcome where capacity is divided among tenants.
 	capacity *prometheus.CounterVec
-	// workerExits counts requests whose worker exited while it ran them, quarantined those
-	// rejected because that happened to them before.
+	// workerExits counts requests whose worker exited while it ran them. quarantined counts
+	// requests that were rejected because a worker had exited under them before.
 	workerExits prometheus.Counter
 	quarantined prometheus.Counter
-	// queued counts outcomes of requests that found no free slot at once, queueTime is how long
-	// requests waited until they were sent to a worker, queueLength the number of waiting
+	// queued counts outcomes of requests that found no free slot at once. queueTime is how long
+	// requests waited until they were sent to a worker. queueLength is the number of waiting
 	// requests, by pool.
 	queued      *prometheus.CounterVec
 	queueTime   *prometheus.HistogramVec
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -311,8 +311,8 @@
 	}
 }
 
-// BenchmarkRelay relays streams of 100 events through an edge and reports time, allocations and
-// bytes per event, including those of the worker and the caller in this process.
+// BenchmarkRelay relays streams of 100 events through an edge. It reports time, allocations and
+// bytes per event; these include the worker and the caller, which run in this process too.
 func BenchmarkRelay(b *testing.B) {
 	const events = 100
 	workers := startWorkers(b, 1)
--- a/internal/edge/hold.go
+++ b/internal/edge/hold.go
@@ -26,8 +26,8 @@
 	// holdTimeDivisor limits the hold to 1/holdTimeDivisor of the caller's time left. The rest is
 	// needed to run the request, or for the caller to retry.
 	holdTimeDivisor = 3
-	// maxAssumedTimeLeft is the time left that is assumed for a caller that sends none or a longer
-	// one: the configured limit is not known yet.
+	// maxAssumedTimeLeft is the time left that is assumed for a caller that sends no time left or a
+	// longer one. It stands in for the configured limit, which is not known yet.
 	maxAssumedTimeLeft = time.Minute
 	// maxHeldRequests limits the number of held requests. Each needs a connection and a goroutine
 	// beside its bytes, which must fit into the memory of the smallest process.
@@ -56,8 +56,8 @@
 // startGate holds requests that arrived before this process knew what they need. It is separate
 // from poolQueue, in which requests wait for a worker. It is safe for concurrent use.
 type startGate struct {
-	// satisfied has a channel for each prerequisite, closed once it is known. stopping is closed
-	// when a planned stop begins.
+	// satisfied has a channel for each prerequisite, which is closed once the prerequisite is
+	// known. stopping is closed when a planned stop begins.
 	satisfied [prerequisiteCount]chan struct{}
 	stopping  chan struct{}
 
--- a/internal/edge/identity.go
+++ b/internal/edge/identity.go
@@ -13,9 +13,9 @@
 // all keys: the coordinator holds a watch for 0.5 s, and the answer arrives within 0.6 s.
 const maxKeyStaleness = 1200 * time.Millisecond
 
-// identify returns the tenant to which the request's key belongs, nil if the request needs no
-// key. Only a process that is in touch with the coordinators rejects an unknown key as invalid,
-// because the key may have been added a moment ago.
+// identify returns the tenant to which the request's key belongs, nil if the request needs no key.
+// An unknown key may have been added a moment ago, so a process rejects it as invalid only while it
+// is in touch with the coordinators.
 func (e *Edge) identify(now time.Time, table *routetable.Table, public bool, request *http.Request) (*routetable.Tenant, error) {
 	if !table.RequiresKeys() {
 		return nil, nil
--- a/internal/edge/identity_test.go
+++ b/internal/edge/identity_test.go
@@ -34,12 +34,13 @@
 	mutex         sync.Mutex
 	configuration *routetable.Configuration
 	jobs          map[string]*wire.SubmitBatch
-	// tokenRequests counts requests for tokens, tokensReturned the tokens returned. rejectTokens
-	// makes the hub reject token requests, unresponsive makes it send no answer.
+	// tokenRequests counts requests for tokens, and tokensReturned counts the tokens returned.
+	// rejectTokens makes the hub reject token requests. unresponsive makes it send no answer.
 	tokenRequests, tokensReturned int
 	rejectTokens, unresponsive    bool
-	// claims holds the claims on capacity, by ticket. overShare makes the hub report all of them
-	// as over their tenants' shares. started and shortages are the last reported counts.
+	// claims holds the claims on capacity, by ticket. overShare makes the hub answer every claim
+	// with a standing that says that the tenant is over its share. started and shortages are the
+	// last reported counts.
 	claims             map[uint64]wire.RoomClaim
 	overShare          bool
 	started, shortages uint32
@@ -342,9 +343,9 @@
 	}
 }
 
-// TestTokensAreRequestedFromHub checks a hub that grants, rejects and does not answer: no token
-// is requested for a tenant without a limit, a rejected request reaches no worker and gets
-// Retry-After, and a request that no worker ran returns its token.
+// TestTokensAreRequestedFromHub checks a hub that grants tokens, one that rejects requests for them
+// and one that does not answer. No token is requested for a tenant without a limit. A rejected
+// request reaches no worker and gets Retry-After. A request that no worker ran returns its token.
 func TestTokensAreRequestedFromHub(t *testing.T) {
 	f := startTenants(t)
 	setHub := func(rejectTokens, unresponsive bool) {
--- a/internal/edge/jobs.go
+++ b/internal/edge/jobs.go
@@ -20,8 +20,8 @@
 	maxItems = 200
 	// storeTimeout limits calls to the stores for which a caller waits.
 	storeTimeout = 2500 * time.Millisecond
-	// readTimeout limits a read, not counting the time for which it waits for results.
-	// maxReadBytes limits the texts of one read, maxPollWait the wait for results.
+	// readTimeout limits a read, not counting the time for which it waits for results. maxReadBytes
+	// limits the texts of one read. maxPollWait limits the wait for results.
 	readTimeout  = 1200 * time.Millisecond
 	maxReadBytes = 900 << 10
 	maxPollWait  = time.Second
--- a/internal/edge/quarantine.go
+++ b/internal/edge/quarantine.go
@@ -11,8 +11,8 @@
 	"github.com/sedgemast/sedgemast/internal/upstream"
 )
 
-// Quarantine outlasts the call: the same request may be sent again under another id, at any edge,
-// and would end one worker after the other.
+// Quarantine outlasts the call, because the same request may be sent again under another id and at
+// any edge, and would then end one worker after the other.
 
 // rejectedByQuarantine rejects a request under which workers exited before, at any edge, unless
 // the request is granted a trial.
@@ -31,8 +31,8 @@
 	return true
 }
 
-// quarantineStanding returns the request's standing. It does not compute the fingerprint while no
-// request is recorded.
+// quarantineStanding returns the request's standing, which says whether the request is suspected of
+// making workers exit. It does not compute the fingerprint while no request is recorded.
 func (c *call) quarantineStanding() quarantine.Standing {
 	records := c.edge.watcher.Quarantine()
 	if !records.InUse() {
--- a/internal/edge/queue.go
+++ b/internal/edge/queue.go
@@ -11,8 +11,9 @@
 	"github.com/sedgemast/sedgemast/internal/clock"
 )
 
-// queueBounds limits one queue: each poll reads all entries under the lock, and the bodies stay
-// in memory, of which the smallest process has little.
+// queueBounds limits one queue. The number is limited because each poll reads all entries under the
+// lock. The bytes are limited because the bodies stay in memory, of which the smallest process has
+// little.
 var queueBounds = admission.Bounds{Requests: 256, Bytes: 16 << 20}
 
 // poolQueue holds the requests of a pool that wait at this process for a free slot at a worker.
@@ -27,23 +28,23 @@
 	mutex   sync.Mutex
 	queue   *admission.Queue
 	waiters map[*admission.Entry]*waiter
-	// polling is set while poll runs, closed once no request may be queued any more.
+	// polling is set while poll runs. closed is set once no request may be queued any more.
 	polling bool
 	closed  bool
 	// fullAt is when an arriving request last found all slots of the pool in use.
 	fullAt time.Time
 }
 
-// saturationWindow is how long after fullAt released slots are reported to the hub at once: about
-// as long as a request waits for a slot. Otherwise the next regular report is soon enough.
+// saturationWindow is how long after fullAt released slots are reported to the hub at once. It is
+// about as long as a request waits for a slot. Later, the next regular report is soon enough.
 const saturationWindow = 250 * time.Millisecond
 
 // waiter is a request that waits in a queue or is about to.
 type waiter struct {
 	entry  admission.Entry
 	demand *balance.Request
-	// timeLeft is the time that the caller had left on arrival, maxTimeLeft the time that callers
-	// of the route have at their first attempt.
+	// timeLeft is the time that the caller had left on arrival. maxTimeLeft is the time that
+	// callers of the route have left at their first attempt.
 	timeLeft    time.Duration
 	maxTimeLeft time.Duration
 	result      chan queueResult
@@ -260,7 +261,9 @@
 		case <-timer.C:
 		case <-q.hubUpdated:
 			if time.Since(lastPoll) < balance.PollInterval/2 {
-				// The update answers the last poll's query, or updates arrive in quick succession.
+				// Either this update answers the last poll's query, or updates arrive in quick
+				// succession. The last poll was so short a time ago that the next one can wait for
+				// the timer.
 				continue
 			}
 			query = false
@@ -276,8 +279,8 @@
 	}
 }
 
-// continuePolling reports whether requests are queued. If not, the next queued request starts a
-// new poll goroutine.
+// continuePolling reports whether requests are queued. If none are, poll ends, and the next queued
+// request starts a new poll goroutine.
 func (q *poolQueue) continuePolling() bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -298,8 +301,8 @@
 	q.edge.loads.Query(ctx, loadQueryTimeout, q.edge.workers.AffinityWorkers(demand), demand.Repeatable)
 }
 
-// usesQueue reports whether requests of the pool wait in a queue of this process: if the
-// configuration names tenants, or the workers report their pace.
+// usesQueue reports whether requests of the pool wait in a queue of this process. They do if the
+// configuration names tenants or the workers report their pace.
 func (e *Edge) usesQueue(pool string) bool {
 	return e.Table().RequiresKeys() || e.workers.ReportsPace(pool)
 }
--- a/internal/edge/queue_test.go
+++ b/internal/edge/queue_test.go
@@ -454,9 +454,9 @@
 	}
 }
 
-// TestExpiredRequestReleasesLease checks a request that gets a lease after it expired by the
-// clock that includes suspensions, though its deadline by the other clock has not passed: nothing
-// is sent, and the slot is released.
+// TestExpiredRequestReleasesLease checks a request that gets a lease too late: it has expired by
+// the clock that includes suspensions, though not by the other clock. Nothing is sent, and the slot
+// is released.
 func TestExpiredRequestReleasesLease(t *testing.T) {
 	f := startQueue(t, testTenant)
 	recorder := httptest.NewRecorder()
@@ -634,9 +634,10 @@
 	}
 }
 
-// TestQueuesShareWorker checks three edges with a hub that send a worker many times what it runs
-// at once: each request is run, or rejected as not run with Retry-After. The worker never runs
-// more than the edges' slots together, and no goroutine polls once the queues are empty.
+// TestQueuesShareWorker checks three edges with a hub that send a worker many times the number of
+// requests that it can run at once. Each request is run, or is rejected as not run with
+// Retry-After. The worker never runs more requests at once than its slots times the number of
+// edges, and no goroutine polls once the queues are empty.
 func TestQueuesShareWorker(t *testing.T) {
 	const edges, slots, count = 3, 2, 60
 	worker := startBlockingWorker(t)
--- a/internal/edge/relay.go
+++ b/internal/edge/relay.go
@@ -123,8 +123,8 @@
 	return c.controller.Flush()
 }
 
-// recordPace records that the given number of events has just arrived. The first events of a
-// worker, and the time before them, are not counted, as they do not show the time between events.
+// recordPace records that the given number of events has just arrived. The first events from a
+// worker and the time before them are not counted, because that time is not a time between events.
 func (c *call) recordPace(lease *balance.Lease, events int) {
 	now := time.Now()
 	if c.paceLease == lease {
--- a/internal/edge/stall.go
+++ b/internal/edge/stall.go
@@ -12,8 +12,9 @@
 )
 
 const (
-	// stallBacklogTime is how long after a stall a request that is read may have arrived during
-	// the stall: even with a small share of a CPU, the process has read the backlog by then.
+	// stallBacklogTime is for how long after a stall the requests that this process reads may have
+	// arrived during the stall. Even with a small share of a CPU, the process has read the backlog
+	// by then.
 	stallBacklogTime = 250 * time.Millisecond
 	// coordinatorWait is how long a request waits after a stall for the first answer of a
 	// coordinator: enough for a few attempts to reach one.
@@ -80,8 +81,8 @@
 	return waited, nil
 }
 
-// rejectedAfterStall rejects the request if this process stalled after it started to route the
-// request and before it sent it to any worker: the data for the routing is outdated, and the
+// rejectedAfterStall rejects the request if this process stalled between the start of the request's
+// routing and its first sending to a worker. Then the data for the routing is outdated, and the
 // caller may have given up.
 func (c *call) rejectedAfterStall() bool {
 	if c.attempts > 0 || c.failedDials > 0 {
--- a/internal/edge/stall_test.go
+++ b/internal/edge/stall_test.go
@@ -55,9 +55,9 @@
 	return recorder
 }
 
-// TestRequestsAfterStall checks requests around a stall: those read before it, and those read
-// after it whose deadline may have passed, are rejected as not run; those with time left are
-// served.
+// TestRequestsAfterStall checks requests around a stall. A request that was read before the stall
+// is rejected as not run. So is a request read after the stall whose deadline may have passed. A
+// request read after the stall with time left is served.
 func TestRequestsAfterStall(t *testing.T) {
 	const stall = 10 * time.Second
 	workers := startWorkers(t, 1)
--- a/internal/edge/waiting.go
+++ b/internal/edge/waiting.go
@@ -9,8 +9,8 @@
 	"github.com/sedgemast/sedgemast/internal/logging"
 )
 
-// selectWorker finds a worker for an attempt. It returns no lease if there is no worker, or if
-// the caller has its final answer, in which case done is set.
+// selectWorker finds a worker for an attempt. It returns no lease if there is no worker or if the
+// caller already has its final answer; done is set in the second case.
 func (c *call) selectWorker() (lease *balance.Lease, done bool) {
 	if c.attempts == 0 && c.failedDials == 0 && c.edge.usesQueue(c.demand.Pool) {
 		return c.selectQueued()
@@ -54,8 +54,8 @@
 	return nil, true
 }
 
-// confirmDispatch passes the lease on, unless the request has expired in the meantime: the
-// machine may have been suspended.
+// confirmDispatch passes the lease on unless the request has expired in the meantime, which happens
+// if the machine was suspended.
 func (c *call) confirmDispatch(lease *balance.Lease) (*balance.Lease, bool) {
 	if c.expired() || c.context.Err() != nil {
 		c.releaseLease(lease)
--- a/internal/routing/ring.go
+++ b/internal/routing/ring.go
@@ -19,11 +19,10 @@
 	maxRingWalk = 64
 )
 
-// Ring is a consistent-hash ring that proposes a few endpoints for a request, so
-// that the cost of a choice grows with the logarithm of the number of endpoints.
-// Requests that share the first block of their prompt get the same proposals
-// from the ring in every process; the random proposals keep load from piling up
-// at those.
+// Ring is a consistent-hash ring that proposes a few endpoints for a request, so that the cost of a
+// choice grows only with the logarithm of the number of endpoints. Requests that share the first
+// block of their prompt get the same proposals from the ring in every process. The random proposals
+// keep load from piling up at these endpoints.
 type Ring struct {
 	points     []ringPoint
 	candidates []*Candidate
--- a/internal/routing/scorers.go
+++ b/internal/routing/scorers.go
@@ -54,10 +54,10 @@
 	return float64(mixed>>(64-mantissaBits)) / (1 << mantissaBits)
 }
 
-// ClassScorer separates the two classes of work: online requests prefer endpoints
-// that already serve online requests, batch work prefers the others. An engine step
-// takes longer the more sequences it has, so online endpoints keep a reserve; if
-// online requests gather, fewer endpoints need one.
+// ClassScorer separates the two classes of work: online requests prefer endpoints that already
+// serve online requests, and batch work prefers the other endpoints. An engine step takes longer
+// the more sequences it has, so each endpoint that serves online requests keeps a reserve. If
+// online requests gather at few endpoints, fewer endpoints need a reserve.
 type ClassScorer struct{}
 
 // Name implements Scorer.
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -1,7 +1,7 @@
 // Package stall detects that this process did not run for a while: it was stopped by a signal, got
 // no processor time, or its machine was suspended. After a stall, the state of the process is
-// outdated by the length of the stall, and so may be the first data that it reads. The package
-// reads no clock: callers pass times of package clock.
+// outdated by the length of the stall. The first data that it reads after the stall may be as old.
+// The package reads no clock: callers pass times of package clock.
 package stall
 
 import (
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -198,7 +198,7 @@
 	stopCancel func() bool
 	// complete is set once the body was read to its end without an error.
 	complete bool
-	// strayResponses counts responses to other requests that came first.
+	// strayResponses counts responses to other requests that came before the response to this one.
 	strayResponses int
 }
 
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -46,8 +46,9 @@
 	return c.Conn.SetReadDeadline(at)
 }
 
-// Read implements net.Conn. If a read times out long after its deadline, this process was stalled
-// and the worker may have responded in time. So Read tries once more before it reports the timeout.
+// Read implements net.Conn. If a read times out long after its deadline, this process was stalled,
+// and the worker may have responded in time. Then Read tries once more before it reports the
+// timeout.
 func (c *connection) Read(buffer []byte) (int, error) {
 	count, err := c.Conn.Read(buffer)
 	if late := time.Since(c.readDeadline); err != nil && count == 0 && !c.readDeadline.IsZero() && late > lateThreshold && TimedOut(err) {
--- a/internal/upstream/exit.go
+++ b/internal/upstream/exit.go
@@ -12,8 +12,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// exitCheckTimeout bounds an exit check. The machine has just sent the end of a connection, so it
-// responds within a round trip or not at all.
+// exitCheckTimeout bounds an exit check. It can be short: the worker's machine has just sent the
+// end of a connection, so it responds within a round trip or not at all.
 const exitCheckTimeout = 150 * time.Millisecond
 
 // Disconnected reports whether an exchange failed because the other side closed or reset the
