--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -21,7 +21,7 @@
 	// and is admitted whatever its tenant's share.
 	overShareWaitDivisor = 4
 	// MinRetryAfter is the shortest Retry-After. A caller whose time left is below the route's
-	// maximum by at least this much is taken for one that already retries.
+	// maximum by at least MinRetryAfter counts as one that already retries.
 	MinRetryAfter = 250 * time.Millisecond
 )
 
@@ -47,7 +47,7 @@
 // DetectRetry returns by how much timeLeft, the time until the caller's deadline, is below
 // maxTimeLeft, the time that callers of the route have at their first attempt. It reports whether
 // that difference indicates a retry after a rejection: a rejected caller is asked to wait for at
-// most a fixed fraction of its time, and gets that answer within the goal. A larger difference
+// most a fixed fraction of its time, and gets the rejection within the goal. A larger difference
 // means that the caller has a shorter deadline than others.
 func DetectRetry(maxTimeLeft, timeLeft, goal time.Duration) (elapsed time.Duration, retried bool) {
 	elapsed = maxTimeLeft - timeLeft
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -75,9 +75,10 @@
 	})
 }
 
-// TestOverShareIsRejectedSooner checks with random requests that one over its tenant's share is
-// rejected wherever another is, and also at shorter waits, but never if it need not wait and never
-// twice. Requests within the share get the same Retry-After as without it.
+// TestOverShareIsRejectedSooner decides on random requests, each both within and over its tenant's
+// share. The request over the share is rejected whenever the one within the share is, with the same
+// Retry-After. It is also rejected at shorter waits, but then never if it need not wait, and never
+// if it is a retry already.
 func TestOverShareIsRejectedSooner(t *testing.T) {
 	rejectedSooner := 0
 	proptest.Run(t, "over", func(random *rand.Rand) error {
--- a/internal/admission/collapse_test.go
+++ b/internal/admission/collapse_test.go
@@ -428,8 +428,8 @@
 )
 
 // runBurst simulates three times the load for 5 s. It returns the requests that met their goals
-// during the burst, as a fraction of the capacity of the slots, and those that did after it, as a
-// fraction of that capacity or of the arrivals, whichever is less.
+// during the burst, as a fraction of the capacity of the slots, and the requests that met their
+// goals after the burst, as a fraction of that capacity or of the arrivals, whichever is less.
 func runBurst(t *testing.T, seed uint64, queueing bool) (during, after float64) {
 	t.Helper()
 	s := newSimulation(seed, queueing)
@@ -443,9 +443,10 @@
 }
 
 // TestNoCollapse simulates three times the load for 5 s and the normal load after it. During the
-// burst, requests that make up 90% of the capacity must meet their goals, and after it nearly all
-// that can. Without a queue, requests that have waited too long hold the slots that new ones need.
-// The test checks that this collapse occurs then, because otherwise the simulation proves nothing.
+// burst, requests that make up 90% of the capacity must meet their goals, and after the burst
+// nearly all that can. Without a queue, requests that have waited too long hold the slots that new
+// requests need. The test checks that this collapse occurs without a queue, because otherwise the
+// simulation proves nothing.
 func TestNoCollapse(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		in, after := runBurst(t, seed, true)
@@ -515,9 +516,9 @@
 }
 
 // TestNoCollapseAfterRestart simulates the retries of all disconnected callers within a short time,
-// at edges that know neither hold times nor callers' deadlines. All slots are released together
-// then, when few waiting requests can meet their goals. So late requests take the slots and hold
-// them for a while; the effect fades from one hold time to the next.
+// at edges that know neither hold times nor callers' deadlines. In this case all slots are released
+// together, at a time when few waiting requests can meet their goals. So late requests take the
+// slots and hold them for a while; the effect fades from one hold time to the next.
 func TestNoCollapseAfterRestart(t *testing.T) {
 	const minInTime, maxInTimeWithoutQueue = 0.75, 0.5
 	for seed := uint64(1); seed <= 2; seed++ {
--- a/internal/admission/entry.go
+++ b/internal/admission/entry.go
@@ -7,10 +7,11 @@
 
 // Entry is a queued request, with the attributes that determine its position in the queue.
 type Entry struct {
-	// Rank is the tenant's, or else the route's. The smaller rank goes first.
+	// Rank is the tenant's rank, or the route's rank if the tenant has none. The smaller rank goes
+	// first.
 	Rank int
-	// OverShare is set if the tenant uses more than its share of the capacity. It takes
-	// precedence over the rank.
+	// OverShare is set if the tenant uses more than its share of the capacity. Entries are ordered
+	// by OverShare before they are ordered by rank.
 	OverShare bool
 	// GoalDeadline is until when the first event meets its goal, counted from the caller's first
 	// attempt. Deadline is until when the caller waits at all.
--- a/internal/admission/overload.go
+++ b/internal/admission/overload.go
@@ -9,7 +9,8 @@
 	// overloadedWaitPercent is the percentage of the goal from which on a predicted wait counts as
 	// overload. Shorter waits occur by chance.
 	overloadedWaitPercent = 25
-	// recoveryTime is how long all waits must stay below that limit for an overload to be over.
+	// recoveryTime is how long all predicted waits must stay below overloadedWaitPercent of their
+	// goals for an overload to be over.
 	recoveryTime = 400 * time.Millisecond
 	// maxDurations is the number of past overloads that the expected duration is based on. It is
 	// small because the arrival pattern changes.
@@ -17,8 +18,8 @@
 )
 
 // Overload learns how long a pool stays overloaded, from the waits predicted for its requests. If
-// requests arrive in waves, that predicts the end of the current one. The zero value is ready for
-// use; it is not safe for concurrent use.
+// requests arrive in waves, the durations of past overloads predict when the current overload ends.
+// The zero value is ready for use; it is not safe for concurrent use.
 type Overload struct {
 	// startedAt is when the current overload began, lastOverloadedAt when a request last found
 	// the pool overloaded.
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -41,7 +41,7 @@
 type Candidate struct {
 	// Full is set if all slots of the worker are in use. Wait is the expected time until the
 	// request gets one, MaxWait an upper bound that holds in nearly all cases; both are zero if
-	// unknown.
+	// they are unknown.
 	Full    bool
 	Wait    time.Duration
 	MaxWait time.Duration
@@ -341,14 +341,15 @@
 }
 
 // minSparePercent is the percentage of the dispatch rate that the entries of tierOnTime must leave
-// for a wait to be derived from the rest. Below it the rest varies by chance.
+// for other entries if a wait is to be derived from that remaining rate. A smaller remaining rate
+// varies by chance.
 const minSparePercent = 10
 
 // predictWait returns how long an entry waits with the given number of entries ahead, in the state
 // of the pool that the arrival found: until those entries have been dispatched, along with later
-// arrivals that go before this entry, and until a slot is released for itself. If the requests
-// that go before it use the whole throughput, its turn comes after the overload, if the end of
-// that is known.
+// arrivals that go before this entry, and until a slot is released for itself. If the requests that
+// go before it use the whole throughput, its turn comes after the overload, if the end of the
+// overload is known.
 func (q *Queue) predictWait(now time.Time, entry *Entry, ahead int, a *Arrival) time.Duration {
 	if a.Supply.Throughput <= 0 {
 		return a.Candidate.Wait
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -167,7 +167,7 @@
 }
 
 // TestEntryWithGoalGoesBeforeEntriesWithout queues requests without a goal beside one whose goal
-// deadline is before their callers' deadlines: that one goes first.
+// deadline is before their callers' deadlines: the request with the goal goes first.
 func TestEntryWithGoalGoesBeforeEntriesWithout(t *testing.T) {
 	queue := NewQueue(Bounds{Requests: 64, Bytes: 1 << 20})
 	for range 10 {
@@ -205,8 +205,9 @@
 	}
 }
 
-// TestQueueRejectsOverShareSooner admits a request whose wait is too long only for one over its
-// tenant's share, at a worker and behind another entry.
+// TestQueueRejectsOverShareSooner decides on requests within and over their tenants' shares, at a
+// worker and behind another entry. Their wait is so short that only the request over its tenant's
+// share is rejected.
 func TestQueueRejectsOverShareSooner(t *testing.T) {
 	const shortWait = 80 * ms
 	for _, over := range []bool{false, true} {
--- a/internal/batchplan/batchplan.go
+++ b/internal/batchplan/batchplan.go
@@ -88,11 +88,11 @@
 	return first.Sequence > second.Sequence
 }
 
-// PreemptedInAdvanceBefore reports whether the first item is preempted before the second for
-// online requests that have not arrived yet, so that there is time to choose. A preempted item
-// waits for about wait before it runs again. Overdue items come first, then items that meet their
-// deadline despite the wait; among these, the ones nearest to their end come last, because they
-// soon free their slots anyway. The remaining items are ordered by PreemptedBefore.
+// PreemptedInAdvanceBefore reports whether the first item is preempted before the second for online
+// requests that have not arrived yet, so that there is time to choose. A preempted item waits for
+// about wait before it runs again. Overdue items come first. Items that meet their deadline despite
+// the wait come next; of these, the ones nearest to their end come last, because they soon free
+// their slots anyway. The remaining items are ordered by PreemptedBefore.
 func PreemptedInAdvanceBefore(first, second Item, wait time.Duration) bool {
 	if first.Overdue != second.Overdue {
 		return first.Overdue
--- a/internal/batchplan/share.go
+++ b/internal/batchplan/share.go
@@ -30,10 +30,10 @@
 }
 
 // ApplyShares reorders items so that each tenant gets its share of the slots for items. The items
-// must be in the order of Sort; running holds the number of running items by tenant. The next
-// item is always one of the tenant that would then have the fewest running items relative to its
-// weight, and of this tenant's items the first by the previous order. Overdue items stay behind
-// all others. With a single tenant, or none, the order does not change.
+// must be in the order of Sort; running holds the number of running items by tenant. The next item
+// is always one of the tenant that would then have the fewest running items relative to its weight,
+// and of this tenant's items the first in the order of Sort. Overdue items stay behind all others.
+// With a single tenant, or none, the order does not change.
 func ApplyShares(items []Item, running map[string]int) {
 	if !severalTenants(items) {
 		return
--- a/internal/batchroom/ahead.go
+++ b/internal/batchroom/ahead.go
@@ -14,9 +14,8 @@
 	// polls of the runner, because the order may arrive just after the first one, and one step of
 	// the worker.
 	stopLatency = 50 * time.Millisecond
-	// minRunTime is the time that an item runs at least before it is preempted. An item that
-	// starts with less time than that before a rise of the demand would block the requests of the
-	// rise.
+	// minRunTime is the time that an item runs at least before it is preempted. An item that starts
+	// less than minRunTime before a rise of the demand would block the requests of the rise.
 	minRunTime = 300 * time.Millisecond
 	// startMarginDeviations is a safety margin, in standard deviations of a count as large as the
 	// demand. It is reserved on top of the demand when items start, but not when they stop;
@@ -30,8 +29,8 @@
 // Forecast is a pool's forecast of online demand for the next moments.
 type Forecast struct {
 	Pool string
-	// Slots is the number of slots at the pool's workers where items may start, IdleSlots how many
-	// of these are at idle workers.
+	// Slots is the number of slots at the pool's workers where items may start. IdleSlots is how
+	// many of these slots are at idle workers.
 	Slots     int
 	IdleSlots int
 	// ZoneSlots is the number of all slots of the pool's workers by zone, nil if zones are to be
@@ -48,9 +47,9 @@
 }
 
 // ClearMaxWait sets MaxWait to zero in the pools that have a forecast and at least as many online
-// requests as slots where items may start. Elsewhere a short wait costs less than a preemption.
-// In these full pools, another request waits at an edge, where the planner does not see it, for
-// each slot that an item keeps.
+// requests as slots where items may start. In such a full pool, each slot that an item keeps makes
+// another request wait at an edge, where the planner does not see it. In all other pools a short
+// wait at a worker costs less than a preemption.
 func (p *Workers) ClearMaxWait() {
 	for i := range p.Forecasts {
 		poolForecast := &p.Forecasts[i]
@@ -91,9 +90,9 @@
 // poolBudget is the capacity that the forecast online demand leaves for items in a pool.
 type poolBudget struct {
 	forecast *Forecast
-	// demandShare is the share of each worker's slots that the demand needs, and zoneFactors the
-	// factor to apply to it in each zone. startsLeft is how many items may still start,
-	// offeredSlots how many slots were found for them at busy workers.
+	// demandShare is the share of each worker's slots that the demand needs, zoneFactors is the
+	// factor to apply to demandShare in each zone. startsLeft is how many items may still start,
+	// offeredSlots is how many slots were found for items at busy workers.
 	demandShare  float64
 	zoneFactors  map[string]float64
 	startsLeft   int
@@ -291,8 +290,8 @@
 	return added
 }
 
-// grantBySpare distributes up to count slots, each at the worker that then has the most slots to
-// spare.
+// grantBySpare distributes up to count slots one by one, each at the worker that has the most spare
+// slots left.
 func grantBySpare(open []opening, count int, spares []spare) map[uint32]int {
 	granted := map[uint32]int{}
 	ranked := make(workerHeap, 0, len(open))
--- a/internal/batchroom/ahead_test.go
+++ b/internal/batchroom/ahead_test.go
@@ -205,9 +205,10 @@
 }
 
 // TestFullPoolsKeepNoItems checks a pool whose online requests could use all slots, with one item
-// at each worker: while a short wait at the worker was allowed, the item kept a slot for which a
-// request waited. With one request less than slots, and in another pool, the short wait stays
-// allowed.
+// at each worker: each item must stop. While a short wait at the worker was still allowed in such
+// pools, the item kept a slot for which a request waited. If the online requests leave one slot
+// free at each worker, or the pool has no forecast, a short wait at the worker stays allowed and no
+// item stops.
 func TestFullPoolsKeepNoItems(t *testing.T) {
 	const workers, slots = 5, 8
 	for _, test := range []struct {
--- a/internal/batchroom/batchroom.go
+++ b/internal/batchroom/batchroom.go
@@ -31,8 +31,8 @@
 	Pool  string
 	Zone  string
 	Slots int
-	// Online is the number of online requests of all processes, Orphans how many of these belong
-	// to no living process.
+	// Online is the number of online requests of all processes. Orphans is how many of these
+	// requests belong to no living process.
 	Online  int
 	Orphans int
 	// Closed is set if no item may start at the worker. Probe is set if a single item may start
@@ -49,9 +49,9 @@
 type Workers struct {
 	// Busy are the workers that hold any request or item, or where no item may start.
 	Busy []Worker
-	// IdleWorkers and IdleSlots are the numbers of the other workers and of their slots. Sample
-	// returns up to count of them, chosen at random. The cost of a plan thus depends on the amount
-	// of work and not on the number of workers.
+	// IdleWorkers is the number of all workers that are not in Busy, IdleSlots is the number of
+	// their slots. Sample returns up to count of these workers, chosen at random. They are not
+	// listed, so the cost of a plan depends on the amount of work and not on the number of workers.
 	IdleWorkers int
 	IdleSlots   int
 	Sample      func(count int) []Worker
@@ -79,8 +79,9 @@
 	Online  int
 	Items   int
 	Waiting int
-	// Queued is the number of requests beyond the slots of their workers, IdleSlots the number of
-	// unused slots at all other workers.
+	// Queued is the number of online requests and items beyond the slots of their workers, summed
+	// over the workers that have more of them than slots. IdleSlots is the number of unused slots,
+	// summed over all other workers.
 	Queued    int
 	IdleSlots int
 	// FreeSlots is the number of slots found for items, Granted the number granted to the runner,
@@ -89,7 +90,7 @@
 	Granted   int
 	Stops     int
 	// AdvanceStops is how many of the stops make room for online requests that have not arrived
-	// yet. Demand is the highest confident forecast of online demand on which they are based.
+	// yet. Demand is the highest of the pools' confident forecasts of online demand.
 	AdvanceStops int
 	Demand       forecast.Demand
 	// Rising is set if stops are based on a rise of the demand that has just begun.
@@ -180,8 +181,9 @@
 	return items, stops
 }
 
-// planBusy adds the runner's part of the stops at busy workers to orders. Of the other workers it
-// returns those where items may start, and the closed ones where the runner may start a probe.
+// planBusy adds the runner's part of the stops at busy workers to orders. Among the busy workers
+// where no item must stop, it returns in open those where items may start, and in probes the closed
+// ones where the runner may start a probe.
 func (p *Planner) planBusy(name uint32, workers *Workers, items, stops []int, budgets *poolBudgets, orders map[uint32]Order) (open []opening, probes []uint32) {
 	open = make([]opening, 0, len(workers.Busy))
 	for i := range workers.Busy {
@@ -205,9 +207,9 @@
 	return open, probes
 }
 
-// freeSlotsAt returns how many items the runner could be granted at a worker. No slot is kept
-// free here for online requests that may arrive: items are preempted for them within three
-// reports, and a slot that idles until then is wasted.
+// freeSlotsAt returns how many items the runner could be granted at a worker. No slot is kept free
+// here for online requests that may arrive: when they arrive, items are preempted for them within
+// three reports, and a slot kept idle before they arrive is wasted.
 func (p *Planner) freeSlotsAt(name uint32, w *Worker, items int) int {
 	if w.Closed {
 		return 0
@@ -215,9 +217,9 @@
 	return w.Slots - w.Online - items - p.grantedAt(w.ShortName, name)
 }
 
-// mayProbe reports whether the runner may start one item at a closed worker as a probe. This
-// takes a free slot: if the probe had to wait behind others, the missing response would count
-// against the worker.
+// mayProbe reports whether the runner may start one item at a closed worker as a probe. It may do
+// so only if the worker has a free slot: while a probe waited behind other requests, its missing
+// response would count against the worker.
 func (p *Planner) mayProbe(name uint32, w *Worker, items int) bool {
 	return w.Closed && w.Probe && w.Online+items+p.grantedAt(w.ShortName, name) < w.Slots
 }
@@ -291,8 +293,8 @@
 	return granted
 }
 
-// runnerStops returns how many of the stops at a worker this runner must carry out. Each stop
-// goes to the runner that then has the most items there.
+// runnerStops returns how many of the stops at a worker this runner must carry out. Stops are
+// assigned one by one, each to the runner that has the most items left at the worker.
 func (p *Planner) runnerStops(name, worker uint32, stops int) int {
 	itemCounts := map[uint32]int{}
 	var names []uint32
@@ -343,7 +345,8 @@
 	tieBreak uint32
 }
 
-// grant distributes up to count slots, each at the worker that then has the most free slots.
+// grant distributes up to count slots one by one, each at the worker that has the most free slots
+// left.
 func grant(open []opening, count int) map[uint32]int {
 	granted := map[uint32]int{}
 	slices.SortFunc(open, func(a, b opening) int {
--- a/internal/batchroom/simulation_test.go
+++ b/internal/batchroom/simulation_test.go
@@ -114,7 +114,7 @@
 	endsAt    time.Duration
 	preemptAt time.Duration
 	runner    *simRunner
-	// behindItem is set if it waited for a slot while an item held one.
+	// behindItem is set if the run waited for a slot while an item held one.
 	behindItem bool
 }
 
@@ -133,8 +133,8 @@
 // outcome is the result of a simulation.
 type outcome struct {
 	online, waited, itemsDue, inTime, preemptions int
-	// maxWait is the longest time that an online request waited behind items, idleShare the share
-	// of the slots that were idle while items waited.
+	// maxWait is the longest time that an online request waited behind items, idleShare is the
+	// share of the slots that were idle while items waited.
 	maxWait time.Duration
 	// crossZone is the number of requests that went to another zone.
 	crossZone int
--- a/internal/batchroom/zones.go
+++ b/internal/batchroom/zones.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// zoneMeanTime is the time constant of the moving mean of the demand by zone. It is long enough
-// to cover waves as well as the quiet times between them, because most callers' zones are the
-// same in both.
+// zoneMeanTime is the time constant of the moving mean of the demand by zone. It is long enough to
+// cover waves as well as the quiet times between them, because most callers are in the same zones
+// during waves and between them.
 const zoneMeanTime = 10 * time.Second
 
 // poolZone names a zone of a pool.
--- a/internal/fairshare/fairshare.go
+++ b/internal/fairshare/fairshare.go
@@ -53,8 +53,9 @@
 // rankFloors is the capacity reserved for the claimants of each rank, as far as they ask for it.
 type rankFloors map[int]float64
 
-// guaranteedFraction is the fraction of what a claimant would get if all ranks were one that it keeps
-// whatever other ranks ask for. So no claimant starves, and ranks take precedence in the rest.
+// guaranteedFraction sets what a claimant keeps whatever other ranks ask for: this fraction of what
+// it would get if all claimants had the same rank. So no claimant starves, and ranks take
+// precedence only in the rest of the capacity.
 const guaranteedFraction = 0.5
 
 // division is the state of one division. Its slices are reused by the next one.
@@ -213,7 +214,8 @@
 		granted += d.allotments[i].Granted
 	}
 	if granted > budget && granted > 0 {
-		// Rounding errors, or minimums that exceed what is left by one.
+		// The grants exceed the budget by rounding errors, or because the sum of the minimums
+		// exceeds it by a rounding error.
 		for _, i := range members {
 			d.allotments[i].Granted *= budget / granted
 		}
--- a/internal/fairshare/fallback.go
+++ b/internal/fairshare/fallback.go
@@ -3,8 +3,9 @@
 import "time"
 
 const (
-	// fallbackTTL is how long an edge that gets no answer uses earlier ones. Their weight falls
-	// linearly to zero in this time, after which no class counts as over its share.
+	// fallbackTTL is how long an edge that gets no answer from the hub uses the hub's earlier
+	// answers. The weight of these answers falls linearly to zero in this time. After it, no class
+	// counts as over its share.
 	fallbackTTL = 500 * time.Millisecond
 	// fallbackDivisor gives an answer the weight 1/4 in the moving average.
 	fallbackDivisor = 4
@@ -12,14 +13,15 @@
 	maxFallbackClasses = 4096
 )
 
-// Fallback replaces the hub's answer at an edge if that is lost: it estimates the standing of a
-// request from recent answers for its class. It is not safe for concurrent use.
+// Fallback replaces the hub's answer at an edge if that answer is lost. It estimates the standing
+// of a request (whether its tenant is over its share) from recent answers for the request's class.
+// It is not safe for concurrent use.
 type Fallback struct {
 	classes map[Class]*classHistory
 }
 
 // classHistory holds the moving average of the fraction of a class's requests that were over its
-// share, and the last standing over the share with its time.
+// share, the last standing that was over the share, and when that standing arrived.
 type classHistory struct {
 	overShareAt       time.Time
 	overShareFraction float64
--- a/internal/fairshare/fleet_test.go
+++ b/internal/fairshare/fleet_test.go
@@ -100,9 +100,9 @@
 	// before, during and after hold the outcome by tenant; after begins one second after the
 	// floods.
 	before, during, after []tally
-	// overShareAfter counts the requests in the period of after that were over their tenants' shares.
-	// busySlots and totalSlots count the used and all slots, summed over the steps of the floods in
-	// which requests waited.
+	// overShareAfter counts the requests over their tenants' shares in the period that the field
+	// after covers. busySlots and totalSlots count the used and all slots, summed over the steps of
+	// the floods in which requests waited.
 	overShareAfter        int
 	busySlots, totalSlots float64
 }
@@ -454,8 +454,8 @@
 	return s
 }
 
-// TestLostHub replaces the hub of one zone during a flood by one without any state. Until that has
-// learned, its zone serves requests in the order of their arrival.
+// TestLostHub replaces the hub of one zone during a flood by one without any state. Until the new
+// hub has learned, its zone serves requests in the order of their arrival.
 func TestLostHub(t *testing.T) {
 	for seed := range int64(seedCount) {
 		s := scenarios["75 tenants, the largest floods"].withTimes()
--- a/internal/fairshare/meter.go
+++ b/internal/fairshare/meter.go
@@ -62,15 +62,15 @@
 	// shares that exceed the capacity would queue before all others. What the shares leave is not
 	// wasted, because requests over their shares use it.
 	usableFraction = 0.9
-	// maxBacklogTime limits how many requests may exceed the capacity on credit, as the time in
-	// which the capacity serves them. The full credits of many classes together would fill the
-	// queue of those within their shares. At the limit, only classes with full credit are within
-	// their shares.
+	// maxBacklogTime limits how many requests may exceed the capacity on credit: at most as many as
+	// the capacity serves in this time. Without a limit, the full credits of many classes together
+	// would fill the queue of the requests within their shares. At the limit, only classes with
+	// full credit are within their shares.
 	maxBacklogTime = 200 * time.Millisecond
 	// burstTime limits a class's burst to what its share serves in this time, minBurst is the lower
 	// bound in requests. Arrivals are random, and exceed an even rate by as many requests at a low
-	// rate as at a high one. With more time, a flood would at its start fill the queue of requests
-	// within their shares.
+	// rate as at a high one. If burstTime were longer, the start of a flood would fill the queue of
+	// requests within their shares.
 	burstTime = 100 * time.Millisecond
 	minBurst  = 12
 	// creditResetTime is the time without scarcity after which every class gets full credit.
@@ -78,12 +78,14 @@
 	// minTrackedRate is the rate in requests a second below which a class is forgotten: its last
 	// request is several demandDecayTime old then.
 	minTrackedRate = 0.02
-	// maxClasses bounds the classes that are kept. Others are never over their shares.
+	// maxClasses bounds the classes that are kept. A class beyond that number is never over its
+	// share.
 	maxClasses = 4096
 	// maxSources bounds the edges whose counts are kept.
 	maxSources = 4096
-	// sourceTimeout is the longest time between two reports of an edge for the increase between them
-	// to count. After a longer gap, the edge may have reported a part of it to another hub.
+	// sourceTimeout is the longest time between two reports of an edge for the increase between
+	// them to count. After a longer gap, the edge may have reported a part of the increase to
+	// another hub.
 	sourceTimeout = 500 * time.Millisecond
 )
 
@@ -91,8 +93,8 @@
 type Standing struct {
 	// OverShare is set if the class has asked for more than its share while others ask too.
 	OverShare bool
-	// Demand and Share are the class's, Capacity is that of the zone, all in requests a second.
-	// They are set only with OverShare. Age is how old they are.
+	// Demand and Share are those of the class, Capacity is that of the zone, all in requests a
+	// second. All three are set only if OverShare is set. Age is how old their values are.
 	Demand   float64
 	Share    float64
 	Capacity float64
@@ -138,8 +140,8 @@
 // account holds the demand, share and credit of a class.
 type account struct {
 	class Class
-	// demand is the recent rate in requests a second, excess the part of it beyond the share.
-	// newRequests and newExcess count the requests since the last update.
+	// demand is the recent rate in requests a second, excess is the part of demand beyond the
+	// share. newRequests and newExcess count the requests since the last update.
 	demand      float64
 	excess      float64
 	newRequests float64
@@ -169,7 +171,7 @@
 }
 
 func (d *decayingCount) decay(factor float64) {
-	// What came since the last update is half of the interval old on average.
+	// Requests counted since the last update are half of the interval old on average.
 	d.count = d.count*factor + d.pending*math.Sqrt(factor)
 	d.pending = 0
 }
@@ -211,8 +213,8 @@
 	return standing
 }
 
-// evaluate returns the standing of a request, and takes it out of the class's credit if it is
-// within the share.
+// evaluate returns the standing of a request, and deducts one request from the class's credit if
+// the request is within the share.
 func (m *Meter) evaluate(now time.Time, a *account) Standing {
 	if !m.scarce || a.share < 0 || len(m.accounts) < 2 {
 		return Standing{}
@@ -355,8 +357,9 @@
 	return decayTime.Seconds() * (1 - math.Exp(-float64(age)/float64(decayTime)))
 }
 
-// measureCapacity determines whether capacity is scarce, and measures it: the rate at which the zone's
-// requests start while it is scarce. Otherwise that rate shows only the demand.
+// measureCapacity determines whether capacity is scarce, and measures it: the rate at which the
+// zone's requests start while capacity is scarce. While capacity is not scarce, that rate shows
+// only the demand.
 func (m *Meter) measureCapacity(now time.Time, elapsed time.Duration, granted float64) {
 	wasScarce := m.scarce
 	if !wasScarce && m.scarcityChangedAt.IsZero() {
@@ -391,7 +394,7 @@
 
 // estimateCapacity estimates the capacity at the first shortage from the rate at which requests
 // started before it, because that rate filled the pool. A meter that has just started may have seen
-// only an empty pool fill up: then it uses the last update interval.
+// only an empty pool fill up, so it uses only the starts in the last update interval.
 func (m *Meter) estimateCapacity(now time.Time, elapsed time.Duration, granted float64) {
 	m.scarceGranted, m.scarceSeconds = granted, elapsed.Seconds()
 	if now.Sub(m.startedAt) > 2*grantDecayTime {
@@ -464,13 +467,13 @@
 // Summary is the state of a zone's capacity.
 type Summary struct {
 	// Capacity is the rate in requests a second at which requests start while capacity is scarce,
-	// zero if it never was. Scarce is set while it is scarce. Granted is the current rate at which
-	// requests start.
+	// zero if capacity never was scarce. Scarce is set while capacity is scarce. Granted is the
+	// current rate at which requests start.
 	Capacity float64
 	Scarce   bool
 	Granted  float64
-	// Usages are the classes with the largest demands, Rest is the sum over the others and
-	// OtherCount their number.
+	// Usages are the classes with the largest demands, Rest is the sum over all other classes,
+	// OtherCount is the number of these classes.
 	Usages     []Usage
 	Rest       Usage
 	OtherCount int
--- a/internal/forecast/forecast.go
+++ b/internal/forecast/forecast.go
@@ -2,12 +2,12 @@
 // many they needed so far. It does no I/O; times come from the caller.
 //
 // A Forecast learns recurring waves of demand. It divides time into bins, records the onsets at
-// which the demand rises through the middle between its low and its high level, and is confident
-// of a pattern once the times between onsets repeat. From then on it predicts the mean demand at
-// the same distance from earlier onsets, corrected by how much the current demand differs from it.
-// It abandons the pattern after two consecutive waves that did not come in time, and then needs
-// more repetitions to be confident again. Without a pattern the forecast is the current demand,
-// and Demand says so.
+// which the demand rises through the middle between its low and its high level, and is confident of
+// a pattern once the times between onsets repeat. From then on it predicts the mean demand at the
+// same distance from earlier onsets, corrected by how much the current demand differs from it. It
+// abandons the pattern after two consecutive waves that did not come in time, and then needs more
+// repetitions to be confident again. Without a confident pattern the forecast is the current
+// demand, or extrapolates a rise that has just begun; Demand says which (Confident, Rising).
 package forecast
 
 import (
@@ -34,14 +34,15 @@
 	// more information.
 	binTime = 50 * time.Millisecond
 	// maxBins is the number of bins that trim keeps, two minutes. Longer waves are not learned: an
-	// item that stops for one waits for long afterwards in any case, so a forecast gains little.
+	// item that stops for such a wave waits for long afterwards in any case, so a forecast gains
+	// little.
 	maxBins = 2400
 	// maxGap is the longest time without observations before everything is forgotten: after it, too
 	// much of the demand in between is unknown.
 	maxGap = time.Second
-	// warmUpBins is how long the demand must not have risen, by more than chance, for its first
-	// rise to count as over: two of the longest times between reports, so that all processes have
-	// reported as well. maxWarmUpTime limits the wait.
+	// warmUpBins is how many bins must pass without a rise by more than chance for the first rise
+	// of the demand to count as over. That takes two of the longest times between reports, so that
+	// all processes have reported by then as well. maxWarmUpTime limits the wait.
 	warmUpBins    = 5
 	maxWarmUpTime = time.Second
 	// riseBins is the number of bins over which a rise is measured, two reports. minRiseDeviations
@@ -65,8 +66,8 @@
 	count   int
 	current float64
 
-	// learnFrom is the first bin that waves are learned from. Until warmedUp is set it is the bin
-	// of the highest value so far, warmUpPeak; it moves on when a pattern is abandoned.
+	// learnFrom is the first bin that waves are learned from. Until warmedUp is set, learnFrom is
+	// the bin of the highest value so far, warmUpPeak. It moves on when a pattern is abandoned.
 	learnFrom  int
 	warmedUp   bool
 	warmUpPeak float64
--- a/internal/forecast/levels.go
+++ b/internal/forecast/levels.go
@@ -17,17 +17,17 @@
 	// levelCycles is the number of cycles of a known pattern that the levels are computed over.
 	levelCycles = 4
 	// minLiftDeviations is the minimum distance between the levels, in standard deviations of a
-	// count as large as the high one, for a wave rather than chance: the two quantiles of a count
-	// that varies by chance alone are 3.3 standard deviations apart.
+	// count as large as the high level, at which the difference counts as waves rather than chance:
+	// the two quantiles of a count that varies by chance alone are 3.3 standard deviations apart.
 	minLiftDeviations = 5
 	// bandDivisor sets how far the demand must go beyond the middle between the levels to have
 	// crossed it: a tenth of the distance between them.
 	bandDivisor = 10
-	// minBandDeviations is the minimum of that band in standard deviations of a count at the
-	// middle.
+	// minBandDeviations is the minimum of how far beyond the middle the demand must go, in standard
+	// deviations of a count as large as the middle.
 	minBandDeviations = 2
-	// maxBandDivisor limits the band to a third of that distance, so that a small lift can be
-	// crossed at all.
+	// maxBandDivisor limits the band to a third of the distance between the levels, so that a small
+	// lift can be crossed at all.
 	maxBandDivisor = 3
 )
 
--- a/internal/forecast/pattern.go
+++ b/internal/forecast/pattern.go
@@ -7,7 +7,8 @@
 	// together.
 	maxWaves = 3
 	// minCycles is the number of cycles of equal length that must have come before a pattern is
-	// confident. After abandoned patterns it takes one more for each, maxAbandoned at most.
+	// confident. For each pattern that was abandoned since one last held, one more cycle is needed,
+	// up to maxAbandoned more.
 	minCycles    = 2
 	maxAbandoned = 2
 	// maxOnsets is the number of wave onsets that are kept.
@@ -205,7 +206,7 @@
 }
 
 // repeatedCycle returns the mean length of the last cycles with the given number of waves, and
-// false if they are not alike.
+// false if there are too few such cycles or their lengths are not alike.
 func (p *pattern) repeatedCycle(waves int) (int, bool) {
 	cycles := minCycles + p.abandoned
 	if len(p.onsets) <= cycles*waves {
--- a/internal/forecast/score.go
+++ b/internal/forecast/score.go
@@ -12,19 +12,21 @@
 	// scoreWindow is the number of values over which the score is averaged exponentially, about 12
 	// seconds, so that it covers both waves and valleys.
 	scoreWindow = 256
-	// marginFactor is the multiple of its mean error by which a forecast is raised. Errors go both
-	// ways, and a request that finds no free slot waits for an item to stop.
+	// marginFactor sets by how much a forecast is raised, as a multiple of its mean error. It is
+	// raised because errors go both ways, and a request that finds no free slot waits for an item
+	// to stop.
 	marginFactor = 2
 )
 
 // score compares predictions with the observed demand. The zero value is ready for use.
 type score struct {
 	// predictions holds the predictions for the bins to come, indexed by bin number. scored counts
-	// those compared.
+	// the predictions that were compared with the observed demand.
 	predictions [scoreHorizon + 1]prediction
 	scored      int
-	// meanError is the mean absolute error of the predictions, in slots; baselineError is that of
-	// assuming that the demand stays as it was at the time of the prediction.
+	// meanError is the mean absolute error of the predictions, in slots; baselineError is the mean
+	// absolute error that results if the demand is assumed to stay as it was at the time of the
+	// prediction.
 	meanError     float64
 	baselineError float64
 	// errorDeviations is meanError in standard deviations of a count, that is, relative to the
@@ -101,8 +103,8 @@
 
 // Score is the accuracy of recent forecasts, in slots.
 type Score struct {
-	// MeanError is the mean absolute error of the forecasts. BaselineError is that of assuming that
-	// the demand stays as it is.
+	// MeanError is the mean absolute error of the forecasts. BaselineError is the mean absolute
+	// error that results if the demand is assumed to stay as it is.
 	MeanError     float64
 	BaselineError float64
 }
--- a/internal/loadshare/datagrams.go
+++ b/internal/loadshare/datagrams.go
@@ -68,8 +68,9 @@
 type Reporter struct {
 	// Hubs returns the addresses of the candidate hubs, in order of preference.
 	Hubs func() []string
-	// PreferFirst makes the reporter return to the first candidate whenever that one answers.
-	// Otherwise it stays with the hub that answers or that it was referred to.
+	// PreferFirst makes the reporter return to the first candidate whenever that one answers. If
+	// PreferFirst is not set, the reporter stays with the hub that answers or that it was referred
+	// to.
 	PreferFirst bool
 	// Report returns the loads of this process, or nil if there is nothing to report.
 	Report func() *wire.LoadReport
@@ -143,9 +144,9 @@
 const sharedAnswerWindow = time.Millisecond
 
 // Query sends the loads of this process to the hub and waits for an answer, at most for the given
-// time. It reports whether one arrived in time. If the hub has not answered within ReportTTL it
-// returns at once. The answer covers the workers whose hashes are given. repeatable is set if the
-// request to be placed may run more than once.
+// time. It reports whether one arrived in time. Query returns false at once if the hub's last
+// answer is older than ReportTTL, or if the hub has never answered. The answer covers the workers
+// whose hashes are given. repeatable is set if the request to be placed may run more than once.
 func (x *Exchange) Query(ctx context.Context, timeout time.Duration, workers []uint32, repeatable bool) bool {
 	x.mutex.Lock()
 	now := clock.Since(x.startedAt)
@@ -349,7 +350,8 @@
 		return 0
 	}
 	if previous != "" {
-		// Without this the previous hub would count this process until its last report expires.
+		// Without this message the previous hub would count this process until the last report sent
+		// there expires.
 		x.sendDatagram(socket, previous, &wire.LoadReport{Source: report.Source, Sums: report.Sums, Left: true})
 	}
 	if target != "" {
--- a/internal/loadshare/health.go
+++ b/internal/loadshare/health.go
@@ -13,9 +13,10 @@
 	minFailedWeight   = 1.5
 	minFailedFraction = 0.2
 	// An avoided worker is readmitted without probes once the weight of its failures has fallen
-	// below negligibleWeight and no request has failed for timedReadmitDelay. This is for the case
-	// that no probe could be sent: the delay is longer than the time between two failed probes.
-	// negligibleWeight is also the weight of successes below which a rating may be dropped.
+	// below negligibleWeight and no request has failed for timedReadmitDelay. This readmits a
+	// worker to which no probe could be sent: timedReadmitDelay is longer than the time between two
+	// failed probes, so it does not pass while probes are sent and fail. negligibleWeight is also
+	// the weight of successes below which a rating may be dropped.
 	negligibleWeight  = 0.3
 	timedReadmitDelay = maxProbeInterval + 2*probeTimeout
 	// probeWeight is the weight of a successful probe relative to a successful request that was
@@ -57,8 +58,8 @@
 }
 
 // outcomes counts a worker's answers since the last report: successful requests, failed ones and
-// successful probes. fromZoneHub is set if a zone's hub sent the report; only processes with
-// online requests report to those.
+// successful probes. fromZoneHub is set if a zone's hub sent the report; only processes with online
+// requests report to zones' hubs.
 type outcomes struct {
 	succeeded, failed, probesSucceeded int
 	fromZoneHub                        bool
@@ -112,8 +113,8 @@
 	h.updatedAt = now
 }
 
-// failing reports whether the worker has to be avoided. It readmits a worker whose failures have
-// decayed without new ones.
+// failing reports whether the worker has to be avoided. It readmits an avoided worker once its
+// earlier failures have decayed and no request has failed for timedReadmitDelay.
 func (h *health) failing(now time.Time) bool {
 	h.decay(now)
 	if h.avoided && h.failed < negligibleWeight && now.Sub(h.lastFailure) > timedReadmitDelay {
--- a/internal/loadshare/hub.go
+++ b/internal/loadshare/hub.go
@@ -63,9 +63,9 @@
 	// HealthChanges was last called.
 	probations    map[uint32]*probation
 	healthChanges []HealthChange
-	// parentFailing lists the workers that the parent hub calls failing. itemsRunning is set if it
-	// reported batch items at any worker. parentUnprobed holds, for each failing worker, whether
-	// items don't probe it.
+	// parentFailing lists the workers that the parent hub calls failing. itemsRunning is set if the
+	// parent hub reported batch items at any worker. parentUnprobed holds, for each failing worker,
+	// whether items don't probe it.
 	parentFailing  []uint32
 	itemsRunning   bool
 	parentUnprobed map[uint32]bool
@@ -95,7 +95,7 @@
 	orphans orphans
 	health  health
 	speed   workerSpeed
-	// pending is the part not yet reported to the parent hub.
+	// pending is the part of the observations not yet reported to the parent hub.
 	pending pendingStats
 }
 
--- a/internal/loadshare/hubselector_test.go
+++ b/internal/loadshare/hubselector_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestPreviousHubIsNotified checks that a reporter that switches hubs notifies the previous one only if
-// that one has answered, and so counts the reporter.
+// TestPreviousHubIsNotified checks that a reporter that switches hubs notifies the previous hub
+// only if that hub has answered and therefore counts the reporter.
 func TestPreviousHubIsNotified(t *testing.T) {
 	hubs := []string{"a", "b"}
 	selector := hubSelector{preferFirst: true, target: "b"}
--- a/internal/loadshare/probe.go
+++ b/internal/loadshare/probe.go
@@ -7,9 +7,9 @@
 	// that the worker has been failing. A recovered worker is thus readmitted late by at most that
 	// fraction, and the number of probes grows with the logarithm of the time.
 	probeIntervalDivisor = 5
-	// minProbeInterval and maxProbeInterval bound the time between probes. With less, the report on
-	// the last probe may still be in transit; with more, a recovered worker stays idle for long.
-	// Each failed probe costs its request a second attempt elsewhere.
+	// minProbeInterval and maxProbeInterval bound the time between probes. With a shorter minimum,
+	// the report on the last probe may still be in transit; with a longer maximum, a recovered
+	// worker stays idle for long. Each failed probe costs its request a second attempt elsewhere.
 	minProbeInterval = 4 * Interval
 	maxProbeInterval = 4 * time.Second
 	// probeTimeout is how long the answer to a probe, including its report, may take before another
--- a/internal/loadshare/probe_test.go
+++ b/internal/loadshare/probe_test.go
@@ -18,8 +18,8 @@
 	// timeout rather than by an error.
 	fails    func(now time.Time) bool
 	timesOut bool
-	// probesFailed counts failed probes, probesSent all probes, probesInFlight those in flight and
-	// maxProbesInFlight the maximum of that.
+	// probesFailed counts failed probes, probesSent counts all probes, probesInFlight counts those
+	// in flight, and maxProbesInFlight is the maximum of probesInFlight.
 	probesFailed, probesSent, probesInFlight, maxProbesInFlight int
 	// reports holds the reports in transit.
 	reports []pendingReport
--- a/internal/loadshare/replies.go
+++ b/internal/loadshare/replies.go
@@ -6,18 +6,18 @@
 // within a zone.
 const replyTimeout = 12 * time.Millisecond
 
-// replyTracker matches answers to reports. Answers carry no report number, but a hub answers in
-// the order of the reports. After a lost report or answer, answers are matched to earlier reports
-// than theirs until the lost one times out. It does no I/O; times are relative to the start of the
-// process.
+// replyTracker matches answers to reports. Answers carry no report number, but a hub answers in the
+// order of the reports. After a report or its answer is lost, each answer is matched to an earlier
+// report than the one it belongs to, until the report without an answer times out. It does no I/O;
+// times are relative to the start of the process.
 type replyTracker struct {
 	// timeout is how long a report waits for its answer.
 	timeout time.Duration
 	// sent and answered are the numbers of the last report sent and of the last one answered.
 	sent     uint64
 	answered uint64
-	// pending holds the send times of unanswered reports, oldest first. The last one has the number
-	// sent.
+	// pending holds the send times of unanswered reports, oldest first. The last of these reports
+	// has the number in the field sent.
 	pending []time.Duration
 }
 
--- a/internal/loadshare/sample.go
+++ b/internal/loadshare/sample.go
@@ -32,9 +32,9 @@
 
 // Subset returns the rows to send to a process of the zone, and whether any were left out. It
 // includes all workers of the zone and, as far as they fit, a random sample of the others. Workers
-// of the zone come first because most requests go there; the others matter when the zone is full,
-// and then a few are enough to choose among. zoneOf returns the zone of a worker hash. The order
-// of rows changes.
+// of the zone come first because most requests go there; workers of other zones matter when the
+// zone is full, and then a few of them are enough to choose among. zoneOf returns the zone of a
+// worker hash. The order of rows changes.
 func Subset(rows []wire.WorkerLoad, zone string, zoneOf func(worker uint32) string, random *rand.Rand) (subset []wire.WorkerLoad, omitted bool) {
 	if len(rows) <= maxAnswerRows {
 		return rows, false
@@ -67,8 +67,8 @@
 // first drops those without load and without problems: in a mostly idle fleet nearly every worker
 // has just answered something, and the number of such rows grows with the requests of the last
 // seconds. At 10,000 workers and 360 requests a second there were 2,000 of them, which used up the
-// half core of the top hub, so that its updates were 2 s old and items waited as long. Rows beyond
-// the datagram's limit are dropped next, least loaded first.
+// half core of the top hub, so that its updates were 2 s old and items waited for 2 s as well. Rows
+// beyond the datagram's limit are dropped next, least loaded first.
 func newUpdate(loads map[uint32]wire.WorkerLoad) Update {
 	update := Update{}
 	if len(loads) > maxRowsWithIdle {
@@ -154,8 +154,9 @@
 // them.
 func IsLargeZone(near *Set) bool { return near.Len() > maxSmallZone }
 
-// Sample returns the workers, sorted by hash, whose loads an edge that is about to choose
-// receives: those it asked for and a random sample of its zone and of the others.
+// Sample returns the workers, sorted by hash, whose loads an edge that is about to choose receives:
+// those it asked for, a random sample of the workers of its zone, and a random sample of the
+// workers of other zones.
 func Sample(random *rand.Rand, requested []uint32, near, far *Set) []uint32 {
 	sampled := slices.Clone(requested[:min(len(requested), maxRequestedWorkers)])
 	sampled = near.sample(random, sampledNear, sampled)
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,11 +1,12 @@
 // Package quota divides a route's limit of waiting tokens among the store groups. It does no I/O
 // and reads no clock.
 //
-// Each group admits jobs by itself. While a group has recent reports of all others, it may use
-// what they leave of the limit. Otherwise it keeps to an even share. An unresponsive group counts
-// with its even share, or with its last report if that is more. The sum over the groups thus
-// stays within the limit, except for jobs that are accepted while reports are in transit, or
-// within ReportTTL after reports cease.
+// Each group admits jobs by itself. While a group has recent reports of all other groups, it may
+// use what they leave of the limit. While a recent report of any other group is missing, it uses at
+// most an even share of the limit. For a group without a recent report, the tokens that wait there
+// are taken to be an even share of the limit, or the number in its last report if that is more. The
+// sum over the groups thus stays within the limit, except for jobs that are accepted while reports
+// are in transit, or within ReportTTL after reports cease.
 package quota
 
 import "time"
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestSumStaysWithinTheLimit checks that the tokens that wait in all groups never exceed the
-// limit while groups accept random jobs and exchange reports, some groups being disconnected for
-// good. Each job is reported, or its report lost, before the next one arrives.
+// TestSumStaysWithinTheLimit checks that the tokens that wait in all groups never exceed the limit
+// while groups accept random jobs and exchange reports, some groups being disconnected for good.
+// Before the next job arrives, the report on each job is delivered or lost.
 func TestSumStaysWithinTheLimit(t *testing.T) {
 	proptest.Run(t, "sum", func(random *rand.Rand) error {
 		const groups, limit = 4, 1000
--- a/internal/ratelimit/hub.go
+++ b/internal/ratelimit/hub.go
@@ -43,7 +43,7 @@
 	// top that counts what is taken here, zero for none.
 	changedSequence uint64
 	joinedEpoch     uint32
-	// counted is set once that top has confirmed that it counts what is taken here.
+	// counted is set once the top of joinedEpoch has confirmed that it counts what is taken here.
 	counted bool
 	// share is the part of the bucket that belongs to this hub while it is isolated from the top.
 	// shareOnly is set while level holds only that part.
@@ -89,7 +89,8 @@
 	}
 	acct := h.accounts[tenant]
 	if acct == nil {
-		// If the top knew of any request of this tenant, it would have reported that.
+		// If the top knew of any request of this tenant, it would have reported the tenant's
+		// bucket, and this hub would have an account.
 		acct = &account{bucket: bucket{level: h.tolerance.start(limit), at: h.startedAt}, share: 1 / float64(h.zones), refillShare: 1, joinedEpoch: h.topEpoch}
 		if !h.topSince.IsZero() {
 			acct.at = h.topSince
@@ -155,9 +156,9 @@
 	}
 	verdict := Verdict{Level: acct.level, Age: h.age(now)}
 	if acct.level < 1 || !h.mayTake(now, acct) {
-		// If the copy still has a token, only an update from the top is missing: after two lost
-		// reports in a row, a tenant below its limit had taken all tokens that may be taken between
-		// two reports.
+		// If the copy still has a token, the hub only lacks an update from the top, so the verdict
+		// is uncertain. This happened to a tenant below its limit: after two lost reports in a row,
+		// it had taken all tokens that may be taken between two reports.
 		verdict.Uncertain = acct.level >= 1 || acct.shareOnly || !h.isJoined(acct) || !h.allZonesJoined
 		verdict.RetryAfter = h.retryAfter(now, acct, h.limits[tenant])
 		return verdict
@@ -240,8 +241,8 @@
 // Row is the change of one tenant's bucket.
 type Row struct {
 	Tenant Tenant
-	// Taken is the number of tokens that the hub has taken; in an update from the top, as far as
-	// the top knows.
+	// Taken is the number of tokens that the hub has taken; in an update from the top, it is the
+	// number that the top knows of.
 	Taken int64
 	// Level is the number of tokens left. A hub sets it only while it joins a top.
 	Level float64
--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -52,8 +52,8 @@
 func (t Tolerance) capacity(limit Limit) float64 { return max(limit.Burst+t.Spare(limit), 1) }
 
 // startDivisor sets the initial level of a bucket whose use is unknown: the spare part and a
-// quarter of the burst. Use is unknown after all processes failed, and no request was admitted
-// during that time.
+// quarter of the burst. The use of a bucket is unknown after all processes failed, and no request
+// was admitted during that time.
 const startDivisor = 4
 
 // start returns the initial level of a bucket whose use is unknown.
@@ -64,8 +64,8 @@
 	// several reports in a row may be lost.
 	UpdateTTL = 400 * time.Millisecond
 	// fullShareTime is how long a hub without answers from a top continues with its whole share.
-	// After that, it continues with the share divided by expiredShareDivisor, and its share goes
-	// to the other hubs: they do not wait any longer for a zone that is disconnected.
+	// After that, it continues with the share divided by expiredShareDivisor, and its share goes to
+	// the other hubs: the other hubs do not wait any longer for a zone that is disconnected.
 	fullShareTime       = 5 * time.Second
 	expiredShareDivisor = 4
 )
@@ -76,7 +76,8 @@
 	// Uncertain is set if there may be a token that this hub does not know of. The caller should
 	// ask again, here or at another hub.
 	Uncertain bool
-	// RetryAfter is the time after which one more request is admitted, if this one is not.
+	// RetryAfter is the time after which one more request is admitted. It is set if this request is
+	// not admitted.
 	RetryAfter time.Duration
 	// Level is the number of tokens left by the last update from the top, Age the age of that
 	// update.
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -126,10 +126,10 @@
 	}
 }
 
-// TestUncertainWhileTokensAreLeft repeats a random run in which one of 599 requests below the
-// limit was rejected although there was a top. With 14 tokens left in its copy, a hub had taken
-// ten since its last report that was not lost, the most that it may take between reports, and
-// reported that as over the limit.
+// TestUncertainWhileTokensAreLeft repeats a random run in which one of 599 requests below the limit
+// was rejected although there was a top. With 14 tokens left in its copy, a hub had taken ten since
+// its last report that was not lost, the most that it may take between reports, and reported the
+// next request as over the limit.
 func TestUncertainWhileTokensAreLeft(t *testing.T) {
 	if err := runBelowLimit(rand.New(rand.NewSource(4325203151190536169)), false, 0); err != nil {
 		t.Error(err)
--- a/internal/ratelimit/top.go
+++ b/internal/ratelimit/top.go
@@ -27,8 +27,9 @@
 	sequence  uint64
 	buckets   map[Tenant]*tenantBucket
 	hubs      map[uint32]*hubState
-	// zones is the number of zones that have a hub. Until hubs of all zones have joined, the
-	// buckets that hubs contribute count as divided among more hubs than those that have joined.
+	// zones is the number of zones that have a hub. Until hubs of all zones have joined, a part of
+	// the rate of each bucket that hubs contribute counts as used by hubs that have not joined yet
+	// (tenantBucket.unjoinedShare).
 	zones          int
 	allZonesJoined bool
 }
@@ -39,7 +40,7 @@
 	changedSequence uint64
 	// reservedShare is the part of the rate that unresponsive hubs use on their own.
 	reservedShare float64
-	// unjoinedShare is the part of the rate that hubs use which have not joined yet.
+	// unjoinedShare is the part of the rate that is used by hubs that have not joined yet.
 	unjoinedShare float64
 	usages        map[uint32]*usage
 }
@@ -175,8 +176,9 @@
 }
 
 // joinHub applies the contribution of a hub that has taken tokens before: the part of the bucket
-// that it held alone. The tokens that it took are not in that part. If the bucket was unknown
-// here, all of its tokens are in such parts.
+// that it held alone. The tokens that the hub has taken are not in that part. If this top did not
+// know the bucket before, it starts from an empty one, because all tokens are in the parts of hubs
+// that join.
 func (t *Top) joinHub(b *tenantBucket, u *usage, row *Row, first bool) {
 	if first {
 		b.level = 0
--- a/internal/ratelimit/verdicts.go
+++ b/internal/ratelimit/verdicts.go
@@ -8,7 +8,8 @@
 
 // verdicts remembers the recent verdicts by ticket. The zero value is ready for use.
 type verdicts struct {
-	// startedAt is when current was started. previous holds the verdicts of the period before.
+	// startedAt is when current was started. previous holds the verdicts of the period before
+	// startedAt.
 	startedAt time.Time
 	current   map[uint64]Verdict
 	previous  map[uint64]Verdict
