--- a/internal/batchstate/machine.go
+++ b/internal/batchstate/machine.go
@@ -8,8 +8,8 @@
 //   - an item has at most one result, the first that was committed, at one position, and a
 //     position never changes its result;
 //   - an ended job takes no result;
-//   - a text continues from one chain of runs to another only if the second began from the last
-//     event of the first that is in the text;
+//   - if two chains of runs follow each other in a text, the second chain began from the last
+//     event in the text that the first chain wrote;
 //   - the waiting tokens of an owner on a route are the sum over the items without a result of
 //     the owner's open jobs on that route.
 package batchstate
@@ -65,8 +65,8 @@
 	Events    int
 	LastEvent int64
 	Text      string
-	// Chain identifies the chain of runs that the text comes from: runs at one store of which
-	// each continued from the one before.
+	// Chain identifies the chain of runs that the text comes from. A chain is a series of runs at
+	// one store, each of which continued from the run before it.
 	Chain uint64
 }
 
@@ -229,9 +229,10 @@
 	return true
 }
 
-// follows reports whether the record continues from the item's state: from its last event, and
-// either in the chain of runs that brought it there or in a new chain that began there. An equal
-// number of events is not enough, because the records of two chains may be interleaved.
+// follows reports whether the record continues from the item's state. The record must continue from
+// the item's last event, and it must belong either to the chain of runs that wrote that event or to
+// a new chain that began there. An equal number of events is not enough, because the records of two
+// chains may be interleaved.
 func (i *Item) follows(record *wire.ItemRecord) bool {
 	return record.From == i.Events && (record.Opens || record.Chain == i.Chain)
 }
--- a/internal/batchstore/capacity.go
+++ b/internal/batchstore/capacity.go
@@ -18,8 +18,9 @@
 	// capacityLogInterval is the shortest time between two log lines on the division of a zone's
 	// capacity.
 	capacityLogInterval = time.Second
-	// namedClasses is how many classes, each a tenant and a rank, the metrics name.
-	// loggedClasses is how many a log line names. The others are summed up.
+	// namedClasses is how many classes the metrics name. loggedClasses is how many classes a log
+	// line names. A class is one tenant with one rank. The classes that are not named are summed
+	// up.
 	namedClasses  = 16
 	loggedClasses = 4
 )
@@ -52,9 +53,10 @@
 	}
 }
 
-// answerClaims applies the counts and claims of an edge, and returns the standings of classes
-// over their shares. A request that was not granted a token of its tenant's limit does not count
-// as demand.
+// answerClaims applies the counts and claims in an edge's report. For each claim of a class that is
+// over its share, it returns a standing: the class's demand and share and the zone's capacity. A
+// request that asked for a token of its tenant's limit and was not granted one does not count as
+// demand.
 func (z *zoneCapacity) answerClaims(now time.Time, report *wire.LoadReport, verdicts []wire.TokenVerdict) []wire.RoomStanding {
 	if !report.Left {
 		z.meter.ApplyCounts(now, report.Source, report.Begun, report.Short)
--- a/internal/batchstore/forecast.go
+++ b/internal/batchstore/forecast.go
@@ -10,8 +10,8 @@
 	"github.com/sedgemast/sedgemast/internal/routetable"
 )
 
-// forecastEnabled reports whether online demand is forecast for a pool: tenants share the pool,
-// or its workers report their pace.
+// forecastEnabled reports whether online demand is forecast for a pool. It is if the configuration
+// has tenants, which share the pool, or if the pool's workers report their pace.
 func (s *Store) forecastEnabled(table *routetable.Table, pool string) bool {
 	return table.RequiresKeys() || s.workers.ReportsPace(pool)
 }
--- a/internal/batchstore/forget.go
+++ b/internal/batchstore/forget.go
@@ -14,8 +14,8 @@
 	forgetInterval = 5 * time.Second
 )
 
-// forgettable returns the jobs that this leader first saw longer than ForgetAfter ago. They may
-// still be open.
+// forgettable returns the jobs that this leader first saw longer than ForgetAfter ago. Some of
+// these jobs may still be open; forget skips them.
 func (r *runner) forgettable(now time.Time) []string {
 	var names []string
 	for id, observed := range r.seen {
--- a/internal/batchstore/group.go
+++ b/internal/batchstore/group.go
@@ -10,8 +10,8 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// group is a store group as this process holds it: a replica of its state, and the runner of
-// its items, which runs items only while this process leads the group.
+// group is this process's part of a store group: a replica of the group's state, and a runner. The
+// runner runs the group's items only while this process leads the group.
 type group struct {
 	store   *Store
 	number  int
--- a/internal/batchstore/handlers.go
+++ b/internal/batchstore/handlers.go
@@ -18,7 +18,8 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// methodIndex asks a group's leader up to which log index a replica must have applied entries.
+// methodIndex asks a group's leader for the log index up to which another replica must have applied
+// the entries to be up to date.
 const methodIndex = "batch_index"
 
 func (s *Store) register() {
--- a/internal/batchstore/limits.go
+++ b/internal/batchstore/limits.go
@@ -12,14 +12,16 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// limiter enforces the tenants' request limits: as the hub of a zone, and as the top while this
-// process is the top hub. The owner's lock guards it.
+// limiter enforces the tenants' request limits. As the hub of a zone it answers edges. While this
+// process is the top hub, it also answers the zones' hubs, as the top. The lock of its owner,
+// loads.hubsMutex, guards it.
 type limiter struct {
 	tolerance ratelimit.Tolerance
 	limits    map[ratelimit.Tenant]ratelimit.Limit
 	zones     int
 	hub       *ratelimit.Hub
-	// top is nil until this process first is the top hub; lastTopAt is when it last was.
+	// top is nil until this process becomes the top hub for the first time. lastTopAt is when this
+	// process last acted as the top hub.
 	top       *ratelimit.Top
 	lastTopAt time.Time
 }
@@ -29,7 +31,7 @@
 }
 
 // newEpoch returns a random number that identifies one incarnation of a hub or top. It is never
-// zero, which stands for none.
+// zero, because zero stands for no incarnation.
 func newEpoch() uint32 { return rand.Uint32N(math.MaxUint32) + 1 }
 
 // setLimits applies the limits of a configuration, the number of zones that have stores, and the
@@ -93,12 +95,12 @@
 	}
 }
 
-// answerHub applies the report of a hub and returns the answer, as the top.
+// answerHub acts as the top: it applies the report of a hub and returns the answer.
 func (l *limiter) answerHub(now time.Time, report *wire.LoadReport) *wire.TenantNews {
 	return updateToWire(l.activeTop(now).ApplyReport(now, report.Source, report.Zone, int(report.Sources), updateFromWire(report.Tenants)))
 }
 
-// removeHub removes a hub that no edge reports to any more, as the top.
+// removeHub acts as the top: it removes a hub to which no edge reports any more.
 func (l *limiter) removeHub(now time.Time, source uint32) {
 	if len(l.limits) > 0 {
 		l.activeTop(now).RemoveHub(now, source)
@@ -113,7 +115,8 @@
 }
 
 // activeTop returns the top of this process. A top that was last used more than ReportTTL ago is
-// replaced by a new one, because another process that was the top hub since may know more.
+// replaced by a new one, because another process may have been the top hub since then and may know
+// more.
 func (l *limiter) activeTop(now time.Time) *ratelimit.Top {
 	if l.top == nil || now.Sub(l.lastTopAt) > loadshare.ReportTTL {
 		l.top = ratelimit.NewTop(now, newEpoch(), l.tolerance)
--- a/internal/batchstore/loads.go
+++ b/internal/batchstore/loads.go
@@ -51,8 +51,8 @@
 	forecasts map[string]*forecast.Forecast
 	// nextOwnPlan is the earliest time at which this process's own loads are applied again.
 	nextOwnPlan time.Time
-	// workers is the last list of workers. zoneWorkers and otherWorkers hold the short names of
-	// those in this process's zone and of those in other zones.
+	// workers is the last list of workers. zoneWorkers holds the short names of the workers in this
+	// process's zone, and otherWorkers those of the workers in other zones.
 	workers      *workerset.Set
 	zoneWorkers  loadshare.Set
 	otherWorkers loadshare.Set
@@ -151,8 +151,9 @@
 	}
 }
 
-// referral returns an answer that names the top hub to a process that asked this one instead.
-// The address comes from the error of the hub group's replica here, or else from the fleet view.
+// referral returns an answer that names the top hub, for a process that took this one for the top
+// hub. The address is that of the leader named by readErr, with which the hub group's replica here
+// refused to be read. If readErr names no leader, the address comes from the fleet view.
 func (s *Store) referral(readErr error) *wire.LoadReport {
 	hub := consensus.LeaderFromError(readErr)
 	if hub == "" {
@@ -200,7 +201,8 @@
 		answer.Drawn = true
 		if report.Choosing {
 			sampled := loadshare.Sample(s.loads.random, report.Asked, &s.loads.zoneWorkers, &s.loads.otherWorkers)
-			// An edge that does not see a worker reported as failing does not probe it.
+			// An edge probes a worker only if the answer reports that worker as failing, so the
+			// answer must include the workers that the edge may probe.
 			sampled = append(sampled, answer.Probes...)
 			slices.Sort(sampled)
 			answer.Workers = s.loads.zoneHub.LoadsOf(now, report.Source, slices.Compact(sampled))
@@ -289,8 +291,9 @@
 	s.workers.SetOrders(s.planOrders(now, ownSource, s.waitingItemCount(), s.workers.Items()))
 }
 
-// ownPlanInterval returns the time to the next plan of the top hub for its own items. If zone hubs
-// and other runners report less often than usual, it is as long as the interval of their reports.
+// ownPlanInterval returns the time to the next plan of the top hub for its own items. It is
+// minOwnPlanInterval while zone hubs and other runners report at the usual interval
+// (loadshare.Interval). If they report less often, it is the interval of their reports.
 func (s *Store) ownPlanInterval() time.Duration {
 	interval := loadshare.HubReportInterval(s.workers.RequestRate(), s.loads.workers.Len())
 	if interval <= loadshare.Interval {
@@ -299,7 +302,7 @@
 	return interval
 }
 
-// reportZone reports the sums over the zone to the top hub while that is another process.
+// reportZone reports the sums over the zone to the top hub while another process is the top hub.
 func (s *Store) reportZone(ctx context.Context) {
 	err := loadshare.Report(ctx, &loadshare.Reporter{
 		Meter: s.daemon.Traffic,
@@ -355,7 +358,7 @@
 	return waiting
 }
 
-// reportLoads reports to the top hub what this process runs, while the hub is another process.
+// reportLoads reports to the top hub what this process runs, while another process is the top hub.
 func (s *Store) reportLoads(ctx context.Context) {
 	source := loadshare.Hash(s.settings.Name)
 	err := loadshare.Report(ctx, &loadshare.Reporter{
--- a/internal/batchstore/loads_test.go
+++ b/internal/batchstore/loads_test.go
@@ -62,9 +62,10 @@
 	return s
 }
 
-// TestTopHubIsFoundByFleetView guards against a store that is a member of no group naming no
-// top hub, which sent its callers from store to store. It must look for the hub at the leader of
-// the hub group first, then at its members, then at all stores, and refer callers to the leader.
+// TestTopHubIsFoundByFleetView checks how a store that is a member of no group finds the top hub.
+// Such a store once named no top hub, which sent its callers from store to store. The store must
+// look for the hub at the leader of the hub group first, then at its members, then at all stores,
+// and refer callers to the leader.
 func TestTopHubIsFoundByFleetView(t *testing.T) {
 	hubPlace := wire.GroupPlace{Leader: "c:1", Members: []string{"b:1", "c:1"}}
 	stores := []wire.ProcessAddress{{Address: "a:1"}, {Address: "b:1"}, {Address: "c:1"}, {Address: "d:1"}}
@@ -84,9 +85,9 @@
 	}
 }
 
-// TestEdgesAreAnsweredByAnyStore sends reports of two edges to a store that leads no group. Each
-// edge gets the other's requests, a quiet report gets no answer, and an edge that sent its last
-// report no longer counts.
+// TestEdgesAreAnsweredByAnyStore sends reports of two edges to a store that leads no group. The
+// answer to each edge has the requests of the other edge, a quiet report gets no answer, and an
+// edge that sent its last report no longer counts.
 func TestEdgesAreAnsweredByAnyStore(t *testing.T) {
 	s := newStoreWithFleet(t, &wire.FleetView{Stores: []wire.ProcessAddress{{Address: "a:1"}}})
 	report := func(source uint32, online uint16, quiet, left bool) *wire.LoadReport {
--- a/internal/batchstore/metrics.go
+++ b/internal/batchstore/metrics.go
@@ -11,8 +11,8 @@
 	runTime  prometheus.Histogram
 	// healthChanges counts changes in the health rating of workers, by the new rating.
 	healthChanges *prometheus.CounterVec
-	// forecastError is the mean error of the forecasts of online demand, in slots, and as a
-	// baseline the mean error of taking the demand at that moment as the forecast.
+	// forecastError is the mean error, in slots, of the forecasts of online demand. As a baseline
+	// it also has the mean error of a forecast that demand stays as it is.
 	forecastError *prometheus.GaugeVec
 }
 
--- a/internal/batchstore/plan.go
+++ b/internal/batchstore/plan.go
@@ -60,10 +60,11 @@
 	return starts
 }
 
-// loadsKnown reports whether this leader knows what runs at the workers. A new leader that
-// started all items at once would add them to those that the last leader left running. So it
-// waits until at least half of the edges report their loads, and long enough for the workers' own
-// counts to reveal requests that no process reports. It never waits longer than maxLoadsWait.
+// loadsKnown reports whether this leader knows what runs at the workers. If a new leader started
+// all items at once, they would run in addition to the items that the last leader left running. So
+// a new leader waits until at least half of the edges report their loads, and at least
+// minLoadsWait, so that the workers' own counts reveal requests that no process reports. It never
+// waits longer than maxLoadsWait.
 func (r *runner) loadsKnown(now time.Time) bool {
 	led := now.Sub(r.leadSince)
 	edges := int64(r.store.watcher.Current().Fleet.Edges)
@@ -88,7 +89,8 @@
 		}
 	})
 	batchplan.Sort(items)
-	// While all items finish in time, the order by slack is best for every tenant.
+	// If all items can finish in time, the order by slack is best for every tenant, and shares are
+	// not applied.
 	if table.Shares() != nil && !batchplan.InTime(items, len(r.running)) {
 		batchplan.ApplyShares(items, r.runningByOwner())
 	}
@@ -170,7 +172,9 @@
 	}
 	lease := r.store.workers.Acquire(now, request)
 	if lease == nil {
-		// Where this item must not be a probe, another one may be.
+		// If this item must not be a probe, because it failed as one, another item of the route may
+		// still start as a probe. So the route counts as full only if this item was allowed to be a
+		// probe.
 		full[job.Route] = !request.NoProbe
 		return nil
 	}
@@ -217,8 +221,9 @@
 	return prepared
 }
 
-// startProgress returns the progress from which an item continues: that saved from a run here if
-// it builds on all that the log has, or else that of the log.
+// startProgress returns the progress from which an item continues. It is the progress saved from a
+// run at this store if that run builds on all events in the log. Otherwise it is the progress in
+// the log.
 func (r *runner) startProgress(key itemKey, item *batchstate.Item) progress {
 	saved, found := r.savedProgress[key]
 	if found && saved.recordedEvents >= item.Events {
--- a/internal/batchstore/planner.go
+++ b/internal/batchstore/planner.go
@@ -51,16 +51,16 @@
 	}
 }
 
-// logSlotMismatches logs workers that report another number of slots than the list. The smaller
-// number is used.
+// logSlotMismatches logs the workers that report a different number of slots than the platform's
+// list gives for them. The smaller of the two numbers is used.
 func (s *Store) logSlotMismatches() {
 	for _, mismatch := range s.workers.SlotMismatches() {
 		logging.Warn(s.logger, "worker_tells_other_slots", "worker", mismatch.Worker, "listed", mismatch.Listed, "told", mismatch.Reported)
 	}
 }
 
-// planLogInterval is the shortest time between two log lines on plans, which are made for each
-// report of a runner.
+// planLogInterval is the shortest time between two log lines on plans. A plan is made for each
+// report of a runner, so not every plan is logged.
 const planLogInterval = 200 * time.Millisecond
 
 // logPlan logs the inputs and results of a plan, at most once per planLogInterval. The caller
--- a/internal/batchstore/preempt.go
+++ b/internal/batchstore/preempt.go
@@ -56,8 +56,9 @@
 	r.stopCandidates(candidates, false)
 }
 
-// preemptsInAdvance reports whether items stop at the task's worker for requests that are only
-// forecast. No request waits there yet, so any of the items may be chosen.
+// preemptsInAdvance reports whether the items that must stop at the task's worker stop for online
+// requests that are only forecast. No request waits at that worker yet, so any of its items may be
+// chosen.
 func (r *runner) preemptsInAdvance(now time.Time, table *routetable.Table, running *task) bool {
 	return r.store.forecastEnabled(table, running.pool) && !r.store.workers.Overloaded(now, running.lease.Endpoint.ID)
 }
--- a/internal/batchstore/quarantine.go
+++ b/internal/batchstore/quarantine.go
@@ -16,9 +16,9 @@
 const (
 	// quarantineBackoff is the time between two checks of an item that is refused.
 	quarantineBackoff = 250 * time.Millisecond
-	// goodRunTime is how long an item must have run, with events, for the run to count as a
-	// success however it ended. An item that makes its workers exit does so at its start, and
-	// one that runs that long each time completes after a few runs.
+	// goodRunTime is how long a run that received events must last to count as a success however it
+	// ended. An item that makes its workers exit does so at the start of a run. An item whose runs
+	// all last that long completes after a few runs.
 	goodRunTime = time.Second
 )
 
--- a/internal/batchstore/reads.go
+++ b/internal/batchstore/reads.go
@@ -15,8 +15,9 @@
 )
 
 // Every replica answers reads. A result that a replica has is committed and keeps its position, so
-// it is right even if the replica lags. A missing result may only mean that the replica lags, so
-// before it answers that there is none, it asks the leader for the newest index and catches up.
+// the answer is right even if the replica lags. If a result is missing, the replica may only lag.
+// So before a replica answers that there is no result, it asks the leader for the newest index and
+// catches up.
 
 // catchUpTimeout bounds the call to the leader and the wait for the index.
 const catchUpTimeout = 400 * time.Millisecond
--- a/internal/batchstore/rebalance.go
+++ b/internal/batchstore/rebalance.go
@@ -18,13 +18,13 @@
 	// transfer stops the group's items, and a store that has just come back may stop again.
 	rebalanceInterval = 500 * time.Millisecond
 	rebalanceDelay    = 15 * time.Second
-	// maxResponseAge is how recently a replica must have answered, and maxLag how many entries
-	// it may lack at most, to become the leader of a group.
+	// maxResponseAge and maxLag say which replicas may become the leader of a group: those that
+	// answered within maxResponseAge and lack at most maxLag entries.
 	maxResponseAge = 300 * time.Millisecond
 	maxLag         = 64
 )
 
-// rebalanceLoop transfers groups to stores that lead fewer.
+// rebalanceLoop transfers the leadership of groups to stores that lead fewer groups than this one.
 func (s *Store) rebalanceLoop(ctx context.Context) {
 	var since time.Time
 	ticker := time.NewTicker(rebalanceInterval)
--- a/internal/batchstore/record.go
+++ b/internal/batchstore/record.go
@@ -10,8 +10,9 @@
 )
 
 const (
-	// batchDelay is how long a record waits for others to share a log entry. Callers poll for
-	// results twice a second, and each entry costs a sync and calls to all replicas.
+	// batchDelay is how long a record waits for other records with which to share a log entry.
+	// Callers poll for results twice a second, and each entry costs a sync and calls to all
+	// replicas.
 	batchDelay = 25 * time.Millisecond
 	// maxRecords and maxRecordBytes bound one log entry.
 	maxRecords       = 1024
--- a/internal/batchstore/runner.go
+++ b/internal/batchstore/runner.go
@@ -15,13 +15,14 @@
 )
 
 const (
-	// leaderPollInterval is the longest time between two polls for items to run.
+	// leaderPollInterval is the longest time between two polls for items to run while this store
+	// leads the group.
 	leaderPollInterval = 20 * time.Millisecond
-	// followerPollInterval is the same while another store leads.
+	// followerPollInterval is the longest time between two polls while another store leads.
 	followerPollInterval = 100 * time.Millisecond
-	// leaseGrace is how long items run on after the lease has expired. A leader that is only
-	// slow hears from its majority again soon; until then results are recorded through the log
-	// or not at all.
+	// leaseGrace is how long items go on after the leader's lease has expired. A leader that is
+	// only slow hears from its majority again soon. Until it does, its items do no harm, because
+	// results are recorded through the log or not at all.
 	leaseGrace = 300 * time.Millisecond
 	// notRunBackoff is how long an item waits after a worker did not accept it.
 	notRunBackoff = 100 * time.Millisecond
@@ -33,24 +34,25 @@
 	item int
 }
 
-// runner runs the items of the jobs while this store leads. Its loop owns all fields but the
-// channels and waiting.
+// runner runs the items of a group's jobs while this store leads the group. The goroutine of its
+// method run owns all its fields except the channels, waiting, and the fields store and group,
+// which never change. Other goroutines may use only these exceptions.
 type runner struct {
 	store   *Store
 	group   *group
 	running map[itemKey]*task
-	// savedProgress holds the progress of items that were stopped here, where it is ahead of
-	// the log.
+	// savedProgress holds the progress of items whose last attempt at this store ended without a
+	// result. It may be ahead of the progress in the log.
 	savedProgress map[itemKey]progress
 	backoffUntil  map[itemKey]time.Time
-	// fingerprints caches the fingerprints of items. grantedTrials holds the refused items that
-	// may run on trial; trials delivers such grants.
+	// fingerprints caches the fingerprints of items. grantedTrials holds the refused items that may
+	// run on trial. The channel trials delivers the items whose trial was granted just now.
 	fingerprints  map[itemKey]quarantine.Fingerprint
 	grantedTrials map[itemKey]bool
 	trials        chan itemKey
 	// waiting is the number of items that could start, as of the last poll.
 	waiting atomic.Int64
-	// failedProbes holds the items that ran as a probe that failed.
+	// failedProbes holds the items whose run as a probe failed.
 	failedProbes map[itemKey]bool
 	seen         map[string]*observedJob
 	ended        chan *task
@@ -60,20 +62,22 @@
 	recorded chan recordOutcome
 	splitter *routetable.Splitter
 	leading  bool
-	// term is the last term that this store led in, lastLedAt when it last held its lease.
+	// term is the last term that this store led in. lastLedAt is when this store last held its
+	// lease.
 	term       uint64
 	leadSince  time.Time
 	lastLedAt  time.Time
 	nextForget time.Time
-	// drainRequests starts a drain and delivers the channel to close once no item runs any
-	// more; resumeRequests ends the drain. drained is not nil while the runner drains.
+	// drainRequests starts a drain. It delivers the channel that the runner closes once no item
+	// runs and no record waits any more. resumeRequests ends the drain. drained is not nil during a
+	// drain.
 	drainRequests  chan chan struct{}
 	drained        chan struct{}
 	resumeRequests chan struct{}
 }
 
-// observedJob is what this leader has seen of a job since it leads. Ages are measured by its
-// monotonic clock, because wall clocks may jump.
+// observedJob is what this store has seen of a job since it became the leader. The age of a job is
+// measured by this store's monotonic clock, because wall clocks may jump.
 type observedJob struct {
 	firstSeen      time.Time
 	routeGoneSince time.Time
@@ -145,7 +149,7 @@
 }
 
 // drain stops all items and waits until the record loop has taken all their records, so that the
-// next leader continues from there.
+// next leader continues from the progress in these records.
 func (r *runner) drain(ctx context.Context) {
 	done := make(chan struct{})
 	select {
@@ -186,7 +190,8 @@
 type recordOutcome struct {
 	key   itemKey
 	chain uint64
-	// final is set for a result, failed if the record was not committed or was dropped.
+	// final is set if the record holds the item's result. failed is set if the record was not
+	// committed, or was dropped because the log did not accept it.
 	final  bool
 	failed bool
 }
@@ -220,7 +225,8 @@
 		r.savedProgress[ended.key] = ended.progress
 	}
 	if ended.onTrial && !ended.finished {
-		// It was preempted, or its worker did not accept it: the trial is still due.
+		// The trial is still due, because no worker exited: for example, the item was preempted, or
+		// its worker did not accept it.
 		r.grantedTrials[ended.key] = true
 	}
 	if ended.probeFailed {
--- a/internal/batchstore/runner_test.go
+++ b/internal/batchstore/runner_test.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// TestUrgentItemsArePreempted checks that an item that can finish in time only if it goes on
-// stops for online requests like any other.
+// TestUrgentItemsArePreempted checks that an urgent item stops for online requests like any other
+// item. An item is urgent if it can finish in time only without being stopped.
 func TestUrgentItemsArePreempted(t *testing.T) {
 	r := testRunner(t, 2)
 	urgent := r.runItem(t, 0, start)
--- a/internal/batchstore/task.go
+++ b/internal/batchstore/task.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	// firstEventTimeout and eventGapTimeout bound how long a worker may send nothing: before
-	// the first event of an item, and between two reads of its answer.
+	// firstEventTimeout and eventGapTimeout bound how long a worker may send nothing. The first
+	// applies before the first event of an item, the second between two reads of the item's answer.
 	firstEventTimeout = 6 * time.Second
 	eventGapTimeout   = 2 * time.Second
 	// progressInterval is the time between two progress records of an item.
@@ -43,14 +43,15 @@
 // progress is how far an item has come at this store. Each task of the item passes it on to the
 // next.
 type progress struct {
-	// events is the number of events received, lastEvent the id of the last one.
+	// events is the number of events received, and lastEvent is the id of the last one.
 	events    int
 	lastEvent int64
-	// text is the text of the events after the first recordedEvents ones, which the log has.
+	// text is the text of the events that the log does not have yet. The log has the first
+	// recordedEvents events.
 	text           string
 	recordedEvents int
-	// chain identifies this run and the runs here that it continues. opened is set once the
-	// first record of the chain has been enqueued.
+	// chain identifies this run together with the earlier runs at this store that it continues.
+	// opened is set once the first record of the chain has been enqueued.
 	chain  uint64
 	opened bool
 	// lastWorker is the worker that last processed the prompt, empty if this store did not run it.
@@ -72,8 +73,8 @@
 	chain    uint64
 	progress progress
 	failures int
-	// fingerprint is the identity of the request. onTrial is set while the item runs although it
-	// is refused, and until a worker exits under it.
+	// fingerprint is the identity of the request. onTrial is set if the item runs on trial although
+	// it is refused. It is cleared if the worker exits during the run.
 	fingerprint quarantine.Fingerprint
 	onTrial     bool
 	// expected is the number of tokens that the caller expects.
@@ -87,8 +88,9 @@
 	recordedAt time.Time
 	// lastEventsAt is when the last events arrived.
 	lastEventsAt time.Time
-	// preempted is set by the runner if the item stops for online requests, unusable if its
-	// progress does not continue from the state in the log.
+	// preempted is set by the runner if the item stops for online requests. unusable is set by the
+	// runner if no other run may continue from this run's progress, because it is not certain that
+	// this progress continues from the state in the log.
 	preempted bool
 	unusable  bool
 	// receivedEvent is set once this run has received an event.
@@ -190,9 +192,9 @@
 	return enqueued
 }
 
-// attempt runs the item at the worker of the lease. A failure of kind BadRequest means that the
-// item can never be run, Internal that the worker failed at it, and any other kind that it may be
-// tried again.
+// attempt runs the item at the worker of the lease. If it fails, the kind of the failure says what
+// follows. BadRequest means that the item can never be run. Internal means that the worker failed
+// at the item. Any other kind means that the item may be tried again.
 func (t *task) attempt() error {
 	request := &upstream.Request{
 		Method:  http.MethodPost,
@@ -227,7 +229,8 @@
 	case response.Status == http.StatusInternalServerError:
 		t.lease.RecordItemStart(clock.Now(), false)
 		if !t.lease.IsProbe() {
-			// A worker that is known to fail says nothing about the item.
+			// A probe runs at a worker that is known to fail, so its failure says nothing about the
+			// item.
 			t.failures++
 		}
 		return t.discardBody(response, failure.New(failure.Internal, "", "the worker failed at it"))
@@ -370,7 +373,7 @@
 	return nil
 }
 
-// recordPace records how many events arrived since the last ones.
+// recordPace records how many events have arrived now, and the time since events last arrived.
 func (t *task) recordPace(events int) {
 	now := time.Now()
 	if !t.lastEventsAt.IsZero() {
--- a/internal/batchstore/task_test.go
+++ b/internal/batchstore/task_test.go
@@ -70,8 +70,8 @@
 	return r.tryPrepare(context.Background(), clock.Now(), contents{}, table, job, batchplan.Item{Job: "j", Number: number}, full)
 }
 
-// TestFailedProbesLetOthersProbe lets an item fail as a probe. It must not probe again until it
-// has finished elsewhere or this store becomes the leader anew, and must not hold up other items.
+// TestFailedProbesLetOthersProbe lets an item fail as a probe. That item must not probe again until
+// it has finished elsewhere or this store becomes the leader anew. It must not hold up other items.
 func TestFailedProbesLetOthersProbe(t *testing.T) {
 	r := probeRunner(t, 3, "")
 	r.setLeading(clock.Now(), 1)
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -276,9 +276,10 @@
 // update wakes all watches, and a reading of 10,000 workers has 51 pages.
 const minPartialInterval = 200 * time.Millisecond
 
-// addWorkers adds a page of the list's first reading to the view. After all processes were killed
-// at once, no request is served until some workers are known, and 51 pages take a second
-// while a thousand processes send their watches.
+// addWorkers adds a page of the list's first reading to the view, so that requests are served
+// before the whole list has been read. After all processes were killed at once, no request is
+// served until some workers are known, and reading all 51 pages takes a second while a thousand
+// processes send their watches.
 func (c *Coordinator) addWorkers(rows []wire.PoolWorker) {
 	added := false
 	// An error means that another process leads now; that one reads the list itself.
--- a/internal/coordinator/handlers.go
+++ b/internal/coordinator/handlers.go
@@ -64,10 +64,10 @@
 	})
 }
 
-// watch answers with an update once there is a change that the caller does not know: as the
-// leader, or as a relay of the leader if the caller is an edge. Edges of
-// wire.GenerationFirst would accept an older view than they have, so they are redirected to
-// the leader.
+// watch answers with an update once there is a change that the caller does not know. The leader
+// answers all callers. Any other coordinator answers only edges, as a relay of the leader. Edges of
+// wire.GenerationFirst would accept an older view than the one they have, so a relay redirects them
+// to the leader.
 func (c *Coordinator) watch(ctx context.Context, request *wire.WatchRequest) (*wire.WatchResponse, error) {
 	response, err := c.watchLeader(ctx, request)
 	if err == nil {
--- a/internal/coordinator/quarantine.go
+++ b/internal/coordinator/quarantine.go
@@ -15,8 +15,9 @@
 // maxReportRuns bounds the number of runs in one report.
 const maxReportRuns = 4096
 
-// handleReport records the runs of requests that a process observed, and decides whether to grant
-// the trial that it asks for. It returns once both are committed.
+// handleReport records the runs of requests that a process observed. If the process asks for a
+// trial, handleReport also decides whether to grant it. It returns once the runs and a granted
+// trial are committed.
 func (c *Coordinator) handleReport(ctx context.Context, request *wire.QuarantineReport) (*wire.QuarantineAnswer, error) {
 	if len(request.Runs) > maxReportRuns {
 		return nil, failure.New(failure.BadRequest, "send fewer at a time", "the report has %d runs, %d may be", len(request.Runs), maxReportRuns)
--- a/internal/coordinator/updates.go
+++ b/internal/coordinator/updates.go
@@ -37,7 +37,7 @@
 }
 
 // encode returns the response to the request. Responses with an update are encoded once for all
-// callers that know the same state and get the same one.
+// callers that know the same state and get the same new state.
 func (c *updateCache) encode(request *wire.WatchRequest, response *wire.WatchResponse) (msgp.Marshaler, error) {
 	if response.Document == nil && response.Fleet == nil && response.Quarantine == nil {
 		return response, nil
--- a/internal/fleetstate/machine.go
+++ b/internal/fleetstate/machine.go
@@ -95,8 +95,8 @@
 	return true
 }
 
-// checkRetirement rejects a retirement that was checked before another one was committed: both
-// together may leave too few stores.
+// checkRetirement rejects a store's retirement if another retirement has been committed since this
+// one was checked, because both together may leave too few stores.
 func (m *Machine) checkRetirement(retire *wire.RetireStore) error {
 	if retire == nil || retire.Counted == len(m.retirements) {
 		return nil
--- a/internal/fleetview/generation_test.go
+++ b/internal/fleetview/generation_test.go
@@ -10,8 +10,8 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// firstGenReader is a process of wire.GenerationFirst. Its method apply is copied from that
-// build.
+// firstGenReader is a process of wire.GenerationFirst. Its method apply is copied from a build of
+// that generation.
 type firstGenReader struct {
 	view  uint64
 	fleet wire.FleetView
@@ -34,8 +34,10 @@
 }
 
 // TestFirstGenerationGetsCurrentView changes workers and stores at random, starting with a partial
-// list of workers, and lets processes of the first generation poll. After an answer a process must
-// have the leader's view, and the answer must not contain a field that its generation can't read.
+// list of workers, and lets processes of the first generation poll. After each answer the process
+// must have the leader's view: the same coordinators, and the same workers once the leader has read
+// the whole list. The answer must not contain the field News, which the first generation can't
+// read.
 func TestFirstGenerationGetsCurrentView(t *testing.T) {
 	random := rand.New(rand.NewPCG(8, 8))
 	v, now := New(1), start
--- a/internal/fleetview/mirror.go
+++ b/internal/fleetview/mirror.go
@@ -13,8 +13,8 @@
 // safe for concurrent use.
 type Mirror struct {
 	fleet wire.FleetView
-	// version is the version of the newest view, processesVersion that of the last view in which
-	// anything but workers and edges changed.
+	// version is the version of the newest view. processesVersion is the version of the last view
+	// in which anything but workers and edges changed.
 	version          uint64
 	processesVersion uint64
 	workers          *workerset.Log
--- a/internal/fleetview/view.go
+++ b/internal/fleetview/view.go
@@ -18,17 +18,17 @@
 const (
 	// ProcessTTL is how long a process counts as alive after its last call.
 	ProcessTTL = 3 * time.Second
-	// settleDelay is how long no new store must have appeared before the store groups are
-	// bootstrapped, fewStoresDelay the same if there are fewer stores than wanted.
+	// settleDelay is the time without a new store that must pass before the store groups are
+	// bootstrapped. fewStoresDelay is that time if there are fewer stores than wanted.
 	settleDelay = 500 * time.Millisecond
-	// edgeTTL is how long an edge is counted after its last call, which it repeats every 0.5 s.
-	// A longer time would count an edge twice that has moved to a relay, which counts it as
-	// well.
+	// edgeTTL is how long an edge is counted after its last call. An edge calls every 0.5 s. With a
+	// longer edgeTTL, an edge that has moved to a relay would be counted twice, because the relay
+	// counts it as well.
 	edgeTTL = 1200 * time.Millisecond
-	// remainingStoreTTL is how long after its last call a store counts as one that remains when
-	// another is to be drained. It exceeds the time between two calls, 0.5 s and an answer, but
-	// not by much, because a store that was lost a moment ago may not come back with its disk
-	// (TestRemainingStoreCountOmitsLostStores).
+	// remainingStoreTTL is how long after its last call a store counts as a remaining store when
+	// another store is to be drained. It exceeds the time between two calls, which is 0.5 s and the
+	// time of an answer. It does not exceed that time by much, because a store that was lost a
+	// moment ago may not come back with its disk (TestRemainingStoreCountOmitsLostStores).
 	remainingStoreTTL = 900 * time.Millisecond
 	fewStoresDelay    = 4 * time.Second
 )
@@ -150,8 +150,9 @@
 	return edges
 }
 
-// Since returns what differs from the view of the given number, zero for none. If the caller's
-// list of workers may not be the one of that view, digests holds the digests of its buckets.
+// Since returns what differs from the view of the given number, zero for none. If the caller may
+// have another list of workers than the one of that view, digests holds the digests of the buckets
+// of the caller's list.
 func (v *View) Since(number uint64, digests []byte) *wire.FleetView {
 	update := v.Current
 	workersSince := number
@@ -272,9 +273,9 @@
 	return known != nil && known.report.Kind == wire.ProcessStore
 }
 
-// DrainedStores returns those of the pending stores that hold nothing any more, by the reports
-// of the leaders of all groups. A report counts for ProcessTTL, and only if its leader knows
-// this view, and so which stores are retiring.
+// DrainedStores returns those of the pending stores that hold nothing any more, by the reports of
+// the leaders of all groups. A report counts for ProcessTTL. It counts only if the leader that sent
+// it knows the current view, and so which stores are retiring.
 func (v *View) DrainedStores(now time.Time, request *wire.WatchRequest, pending []string, groups int) []string {
 	if request.Term != v.Term || request.View != v.Number {
 		return nil
--- a/internal/fleetwatch/watcher.go
+++ b/internal/fleetwatch/watcher.go
@@ -1,6 +1,7 @@
 // Package fleetwatch keeps a process's copy of the configuration and the fleet by polling a
-// coordinator: the leader, or a relay if that suffices. If none can be reached the copy stays as
-// it is; it never goes back to an older version.
+// coordinator: the leader, or a relay if the process allows relays to answer (UseRelays). While no
+// coordinator can be reached, the copy stays as it is. The copy never goes back to an older
+// version.
 package fleetwatch
 
 import (
@@ -22,11 +23,11 @@
 )
 
 const (
-	// maxPollWait is how long a coordinator may hold a poll until there is an update,
-	// replyTimeout how much longer the process waits for the answer.
+	// maxPollWait is how long a coordinator may hold a poll until there is an update. replyTimeout
+	// is how much longer the process waits for the answer.
 	maxPollWait  = 500 * time.Millisecond
 	replyTimeout = 600 * time.Millisecond
-	// retryInterval is the time between two failed calls.
+	// retryInterval is the time from a failed call to the next call.
 	retryInterval = 40 * time.Millisecond
 )
 
@@ -41,8 +42,8 @@
 	View  uint64
 	// Workers is the list of workers.
 	Workers *workerset.Set
-	// LeaderSeenAt is when this process, or the relay that answered it, last got an answer from
-	// the leader.
+	// LeaderSeenAt is when the leader last answered this process, or the relay from which this
+	// process got its last answer.
 	LeaderSeenAt time.Time
 }
 
@@ -166,8 +167,8 @@
 		Lost:       w.listMismatches > 0,
 	}
 	if w.listMismatches == 1 || w.listMismatches == 0 && target != w.viewSource {
-		// After a second mismatch two bucket digests must be equal by chance, so the request
-		// omits the digests, which makes the coordinator send the whole list.
+		// After a second mismatch, two different buckets must have the same digest by chance. So
+		// the request then omits the digests, and the coordinator sends the whole list.
 		request.Digests = known.Workers.Digests()
 	}
 	response, err := rpc.Call[wire.WatchResponse](ctx, w.client, target, wire.MethodWatch, request)
@@ -181,8 +182,9 @@
 	return w.apply(target, response)
 }
 
-// apply applies an answer. It never applies an older configuration, an older view, or a view
-// whose leader has not read the list of workers yet in place of one whose leader has.
+// apply applies an answer. It never replaces the configuration or the view by an older one. If the
+// leader has not read the whole list of workers yet, apply does not let the leader's list replace
+// one that was read whole.
 func (w *Watcher) apply(target string, response *wire.WatchResponse) error {
 	before := w.Current()
 	after := *before
@@ -226,8 +228,8 @@
 	switch update := workerUpdate(fleet); {
 	case update == nil:
 	case fleet.Partial && before.Fleet.Listed:
-		// A partial list of the leader says nothing of the other workers. The list known here is
-		// compared by digests once the leader has read the whole list.
+		// A partial list says nothing about the workers that it lacks, so the list known here is
+		// kept. Once the leader has read the whole list, the two lists are compared by digests.
 		w.viewSource = ""
 	default:
 		rows, removed = len(update.Rows), len(update.Gone)
@@ -248,8 +250,9 @@
 }
 
 // workerUpdate returns the update of the list of workers, nil for none. A leader of
-// wire.GenerationFirst sends the whole list in another field. If that were ignored, this process
-// would have no configuration and no workers until a leader of its own generation is elected.
+// wire.GenerationFirst sends the whole list in another field. If that field were ignored, this
+// process would have no configuration and no workers until a leader of its own generation is
+// elected.
 func workerUpdate(fleet *wire.FleetView) *wire.WorkerNews {
 	if fleet.News != nil || !fleet.Listed || fleet.SameWorkers {
 		return fleet.News
--- a/internal/listreader/incarnations.go
+++ b/internal/listreader/incarnations.go
@@ -8,10 +8,11 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// maxContradictions is the number of consecutive readings after which a list is accepted that
-// names an earlier incarnation than the known one, or lists a leaving worker as ready. At
-// two readings a second this takes 5 s, after which stale entries have disappeared from the
-// list: the worker's clock must have been set back, or the worker has restarted.
+// maxContradictions is how many consecutive readings must contradict the known incarnation of a
+// worker before the list is accepted. A reading contradicts it if the list names an earlier
+// incarnation, or lists a worker as ready that is known to be leaving. At two readings a second
+// this takes 5 s, after which stale entries have disappeared from the list: the worker's clock must
+// have been set back, or the worker has restarted.
 const maxContradictions = 10
 
 // reconcileZone compares the rows read in a zone with the known ones: an earlier incarnation is
--- a/internal/listreader/incarnations_test.go
+++ b/internal/listreader/incarnations_test.go
@@ -29,8 +29,9 @@
 	return used, reading
 }
 
-// TestTwoEntriesOfOneID lists a worker with two endpoints: the known row is kept, and without
-// one neither is used. Of two incarnations the later one is used, in either order.
+// TestTwoEntriesOfOneID lists a worker with two endpoints: the row known from earlier readings is
+// kept, and without a known row neither entry is used. Of two incarnations the later one is used,
+// in either order.
 func TestTwoEntriesOfOneID(t *testing.T) {
 	worker := func(address string, started int64) wire.PoolWorker {
 		return wire.PoolWorker{ID: incarnation.Name("w", started), Pool: "p", Zone: "z", Address: address}
--- a/internal/listreader/reader.go
+++ b/internal/listreader/reader.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// retryInterval is the time between two attempts at a page, and maxPageAttempts their
-	// number. The platform stops rejecting calls over its rate limit within a fraction of a
-	// second.
+	// retryInterval is the time between two attempts at a page. maxPageAttempts is the largest
+	// number of attempts. The platform stops rejecting calls over its rate limit within a fraction
+	// of a second.
 	retryInterval   = 60 * time.Millisecond
 	maxPageAttempts = 4
 	// pagesPerZone is the average number of pages per zone from which on the zones are read
@@ -202,10 +202,10 @@
 	invalidErr error
 }
 
-// read reads the zone. The removal of a row shifts the rows behind it forward, so that one of
-// them may move from a page that has not been read to one that has. Therefore the zone is
-// read a second time if a known row is missing: if both readings have the same workers, the
-// list did not shift, or else the rows of both are used.
+// read reads the zone. The removal of a row shifts the rows behind it forward, so that one of them
+// may move from a page that has not been read to one that has. Therefore the zone is read a second
+// time if a known row is missing: if both readings have the same workers, the list did not shift.
+// Otherwise the rows of both readings are used.
 func (z *zoneReading) read(ctx context.Context, pages Pager) {
 	pageCount := 0
 	z.rows, pageCount, z.err = z.readOnce(ctx, pages)
--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -8,7 +8,8 @@
 }
 
 // Renew extends the lease. The duration counts from the time at which the daemon sent the
-// heartbeat, which is never later than the time of receipt from which control counts.
+// heartbeat, and control counts from the time of receipt, which is never earlier. So the lease
+// expires at the daemon first.
 func (l *Lease) Renew(sent time.Time, duration time.Duration) {
 	if expiry := sent.Add(duration); expiry.After(l.expiry) {
 		l.expiry = expiry
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -3,8 +3,8 @@
 // I/O and reads no clock; assignments take effect only after the meta group has committed
 // them.
 //
-// A daemon counts its lease from the time at which it sent the heartbeat, and control from the
-// time of receipt, so that the lease expires at the daemon first.
+// A daemon counts its lease from the time at which it sent the heartbeat. Control counts the lease
+// from the time at which it received the heartbeat, so that the lease expires at the daemon first.
 package membership
 
 import (
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -31,15 +31,15 @@
 	To    uint64
 }
 
-// minLeadDifference is the smallest difference between the numbers of groups that two replicas
-// lead at which one transfers a leadership to the other. With a smaller value leaderships
-// would move back and forth.
+// minLeadDifference is how many more groups a replica must lead than another one before it
+// transfers a leadership to that other replica. With a smaller value leaderships would move back
+// and forth.
 const minLeadDifference = 2
 
 // RebalanceLeaders returns a transfer that makes the leaderships more even, or false if there is
-// none. leaders holds the leader of each group that this store is a member of, zero if it
-// is not known; no group is transferred while one is unknown. ready returns the replicas that
-// could take over a group that self leads.
+// none. leaders holds the leader of each group that this store is a member of, zero if the leader
+// is not known. While any leader is unknown, no group is transferred. ready returns the replicas
+// that could take over a group that self leads.
 func RebalanceLeaders(self uint64, leaders map[int]uint64, ready func(group int) []uint64) (Transfer, bool) {
 	led := map[uint64]int{}
 	for _, leader := range leaders {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -73,8 +73,8 @@
 }
 
 // TestLeadersSpread lets replicas transfer leaderships from random initial leaders. The transfers
-// must end with no replica leading more than one group more than another, and no replica may
-// transfer a group that it does not lead.
+// must end. The numbers of groups that any two replicas lead must then differ by one at most. No
+// replica may transfer a group that it does not lead.
 func TestLeadersSpread(t *testing.T) {
 	proptest.Run(t, "spread", func(random *rand.Rand) error {
 		replicas := 2 + random.Intn(5)
--- a/internal/placement/voters.go
+++ b/internal/placement/voters.go
@@ -29,8 +29,8 @@
 }
 
 // InitialVoters returns the ids of the first voters of each group. Within a group the voters are
-// spread over the zones; over all groups every store votes in about the same number. A hash
-// of group and store breaks ties, so that the result doesn't depend on the order of ids.
+// spread over the zones; every store votes in about the same number of groups. A hash of group and
+// store breaks ties, so that the result doesn't depend on the order of ids.
 func InitialVoters(candidates []Candidate, groups, voters int) [][]uint64 {
 	groupsOf := map[uint64]int{}
 	chosen := make([][]uint64, groups)
--- a/internal/quarantine/cache.go
+++ b/internal/quarantine/cache.go
@@ -20,10 +20,10 @@
 	maxOwnRuns = 1024
 )
 
-// Cache is one process's view of the requests under which workers exited: the rows reported by
-// the coordinators, and the runs that the process observed itself and that no coordinator has
-// acknowledged yet. Without a reachable coordinator the process refuses requests based on what
-// it has. Cache is safe for concurrent use.
+// Cache is one process's view of the requests under which workers exited: the rows reported by the
+// coordinators, and the runs that the process observed itself and that no coordinator has
+// acknowledged yet. While no coordinator can be reached, the process refuses requests based on the
+// rows and runs that it has. Cache is safe for concurrent use.
 type Cache struct {
 	// inUse is set while any request is known. Otherwise lookups are skipped.
 	inUse atomic.Bool
@@ -32,8 +32,8 @@
 	revision uint64
 	rows     map[Fingerprint]wire.QuarantineRow
 	ownRuns  []ownRun
-	// inFlight is the number of runs, from the start of ownRuns, that the last Report returned
-	// and that RecordAnswer has not handled yet.
+	// inFlight is the number of runs at the start of ownRuns that are in flight: the last Report
+	// returned them, and RecordAnswer has not handled them yet.
 	inFlight int
 	// trialNotBefore holds, by refused request, the earliest time of the next trial request.
 	trialNotBefore map[Fingerprint]time.Time
@@ -97,8 +97,8 @@
 			observed[run.report.Worker] = observed[run.report.Worker].add(run)
 		}
 	}
-	// The rows of the coordinators may include exits that this process reported, so the larger
-	// count of each worker applies, not the sum.
+	// The rows of the coordinators may include exits that this process reported, so for each worker
+	// the larger of the two counts applies, not their sum.
 	total := 0
 	for worker, seen := range observed {
 		exits[worker] = max(exits[worker], seen.count)
@@ -121,8 +121,9 @@
 	lastAt time.Time
 }
 
-// add counts a run that a worker's exit broke off. A run is evidence of another exit only if it
-// started after the previous one was observed.
+// add adds a run that an exit of the worker broke off. The run counts as a further exit only if it
+// started after this process observed the end of the run that was added before it (lastAt).
+// Otherwise the same exit may have broken off both runs.
 func (e observedExits) add(run *ownRun) observedExits {
 	if e.count == 0 || run.startedAt.After(e.lastAt) {
 		e.count++
@@ -131,12 +132,12 @@
 	return e
 }
 
-// WorkerHash returns the hash that identifies a worker in reports. It is never zero, which
+// WorkerHash returns the hash that identifies a worker in reports. It is never zero, because zero
 // stands for a run without an exit.
 func WorkerHash(id string) uint32 { return max(uint32(xxhash.Sum64String(id)), 1) }
 
-// RecordExit records that the worker exited during a run of the request that started at
-// startedAt, zero if unknown.
+// RecordExit records that the worker exited during a run of the request. startedAt is when that run
+// started, zero if unknown.
 func (c *Cache) RecordExit(now time.Time, request Fingerprint, worker string, startedAt time.Time) {
 	c.addRun(ownRun{wire.RunReport{Request: uint64(request), Worker: WorkerHash(worker)}, now, startedAt})
 }
@@ -289,8 +290,8 @@
 // have not acknowledged the exits that this process observed under it.
 const reportRetryAfter = 150 * time.Millisecond
 
-// TrialDelay returns how long to wait before requesting a trial of a refused request, zero for
-// none.
+// TrialDelay returns how long to wait before requesting a trial of a refused request. It returns
+// zero if the trial may be requested now.
 func (c *Cache) TrialDelay(now time.Time, request Fingerprint) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -32,9 +32,9 @@
 	return Fingerprint(value), nil
 }
 
-// FingerprintOf returns a request's fingerprint. It is taken from a SHA-256 digest, so that
-// nobody can craft a request with the fingerprint of another one, which would then be refused as
-// well.
+// FingerprintOf returns a request's fingerprint. It is taken from a SHA-256 digest, so that nobody
+// can craft a request with the fingerprint of another request. If the two had the same fingerprint,
+// both would be refused once the crafted one is.
 func FingerprintOf(owner tenancy.Name, host, method, target string, body []byte) Fingerprint {
 	digest := sha256.New()
 	for _, part := range []string{string(owner), host, method, target} {
--- a/internal/quarantine/gate.go
+++ b/internal/quarantine/gate.go
@@ -17,9 +17,10 @@
 	restateDue   bool
 }
 
-// unresponsiveLimit is how long a process must be unresponsive before it no longer keeps the
-// gate closed. Otherwise a machine that was removed while it ran the older build would close the
-// gate forever. If it returns, the restated table makes up for the commands that it skipped.
+// unresponsiveLimit is how long a process must be unresponsive before it no longer keeps the gate
+// closed. Without this limit, a machine that was removed while it ran the older build would close
+// the gate forever. If such a machine returns, the restated table makes up for the commands that it
+// skipped.
 const unresponsiveLimit = 20 * time.Second
 
 // ApplyProcesses updates the gate from the processes that hold replicas, unresponsive ones
@@ -56,8 +57,9 @@
 	return failure.New(failure.NotRun, "replace the coordinators of the older build", "%s, of an older build, would pass over what is known of requests under which workers ended", g.olderProcess)
 }
 
-// Command returns the command to write now, nil for none: a restatement if one is due, else the
-// due command of the timers.
+// Command returns the command to write now, nil for none. While the gate is closed it returns nil.
+// Otherwise it returns a restatement if the table must be restated, or else due, the command that
+// the timers made.
 func (g *Gate) Command(due *wire.QuarantineCommand, t *Table) *wire.QuarantineCommand {
 	switch {
 	case g.olderProcess != "":
--- a/internal/quarantine/gate_test.go
+++ b/internal/quarantine/gate_test.go
@@ -7,9 +7,9 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// TestGate mixes processes of both generations. While one of the first generation is present,
-// including one that became unresponsive recently, no command is written. Once it is replaced
-// the table is restated, and again by each new leader whose table is not empty.
+// TestGate mixes processes of both generations. While a process of the first generation is present,
+// or became unresponsive only recently, no command is written. Once that process is replaced, the
+// table is restated. Each new leader whose table is not empty restates it again.
 func TestGate(t *testing.T) {
 	process := func(address string, generation wire.Generation) wire.Process {
 		known := wire.Process{Hello: wire.Hello{Replica: wire.Replica{Address: address}}}
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -13,11 +13,11 @@
 	// in between, for the request to be refused. With two, the crash of one rack would be enough
 	// to refuse every request that was retried within that rack.
 	Threshold = 3
-	// sameExitMillis is how far apart the reports of one worker's exit by different processes
-	// may arrive: the time that a report may take during an election.
+	// sameExitMillis is the longest time between the arrivals of two reports of the same exit by
+	// different processes. During an election a report may take that long.
 	sameExitMillis = 1500
-	// minRestartMillis is the least time from a worker's exit to a run of its next incarnation.
-	// A run that started later than this after an exit was not broken off by that exit.
+	// minRestartMillis is the least time from a worker's exit to a run of its next incarnation. An
+	// exit did not break off a run that started more than minRestartMillis after that exit.
 	minRestartMillis = 50
 	// maxExits bounds the exits stored per request and maxRows the requests: 150 KB in all.
 	maxExits = 8
@@ -91,8 +91,8 @@
 	return &wire.QuarantineState{Revision: t.revision, Entries: t.Entries()}
 }
 
-// restate replaces the table with the leader's and returns the requests of both in ascending
-// order. Replicas that differed are equal afterwards.
+// restate replaces the table with the leader's, so that replicas that differed are equal
+// afterwards. It returns the requests of both tables in ascending order.
 func (t *Table) restate(state *wire.QuarantineState) []Fingerprint {
 	changed := make([]Fingerprint, 0, len(t.rows)+len(state.Entries))
 	for request := range t.rows {
@@ -138,9 +138,10 @@
 	return true
 }
 
-// hasExit reports whether the row already holds the exit that a report received at time at is
-// about: an exit of the same worker, close to that time, that can have broken off a run started at
-// startedAt. Times are in Unix milliseconds.
+// hasExit reports whether the row already holds the exit that a report describes. The report was
+// received at the time at, and its run started at startedAt. The row holds the exit if it has an
+// exit of the same worker that is less than sameExitMillis from at and that can have broken off the
+// run. Times are in Unix milliseconds.
 func (t *Table) hasExit(row *wire.QuarantineEntry, worker uint32, at, startedAt int64) bool {
 	if row == nil {
 		return false
@@ -151,10 +152,10 @@
 	})
 }
 
-// explainedByOther reports whether the worker's exit is attributed to another request, one that
-// is settled. Requests that ran on the worker beside that one are not to blame. A request that
-// was refused only now explains no exit yet: of two requests that ran on the same workers, the
-// harmless one may have been refused first.
+// explainedByOther reports whether the worker's exit is attributed to another request, which must
+// be settled. The requests that ran on the worker beside the settled one are not to blame. A
+// request that is refused but not settled yet explains no exit: of two requests that ran on the
+// same workers, the harmless one may have been refused first.
 func (t *Table) explainedByOther(request Fingerprint, worker uint32, at, startedAt int64) bool {
 	for other, row := range t.rows {
 		if other != request && row.Settled && t.hasExit(row, worker, at, startedAt) {
@@ -164,7 +165,8 @@
 	return false
 }
 
-// settle removes the exits of a refused request from all requests that are not refused by then.
+// settle settles a refused request: it removes the exits of this request from all requests that are
+// not refused yet.
 func (t *Table) settle(request Fingerprint, touched map[Fingerprint]bool) {
 	culprit := t.rows[request]
 	if culprit == nil || !culprit.Refused || culprit.Settled {
@@ -196,8 +198,8 @@
 	delete(t.rows, request)
 }
 
-// evict removes rows beyond maxRows: those that are not refused first, then those that changed
-// longest ago.
+// evict removes the rows beyond maxRows. It removes rows that are not refused before refused ones,
+// and among the rows of either kind it begins with those that changed longest ago.
 func (t *Table) evict(touched map[Fingerprint]bool) {
 	for len(t.rows) > maxRows {
 		var oldest *wire.QuarantineEntry
--- a/internal/quarantine/timers.go
+++ b/internal/quarantine/timers.go
@@ -8,48 +8,50 @@
 )
 
 const (
-	// settleDelay is the time from a request's refusal until the exits that it shares with other
-	// requests no longer count against those. It is long enough for another request that ran on
-	// the same workers to be refused as well.
+	// settleDelay is the time from a request's refusal until it is settled: exits that it shares
+	// with requests that are not refused then no longer count against those requests. The delay is
+	// long enough for another request that ran on the same workers to be refused as well.
 	settleDelay = 1500 * time.Millisecond
 	// firstTrialDelay is the time from a request's refusal to its first trial. By then, requests
 	// that ran on the same workers by coincidence have succeeded elsewhere. The trial readmits a
 	// harmless request; a harmful one makes one more worker exit.
 	firstTrialDelay = time.Second
-	// secondTrialDelay is the time from the first failed trial to the next one. Each further
-	// delay is twice as long, up to maxTrialDelay, so that a request makes three more workers
-	// exit in the first quarter of an hour and one an hour later on.
+	// secondTrialDelay is the time from the first failed trial to the next one. Each further delay
+	// is twice as long, up to maxTrialDelay, so that a harmful request makes three more workers
+	// exit in the first quarter of an hour, and later one per hour.
 	secondTrialDelay = time.Minute
 	maxTrialDelay    = time.Hour
 	// trialTimeout is the usual upper bound of the time until a trial's outcome is known.
-	// trialPollInterval is the retry time during a trial: if the trial succeeds, the request is
-	// readmitted.
+	// trialPollInterval is the time after which a caller asks again while a trial runs. It is short
+	// because the request is readmitted if the trial succeeds.
 	trialTimeout      = 2 * time.Second
 	trialPollInterval = 300 * time.Millisecond
-	// suspectTTL is how long the exits of a request that is not refused are remembered,
-	// refusedTTL how long a refused request is remembered after its last change.
+	// suspectTTL is how long the exits of a request that is not refused are remembered. refusedTTL
+	// is how long a refused request is remembered after its last change.
 	suspectTTL = time.Minute
 	refusedTTL = 24 * time.Hour
 )
 
-// Timers tracks the deadlines of a table's rows while its process leads. Times come from package
-// clock and start when this leader first saw the row's state, so a new leader starts all
-// deadlines again and none is shorter than intended. Timers is not safe for concurrent use.
+// Timers tracks the deadlines of a table's rows while its process leads. A deadline counts from the
+// time, by package clock, at which this leader first saw the row's state. So a new leader starts
+// all deadlines again, and no deadline is shorter than intended. Timers is not safe for concurrent
+// use.
 type Timers struct {
 	rowTimers map[Fingerprint]*rowTimer
-	// trialRequest is the request that was granted a trial last, at trialStartedAt.
-	// exitBeforeTrial is the last exit of that request at the time.
+	// trialRequest is the request that was last granted a trial, and trialStartedAt is when the
+	// trial was granted. exitBeforeTrial is the last exit of that request before the trial.
 	trialRequest    Fingerprint
 	trialStartedAt  time.Time
 	exitBeforeTrial wire.WorkerEnd
 }
 
-// rowTimer holds the times since when this leader has known a row in its present state.
+// rowTimer holds when this leader first saw the present state of a row, and the times of its
+// trials.
 type rowTimer struct {
 	revision  uint64
 	changedAt time.Time
-	// refusedAt is the time since when the row is known to be refused, nextTrialAt the time from
-	// which on its next trial may start.
+	// refusedAt is when this leader first saw that the row is refused. nextTrialAt is the earliest
+	// time at which its next trial may start.
 	refusedAt   time.Time
 	nextTrialAt time.Time
 	trials      int
@@ -143,9 +145,10 @@
 	return true, 0
 }
 
-// otherTrialRuns reports whether another request is on trial. Requests that were refused
-// together are also due for a trial together: on the same worker a harmless one would be taken
-// for harmful again and wait for secondTrialDelay.
+// otherTrialRuns reports whether another request is on trial. Requests that were refused together
+// are also due for a trial together. If their trials ran on the same worker, a harmful request
+// would make the worker exit, and a harmless one would be taken for harmful again and have to wait
+// for secondTrialDelay.
 func (tm *Timers) otherTrialRuns(now time.Time, t *Table, request Fingerprint) bool {
 	other := t.rows[tm.trialRequest]
 	if tm.trialRequest == request || other == nil || !other.Refused || now.Sub(tm.trialStartedAt) >= trialTimeout {
--- a/internal/routetable/configuration.go
+++ b/internal/routetable/configuration.go
@@ -46,8 +46,8 @@
 	Resumable bool `json:"resumable"`
 	// TimeoutMillis is the maximum duration of a request.
 	TimeoutMillis int64 `json:"timeout_ms"`
-	// GoalMillis is the target for the time to the first event or the answer,
-	// GapGoalMillis the target for the longest gap between events.
+	// GoalMillis is the target for the time to the first event or the answer. GapGoalMillis is the
+	// target for the longest gap between events.
 	GoalMillis    int64 `json:"goal_ms"`
 	GapGoalMillis int64 `json:"gap_goal_ms"`
 	// Rank is the priority of the route's requests: lower ranks are served first.
@@ -59,9 +59,9 @@
 	// MaxAttempts is the maximum number of workers that a request is sent to.
 	MaxAttempts int          `json:"max_attempts"`
 	Parts       []PoolWeight `json:"parts"`
-	// RunGoalMillis, RetainMillis and MaxQueuedTokens apply to batch routes: the
-	// time in which results are due, the time after which an item may be abandoned, and
-	// the tokens that one tenant may have queued (zero means no limit).
+	// RunGoalMillis, RetainMillis and MaxQueuedTokens apply to batch routes. RunGoalMillis is the
+	// time in which results are due. RetainMillis is the time after which an item may be abandoned.
+	// MaxQueuedTokens is how many tokens one tenant may have queued; zero means no limit.
 	RunGoalMillis   int64 `json:"run_goal_ms"`
 	RetainMillis    int64 `json:"retain_ms"`
 	MaxQueuedTokens int64 `json:"max_queued_tokens"`
@@ -81,8 +81,8 @@
 	// MaxConnections bounds the connections to one worker, over all callers; zero
 	// means no bound.
 	MaxConnections int `json:"max_connections"`
-	// Slots is the number of requests that a worker runs at once, MemoryTokens the
-	// number of tokens that it holds in memory; zero means unknown.
+	// Slots is the number of requests that a worker runs at once. MemoryTokens is the number of
+	// tokens that a worker holds in memory. Zero means unknown for both.
 	Slots        int   `json:"slots"`
 	MemoryTokens int64 `json:"memory_tokens"`
 }
--- a/internal/routetable/table.go
+++ b/internal/routetable/table.go
@@ -114,7 +114,8 @@
 	return t.shortestGoals[pool]
 }
 
-// Match returns the route of the host with the longest prefix of the path, or nil.
+// Match returns the route of the host whose path prefix matches the path and is the longest such
+// prefix, or nil if no route matches.
 func (t *Table) Match(host, path string) *Route {
 	for _, route := range t.routesByHost[hostName(host)] {
 		if strings.HasPrefix(path, route.PathPrefix) {
--- a/internal/routetable/tenant.go
+++ b/internal/routetable/tenant.go
@@ -16,18 +16,18 @@
 type Tenant struct {
 	Name      tenancy.Name      `json:"name"`
 	KeyHashes []tenancy.KeyHash `json:"key_hashes"`
-	// Rank, if set, overrides the rank of the routes. Smaller ranks go first in the queues of
-	// an edge (package admission) and get scarce capacity first, except for what is reserved
-	// for others (package fairshare).
+	// Rank, if set, overrides the rank of the routes. Smaller ranks go first in the queues of an
+	// edge (package admission) and get scarce capacity first, except for the capacity that is
+	// reserved for other tenants or ranks (package fairshare).
 	Rank *int `json:"rank,omitempty"`
 	// RatePerSecond limits the tenant's online requests per second to the whole fleet; zero
 	// means no limit. Burst is the number of requests that may exceed the rate at once.
 	RatePerSecond float64 `json:"rate_per_s"`
 	Burst         float64 `json:"burst"`
-	// Weight is the tenant's weight when scarce capacity is divided among the tenants of its
-	// rank; zero means one. Reserve is the fraction of all capacity, from 0 to 1, that is
-	// reserved for it when it needs it, and Ceiling the largest fraction that it gets while
-	// capacity is scarce; zero means no bound.
+	// Weight is the tenant's weight when scarce capacity is divided among the tenants of its rank;
+	// zero means one. Reserve is the fraction of all capacity, from 0 to 1, that is reserved for
+	// the tenant when the tenant needs it. Ceiling is the largest fraction that the tenant gets
+	// while capacity is scarce; zero means no bound.
 	Weight  float64 `json:"weight,omitempty"`
 	Reserve float64 `json:"reserve,omitempty"`
 	Ceiling float64 `json:"ceiling,omitempty"`
@@ -139,8 +139,8 @@
 	return *t.Rank
 }
 
-// Shares returns the settings by which scarce capacity is divided, nil if the configuration
-// has no tenants, as capacity isn't divided then. They must not be modified.
+// Shares returns the settings by which scarce capacity is divided, or nil if the configuration has
+// no tenants, because capacity isn't divided without tenants. The settings must not be modified.
 func (t *Table) Shares() *fairshare.Settings {
 	if t == nil {
 		return nil
@@ -182,8 +182,8 @@
 	return ratelimit.Limit{Rate: t.RatePerSecond, Burst: t.Burst}
 }
 
-// ShortName returns a tenant's short name, a hash of its name. Tenants with the same short
-// name share a limit: among 510 tenants there are two such in 1 of 30,000 fleets.
+// ShortName returns a tenant's short name, a hash of its name. Tenants with the same short name
+// share a limit. In 1 of 30,000 fleets with 510 tenants, two tenants have the same short name.
 func ShortName(name tenancy.Name) ratelimit.Tenant {
 	return ratelimit.Tenant(xxhash.Sum64String(string(name)))
 }
--- a/internal/workerset/log.go
+++ b/internal/workerset/log.go
@@ -6,8 +6,8 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// maxRemovals bounds the remembered removals: 4,096 ids take about 200 KB. A reader that lacks
-// more of them gets its update by the digests of its buckets.
+// maxRemovals bounds the remembered removals: 4,096 ids take about 200 KB. A reader that lacks more
+// removals than that gets its update by the digests of its buckets.
 const maxRemovals = 4096
 
 // Log is a list of workers that remembers the number of the change in which each row was added
@@ -32,7 +32,7 @@
 }
 
 // NewLog returns the log of an empty list as of a number. The first change must have a higher
-// one.
+// number.
 func NewLog(number uint64) *Log {
 	return &Log{completeSince: number, rowChangedAt: map[string]uint64{}}
 }
@@ -57,9 +57,10 @@
 	}
 }
 
-// Since returns the update for a reader that has the list as of a number, zero for none, and
-// sent the digests of its buckets or none: the changes if all of them are remembered, else the
-// buckets that differ, else the whole list.
+// Since returns the update for a reader that has the list as of number, which is zero if the reader
+// has no list. digests holds the digests of the reader's buckets if it sent them. The update has
+// the changes if all of them are remembered. Otherwise it has the buckets that differ if there are
+// digests, or else the whole list.
 func (l *Log) Since(number uint64, digests []byte) wire.WorkerNews {
 	update := wire.WorkerNews{Digest: l.set.Digest()}
 	switch {
--- a/internal/workerset/set.go
+++ b/internal/workerset/set.go
@@ -1,7 +1,7 @@
 // Package workerset holds the list of workers and finds what changed in it. A Set is immutable:
 // successive sets share all buckets without a change, so the cost of a change does not depend on
-// the length of the list. A Log remembers the numbers of changes and returns to a reader those
-// that it lacks. The package performs no I/O.
+// the length of the list. A Log remembers the number of each change, and returns the changes that a
+// reader lacks. The package performs no I/O.
 package workerset
 
 import (
@@ -15,10 +15,10 @@
 )
 
 const (
-	// Buckets is the number of parts of the list, divided by the hash of the worker's id. A
-	// change copies this many pointers (8 KB) and the rows of one bucket, ten at 10,000 workers
-	// and twenty at 20,000. A reader with an unknown list sends one digest for each bucket (4
-	// KB, against 560 KB for 10,000 rows).
+	// Buckets is the number of parts into which the list is divided, by the hash of the worker's
+	// id. A change copies this many pointers (8 KB) and the rows of one bucket, ten at 10,000
+	// workers and twenty at 20,000. A reader with an unknown list sends one digest for each bucket
+	// (4 KB, against 560 KB for 10,000 rows).
 	Buckets = 1024
 	// digestBytes is the length of a bucket's digest on the wire. If two different buckets have
 	// the same digest, with a probability of 1 in 4 billion, the digest of the whole set still
@@ -106,7 +106,8 @@
 	}
 }
 
-// eachChanged calls visit with the rows that others lacks or has with other content.
+// eachChanged calls visit with the rows that are missing from others or have different content
+// there.
 func eachChanged(rows, others []wire.PoolWorker, visit func(row *wire.PoolWorker)) {
 	for i := range rows {
 		if at, found := find(others, rows[i].ID); !found || others[at] != rows[i] {
@@ -196,7 +197,8 @@
 	b.next.digest += after.sum() - before.sum()
 }
 
-// finish returns the new set, or the one before if nothing changed.
+// finish returns the new set, or before, the set from which the builder started, if nothing
+// changed.
 func (b *builder) finish(before *Set) *Set {
 	if !b.changed && before != nil {
 		return before
