--- a/cmd/sedgemast-lab/simulate.go
+++ b/cmd/sedgemast-lab/simulate.go
@@ -110,8 +110,9 @@
 	return kinds, nil
 }
 
-// proveCommand checks each promise under its faults, and that its check fails under the mutation
-// that disables its mechanism. It prints the results as a table.
+// proveCommand checks each promise under the faults that belong to it. It also checks that the
+// check of the promise fails under the mutation that disables the mechanism behind the promise. It
+// prints the results as a table.
 type proveCommand struct {
 	Seeds string `arg:"--seeds" default:"1..10" placeholder:"A..B" help:"seeds to run for each promise and mutation"`
 }
--- a/cmd/sedgemast-lab/standins.go
+++ b/cmd/sedgemast-lab/standins.go
@@ -26,8 +26,8 @@
 	Cut      float64           `arg:"--cut" help:"share of events at which the connection breaks"`
 }
 
-// resumeGrace is how long an attempt continues without a reader, and how long a finished one can
-// still be read.
+// resumeGrace is how long an attempt continues without a reader, and how long a finished attempt
+// can still be read.
 const resumeGrace = 5 * time.Second
 
 func runEngine(flags *engineCommand) error {
--- a/cmd/sedgemastctl/commands.go
+++ b/cmd/sedgemastctl/commands.go
@@ -160,7 +160,8 @@
 }
 
 // runDrain applies a drain document. The change conflicts if another operator has changed the
-// configuration since its revision was read; it is then sent again with the new revision.
+// configuration since its revision was read. runDrain then reads the new revision and sends the
+// change again.
 func runDrain(ctx context.Context, flags *drainCommand) error {
 	client, err := flags.client()
 	if err != nil {
--- a/internal/consensus/append.go
+++ b/internal/consensus/append.go
@@ -152,8 +152,8 @@
 		return nil
 	}
 	progress.lastResponse = r.now
-	// The response to a message of an older term carries no SentNanos: it does not show that
-	// the follower has heard from this leader in the current term.
+	// The response to a message of an older term carries no SentNanos, because such a response does
+	// not show that the follower has heard from this leader in the current term.
 	if sent := r.started.Add(time.Duration(message.SentNanos)); message.SentNanos > 0 && sent.After(progress.ackedSendTime) {
 		progress.ackedSendTime = sent
 	}
@@ -216,8 +216,9 @@
 	r.log.commit = index
 	r.leaveJoint()
 	if r.membershipIndex <= r.log.commit && len(r.membership.Outgoing) == 0 && !IsVoter(&r.membership, r.config.ID) {
-		// Either the committed change removed this leader, or the leader is a learner. A
-		// voter now has its whole log, so an earlier rejection no longer justifies a campaign.
+		// Either the committed change removed this leader, or the leader is a learner. A voter now
+		// has this replica's whole log, so the earlier rejection of a candidate no longer justifies
+		// a campaign by this replica.
 		r.voteRejectedAt = time.Time{}
 		r.becomeFollower(r.now, r.term, 0)
 	}
--- a/internal/consensus/compaction.go
+++ b/internal/consensus/compaction.go
@@ -20,7 +20,7 @@
 // Base returns the base of the log: the position of the last compacted entry.
 func (r *Replica) Base() wire.LogBase { return r.log.base }
 
-// Compact drops the entries up to index, but none that is not applied yet. It
+// Compact drops the applied entries up to index; it keeps those that are not applied yet. It
 // returns the new base, which the caller must store.
 func (r *Replica) Compact(index uint64) wire.LogBase {
 	index = min(index, r.log.applied)
@@ -53,10 +53,10 @@
 	return r.role == Follower && message.Term == r.term && message.From == r.leader
 }
 
-// ShouldInstallSnapshot reports whether a snapshot with the given base is needed. It is
-// not if the log already holds the entry at the base: the entries after it may have
-// been counted towards a majority and must be kept (thesis 5.3). In that case the
-// replica sends the leader its commit index instead.
+// ShouldInstallSnapshot reports whether a snapshot with the given base is needed. None is needed if
+// the log already holds the entry at the base: the entries after it may have been counted towards a
+// majority and must be kept (thesis 5.3). In that case the replica sends the leader its commit
+// index instead.
 func (r *Replica) ShouldInstallSnapshot(from uint64, base *wire.LogBase) bool {
 	if base.Index > r.log.commit && !r.log.matches(base.Index, base.Term) {
 		return true
--- a/internal/consensus/doc.go
+++ b/internal/consensus/doc.go
@@ -12,7 +12,7 @@
 //     behalf of the data it lost;
 //   - a replica that heard from a leader within the election timeout grants no
 //     vote, unless that leader itself requested the election (thesis 4.2.3, 6.4.1);
-//     a restarted replica treats its start as such a contact;
+//     a restarted replica treats its start as contact with a leader;
 //   - a leader's lease expires before any other replica can win an election,
 //     provided that the rates of their clocks differ by at most a fifth;
 //   - a membership takes effect as soon as it is in the log (thesis 4.3); at most
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -21,11 +21,11 @@
 // the other replicas come up one by one.
 const earlyCampaignsPerHeartbeat = 2
 
-// canBeElectedEarly reports whether the replica with the given ID may be elected although
-// a lease that this replica granted before its restart may still be valid. Only the holder
-// of that lease may: by campaigning it shows that it no longer relies on the lease, because
-// it restarted or stepped down. Once this replica has followed a leader again, or become
-// leader itself, no replica may.
+// canBeElectedEarly reports whether the replica with the given ID may be elected although a lease
+// that this replica granted before its restart may still be valid. Only the holder of that lease
+// may be elected early: by campaigning the holder shows that it no longer relies on the lease,
+// because it restarted or stepped down. Once this replica has followed a leader again, or become
+// leader itself, no replica may be elected early.
 func (r *Replica) canBeElectedEarly(id uint64) bool {
 	return r.priorLeaseHolder != 0 && r.priorLeaseHolder == id
 }
--- a/internal/consensus/lease.go
+++ b/internal/consensus/lease.go
@@ -25,9 +25,9 @@
 	return r.started.Add(time.Duration(nanos - 1))
 }
 
-// LeaseExpiry returns the time until which the replica may serve reads from its own
-// state; the zero time if it may not. It may not before it has applied an entry of its
-// term (thesis 6.4), nor after it has told another replica to take over leadership.
+// LeaseExpiry returns the time until which the replica may serve reads from its own state; the zero
+// time if it may not serve such reads. A leader may not serve them before it has applied an entry
+// of its own term (thesis 6.4), nor after it has told another replica to take over leadership.
 func (r *Replica) LeaseExpiry(now time.Time) time.Time {
 	if r.role != Leader || r.timeoutNowSent || r.log.applied < r.termStartIndex {
 		return time.Time{}
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -41,8 +41,9 @@
 	return members
 }
 
-// quorumValue returns the largest value that a majority of the voters has reached; in
-// a joint membership, a majority of both the new and the outgoing voters (thesis 4.3).
+// quorumValue returns the largest value that a majority of the voters has reached. In a joint
+// membership it is the largest value that both a majority of the new voters and a majority of the
+// outgoing voters have reached (thesis 4.3).
 func quorumValue(membership *wire.Membership, value func(id uint64) int64) int64 {
 	result := majorityValue(membership.Voters, value)
 	if len(membership.Outgoing) > 0 {
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -44,8 +44,8 @@
 	ElectionTimeout time.Duration
 	// HeartbeatInterval is the time between a leader's heartbeats.
 	HeartbeatInterval time.Duration
-	// MaxAppendBytes limits the entries of one message, MaxInflightBytes the entries
-	// sent to one follower and not yet acknowledged.
+	// MaxAppendBytes limits the size of the entries in one message. MaxInflightBytes limits the
+	// size of the entries that were sent to one follower and are not yet acknowledged.
 	MaxAppendBytes   int
 	MaxInflightBytes int
 	Random           Random
@@ -77,17 +77,17 @@
 	membership      wire.Membership
 	membershipIndex uint64
 
-	// priorLeaseHolder is the ID of the only replica that may hold a lease which this
-	// replica granted before its restart. It is zero if that is not known, or if this
-	// replica has followed a leader or become leader since.
+	// priorLeaseHolder is the ID of the only replica that may hold a lease which this replica
+	// granted before its restart. It is zero if that replica is not known, or if this replica has
+	// followed a leader or become leader since.
 	priorLeaseHolder uint64
 	// nextEarlyCampaign is the earliest time of the next early campaign (shouldCampaignEarly).
 	nextEarlyCampaign time.Time
 	started           time.Time
 	lastContact       time.Time
 	electionDeadline  time.Time
-	// voteRejectedAt is when this replica last rejected a candidate because its own log was
-	// more up to date.
+	// voteRejectedAt is when this replica last rejected a candidate because this replica's own log
+	// was more up to date.
 	voteRejectedAt time.Time
 
 	votes map[uint64]bool
@@ -162,13 +162,13 @@
 // in shortest election timeouts. A candidate campaigns again within two of them.
 const learnerCampaignTimeouts = 3
 
-// canCampaign reports whether the replica may start an election: a voter may, and so may a
-// learner that recently rejected a candidate because its own log is more up to date. If a
-// voter loses its disk during a membership change, the only log that can win may be that of
-// a learner: voters whose log already makes it a voter need its vote, which it must deny to
-// less complete logs. Such a learner counts the votes of the membership in its own log,
-// where its own vote does not count, and steps down once the first entry of its term is
-// committed. By then a voter has that log too.
+// canCampaign reports whether the replica may start an election: a voter may, and so may a learner
+// that recently rejected a candidate because the learner's own log is more up to date. If a voter
+// loses its disk during a membership change, the only log that can win may be that of a learner:
+// voters whose log already makes the learner a voter need the learner's vote, but the learner must
+// deny its vote to candidates with less complete logs. Such a learner counts the votes of the
+// membership in its own log, where its own vote does not count, and steps down once the first entry
+// of its term is committed. By then a voter has the learner's log too.
 func (r *Replica) canCampaign(now time.Time) bool {
 	if IsVoter(&r.membership, r.config.ID) {
 		return true
@@ -270,8 +270,8 @@
 	}
 }
 
-// hasLeader reports whether the replica heard from a leader within the shortest election
-// timeout. For a leader, its last contact with a majority counts.
+// hasLeader reports whether the replica heard from a leader within the shortest election timeout.
+// For a leader, the time of its last contact with a majority counts instead.
 func (r *Replica) hasLeader(now time.Time) bool {
 	contact := r.lastContact
 	if r.role == Leader {
--- a/internal/consensus/replica_test.go
+++ b/internal/consensus/replica_test.go
@@ -32,9 +32,9 @@
 	return len(ready.MessagesAfterSync) == 1 && !ready.MessagesAfterSync[0].Reject
 }
 
-// TestOneVotePerTerm checks that a replica votes once per term, also after a restart. The
-// last case restarts without the stored vote: that the second vote is then granted shows that
-// the test detects a vote that is not stored.
+// TestOneVotePerTerm checks that a replica votes once per term, also after a restart. The last case
+// restarts without the stored vote. The second vote is then granted, which shows that the test
+// detects a vote that is not stored.
 func TestOneVotePerTerm(t *testing.T) {
 	later := testStart.Add(time.Second)
 	r := testReplica(1, PersistedState{Base: threeVoterBase()})
@@ -227,8 +227,8 @@
 	}
 }
 
-// TestEarlyVotes checks which candidate gets a vote within the shortest election timeout after
-// a start: only the one that may hold a lease which this replica granted before its restart.
+// TestEarlyVotes checks which candidate gets a vote within the shortest election timeout after a
+// start: only the candidate that may hold a lease which this replica granted before its restart.
 func TestEarlyVotes(t *testing.T) {
 	entries := []wire.LogEntry{{Index: 1, Term: 2}, {Index: 2, Term: 3}}
 	early := testStart.Add(testElection / 2)
--- a/internal/consensus/transfer.go
+++ b/internal/consensus/transfer.go
@@ -31,9 +31,9 @@
 	return true
 }
 
-// TransferLeadershipTo transfers leadership to the given voter. It reports whether the
-// transfer started: it doesn't unless this replica leads, no other transfer is in progress,
-// and the voter responded within the election timeout.
+// TransferLeadershipTo transfers leadership to the given voter. It reports whether the transfer
+// started. It starts only if this replica leads, no other transfer is in progress, and the voter
+// responded within the election timeout.
 func (r *Replica) TransferLeadershipTo(now time.Time, id uint64) bool {
 	progress := r.progress[id]
 	if r.role != Leader || r.transferee != 0 || id == r.config.ID || progress == nil {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -49,8 +49,8 @@
 	groups   []*jobGroup
 }
 
-// metaGroup is the meta group. leader is the leader's unreplicated state for term, the last term in
-// which this process was seen to lead the group.
+// metaGroup is the meta group. leader is the leader's unreplicated state for term. term is the last
+// term in which this process was seen to lead the group.
 type metaGroup struct {
 	machine *metastate.Machine
 	mutex   sync.Mutex
@@ -58,8 +58,8 @@
 	leader  *coordination.MetaLeader
 }
 
-// jobGroup is a job group. leader is the leader's unreplicated state for term, the last term in
-// which this process was seen to lead the group.
+// jobGroup is a job group. leader is the leader's unreplicated state for term. term is the last
+// term in which this process was seen to lead the group.
 type jobGroup struct {
 	number  int
 	machine *jobstate.Machine
--- a/internal/control/items.go
+++ b/internal/control/items.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// An error means that another process leads now; this one's leases are void.
+	// An error means that another process leads now; the leases of this process are void.
 	_ = c.readJobs(c.groups[number-1], func(_ time.Time, leader *coordination.JobLeader, _ storage.Reader) error {
 		leader.Release(request.Results)
 		return nil
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -42,7 +42,7 @@
 		}
 		rows = append(rows, membership.ListedWorker{ID: row.ID, Address: row.Address, Zone: row.Zone, Incarnation: row.Incarnation, Leaving: row.Leaving})
 	}
-	// An error means that another process leads now; it reads the list itself.
+	// An error means that another process leads now; that process reads the list itself.
 	_ = c.readMeta(func(now time.Time, leader *coordination.MetaLeader, _ *metastate.Machine) error {
 		leader.ApplyList(now, rows)
 		return nil
--- a/internal/controlclient/session.go
+++ b/internal/controlclient/session.go
@@ -26,8 +26,8 @@
 }
 
 // Session keeps a daemon's lease, its view of the dispatchers and its copy of the configuration.
-// Both leases are invalid until the first heartbeat is answered, so a daemon never starts with an
-// old copy of the configuration.
+// The daemon's lease and the lease on the configuration are invalid until the first heartbeat is
+// answered, so a daemon never starts with an old copy of the configuration.
 type Session struct {
 	options SessionOptions
 	config  *configuration.Store
--- a/internal/coordination/jobs.go
+++ b/internal/coordination/jobs.go
@@ -14,9 +14,9 @@
 	adoptionTime = 1500 * time.Millisecond
 	// maxLeasedItems limits the items, and thus the size, of one response.
 	maxLeasedItems = 256
-	// idleTimePerDispatcher is what each dispatcher adds to the idle time of all. It limits the
-	// requests that find no items to 200 per second in each job group, whatever the number of
-	// dispatchers.
+	// idleTimePerDispatcher is what each dispatcher adds to the idle time of all dispatchers. It
+	// limits the requests that find no items to 200 per second in each job group, whatever the
+	// number of dispatchers.
 	idleTimePerDispatcher = 5 * time.Millisecond
 	minIdleTime           = 100 * time.Millisecond
 	maxIdleTime           = 5 * time.Second
@@ -66,7 +66,7 @@
 }
 
 // idleTime returns how long a dispatcher that got no items waits before it requests items again. It
-// grows with the number of dispatchers, so that the total rate of requests does not.
+// grows with the number of dispatchers, so that the total rate of requests does not grow with it.
 func (j *JobLeader) idleTime(now time.Time, dispatcher string) time.Duration {
 	j.lastRequests[dispatcher] = now
 	if now.Sub(j.lastPrune) > lastRequestTTL {
--- a/internal/dispatcher/items.go
+++ b/internal/dispatcher/items.go
@@ -59,8 +59,8 @@
 	nextRequest    time.Time
 	// hadItems is set if the last response to a request for items contained any.
 	hadItems bool
-	// released is set if items were released since the last request, so that the next one is needed
-	// to tell control.
+	// released is set if items were released since the last request, so that the next request is
+	// needed to tell control.
 	released bool
 }
 
--- a/internal/dispatcher/online.go
+++ b/internal/dispatcher/online.go
@@ -14,8 +14,8 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// onlineBudgetPercent sets the retry budget of one online request, which may be tried again after a
-// rejection or a lost worker, up to maxOnlineAttempts.
+// onlineBudgetPercent sets the retry budget of one online request. The request may be tried again
+// after a rejection or a lost worker, up to maxOnlineAttempts.
 const onlineBudgetPercent = 100
 
 // handleGenerate runs one online request and streams its frames to the caller.
--- a/internal/dispatcher/task.go
+++ b/internal/dispatcher/task.go
@@ -55,8 +55,8 @@
 	started bool
 	// emit sends a frame to the caller; nil for batch items.
 	emit func(frame *wire.GenerateFrame) error
-	// worker and address are where the current attempt runs, empty before it starts; startedAt is
-	// when it was started.
+	// worker and address identify the worker that runs the current attempt; both are empty before
+	// the attempt starts. startedAt is when the attempt was started.
 	worker    string
 	address   string
 	startedAt time.Time
--- a/internal/dispatcher/workers.go
+++ b/internal/dispatcher/workers.go
@@ -27,8 +27,8 @@
 	load         engine.Load
 	claimed      bool
 	unresponsive bool
-	// previousOwnerDone is set once a load report shows only attempts of this dispatcher: those of
-	// a previous owner have ended.
+	// previousOwnerDone is set once a load report shows only attempts of this dispatcher: the
+	// attempts of a previous owner have ended.
 	previousOwnerDone bool
 	nextCacheEvent    uint64
 }
--- a/internal/engine/protocol.go
+++ b/internal/engine/protocol.go
@@ -113,8 +113,8 @@
 	OrderLeave       = "leave"
 )
 
-// Order is a fenced order. An engine rejects an order whose epoch is below the highest that
-// it has seen, and adopts a higher one.
+// Order is a fenced order. An engine rejects an order whose epoch is below the highest epoch that
+// it has seen, and adopts a higher epoch.
 type Order struct {
 	Epoch uint64 `json:"epoch"`
 	Kind  string `json:"kind"`
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -24,7 +24,7 @@
 	// AttemptID identifies the attempt; Offset is the number of its tokens seen so far.
 	AttemptID string
 	Offset    int
-	// Misrouted counts dropped events of other attempts, Duplicates dropped events whose
+	// Misrouted counts dropped events of other attempts. Duplicates counts dropped events whose
 	// tokens had been seen before.
 	Misrouted  int
 	Duplicates int
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -12,8 +12,8 @@
 //
 // A tenant's limit is divided evenly among the live gateways, whose number comes with each
 // heartbeat. Over all gateways the sum exceeds the limit by at most one share for one heartbeat
-// interval: what the other gateways admit before they learn of a new gateway. A tenant that uses
-// only some of the gateways gets less than its limit.
+// interval. This excess is what the other gateways admit before they learn of a new gateway. A
+// tenant that uses only some of the gateways gets less than its limit.
 type limits struct {
 	mutex   sync.Mutex
 	tenants map[string]*tenantUse
--- a/internal/jobstate/id.go
+++ b/internal/jobstate/id.go
@@ -9,8 +9,8 @@
 	"github.com/sedgemast/sedgemast/internal/failure"
 )
 
-// Kinds of ids, which are their first part. The id of a result file is that of its job with another
-// kind.
+// Kinds of ids, which are their first part. The id of a result file is the id of its job with
+// another kind.
 const (
 	fileKind   = "file"
 	jobKind    = "batch"
@@ -41,8 +41,8 @@
 // ErrorFileID returns the id of the file of a job's failed items.
 func ErrorFileID(jobID string) string { return strings.Replace(jobID, jobKind, errorsKind, 1) }
 
-// ParseResultFileID returns the job to which a result file belongs, and whether the file is that of
-// the failed items. Found is false if the id is not that of a result file.
+// ParseResultFileID returns the job to which a result file belongs, and whether the file holds the
+// failed items. Found is false if the id is not that of a result file.
 func ParseResultFileID(fileID string) (jobID string, failed, found bool) {
 	if rest, isOutput := strings.CutPrefix(fileID, outputKind+"-"); isOutput {
 		return jobKind + "-" + rest, false, true
--- a/internal/metastate/documents.go
+++ b/internal/metastate/documents.go
@@ -74,8 +74,8 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
 
-// CheckDocument validates a document without regard to others and returns its canonical body, which
-// is nil for a deleted document.
+// CheckDocument validates a document without regard to other documents and returns its canonical
+// body, which is nil for a deleted document.
 func CheckDocument(document wire.Document) ([]byte, error) {
 	path := document.Kind + "/" + document.Name
 	if !namePattern.MatchString(document.Name) {
--- a/internal/metastate/read.go
+++ b/internal/metastate/read.go
@@ -9,9 +9,9 @@
 // Revision returns the revision of the latest accepted change.
 func (m *Machine) Revision() uint64 { return m.revision }
 
-// ChangedSince returns the documents that were changed after the known revision, with the deleted
-// ones, or nil if there are none. For revision zero it returns the full configuration without the
-// deleted documents.
+// ChangedSince returns the documents, including deleted ones, that were changed after the known
+// revision. It returns nil if the known revision is the latest. For revision zero it returns the
+// full configuration without the deleted documents.
 func (m *Machine) ChangedSince(known uint64) *wire.ConfigDelta {
 	if known >= m.revision {
 		return nil
--- a/internal/record/check.go
+++ b/internal/record/check.go
@@ -21,8 +21,8 @@
 // Report is the result of a check.
 type Report struct {
 	Violations []Violation
-	// Counts holds, for each promise, the number of facts that were checked. A promise without any
-	// was not tested by the run.
+	// Counts holds, for each promise, the number of facts that were checked. A promise without a
+	// checked fact was not tested by the run.
 	Counts map[string]int
 }
 
--- a/internal/replication/bootstrap.go
+++ b/internal/replication/bootstrap.go
@@ -90,8 +90,8 @@
 }
 
 // clusterExists reports whether any known process belongs to a cluster. No cluster that has this
-// process as an initial voter can be bootstrapped unnoticed after this check, because that takes
-// a hello from this process.
+// process as an initial voter can be bootstrapped unnoticed after this check, because such a
+// bootstrap needs a hello from this process.
 func (n *Node) clusterExists() bool {
 	for _, received := range n.receivedHellos {
 		if received.hello.Formed {
--- a/internal/replication/discovery.go
+++ b/internal/replication/discovery.go
@@ -17,8 +17,8 @@
 type BootstrapMode uint8
 
 const (
-	// BootstrapStatic takes it from the configured list of all processes, which must be
-	// the same in every process.
+	// BootstrapStatic takes the first membership from the configured list of all processes, which
+	// must be the same in every process.
 	BootstrapStatic BootstrapMode = iota
 	// BootstrapFromSeeds makes the processes at the first configured addresses the initial
 	// voters. All others join. Processes learn each other's addresses from hellos.
@@ -56,17 +56,17 @@
 	// defaultFullMeshLimit is the number of peers up to which every process exchanges
 	// hellos with all others.
 	defaultFullMeshLimit = 8
-	// targetSpares is the number of live processes outside its groups with which a member
-	// exchanges hellos: one more than the learners that a group may have. To find them, it
+	// targetSpares is the number of live processes outside its groups with which a member exchanges
+	// hellos: one more than the learners that a group may have. To find these spares, the member
 	// contacts at most maxSparesContacted processes.
 	targetSpares       = maxLearners + 1
 	maxSparesContacted = 3 * targetSpares
 )
 
-// Peers returns the addresses to send hellos to. With BootstrapManual and more peers than
-// the full mesh limit, only members send hellos: to the members of their groups and to some
-// spares. Only members repair groups, and hellos between all processes would grow with the
-// square of their number.
+// Peers returns the addresses to send hellos to. With BootstrapManual and more peers than the full
+// mesh limit, only members send hellos: to the members of their groups and to some spares. Other
+// processes need not send any, because only members repair groups. Hellos between all processes
+// would grow with the square of the number of processes.
 func (n *Node) Peers(now time.Time) []string {
 	if n.options.BootstrapMode != BootstrapManual || len(n.peers) <= n.fullMeshLimit() {
 		return append([]string(nil), n.peers...)
--- a/internal/replication/discovery_test.go
+++ b/internal/replication/discovery_test.go
@@ -248,7 +248,7 @@
 }
 
 // TestHellosLimitedAmongManyProcesses lists 300 processes, three of them members. A member must
-// send hellos only to the other members and a few live spares, find others when those become
+// send hellos only to the other members and a few live spares, find other spares when these become
 // unresponsive, and forget no listed process. A process that is not a member must send none.
 // Without the limit each process sent hellos to all others.
 func TestHellosLimitedAmongManyProcesses(t *testing.T) {
--- a/internal/replication/host_test.go
+++ b/internal/replication/host_test.go
@@ -170,8 +170,8 @@
 	return ctx.Err()
 }
 
-// TestHostsAgree commits commands in several groups on three hosts and checks that the
-// leaders return the last one.
+// TestHostsAgree commits commands in several groups on three hosts and checks that the leaders
+// return the last command.
 func TestHostsAgree(t *testing.T) {
 	const groups = 3
 	hosts := startHosts(t, 3, groups, func(int) storage.Store { return storage.NewMemory() })
--- a/internal/replication/node.go
+++ b/internal/replication/node.go
@@ -23,10 +23,9 @@
 	// Name and Address identify this process to its peers.
 	Name    string
 	Address string
-	// Peers are the addresses of all control processes, including this one. The first
-	// Voters of them are the initial voters. With a BootstrapMode other than
-	// BootstrapStatic they are only the addresses to contact first, and Voters is the
-	// maximum number of voters.
+	// Peers are the addresses of all control processes, including this one. The first Voters of
+	// them are the initial voters. With a BootstrapMode other than BootstrapStatic, Peers are only
+	// the addresses to contact first, and Voters is the maximum number of voters.
 	Peers  []string
 	Voters int
 	// BootstrapMode selects how the cluster gets its first membership.
@@ -120,9 +119,9 @@
 	}
 }
 
-// Receive processes a message from another control process. A process that belongs to no
-// cluster yet ignores all messages: bootstrapping replaces its log, so that an entry which
-// it had acknowledged before would be lost.
+// Receive processes a message from another control process. A process that belongs to no cluster
+// yet ignores all messages: bootstrapping replaces its log, and an entry that it had acknowledged
+// before would be lost.
 func (n *Node) Receive(now time.Time, message *wire.PeerMessage) {
 	if !n.identity.Formed {
 		return
@@ -218,8 +217,8 @@
 		if ready.Empty() {
 			continue
 		}
-		// If the replica gave up its lease, readers must know before the message is sent that
-		// lets another replica become leader.
+		// If the replica gave up its lease, readers must know this before the replica sends the
+		// message that lets another replica become leader.
 		g.publish(now)
 		n.sendAll(ready.MessagesBeforeSync)
 		pending = append(pending, groupReady{group: g, ready: ready})
--- a/internal/replication/reads_test.go
+++ b/internal/replication/reads_test.go
@@ -11,8 +11,8 @@
 	"github.com/sedgemast/sedgemast/internal/storage"
 )
 
-// TestReplicasCatchUpForReads commits commands through the leader and checks that every
-// replica returns the latest one after it has applied the leader's read index.
+// TestReplicasCatchUpForReads commits commands through the leader and checks that every replica
+// returns the latest command after it has applied the leader's read index.
 func TestReplicasCatchUpForReads(t *testing.T) {
 	hosts := startHosts(t, 3, 1, func(int) storage.Store { return storage.NewMemory() })
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
--- a/internal/replication/repair.go
+++ b/internal/replication/repair.go
@@ -28,9 +28,9 @@
 	// without replacing it: a retiring voter, or one that has been unresponsive for
 	// dropAfterFactor times replaceAfter.
 	minVoters int
-	// learnerLimit is the maximum number of learners: the number of replicas that may be
-	// lost at once. More would cost bandwidth and storage for every entry, because each
-	// learner receives the whole log.
+	// learnerLimit is the maximum number of learners: the number of replicas that may be lost at
+	// once. More learners would cost bandwidth and storage for every entry, because each learner
+	// receives the whole log.
 	learnerLimit int
 	// group is the number of the group; each group ranks new learners differently.
 	group int
@@ -77,17 +77,17 @@
 	}
 	policy.minVoters = n.options.MinVoters
 	if n.options.BootstrapMode == BootstrapManual {
-		// Only in this mode do learners stay learners for long. In the others they become voters
-		// soon, so their number need not follow the number of losses.
+		// Only with BootstrapManual do learners stay learners for long. In the other modes they
+		// become voters soon, so the number of learners need not follow the number of losses.
 		policy.learnerLimit = min(max((n.options.MinVoters-1)/2, 1), maxLearners)
 	}
 	return policy
 }
 
-// planRepair returns the next membership of a group, as seen by its leader. A voter whose
-// storage was lost, or that has been unresponsive for too long, is replaced by a learner that
-// has caught up. Both happen in one change, so that the group always has its full number of
-// voters. Processes that are not members are added as learners.
+// planRepair returns the next membership of a group, as seen by its leader. A voter whose storage
+// was lost, or that has been unresponsive for too long, is replaced by a learner that has caught
+// up. The voter's removal and the learner's promotion happen in one change, so that the group
+// always has its full number of voters. Processes that are not members are added as learners.
 func planRepair(status *consensus.Status, processes []wire.Process, policy repairPolicy) (voters, learners []wire.Replica, change bool) {
 	membership := &status.Membership
 	if !status.MembershipStable {
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -22,8 +22,8 @@
 	dialTimeout = 500 * time.Millisecond
 	// ShortDial is the dial timeout of callers that retry anyway or can call another peer. A
 	// machine without power never answers a dial, and calls that wait for the connection are
-	// delayed as long. TCP resends a lost SYN only after a second, so a longer timeout would
-	// help only where the round trip itself takes longer than this.
+	// delayed until the dial times out. TCP resends a lost SYN only after a second, so a longer
+	// timeout would help only where the round trip itself takes longer than this.
 	ShortDial          = 250 * time.Millisecond
 	idleTimeout        = 90 * time.Second
 	maxIdleConnections = 512
--- a/internal/rpc/compress_test.go
+++ b/internal/rpc/compress_test.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// TestEncodedResponse checks that a response encoded in advance is decoded to the message,
-// with a body short enough to stay uncompressed and with a compressed one.
+// TestEncodedResponse checks that a response encoded in advance is decoded to the message, once
+// with a body short enough to stay uncompressed and once with a compressed body.
 func TestEncodedResponse(t *testing.T) {
 	for _, size := range []int{3, 64 << 10} {
 		body := &wire.ItemBody{Body: bytes.Repeat([]byte("ab"), size)}
--- a/internal/runlog/runlog.go
+++ b/internal/runlog/runlog.go
@@ -25,8 +25,8 @@
 	// At is the number of the second since the first event.
 	At int
 	// Arrived counts the requests that arrived in the second and were answered later. Rejected and
-	// Overloaded count those that were not run: Overloaded those rejected for lack of capacity, on
-	// arrival or while queued.
+	// Overloaded count the requests that were not run. Overloaded counts the requests that were
+	// rejected for lack of capacity, on arrival or while queued.
 	Arrived    int
 	Rejected   int
 	Overloaded int
@@ -34,8 +34,9 @@
 	InFlight float64
 	// FirstByteMillis holds the times to the first byte of the requests that arrived.
 	FirstByteMillis []int
-	// Submitted counts the items of accepted jobs, Finished the items that finished and Stopped the
-	// attempts at items that were stopped. Running is the mean number of attempts in progress.
+	// Submitted counts the items of accepted jobs. Finished counts the items that finished. Stopped
+	// counts the attempts at items that were stopped. Running is the mean number of attempts in
+	// progress.
 	Submitted int
 	Finished  int
 	Stopped   int
@@ -140,8 +141,8 @@
 	}
 }
 
-// addPerSecond calls add for each second between from and to, with the fraction of it that is in
-// between.
+// addPerSecond calls add for each second between from and to, with the fraction of that second that
+// lies between from and to.
 func (s *summarizer) addPerSecond(from, to time.Time, add func(second *Second, part float64)) {
 	if from.Before(s.start) {
 		from = s.start
--- a/internal/scheduling/scheduler.go
+++ b/internal/scheduling/scheduler.go
@@ -28,8 +28,8 @@
 	// AdaptiveReserve makes the reserve follow the recent bursts of online arrivals, up to
 	// ReservePercent.
 	AdaptiveReserve bool
-	// EnginePriorities leaves the order of work to the engines, for comparisons: nothing is
-	// preempted and no slot is reserved.
+	// EnginePriorities leaves the order of work to the engines: nothing is preempted and no slot is
+	// reserved. It is there for comparisons.
 	EnginePriorities bool
 	// WorkerTimeout is how long a worker may send no report before it counts as unresponsive; zero
 	// means no limit.
@@ -183,8 +183,9 @@
 }
 
 // placeOnline starts an online attempt where it fits, preempting batch attempts if necessary, and
-// reports whether it was started. Workers on which an earlier attempt failed are used last, but
-// before the attempt is queued behind their batch work.
+// reports whether it was started. Workers on which an earlier attempt failed are tried only if no
+// other worker can take the attempt. Batch attempts are preempted on them too, so that the attempt
+// isn't queued behind batch work.
 func (s *Scheduler) placeOnline(attempt *Attempt) bool {
 	request := attempt.request()
 	if s.placeOnlineRequest(attempt, request) {
--- a/internal/settings/roles.go
+++ b/internal/settings/roles.go
@@ -194,9 +194,9 @@
 	PlatformInterval Duration `json:"platform_interval"`
 	// JobGroups is the number of job groups. It can't be changed once it has been set.
 	JobGroups int `json:"job_groups"`
-	// Peers are the addresses of all control processes, with this one, and in the same order at all
-	// of them; empty means that this is the only one. The first Voters of them form the cluster, the
-	// others are spares.
+	// Peers are the addresses of all control processes, including this one. They must be in
+	// the same order in the settings of every control process. Empty means that this process is the
+	// only one. The first Voters of the addresses form the cluster, the others are spares.
 	Peers  []string `json:"peers"`
 	Voters int      `json:"voters"`
 	// ElectionTimeout is the shortest time without a leader after which a new one is elected.
--- a/internal/storage/memory.go
+++ b/internal/storage/memory.go
@@ -11,7 +11,7 @@
 // were not synced.
 type Memory struct {
 	mutex sync.Mutex
-	// live holds all commits, durable only the synced ones.
+	// live holds all commits; durable holds only the synced ones.
 	live    keySpace
 	durable keySpace
 	// unsynced holds the commits since the last synced one, in order.
--- a/internal/storage/pebble.go
+++ b/internal/storage/pebble.go
@@ -16,8 +16,8 @@
 const (
 	cacheBytes    = 8 << 20
 	memtableBytes = 1 << 20
-	// baseLevelBytes is the size of the first level below level 0, baseFileBytes that of its files.
-	// Both sizes increase with each further level.
+	// baseLevelBytes is the size of the first level below level 0. baseFileBytes is the size of the
+	// files of that level. Both sizes increase with each further level.
 	baseLevelBytes = 4 << 20
 	baseFileBytes  = 512 << 10
 	// level0Tables is the number of tables in level 0 at which a compaction starts.
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -14,7 +14,7 @@
 
 // TestPebbleKeepsWhatWasSynced simulates a power loss after random commits. It checks that no
 // synced commit is lost, that no batch survives in part, and that no batch survives the loss of an
-// earlier one.
+// earlier batch.
 func TestPebbleKeepsWhatWasSynced(t *testing.T) {
 	proptest.Run(t, "synced commits survive", func(random *rand.Rand) error {
 		files := vfs.NewCrashableMem()
--- a/internal/wire/batch.go
+++ b/internal/wire/batch.go
@@ -75,9 +75,9 @@
 	Job   string    `msg:"job"`
 	Item  int       `msg:"item"`
 	State ItemState `msg:"state"`
-	// Text is the item's text after its first From events. If there is text before it, Text
-	// begins with the line feed that separates them. Events is the number of the item's
-	// events including those of Text, LastEvent the id of the last one.
+	// Text is the item's text after its first From events. If there is text before it, Text begins
+	// with the line feed that separates them. Events is the number of the item's events, including
+	// the events of Text. LastEvent is the id of the last event.
 	From      int    `msg:"from"`
 	Text      string `msg:"text,limit=33554432"`
 	Events    int    `msg:"events"`
@@ -101,8 +101,8 @@
 	Failure *Failure `msg:"failure"`
 	// Repeated is set if the job had been accepted before.
 	Repeated bool `msg:"repeated"`
-	// Dropped lists the indexes of the command's records that were not applied: they do not
-	// continue from the progress in the log, or came too late.
+	// Dropped lists the indexes of the command's records that were not applied, because they do not
+	// continue from the progress in the log or came too late.
 	Dropped []int `msg:"dropped"`
 }
 
--- a/internal/wire/consensus.go
+++ b/internal/wire/consensus.go
@@ -27,10 +27,10 @@
 	Term uint64 `msg:"term"`
 	// Vote is the id of the replica voted for in Term, zero for none.
 	Vote uint64 `msg:"vote"`
-	// Leader is the id of the leader in Term, which may be this replica itself; zero if not
-	// known. A replica stores it before it answers that leader, so a lease that it helped to
-	// grant before a restart can only belong to Leader. GenerationFirst does not write it,
-	// so zero does not mean that no lease was granted.
+	// Leader is the id of the leader in Term, which may be this replica itself; zero if not known.
+	// A replica stores Leader before it answers that leader, so a lease that the replica helped to
+	// grant before a restart can only belong to Leader. Builds of GenerationFirst do not write
+	// Leader, so zero does not mean that no lease was granted.
 	Leader uint64 `msg:"leader"`
 }
 
@@ -144,7 +144,7 @@
 // Empty is a message without content.
 type Empty struct{}
 
-// Process is what a control process knows of another one.
+// Process is what a control process knows of another control process.
 type Process struct {
 	Hello Hello `msg:"hello"`
 	// SilentMillis is the time since the last message of the process was received.
--- a/internal/wire/control.go
+++ b/internal/wire/control.go
@@ -62,8 +62,8 @@
 	// LeaseMillis is the duration of the renewed lease, counted from the moment at which
 	// the daemon sent the heartbeat.
 	LeaseMillis int64 `msg:"lease"`
-	// ConfigLeaseMillis is how long the daemon may use the configuration, counted from the
-	// same moment.
+	// ConfigLeaseMillis is how long the daemon may use the configuration, counted from the moment
+	// at which the daemon sent the heartbeat.
 	ConfigLeaseMillis int64        `msg:"config_lease"`
 	ConfigRevision    uint64       `msg:"config_revision"`
 	Config            *ConfigDelta `msg:"config"`
--- a/internal/wire/corpus/corpus.go
+++ b/internal/wire/corpus/corpus.go
@@ -28,7 +28,7 @@
 
 // Reading is the result of decoding a sample of another build.
 type Reading struct {
-	// Value is the message as JSON, Rest the number of bytes that follow the message.
+	// Value is the message as JSON. Rest is the number of bytes that follow the message.
 	Value json.RawMessage `json:"value,omitempty"`
 	Rest  int             `json:"rest,omitempty"`
 	// Failure is the error if the message could not be decoded.
--- a/internal/wire/fleet.go
+++ b/internal/wire/fleet.go
@@ -142,8 +142,8 @@
 	Relays []ProcessAddress `msg:"relays"`
 	// Stores lists the live stores, ordered by name.
 	Stores []ProcessAddress `msg:"stores"`
-	// Groups holds the addresses of the store groups, indexed by the group's number, as far as
-	// they are known. A leader may have changed since.
+	// Groups holds the known addresses of each store group's leader and members, indexed by the
+	// group's number. The leader of a group may have changed since.
 	Groups []GroupPlace `msg:"groups"`
 	// Edges is the number of processes that serve callers.
 	Edges int `msg:"edges"`
--- a/internal/wire/load.go
+++ b/internal/wire/load.go
@@ -12,8 +12,8 @@
 	Workers []WorkerLoad
 	// Hub is set in responses of a process that is not the hub: the address of the hub.
 	Hub string
-	// Sources is the number of processes that report loads: all of them in the top hub's
-	// responses, those of the zone in a zone's sums.
+	// Sources is the number of processes that report loads. In the top hub's responses it counts
+	// all such processes; in a zone's sums it counts those of the zone.
 	Sources uint16
 	// Waiting is set by stores: the number of items that could start.
 	Waiting uint32
@@ -22,7 +22,7 @@
 	Groups []GroupTokens
 	// Sums is set in reports of a zone's hub to the top hub, which hold the sums over the zone.
 	Sums bool
-	// Left is set in the last report to a hub: the sender reports to another one from now on.
+	// Left is set in the last report to a hub: the sender reports to another hub from now on.
 	Left bool
 	// Quiet is set in reports that the hub must not answer.
 	Quiet bool
@@ -31,8 +31,8 @@
 	Zone string
 	// Part is set in responses that omit workers of other zones.
 	Part bool
-	// Tokens are the requests of a process that serves callers for tokens of tenants' limits,
-	// and Verdicts the responses.
+	// Tokens are the requests of a process that serves callers for tokens of tenants' limits, and
+	// Verdicts are the responses.
 	Tokens   []TokenQuestion
 	Verdicts []TokenVerdict
 	// Tenants is the update on tenants' limits that a zone's hub and the top hub send each
@@ -46,8 +46,8 @@
 	// Drawn is set in responses that hold only a sample of the workers: they say nothing about
 	// workers that are not listed.
 	Drawn bool
-	// Rest is set in the top hub's responses: the number of online requests that the workers
-	// without load, which are not listed, answer in ten seconds in total.
+	// Rest is set in the top hub's responses: the number of online requests that all workers
+	// without load together answer in ten seconds. These workers are not listed.
 	Rest uint32
 	// Proofs is set in reports to hubs: the results of probes, that is, of requests that were
 	// sent to avoided workers to find out whether they are healthy again.
@@ -57,12 +57,13 @@
 	// avoided workers, one of which the request may probe.
 	Repeatable bool
 	Probes     []uint32
-	// Claims are the claims on scarce capacity by requests of a process that serves callers,
-	// and Standings the responses to claims of tenants that are over their share.
+	// Claims are the claims on scarce capacity by requests of a process that serves callers, and
+	// Standings are the responses to claims of tenants that are over their share.
 	Claims    []RoomClaim
 	Standings []RoomStanding
-	// Begun and Short count the requests of such a process since its start: Begun those that a
-	// worker began to answer, Short those for which no worker had free capacity.
+	// Begun and Short count the requests of a process that serves callers since its start. Begun is
+	// the number of requests that a worker began to answer. Short is the number of requests for
+	// which no worker had free capacity.
 	Begun uint32
 	Short uint32
 	// First is set on decoding if the sender is of GenerationFirst. It is not sent.
@@ -201,23 +202,23 @@
 // second.
 const RoomRateParts = 10
 
-// RoomStanding is the response to a RoomClaim of a tenant over its share. If a claim gets
-// no standing, the tenant is within its share or the hub is of an older build.
+// RoomStanding is the response to a RoomClaim of a tenant over its share. If a claim gets no
+// RoomStanding, the tenant is within its share or the hub is of an older build.
 //
 //msgp:tuple RoomStanding
 type RoomStanding struct {
 	Ticket uint64
-	// Asked is the tenant's demand in the zone, Share its share of the capacity and Room the
-	// zone's capacity for all tenants, in tenths of a request per second (RoomRateParts).
-	// AgeMillis is the age of these figures.
+	// Asked is the tenant's demand in the zone, Share is its share of the capacity, and Room is the
+	// zone's capacity for all tenants. All three are in tenths of a request per second
+	// (RoomRateParts). AgeMillis is the age of these figures.
 	Asked     uint32
 	Share     uint32
 	Room      uint32
 	AgeMillis uint32
 }
 
-// TenantNews is the encoded form of ratelimit.Update. Mark is its Sequence, HeardEpoch and Heard
-// are its AckEpoch and AckSequence, and Complete is its AllZonesJoined.
+// TenantNews is the encoded form of ratelimit.Update. Mark is the Update's Sequence, HeardEpoch and
+// Heard are its AckEpoch and AckSequence, and Complete is its AllZonesJoined.
 //
 //msgp:tuple TenantNews
 type TenantNews struct {
@@ -229,7 +230,8 @@
 	Rows       []TenantRow
 }
 
-// TenantRow is the encoded form of ratelimit.Row. Count is its Taken, Refills its RefillShare.
+// TenantRow is the encoded form of ratelimit.Row. Count is the Row's Taken, and Refills is its
+// RefillShare.
 //
 //msgp:tuple TenantRow
 type TenantRow struct {
@@ -273,16 +275,18 @@
 	Batch  uint16
 	// Unread is the pending prefill: the number of prompt tokens not processed yet.
 	Unread uint32
-	// Told is set in reports to the hub if the worker has reported its own number of requests
-	// since the last report: that number plus one. Zero means that it has not.
+	// Told is set in reports to the hub if the worker has reported its own number of requests since
+	// the last report. Told is that number plus one; zero means that the worker has not reported
+	// it.
 	Told uint16
-	// Answered and Failed are set in reports to the hub: the numbers of requests since the
-	// last report that the worker answered, and that it failed or did not respond to.
+	// Answered and Failed are set in reports to the hub. Answered is the number of requests that
+	// the worker answered since the last report. Failed is the number of requests that the worker
+	// failed or did not respond to in the same time.
 	Answered uint16
 	Failed   uint16
-	// Steps and StepMicros are set in reports to the hub: the number of times between two
-	// events that the sender has measured at the worker since the last report, and their sum
-	// in microseconds.
+	// Steps and StepMicros are set in reports to the hub. The sender measures the time between two
+	// events at the worker. Steps is the number of these times since the last report, and
+	// StepMicros is their sum in microseconds.
 	Steps      uint16
 	StepMicros uint32
 	// Step is set by the hub: the worker's mean time between two events, in microseconds;
@@ -291,10 +295,10 @@
 	// Rate is set by the hub: the number of online requests that the worker answers in ten
 	// seconds.
 	Rate uint16
-	// Start and Stop are set by the hub in responses to stores: the number of items that the
-	// store may start at the worker until its next report, and the number that it must stop
-	// there. Start is also set in responses to zones' hubs, for an avoided worker that no item
-	// probes: one online request may then probe it.
+	// Start and Stop are set by the hub in responses to stores. Start is the number of items that
+	// the store may start at the worker until its next report. Stop is the number of items that the
+	// store must stop at the worker. Start is also set in responses to zones' hubs, for an avoided
+	// worker that no item probes: one online request may then probe it.
 	Start uint16
 	Stop  uint16
 	// Orphans is set by the hub: the estimated number of requests at the worker that belong
--- a/internal/wire/quarantine.go
+++ b/internal/wire/quarantine.go
@@ -25,8 +25,8 @@
 type QuarantineReport struct {
 	// Runs holds the outcomes in the order in which the runs ended.
 	Runs []RunReport `msg:"runs"`
-	// Trial is the fingerprint of a rejected request, to ask whether it may be tried now; zero
-	// for none.
+	// Trial is the fingerprint of a rejected request, to ask whether the request may be tried now;
+	// zero for none.
 	Trial uint64 `msg:"trial"`
 	// Known is the revision of the quarantine that the process has.
 	Known uint64 `msg:"known"`
@@ -92,9 +92,9 @@
 	Entries  []QuarantineEntry `msg:"entries"`
 }
 
-// QuarantineEntry is the stored record of a request. Ends holds the worker exits during its
-// runs, Refused whether it is rejected, Trials the number of granted trials; Settled is set once
-// the exits are attributed to it, see QuarantineCommand.
+// QuarantineEntry is the stored record of a request. Ends holds the worker exits during its runs.
+// Refused is set if the request is rejected. Trials is the number of granted trials. Settled is set
+// once the exits are attributed to the request; see QuarantineCommand.
 type QuarantineEntry struct {
 	Request  uint64      `msg:"request"`
 	Ends     []WorkerEnd `msg:"ends"`
--- a/internal/wire/release_test.go
+++ b/internal/wire/release_test.go
@@ -1,16 +1,16 @@
 package wire_test
 
-// These tests guard against messages that builds of two releases can't exchange, which breaks
-// a fleet while its machines are upgraded one by one. Once, a released field kept its name but
-// changed its type: processes of the newer build could not decode the updates of a leader of
-// the older one, so edges rejected all requests for half a minute and then answered 404 on
-// routes acknowledged seconds before, and stores that led a group ran none of its items. Load
-// reports were lost as well, because a tuple had grown. Of the 103 messages of both builds,
-// only these two and the messages that contain them were affected.
+// These tests guard against messages that builds of two releases can't exchange, which breaks a
+// fleet while its machines are upgraded one by one. Once, a released field kept its name but
+// changed its type: processes of the newer build could not decode the updates of a leader of the
+// older build, so edges rejected all requests for half a minute and then answered 404 on routes
+// acknowledged seconds before, and stores that led a group ran none of its items. Load reports were
+// lost as well, because a tuple had grown. Of the 103 messages of both builds, only these two and
+// the messages that contain them were affected.
 //
 // testdata/releases therefore holds the samples that each released build writes, and what that
-// build decodes from the current samples. A message may get new fields, but a released field
-// keeps its name and type, and a tuple its length.
+// build decodes from the current samples. A message may get new fields, but a released field keeps
+// its name and type, and a tuple keeps its length.
 
 import (
 	"bytes"
