--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -18,7 +18,7 @@
 	Capacity    Capacity
 	Seed        uint64
 	Faults      Faults
-	// LoadLag is the age of load reports, EventLag that of cache events.
+	// LoadLag is the age of load reports. EventLag is the age of cache events.
 	LoadLag  time.Duration
 	EventLag time.Duration
 	// ResumeGrace is how long an attempt continues without a reader, and how long an ended
@@ -129,8 +129,9 @@
 	}
 }
 
-// wakeWhenIdle returns the channel that a new attempt signals if the engine is idle, else nil:
-// a new attempt must not cut the duration of a running step short.
+// wakeWhenIdle returns the channel on which a new attempt wakes the engine, if the engine is idle:
+// duration is then 0. Otherwise it returns nil, because a new attempt must not cut the duration of
+// a running step short.
 func (e *Engine) wakeWhenIdle(duration time.Duration) <-chan struct{} {
 	if duration > 0 {
 		return nil
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -58,8 +58,8 @@
 	return s.faults
 }
 
-// occurs draws whether the fault whose probability is selected occurs. It draws no random number
-// if the probability is 0.
+// occurs decides at random whether a fault occurs. probability selects the fault's probability. If
+// the probability is 0, no random number is used up.
 func (s *faultInjector) occurs(probability func(*Faults) float64) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/emulator/hosted.go
+++ b/internal/emulator/hosted.go
@@ -21,8 +21,8 @@
 	Slots int
 	// EventInterval is the time between two events.
 	EventInterval time.Duration
-	// HeaderNames are the names of the headers that the worker reads and sends. The default is
-	// those of the users' platform; set it before the first request.
+	// HeaderNames are the names of the headers that the worker reads and sends, by default the names
+	// on the users' platform. Set them before the first request.
 	HeaderNames *httpheader.Names
 	// KeepID makes the worker keep its ID when it restarts; set it before the first request.
 	// Otherwise each incarnation has its own id.
@@ -30,8 +30,8 @@
 
 	server *httptest.Server
 	mutex  sync.Mutex
-	// exits counts the worker's exits, incarnation its restarts. down is set between an exit
-	// and the restart.
+	// exits is the number of the worker's exits. incarnation is the number of its restarts. down is
+	// set between an exit and the restart.
 	exits       int
 	incarnation int
 	// startedAt is when the current incarnation started.
@@ -115,7 +115,7 @@
 	w.faultFor = faultFor
 }
 
-// Drain makes the list report the worker as draining.
+// Drain makes HostedList report the worker as draining.
 func (w *HostedWorker) Drain() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -142,8 +142,8 @@
 	w.disconnects++
 }
 
-// admit chooses the fault of a request, and records the request and takes a slot unless it is
-// rejected.
+// admit chooses the fault of a request. Unless the request is rejected, admit also records it and
+// takes a slot.
 func (w *HostedWorker) admit(request *HostedRequest) HostedFault {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/internal/emulator/model.go
+++ b/internal/emulator/model.go
@@ -177,8 +177,8 @@
 	}
 }
 
-// prefill processes prompt tokens up to the step's budget, higher priorities first, and returns
-// their number.
+// prefill processes prompt tokens up to the step's budget, higher priorities first, and returns the
+// number of tokens processed.
 func (m *Model) prefill() int {
 	budget := m.capacity.PrefillTokens
 	order := append([]*Sequence(nil), m.running...)
--- a/internal/fleetsim/chains.go
+++ b/internal/fleetsim/chains.go
@@ -8,12 +8,12 @@
 	"github.com/sedgemast/sedgemast/internal/wire"
 )
 
-// chain is a sequence of runs of one item at one store, each of which continues where the
-// previous one stopped.
+// chain is a sequence of runs of one item at one store. Each run continues where the run before it
+// stopped.
 type chain struct {
 	id uint64
-	// startEvent is the number of the event after which the chain started, events the number of
-	// the last event that it reported.
+	// startEvent is the number of the event after which the chain started. events is the number of
+	// the last event that the chain reported.
 	startEvent int
 	events     int
 }
@@ -34,9 +34,9 @@
 // maxChainsPerItem limits the chains of an item that still send records.
 const maxChainsPerItem = 2
 
-// pick returns the chain that sends the next record of the item: a running one, selected by
-// choice, or a new one that starts at the item's progress in the log. It starts a new one if
-// startNew is set or none is running.
+// pick returns the chain that sends the next record of the item. If the item has running chains and
+// startNew is not set, that is one of the running chains, selected by choice. Otherwise it is a new
+// chain, which starts at the item's progress in the log.
 func (c *chains) pick(item *batchstate.Item, startNew bool, choice int) *chain {
 	running := c.running[item.ID]
 	if !startNew && len(running) > 0 {
@@ -66,8 +66,9 @@
 	}
 }
 
-// textFault describes what is wrong with an item's complete text: a missing or repeated event, or
-// an event of a chain that did not start there. It returns an empty string for a correct text.
+// textFault describes what is wrong with an item's complete text: an event is missing or repeated,
+// or the text goes on with an event of another chain that did not start at this event. It returns
+// an empty string for a correct text.
 func (c *chains) textFault(id, text string) string {
 	previous := uint64(0)
 	number := 0
--- a/internal/fleetsim/edges.go
+++ b/internal/fleetsim/edges.go
@@ -16,7 +16,7 @@
 	restartDelay  = time.Second
 	restartJitter = time.Second
 	// In a world with fixed ids there are only fixedIDWorkers workers. Each keeps its id over
-	// restarts and restarts after fixedIDRestartDelay plus the jitter.
+	// restarts, and restarts after fixedIDRestartDelay plus a random time below restartJitter.
 	fixedIDWorkers      = 2
 	fixedIDRestartDelay = 100 * time.Millisecond
 	workerCount         = 6
@@ -27,8 +27,9 @@
 	reportInterval = 20 * time.Millisecond
 	reportTimeout  = 300 * time.Millisecond
 	// A send of the crashing request is late if it comes more than settleTime after the exit that
-	// reaches quarantine.Threshold. Only the sends of an edge that, like the coordinators, has been
-	// undisturbed for settleTime are counted: all edges of a run may make maxLateSends late ones.
+	// reaches quarantine.Threshold. It is counted only if the sending edge and the coordinators have
+	// been undisturbed for settleTime. All edges of a run together may make at most maxLateSends
+	// such sends.
 	settleTime   = 3 * time.Second
 	maxLateSends = 3
 	// coordinatorsOffAt is when all coordinators lose power once more, after the heal.
@@ -80,7 +81,8 @@
 	// pendingReport is the number of the report that waits for an answer, zero for none.
 	pendingReport int
 	reportCount   int
-	// undisturbedSince is when the edge's last fault ends, at first the start of its process.
+	// undisturbedSince is when the edge's last fault ends. Before the first fault it is when the
+	// edge's process started.
 	undisturbedSince time.Time
 }
 
@@ -174,9 +176,9 @@
 	}
 }
 
-// isUndisturbed reports whether the edge and the coordinators have been undisturbed for
-// settleTime. For the coordinators this is assumed to hold from settleTime after healAt on, and
-// never earlier, because their faults seldom leave them undisturbed for that long.
+// isUndisturbed reports whether the edge and the coordinators have been undisturbed for settleTime.
+// The coordinators are taken for undisturbed from settleTime after healAt on, and never earlier:
+// until healAt, their faults seldom leave them undisturbed for that long.
 func (e *edge) isUndisturbed() bool {
 	w := e.world
 	return e.alive && !e.frozen && w.now.Sub(e.undisturbedSince) > settleTime && w.now.Sub(startTime) > healAt+settleTime
@@ -240,8 +242,8 @@
 	})
 }
 
-// recordCrashingSend counts the sends of the crashing request and checks the bound on those that
-// are late.
+// recordCrashingSend counts the sends of the crashing request, and checks that the late ones among
+// them are at most maxLateSends.
 func (w *World) recordCrashingSend(e *edge) {
 	w.crashingSent++
 	if w.crashExits < quarantine.Threshold || !e.isUndisturbed() || w.now.Sub(w.thresholdExitAt) <= settleTime {
@@ -291,8 +293,8 @@
 	return ordered
 }
 
-// handleWorkerExit records at the run's edge that the worker exited, and tries another worker if
-// that is allowed.
+// handleWorkerExit records at the run's edge that the worker exited. It then tries another worker,
+// unless the run is a trial, has used up maxAttempts, or its request is refused by now.
 func (r *simRun) handleWorkerExit(worker string) {
 	e := r.edge
 	e.runWhenAwake(r.incarnation, func() {
@@ -359,8 +361,8 @@
 	})
 }
 
-// requestTrial asks the coordinators for a trial run of a refused request. The request is only
-// sent to a worker if they grant it.
+// requestTrial asks the coordinators for a trial run of a refused request. The request is sent to a
+// worker only if the coordinators grant the trial.
 func (e *edge) requestTrial(run *simRun) {
 	answered := false
 	report := &wire.QuarantineReport{Trial: uint64(run.request), Known: e.cache.Revision()}
--- a/internal/fleetsim/faults.go
+++ b/internal/fleetsim/faults.go
@@ -16,8 +16,9 @@
 	w.after(faultsFrom, w.nextSuspension)
 }
 
-// nextSuspension suspends a machine, beside the other faults, and schedules the next suspension.
-// It prefers the leading coordinator, whose lease a clock that stops would prolong.
+// nextSuspension suspends a machine, beside the other faults, and schedules the next suspension. In
+// two of three cases it suspends the leading coordinator, if one runs, because a clock that stopped
+// during the suspension would prolong the leader's lease.
 func (w *World) nextSuspension() {
 	if w.now.Sub(startTime) > faultsUntil {
 		return
@@ -146,7 +147,8 @@
 	})
 }
 
-// partition cuts a machine off from most others, at times in one direction only.
+// partition cuts the links between a machine and each other machine with a probability of 3/4. One
+// of three partitions is one-way: only the messages that the machine sends are lost.
 func (w *World) partition(m *machine, down time.Duration) {
 	oneWay := w.random.IntN(3) == 0
 	w.log("cut %s for %s, one way %t", m.name, down, oneWay)
@@ -165,9 +167,10 @@
 	})
 }
 
-// mayLoseDisk reports whether another disk may be lost, which requires that the previous loss has
-// been repaired. To wait until nextLossAt is not enough: other faults may have prevented a
-// majority since, and a further loss would then exceed what the groups tolerate.
+// mayLoseDisk reports whether another disk may be lost. The previous loss must have been repaired,
+// or a further loss would exceed what the groups tolerate. It is not enough to wait until
+// nextLossAt: other faults may have left a group without a majority meanwhile, which delays the
+// repair.
 func (w *World) mayLoseDisk() bool {
 	return !w.now.Before(w.nextLossAt) && w.repaired(kindCoordinator) && w.repaired(kindStore)
 }
@@ -209,8 +212,10 @@
 	return len(voters) > 0
 }
 
-// wipeDisk loses the disk of a machine, which restarts at its address. At times all other machines
-// lose power as well.
+// wipeDisk kills a machine and erases its disk. The machine restarts at the same address after the
+// given time. In one of three cases all other machines lose power at the same moment, so that no
+// group has a majority until they restart. The groups then get a further repairTime before another
+// disk may be lost.
 func (w *World) wipeDisk(m *machine, down time.Duration) {
 	if !w.mayLoseDisk() {
 		return
@@ -226,8 +231,9 @@
 	w.after(down, func() { m.restart(false) })
 }
 
-// lagThenLoseDisk cuts a machine off while the others of its kind acknowledge writes. Then one of
-// those loses its disk, the rest lose power for a while, and the partition heals.
+// lagThenLoseDisk cuts a machine off while the other machines of its kind acknowledge writes. Then
+// one of these other machines loses its disk, the rest of them lose power for a while, and the
+// partition heals.
 func (w *World) lagThenLoseDisk(m *machine) {
 	if !w.mayLoseDisk() {
 		return
--- a/internal/fleetsim/ledger.go
+++ b/internal/fleetsim/ledger.go
@@ -297,8 +297,9 @@
 		return
 	}
 	if known.ended && len(results) > len(known.results) && len(known.results) > 0 && l.jobs[id].ended {
-		// Results that were committed before the job ended may be read for the first time after
-		// its end. The list must not grow again after that, which this check does not detect.
+		// Results that were committed before the job ended may be read for the first time after its
+		// end. After that read the list must not grow again; this check does not detect it if the
+		// list does grow.
 		known.results = results
 	}
 	items := map[string]bool{}
@@ -317,8 +318,8 @@
 	known.results = results
 }
 
-// checkText checks that no event is missing or repeated, and that each chain started where the
-// text of the previous one ends.
+// checkText checks that no event is missing or repeated, and that each chain started where the part
+// of the text before it ends.
 func (l *ledger) checkText(row wire.BatchResultRow) {
 	if fault := l.chains.textFault(row.ID, row.Text); fault != "" {
 		l.recordViolation("%s has the text %q: %s", row.ID, row.Text, fault)
--- a/internal/fleetsim/machine.go
+++ b/internal/fleetsim/machine.go
@@ -56,7 +56,7 @@
 	// suspension started, zero if the machine is not suspended.
 	suspendedTotal time.Duration
 	suspendedAt    time.Time
-	// blocked names the machines that messages from this one do not reach.
+	// blocked holds the names of the machines that this machine's messages do not reach.
 	blocked map[string]bool
 
 	node             *replication.Node
@@ -234,9 +234,9 @@
 }
 
 // transmit runs an action at another machine after a random network delay. The action is lost if
-// this machine is down, if a partition blocks the direction at either end of the delay, if the
-// receiver is down or restarts meanwhile, and with a probability of 1/500. A frozen receiver runs
-// it after the freeze.
+// this machine is down, if a partition blocks the direction at the start or at the end of the
+// delay, if the receiver is down or restarts meanwhile, and with a probability of 1/500. A frozen
+// receiver runs the action after the freeze.
 func (m *machine) transmit(to *machine, action func()) {
 	w := m.world
 	if to == nil || !m.alive || m.blocked[to.name] || w.random.IntN(500) == 0 {
@@ -288,8 +288,8 @@
 	})
 }
 
-// poll asks the coordinators for a newer view of the fleet if this is a store; a coordinator
-// refreshes its own view.
+// poll updates the machine's view of the fleet. A store asks the coordinators for a newer view; a
+// coordinator refreshes its own.
 func (m *machine) poll() {
 	if m.kind == kindCoordinator {
 		m.refresh()
--- a/internal/fleetsim/restarts.go
+++ b/internal/fleetsim/restarts.go
@@ -33,9 +33,10 @@
 	w.after(restartInterval/2+time.Duration(w.restartRandom.Int64N(int64(restartInterval))), w.nextRestart)
 }
 
-// restartCoordinators kills all running coordinators, which restart soon. At times the leader keeps
-// running but is cut off from all others: its lease is still in force, and those that helped to
-// grant it have lost their memory of it.
+// restartCoordinators kills all running coordinators, each of which restarts within
+// maxRestartDowntime. In two of three cases a leader is not killed, but cut off from all other
+// machines. Its lease is then still in force, while the coordinators that helped to grant the lease
+// have lost their memory of it.
 func (w *World) restartCoordinators() {
 	isolated := w.leader()
 	if w.restartRandom.IntN(3) == 0 {
--- a/internal/fleetsim/world.go
+++ b/internal/fleetsim/world.go
@@ -14,10 +14,12 @@
 // World is the state of one simulation run.
 type World struct {
 	random *rand.Rand
-	// extraRandom draws for suspensions, edges and builds. It is separate from random, so that the
-	// other faults of a seed come at the same moments with and without these.
+	// extraRandom supplies the random numbers of suspensions, edges and builds. It is separate from
+	// random, so that the other faults of a seed come at the same moments with and without
+	// suspensions, edges and builds.
 	extraRandom *rand.Rand
-	// restartRandom draws when all coordinators restart at once, in seeds with fastRestarts.
+	// restartRandom supplies the random numbers of the simultaneous restarts of all coordinators, in
+	// seeds with fastRestarts.
 	restartRandom *rand.Rand
 	fastRestarts  bool
 	mutation      Mutation
@@ -31,7 +33,7 @@
 	nextLossAt time.Time
 	healed     bool
 	// fullMeshLimit is the replication.Options.FullMeshLimit of the stores. In every other seed it
-	// is 1, so that they exchange hellos with few peers, as in a large fleet.
+	// is 1, so that the stores exchange hellos with few peers, as in a large fleet.
 	fullMeshLimit int
 	edges         []*edge
 	workers       []*simWorker
@@ -40,9 +42,10 @@
 	// twoBuilds is set in two of eight seeds: the coordinators start on a build of the first
 	// generation and are upgraded one after the other. One is downgraded again for a while.
 	twoBuilds bool
-	// crashingSent counts how often the crashing request was sent to a worker, crashExits the
-	// workers that exited under it, and crashingSentLate the sends of undisturbed edges later than
-	// settleTime after thresholdExitAt, the time of the exit that reached quarantine.Threshold.
+	// crashingSent is how often the crashing request was sent to a worker. crashExits is how many
+	// workers exited under it. thresholdExitAt is the time of the exit that reached
+	// quarantine.Threshold. crashingSentLate is how often undisturbed edges sent the crashing
+	// request later than settleTime after thresholdExitAt.
 	crashingSent, crashExits, crashingSentLate int
 	thresholdExitAt                            time.Time
 	// Log holds the injected faults with their times, to be printed with the violations of a
--- a/internal/loadgen/online.go
+++ b/internal/loadgen/online.go
@@ -83,8 +83,8 @@
 			Text:      fmt.Sprintf("%s question %d of %d", SharedPrompt("timetable", o.Words), number, o.Seed),
 			MaxTokens: o.MaxTokens,
 			Stream:    random.Float64() < o.StreamShare,
-			// The draw comes last and only if the share is set, so that a seed without it keeps
-			// its load.
+			// This random number comes last, and is used up only if AtMostOnceShare is set, so that a
+			// seed without that share keeps its load.
 			AtMostOnce: o.AtMostOnceShare > 0 && random.Float64() < o.AtMostOnceShare,
 		}
 		time.Sleep(time.Until(due))
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -86,8 +86,8 @@
 	// InForceMillis holds, for each change, the time in milliseconds until it was in force at every
 	// hollow daemon.
 	InForceMillis []float64
-	// DaemonCPU is the processor time of a hollow daemon as a fraction of a core, DaemonBytes its
-	// traffic with control in bytes per second, DaemonMemory its memory in bytes.
+	// DaemonCPU is the processor time of a hollow daemon as a fraction of a core. DaemonBytes is its
+	// traffic with control in bytes per second. DaemonMemory is its memory in bytes.
 	DaemonCPU    float64
 	DaemonBytes  float64
 	DaemonMemory float64
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -24,7 +24,8 @@
 	changeInterval = 300 * time.Millisecond
 	pollInterval   = 2 * time.Millisecond
 	stepTimeout    = 2 * time.Minute
-	// itemHeadroom is the ratio of submitted items to those that a step should complete.
+	// itemHeadroom is the number of items submitted for a step, divided by the number of items that
+	// the step should complete.
 	itemHeadroom        = 1.6
 	uploaders           = 4
 	submitRetryInterval = 100 * time.Millisecond
@@ -61,8 +62,8 @@
 	key  string
 }
 
-// Measure grows the fleet step by step and returns the measurements of each step. After an error it
-// returns those of the steps before.
+// Measure grows the fleet step by step and returns the measurements of each step. If a step fails,
+// it returns the measurements of the steps before, with the error.
 func (r *Run) Measure(ctx context.Context) ([]*Point, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/simulation/dispatcher.go
+++ b/internal/simulation/dispatcher.go
@@ -134,8 +134,9 @@
 	})
 }
 
-// updateScheduler passes the last load report of a claimed worker to the scheduler. Slots that are
-// not explained by this dispatcher's attempts are counted as the previous owner's.
+// updateScheduler passes the last load report of a claimed worker to the scheduler. If the report
+// shows more work than this dispatcher's attempts explain, the excess counts as slots that the
+// previous owner of the worker still uses, until a report shows no excess.
 func (d *dispatcherProcess) updateScheduler(owned *ownedWorker) {
 	if !owned.claimed {
 		return
--- a/internal/simulation/engine.go
+++ b/internal/simulation/engine.go
@@ -31,13 +31,13 @@
 	attempts     map[string]*engineAttempt
 	attemptIDs   []string
 	loadReports  []timedLoad
-	// The moments until which events are delayed, mixed with those of other attempts, or sent
-	// twice.
+	// delayedUntil is the moment until which events are delayed. Until misroutedUntil, events are
+	// mixed with those of other attempts. Until duplicatedUntil, events are sent twice.
 	delayedUntil    time.Time
 	misroutedUntil  time.Time
 	duplicatedUntil time.Time
-	// onlineBlockedSince is when online work began to wait while batch work ran; zero if none
-	// waits.
+	// onlineBlockedSince is when online work began to wait while batch work ran. It is zero if no
+	// online work waits or no batch work runs.
 	onlineBlockedSince time.Time
 }
 
@@ -216,8 +216,8 @@
 	})
 }
 
-// retainedAttempts is how many of its newest attempts an engine always keeps. Older ones are
-// evicted once they have ended, so that their streams can't be resumed any more.
+// retainedAttempts is how many of its newest attempts an engine always keeps. Older attempts that
+// have ended and have no reader are evicted, so that their streams can't be resumed any more.
 const retainedAttempts = 512
 
 // evictEnded evicts old attempts that have ended and have no reader.
@@ -325,7 +325,8 @@
 	process
 	world  *World
 	states []timedList
-	// inconsistentUntil is until when the list alternates between newer and older states.
+	// inconsistentUntil is the moment until which the list alternates between newer and older
+	// states.
 	inconsistentUntil time.Time
 }
 
--- a/internal/simulation/experiment.go
+++ b/internal/simulation/experiment.go
@@ -20,13 +20,15 @@
 	Name   string
 	Online bool
 	Batch  bool
-	// ReservePercent is the fixed reserve, or with AdaptiveReserve the maximum of the adaptive one.
+	// ReservePercent is the fixed reserve. With AdaptiveReserve it is the maximum of the adaptive
+	// reserve.
 	ReservePercent  int
 	AdaptiveReserve bool
 	// EnginePriorities leaves the order of work to the engines: the scheduler preempts nothing and
 	// keeps no slot free.
 	EnginePriorities bool
-	// Surge multiplies the online load from SurgeFrom to SurgeTo after the warm-up; zero for none.
+	// Surge is the factor of the online load from SurgeFrom to SurgeTo, counted from the end of the
+	// warm-up. Zero means no surge.
 	Surge              int
 	SurgeFrom, SurgeTo time.Duration
 }
@@ -116,8 +118,8 @@
 	// minWaitingItems is the number of batch items below which another job is submitted, so that
 	// the fleet never runs out of items.
 	minWaitingItems = 1200
-	// burstInterval, burstSize and burstDuration describe bursts of short requests; burstSize is
-	// for 12 workers.
+	// burstInterval, burstSize and burstDuration describe bursts of short requests. burstSize is the
+	// size of a burst for 12 workers.
 	burstInterval = 8 * time.Second
 	burstSize     = 120
 	burstDuration = 500 * time.Millisecond
@@ -293,7 +295,7 @@
 	return waiting
 }
 
-// requestShape draws the length of the prompt and of the answer of an online request.
+// requestShape returns random lengths for the prompt and the answer of an online request.
 func (w *World) requestShape(random *rand.Rand) (words, tokens int) {
 	if w.experiment == nil {
 		return random.IntN(40), 8 + random.IntN(24)
--- a/internal/simulation/experiment_report.go
+++ b/internal/simulation/experiment_report.go
@@ -7,9 +7,9 @@
 
 const microsPerMilli = 1000.0
 
-// PrintExperiment writes the variants as a table. Ratios compare a variant with the one that runs
-// online work alone. The bound of batch work is the throughput of the variant that runs batch work
-// alone, less the fraction of slot time that online work used.
+// PrintExperiment writes the variants as a table. The ratios compare a variant with the variant
+// that runs online work alone. The bound of batch work is the throughput of the variant that runs
+// batch work alone, less the fraction of slot time that online work used.
 func PrintExperiment(out io.Writer, variants []*Measurement) {
 	var onlineAlone, batchAlone *Measurement
 	for _, m := range variants {
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -79,11 +79,13 @@
 	maxDestructive = 2
 	raceChanges    = 20
 	repairPoll     = 50 * time.Millisecond
-	// maxDraws bounds the draws for a schedule when the limits on the kinds reject most of them.
+	// maxDraws is how often faults are drawn at most for a schedule. Without it, drawing could go on
+	// for long when the limits on the kinds reject most of the drawn faults.
 	maxDraws = 64
 )
 
-// usesAllDestructive names the kinds that alone erase as many disks as the voters can survive.
+// usesAllDestructive names the kinds of which a single fault erases as many disks as the voters can
+// survive.
 var usesAllDestructive = map[string]bool{"second_loss_after_repair": true, "rolling_disk_loss": true}
 
 // DefaultFaultKinds returns the names of all kinds of faults except the explicitOnly ones.
@@ -171,8 +173,8 @@
 	return true
 }
 
-// isolate cuts the links between a process and all others: both ways, or only those on which it
-// sends.
+// isolate cuts the links between a process and all others. If oneWay is set, only the links on
+// which the process sends are cut, otherwise both directions.
 func (w *World) isolate(p *process, duration time.Duration, oneWay bool) bool {
 	for _, other := range w.allProcesses() {
 		if other == p {
--- a/internal/simulation/faults_control.go
+++ b/internal/simulation/faults_control.go
@@ -156,9 +156,9 @@
 	return true
 }
 
-// injectSecondLoss erases the disk of one voter, and that of a second voter as soon as the meta
-// group has been repaired. For an even target it does not wait for the end of the repair: the
-// second loss comes once the group's membership is changing.
+// injectSecondLoss erases the disk of one voter, and later the disk of a second voter. For an odd
+// target, the second loss comes as soon as the meta group has been repaired. For an even target it
+// comes earlier: as soon as the group's membership is changing.
 func injectSecondLoss(w *World, fault Fault) bool {
 	first := pick(w.controls, fault)
 	if !first.alive || first == w.controls[controlCount-1] {
@@ -193,8 +193,8 @@
 	return true
 }
 
-// injectRollingLoss erases one disk after another, each once all groups have been repaired from the
-// loss before.
+// injectRollingLoss erases one disk after another. Before it erases the next disk, it waits until
+// all groups have been repaired from the loss of the disk before.
 func injectRollingLoss(w *World, fault Fault) bool {
 	var loseNext func(remaining int)
 	loseNext = func(remaining int) {
@@ -273,8 +273,8 @@
 	return true
 }
 
-// injectOperatorsRace sends pairs of changes. The two of a pair are sent at the same time, so that
-// they are most likely based on the same revision.
+// injectOperatorsRace sends pairs of changes. The two changes of a pair are sent at the same time,
+// so that they are most likely based on the same revision.
 func injectOperatorsRace(w *World, fault Fault) bool {
 	for i := 0; i < raceChanges; i++ {
 		w.clock.after(time.Duration(i/2)*50*time.Millisecond, func() {
--- a/internal/simulation/faults_daemons.go
+++ b/internal/simulation/faults_daemons.go
@@ -25,8 +25,8 @@
 	return w.freeze(&pick(w.engines, fault).process, fault.Duration)
 }
 
-// injectWorkerLeaves makes a worker announce that it leaves, and replaces it after the time within
-// which it must no longer get work.
+// injectWorkerLeaves makes a worker announce that it leaves. It replaces the worker later than
+// leavingBound after the announcement; from leavingBound on, the worker must get no more work.
 func injectWorkerLeaves(w *World, fault Fault) bool {
 	e := pick(w.engines, fault)
 	if !e.alive || e.leaving {
--- a/internal/simulation/gateway.go
+++ b/internal/simulation/gateway.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// relay runs one online request through one dispatcher after another. streamNumber numbers its
-// streams: what arrives on any but the current one is ignored.
+// relay runs one online request through one dispatcher after another. streamNumber is the number of
+// its current stream. What arrives on an earlier stream is ignored.
 type relay struct {
 	gateway      *gatewayProcess
 	request      wire.GenerateRequest
@@ -166,8 +166,8 @@
 	r.openStream(d, func(onFrame func(*wire.GenerateFrame), done func(error)) { d.serve(&request, onFrame, done) }, func(err error) { r.handleFailure(err) })
 }
 
-// openStream opens a stream to a dispatcher. start runs there; onFailure runs here, once, if the
-// stream fails before its end.
+// openStream opens a stream to a dispatcher. start runs at the dispatcher. onFailure runs at the
+// gateway, once, if the stream fails before its end.
 func (r *relay) openStream(d *dispatcherProcess, start func(onFrame func(*wire.GenerateFrame), done func(error)), onFailure func(error)) {
 	g, w := r.gateway, r.gateway.world
 	r.streamNumber++
--- a/internal/simulation/items.go
+++ b/internal/simulation/items.go
@@ -85,7 +85,8 @@
 	return itemBacklog
 }
 
-// requestItems leases up to want items of a group and renews the leases of those held.
+// requestItems leases up to want items of a group and renews the leases of the items that the
+// dispatcher holds.
 func (s *itemSet) requestItems(group, want int, models []string, held []wire.ItemRef) {
 	d := s.dispatcher
 	s.requesting[group] = true
@@ -129,8 +130,8 @@
 	for _, ref := range s.refs(group) {
 		item := s.leased[ref]
 		if item == nil {
-			// Dropping an earlier item steps the scheduler, which may reject the attempt of this one.
-			// A rejected item is no longer in leased.
+			// Dropping an earlier item steps the scheduler, which may reject this item's attempt. A
+			// rejected item is no longer in leased.
 			continue
 		}
 		if !item.lease.Valid(s.dispatcher.world.clock.now) && s.dispatcher.world.mutation != MutationIgnoreCancel {
--- a/internal/simulation/ledger.go
+++ b/internal/simulation/ledger.go
@@ -184,8 +184,8 @@
 }
 
 // attemptStarted records that an engine starts an attempt. It checks the epoch of the attempt, that
-// a request that must not be repeated is started at most once, and that no request is started after it has
-// failed with NotRun.
+// a request that must not be repeated is started at most once, and that no request is started after
+// it has failed with NotRun.
 func (l *ledger) attemptStarted(e *engineProcess, request *engine.GenerateRequest) {
 	if request.Epoch < e.fencingEpoch {
 		l.violate("fencing", "engine %s accepted an attempt of epoch %d after epoch %d", e.name, request.Epoch, e.fencingEpoch)
@@ -218,8 +218,8 @@
 	}
 }
 
-// onlineRequestOf returns the id of the request that an attempt belongs to. Attempt ids append the
-// numbers of the gateway's and the dispatcher's attempts to it.
+// onlineRequestOf returns the id of the request that an attempt belongs to. The id of an attempt is
+// the id of its request, followed by the numbers of the gateway's and the dispatcher's attempts.
 func onlineRequestOf(attemptID string) string {
 	dash := strings.LastIndexByte(attemptID, '-')
 	if dash < 0 {
@@ -326,7 +326,8 @@
 	}
 }
 
-// jobRead checks a job that was read against the expected results and against the read before.
+// jobRead checks a job that was read against the expected results, and against what earlier reads
+// of the job returned.
 func (l *ledger) jobRead(job *jobRecord, view jobView, err error) {
 	if err != nil {
 		l.violate("readable", "accepted job %s can't be read: %v", job.id, err)
@@ -353,9 +354,9 @@
 	job.results = results
 }
 
-// hasFinalState reports whether the stored job has reached its final state: cancelled if
-// the answer to a cancel confirmed it, otherwise completed. If a cancel was requested but not
-// confirmed, both are allowed.
+// hasFinalState reports whether the stored job has reached its final state. A job must end as
+// cancelled if the answer to a cancel confirmed it, otherwise as completed. If a cancel was
+// requested but not confirmed, either state is allowed.
 func (job *jobRecord) hasFinalState(record *wire.JobRecord) bool {
 	if !job.cancelledAt.IsZero() {
 		return record.State == wire.JobCancelled
--- a/internal/simulation/mutation_check.go
+++ b/internal/simulation/mutation_check.go
@@ -61,7 +61,7 @@
 }
 
 // VerifyMutations runs each check over the seeds, without and with its mutation, and writes one row
-// of a table per check. It reports whether no run without a mutation failed, and every mutation was
+// of a table per check. It returns true if no run without a mutation failed and every mutation was
 // detected.
 func VerifyMutations(out io.Writer, first, last uint64) bool {
 	passed := true
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -84,7 +84,7 @@
 }
 
 // viaControl sends an operator's call through a random gateway to the leader of the meta group. The
-// gateway needs no valid configuration to pass it on.
+// gateway needs no valid configuration to pass the call on.
 func viaControl[Answer any](w *World, p *process, serve func(*controlProcess, reply[Answer]), done reply[Answer]) {
 	g := w.gateways[w.workload.IntN(len(w.gateways))]
 	call(w, p, &g.process, submitTimeout, func(answer reply[Answer]) {
--- a/internal/simulation/session.go
+++ b/internal/simulation/session.go
@@ -30,7 +30,8 @@
 	viewChanges       int
 	assignments       []wire.Assignment
 	assignmentVersion uint64
-	// draining is set when a dispatcher begins a planned stop, leaving when a daemon ends one.
+	// draining is set when a dispatcher begins a planned stop. leaving is set when a daemon ends its
+	// planned stop.
 	draining         bool
 	leaving          bool
 	fillHeartbeat    func(*wire.HeartbeatRequest)
@@ -104,8 +105,8 @@
 	})
 }
 
-// handleResponse applies the answer to the heartbeat that was sent at sentAt, from which its leases
-// run.
+// handleResponse applies the answer to the heartbeat that was sent at sentAt. The leases in the
+// answer run from sentAt.
 func (s *session) handleResponse(sentAt time.Time, response *wire.HeartbeatResponse) {
 	before := s.config.Current().Revision
 	if _, err := s.config.Apply(response.Config); err != nil {
--- a/internal/simulation/timings.go
+++ b/internal/simulation/timings.go
@@ -25,7 +25,8 @@
 	pending        []*pendingRevision
 	servingDaemons func() []string
 	faulty         func() bool
-	// InForceUnderFault holds the same times for changes during which a fault was active.
+	// InForceUnderFault holds the times that InForce leaves out: those of changes during which a
+	// fault was active.
 	InForceUnderFault []time.Duration
 	lastRevision      uint64
 	revisionOf        map[string]uint64
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -101,7 +101,7 @@
 // clientZone is the zone of callers, which are outside every zone.
 const clientZone = -1
 
-// delay draws the one-way latency of a message.
+// delay returns a random one-way latency for a message.
 func (n *network) delay(from, to *process) time.Duration {
 	base := n.latencies.otherZone
 	switch {
--- a/internal/simulation/world_run.go
+++ b/internal/simulation/world_run.go
@@ -32,9 +32,9 @@
 	// Engine is the capacity of engines in experiments; nil means the small engines of failure
 	// runs.
 	Engine *emulator.Capacity
-	// WarmUp is when load begins. Faults are injected from FaultsFrom to FaultsTo, all since the
-	// start of the run. Recovery is how long the fleet may take afterwards to recover and finish
-	// its work.
+	// WarmUp is when load begins. Faults are injected from FaultsFrom to FaultsTo. All three count
+	// from the start of the run. Recovery is how long after FaultsTo the fleet may take to recover
+	// and finish its work.
 	WarmUp     time.Duration
 	FaultsFrom time.Duration
 	FaultsTo   time.Duration
@@ -66,8 +66,8 @@
 	}
 }
 
-// Profiles returns the deployments by name. The rates of batch jobs are those that the users gave,
-// from two callers.
+// Profiles returns the deployments by name. In each, two callers submit batch jobs at the rates
+// that the users gave.
 func Profiles() map[string]Profile {
 	return map[string]Profile{
 		"stundir": profile("stundir", 3, 12, 8*time.Second),
@@ -96,7 +96,7 @@
 	Mutation   Mutation
 	// Variant is set in experiments.
 	Variant Variant
-	// Schedule replaces the schedule that is drawn from the seed if it is not nil.
+	// Schedule, if not nil, replaces the schedule that is drawn from the seed.
 	Schedule []Fault
 }
 
@@ -127,8 +127,8 @@
 	plannedStopsOnly  bool
 }
 
-// Result holds the outcome of a run. Rejected counts all requests without a complete answer, Items
-// the results of batch items that were read.
+// Result holds the outcome of a run. Rejected is the number of requests without a complete answer.
+// Items is the number of results of batch items that were read.
 type Result struct {
 	Seed        uint64
 	Profile     string
@@ -262,8 +262,8 @@
 	return append(all, &w.platform.process)
 }
 
-// servingDaemons returns the names of the daemons that serve. The others reject work, and so don't
-// use their configuration.
+// servingDaemons returns the names of the daemons that serve. Daemons that don't serve reject work,
+// and so don't use their configuration.
 func (w *World) servingDaemons() []string {
 	var names []string
 	for _, d := range w.dispatchers {
--- a/test/bad_input_test.go
+++ b/test/bad_input_test.go
@@ -29,7 +29,8 @@
 	return startEmbeddedWith(t, ctx, fleet.Options{Engines: 1})
 }
 
-// startEmbeddedWith is startEmbedded with the given options; it sets the others itself.
+// startEmbeddedWith is startEmbedded with the given options, except that it sets the numbers of
+// gateways and dispatchers, the models, the folder, the capacity and the operator's key itself.
 func startEmbeddedWith(t testing.TB, ctx context.Context, options fleet.Options) (*fleet.Fleet, string, string) {
 	t.Helper()
 	operatorKey, tenantKey := "operator-secret", "tenant-secret"
--- a/test/control_test.go
+++ b/test/control_test.go
@@ -87,8 +87,8 @@
 	return 0
 }
 
-// waitVoters waits until at least want voters are responsive and nearly up to date: the leader, or
-// an answer in the last second and fewer than 100 entries of lag.
+// waitVoters waits until at least want voters are responsive and nearly up to date. A voter counts
+// if it is the leader, or if it answered in the last second and lags by fewer than 100 entries.
 func (c *cluster) waitVoters(t *testing.T, ctx context.Context, want int) {
 	t.Helper()
 	for {
--- a/test/fleet_api_test.go
+++ b/test/fleet_api_test.go
@@ -156,7 +156,8 @@
 }
 
 // testQuarantine makes workers exit under a request until the quarantine refuses it. The operators'
-// list must show it, and after an operator has readmitted it and it is harmless, it must be served.
+// list must show the request. Once workers no longer exit under it and an operator has readmitted
+// it, it must be served.
 func (f *nativeFleet) testQuarantine(operators, callers string) {
 	t := f.t
 	var fatal atomic.Bool
--- a/test/hosted_test.go
+++ b/test/hosted_test.go
@@ -383,8 +383,8 @@
 	}
 }
 
-// testDraining lists a worker as draining and checks that it gets no new requests once the edge
-// has applied that.
+// testDraining lists a worker as draining and checks that the worker gets no new requests once the
+// edge has applied the new worker list.
 func (f *hostedFleet) testDraining(t *testing.T, edge string) {
 	draining := f.workers[0]
 	draining.Drain()
@@ -432,8 +432,8 @@
 		}
 		return len(failing.Requests()) - before
 	}
-	// Long enough for the whole zone to avoid the worker. On its own, an edge avoids it for one
-	// second only.
+	// This is long enough for the whole zone to avoid the worker. An edge that is alone in avoiding
+	// the worker does so for one second only.
 	for start := time.Now(); time.Since(start) < 3*time.Second; time.Sleep(20 * time.Millisecond) {
 		send(1)
 	}
--- a/test/restart_test.go
+++ b/test/restart_test.go
@@ -20,8 +20,7 @@
 	// their restarts are spread.
 	restartDowntime = 600 * time.Millisecond
 	restartSpread   = 400 * time.Millisecond
-	// From before the first restart on, a request arrives every restartInterval for
-	// restartLoad.
+	// Requests begin before the first restart. One arrives every restartInterval, for restartLoad.
 	restartInterval = 5 * time.Millisecond
 	restartLoad     = 3 * time.Second
 	// restartTimeout bounds the wait, once all callers have their answers, until every edge
@@ -29,13 +28,13 @@
 	restartTimeout = 30 * time.Second
 )
 
-// restartCaller is one caller: when it sent its request and got its final answer, relative to the
-// last process start, and the outcome.
+// restartCaller is one caller and the outcome of its request. sent and answered are when it sent
+// the request and got the final answer, relative to the last process start.
 type restartCaller struct {
 	sent, answered time.Duration
 	served         bool
-	// rejected counts answers that promise that nothing ran, unexpected counts all other
-	// answers.
+	// rejected counts the answers that promise that nothing ran. unexpected counts the answers that
+	// are neither a rejection nor the complete text.
 	rejected, unexpected int
 	lastAnswer           string
 }
@@ -217,8 +216,8 @@
 	}
 }
 
-// restartCall sends a request. If an edge does not answer, the caller tries the next one, up to 40
-// attempts. If rejected, it retries once after the Retry-After time.
+// restartCall sends a request. If an edge does not answer, the caller tries the next edge, up to 40
+// attempts. If the request is rejected, the caller retries once after the Retry-After time.
 func (f *hostedFleet) restartCall(edges []string, id string, number int, startedAt time.Time) restartCaller {
 	headers := map[string]string{"Request-Id": id, "Token-Count": "10,3", "Deadline-Ms": "3000"}
 	caller := restartCaller{sent: time.Since(startedAt)}
@@ -247,13 +246,13 @@
 const (
 	// freezeDuration is how long TestHostedFreeze freezes an edge.
 	freezeDuration = 2 * time.Second
-	// frozenRequests is the number of requests sent meanwhile, every other one with a deadline
-	// that expires before the edge resumes.
+	// frozenRequests is the number of requests sent while the edge is frozen. Every other one has a
+	// deadline that expires before the edge resumes.
 	frozenRequests = 6
 )
 
-// TestHostedFreeze freezes an edge while requests arrive. When it resumes, it must reject those
-// whose deadline has expired without sending them to a worker, and serve the others.
+// TestHostedFreeze freezes an edge while requests arrive. When the edge resumes, it must reject the
+// requests whose deadline has expired, without sending them to a worker, and serve the rest.
 func TestHostedFreeze(t *testing.T) {
 	f := newHostedFleetWith(t, measuredBuild(t), hostedWorkers)
 	edges := f.configure(t)
--- a/test/soak_clients_test.go
+++ b/test/soak_clients_test.go
@@ -12,8 +12,8 @@
 	"github.com/sedgemast/sedgemast/internal/emulator"
 )
 
-// runClient sends requests to one edge over a kept-alive connection, and changes to a random edge
-// when that one does not serve.
+// runClient sends requests to one edge over a kept-alive connection. When that edge does not serve,
+// it changes to a random edge.
 func (s *soak) runClient(number int, random *rand.Rand, stop <-chan struct{}) {
 	transport := &http.Transport{MaxIdleConnsPerHost: 1, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}
 	defer transport.CloseIdleConnections()
@@ -217,8 +217,8 @@
 	return jobs
 }
 
-// readJob reads a job's results, checks them, and checks that those that were read before have kept
-// their positions. It reports whether the results are complete.
+// readJob reads a job's results and checks them. Results that were read before must have kept their
+// positions. readJob reports whether the results are complete.
 func (s *soak) readJob(name, edge string) bool {
 	status, _, body, err := s.callWithin(2*time.Second, http.MethodGet, s.address(s.machines[edge], portCallers), "/-/lots/"+name+"?sinceRev=0", map[string]string{"Wait-Ms": "0"}, "")
 	if err != nil || status != http.StatusOK {
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -21,7 +21,7 @@
 // what callers and workers see. CI runs one short seed; by hand: make soak SECONDS=60 SEED=7.
 
 const (
-	// soakSeconds is how long the default run injects faults, soakSeed is its seed.
+	// soakSeconds is how long the default run injects faults. soakSeed is the seed of that run.
 	soakSeconds = 30
 	soakSeed    = 1
 	// wipeInterval is how long after the loss of a disk no machine of the same class gets another
@@ -30,8 +30,8 @@
 	// maxSentDuringClose is the maximum number of requests without an answer per planned stop: those
 	// that were sent while the edge closed their connection.
 	maxSentDuringClose = 3
-	// allDown is how long all machines are down at once, thirdFrozen how long a third of them
-	// is frozen.
+	// allDown is how long all machines are down at once. thirdFrozen is how long a third of them is
+	// frozen.
 	allDown     = 600 * time.Millisecond
 	thirdFrozen = 3 * time.Second
 )
@@ -147,7 +147,8 @@
 	startedAt, fleetFaults := time.Now(), []func(){s.killAll, s.freezeThird}
 	for parts := len(fleetFaults) + 1; time.Since(startedAt) < duration; {
 		if len(fleetFaults) > 0 && time.Since(startedAt) > duration*time.Duration(parts-len(fleetFaults))/time.Duration(parts) {
-			// Such a fault affects all classes of machines, so it waits until no other is active.
+			// Such a fault affects all classes of machines, so it waits until no other fault is
+			// active.
 			faults.Wait()
 			fleetFaults[0]()
 			fleetFaults = fleetFaults[1:]
@@ -189,9 +190,9 @@
 	return strings.Join(rows, ", ")
 }
 
-// drawFault returns a random fault for a machine that has none, or nil. At most one coordinator, one
-// store and two of the three edges have a fault at the same time. The fault of the workers, which
-// is that all reject requests, may come at any time.
+// drawFault returns a random fault for a machine that has none, or nil. At most one coordinator,
+// one store and two of the three edges have a fault at the same time. The workers have only one
+// kind of fault, which may come at any time: all workers reject requests.
 func (s *soak) drawFault() func() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -239,13 +240,14 @@
 	}
 }
 
-// names returns the machines' names in a fixed order, so that a seed draws the same ones.
+// names returns the machines' names in a fixed order, so that a seed always selects the same
+// machines.
 func (s *soak) names() []string {
 	return append([]string{"core-1", "core-2", "core-3", "store-11", "store-12", "store-13"}, s.edges()...)
 }
 
-// rejectAtWorkers makes all workers reject requests for 300 ms. Requests that are answered as not
-// run in that time must not run.
+// rejectAtWorkers makes all workers reject requests for 300 ms. If a request of that time is
+// answered as not run, it must not have run.
 func (s *soak) rejectAtWorkers() {
 	s.logFault("workers reject requests")
 	s.injectFaults(func(*emulator.HostedRequest) emulator.HostedFault { return emulator.HostedFault{NotRun: true} })
--- a/test/two_builds_test.go
+++ b/test/two_builds_test.go
@@ -122,8 +122,8 @@
 	})
 }
 
-// checkAllDecoded checks that no process logged a message that it could not decode. The released
-// build does not log them.
+// checkAllDecoded checks that no process logged a message that it could not decode. Processes of
+// the released build are not checked by this, because that build does not log such messages.
 func (f *hostedFleet) checkAllDecoded(t *testing.T) {
 	t.Helper()
 	for name, machine := range f.machines {
--- a/test/worker_exits_test.go
+++ b/test/worker_exits_test.go
@@ -75,9 +75,10 @@
 	}
 }
 
-// TestRequestThatMakesWorkersExit sends such a request repeatedly to both edges, beside a harmless
-// one that is sent as often and others that are sent once. It must be quarantined, also after edges
-// and coordinators were killed, and the harmless requests must be served.
+// TestRequestThatMakesWorkersExit sends both edges a request that makes workers exit, again and
+// again. Beside it, a harmless request is sent as often, and other requests are sent once. The
+// request that makes workers exit must be quarantined, also after edges and coordinators were
+// killed, and the harmless requests must be served.
 func TestRequestThatMakesWorkersExit(t *testing.T) {
 	f := newHostedFleet(t, 8)
 	edges := f.configure(t)
@@ -150,7 +151,7 @@
 }
 
 // TestItemThatMakesWorkersExit submits a job with one item that makes workers exit. The other items
-// must complete, and that one must be held back. It must not be abandoned, because no worker
+// must complete, and this item must be held back. It must not be abandoned, because no worker
 // reported that it failed.
 func TestItemThatMakesWorkersExit(t *testing.T) {
 	const items, tokens = 12, 20
@@ -186,10 +187,11 @@
 	}
 }
 
-// TestWorkersRestartUnderTheirIDs repeats the request with two workers that restart under the same
-// id, after 60 ms or almost at once. Each exit must count. It guards against two faults: several
-// exits of one worker count as one, so the request is never quarantined; or an exit does not count
-// because the worker has restarted by the time the edge checks it.
+// TestWorkersRestartUnderTheirIDs repeats a request that makes workers exit, with two workers that
+// restart under the same id, after 60 ms or almost at once. Each exit must count. The test guards
+// against two faults: several exits of one worker count as one, so the request is never
+// quarantined; or an exit does not count because the worker has restarted by the time the edge
+// checks it.
 func TestWorkersRestartUnderTheirIDs(t *testing.T) {
 	for _, restartAfter := range []time.Duration{restartDelay, 500 * time.Microsecond} {
 		t.Run(restartAfter.String(), func(t *testing.T) {
