--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,4 @@
-# Sedgemast needs Go, a C compiler for Go and make; `make run` and `make test`
-# do all set-up.
+# Requires Go, a C compiler (for cgo) and make. `make run` and `make test` need no other setup.
 
 GO ?= go
 BIN := bin
@@ -11,15 +10,15 @@
 build:
 	$(GO) build -o $(BIN)/ ./cmd/...
 
-# run starts the embedded fleet, sends online requests and a batch job, checks
-# every answer and ends. ARGS="--stay" keeps it up.
+# run starts the embedded fleet, sends online requests and a batch job, checks every answer and
+# exits. ARGS="--stay" keeps the fleet running.
 run: build
 	$(BIN)/sedgemast dev $(ARGS)
 
 test:
 	@skip=$$(scripts/known-red.sh) && $(GO) test -timeout 20m -skip "$$skip" ./...
 
-# fleet-smoke runs separate processes, whole and with two of them killed.
+# fleet-smoke tests a fleet of separate processes, without faults and with two processes killed.
 fleet-smoke:
 	$(GO) test -count=1 -v -run 'TestFleetSmoke' ./test
 
@@ -36,12 +35,12 @@
 fmt-check:
 	@files=$$(gofmt -l $$(git ls-files '*.go')); if [ -n "$$files" ]; then echo "gofmt would change: $$files"; exit 1; fi
 
-# generate rewrites the committed message code in internal/wire.
+# generate regenerates the committed message code in internal/wire.
 generate:
 	$(GO) generate ./internal/wire
 
-# sim runs the fleet in virtual time under all faults: 200 runs. sim-long runs
-# 5,000.
+# sim simulates the fleet in virtual time under all faults: 200 runs, two profiles for each seed.
+# sim-long makes 5,000 runs.
 .PHONY: sim sim-long prove
 sim: build
 	$(BIN)/sedgemast-lab simulate --seeds 1..100
@@ -49,18 +48,19 @@
 sim-long: build
 	$(BIN)/sedgemast-lab simulate --seeds 1001..3500
 
-# prove prints each promise under its faults, whole and with its mechanism taken
-# away.
+# prove checks each promise under its faults, and that its check fails when its mechanism is
+# disabled, and prints the results as a table.
 prove: build
 	$(BIN)/sedgemast-lab prove
 
-# scale measures hollow fleets of three sizes beside real processes; the data and
-# plots go to out/scale.
+# scale measures real processes in hollow fleets of three sizes and writes the data and plots to
+# out/scale.
 .PHONY: scale
 scale:
 	scripts/scale.sh
 
-# soak runs separate processes under faults drawn from a seed.
+# soak tests separate processes under random faults from a seed. SECONDS (default 60) is the
+# duration, SEED (default 1) the seed.
 SECONDS_OF_SOAK = $(or $(SECONDS),60)
 .PHONY: soak
 soak:
--- a/scripts/check-names.sh
+++ b/scripts/check-names.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Checks that the words of the users' platform stand nowhere outside the folder
-# that translates them; stand-ins and tests may use them.
+# Checks that words of the users' platform occur only in platform/, which translates them. The
+# emulator and tests may use them, too. Also bounds the size of platform/, because it must not
+# make decisions.
 set -eu
 cd "$(dirname "$0")/.."
 words='Server-Seal|Expect-Instance|"Not-Run|Kv-Backup|Kv-Fetch|kv-events|Prompt-Prefix|Token-Count|Server-Load|pathPrefix|routeKind|maxQueuedTokens|sinceRev|/-/lots|/-/items|/-/retire|/-/config|/-/ready|SEDGEMAST_BOOT'
--- a/scripts/corpus.sh
+++ b/scripts/corpus.sh
@@ -1,7 +1,9 @@
 #!/usr/bin/env bash
-# Writes the messages of the release COMMIT into internal/wire/testdata/releases/NAME, and
-# what that release reads in today's messages: scripts/corpus.sh COMMIT NAME. To be run by
-# hand for each release, and again for all after a message has got a field.
+# Writes sample messages of the release COMMIT to internal/wire/testdata/releases/NAME, and also
+# what that release decodes from sample messages of the current tree. Run it by hand for each
+# release, and again for all releases after a field has been added to a message.
+#
+# Usage: scripts/corpus.sh COMMIT NAME
 set -eu
 cd "$(dirname "$0")/.."
 folder=$PWD/internal/wire/testdata/releases/$2
--- a/scripts/days.sh
+++ b/scripts/days.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Plays our own days, one for each kind of disruption, on a site and prints a row
-# each: day, worth, served, broken rules. The bench and the site are named by the
-# caller; each day is one run with a journal entry.
+# Runs days (test scenarios, one for each kind of disruption) on a site and prints a row for each
+# day: name, worth, served, broken rules. FLEETBENCH is the program of the bench. Each day is
+# one run of the bench, whose journal entry contains the reason <why>. The default is to run all of
+# deploy/days, three days at a time.
 #
 #   FLEETBENCH=<program> scripts/days.sh <site file> "<why>" [jobs] [day files...]
 set -eu
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,7 +1,6 @@
 #!/usr/bin/env bash
-# Runs a fleet as separate processes on this machine, on loopback: the emulated
-# platform and engines, control, dispatchers and gateways. It ends them all when
-# interrupted.
+# Runs a fleet of separate processes on the loopback interface: the emulated platform and engines,
+# control processes, dispatchers and gateways. Stops all of them when interrupted.
 #
 # Usage: scripts/fleet.sh [FOLDER]
 # Environment: ENGINES (4), DISPATCHERS (2), GATEWAYS (3), CONTROLS (1).
@@ -18,7 +17,7 @@
 mkdir -p "$folder"
 pids=()
 stop() {
-	# Callers' side first, so that a planned stop cuts no request.
+	# Stop in reverse order, gateways first, so that no running request is interrupted.
 	for ((index = ${#pids[@]} - 1; index >= 0; index--)); do
 		kill -TERM "${pids[$index]}" 2>/dev/null || true
 		wait "${pids[$index]}" 2>/dev/null || true
--- a/scripts/scale.sh
+++ b/scripts/scale.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The scale run: six real control processes, three real dispatchers and three real
-# gateways, beside hollow daemons in one process and hollow workers in another.
+# Measures a large fleet: six real control processes, three real dispatchers and three real
+# gateways run with hollow daemons in one process and hollow workers in another.
 #
 # Environment: DAEMONS (60,180,330), WORKERS (600), TENANTS (510), ITEM_RATE (5440).
 set -eu
